--- a/placement/scheduler/benchmark_test.go
+++ b/placement/scheduler/benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// newLargeSnapshot has 58,000 rows, eight replicas a runner that were used
-// lately, a tenth as many rows with waiting requests as there are runners, and 256
+// newLargeSnapshot returns a snapshot of 58,000 rows with eight recently used replicas
+// per runner, waiting requests for a tenth as many rows as there are runners, and 256
 // expected rows.
 func newLargeSnapshot(runners int) Snapshot {
 	const rows, perRunner = 58_000, 8
@@ -62,8 +62,8 @@
 	}
 }
 
-// BenchmarkQuietPlan is of a zone in which nothing waits, and 250 models have 58,000
-// adapters between them.
+// BenchmarkQuietPlan measures a plan without waiting requests, in which 250 models have
+// 58,000 adapters.
 func BenchmarkQuietPlan(b *testing.B) {
 	const models, adapters = 250, 58_000
 	for _, runners := range []int{12, 420, 10_000} {
@@ -87,12 +87,12 @@
 }
 
 func BenchmarkExpected(b *testing.B) {
-	rhythms := NewRhythms()
+	history := NewRhythms()
 	for i := range 58_000 {
-		rhythms.Observe(monday, structs.RowName(fmt.Sprintf("row-%05d", i)))
+		history.Observe(monday, structs.RowName(fmt.Sprintf("row-%05d", i)))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		rhythms.Expected(monday.Add(24*time.Hour), 0.5, 256)
+		history.Expected(monday.Add(24*time.Hour), 0.5, 256)
 	}
 }
--- a/placement/scheduler/evict.go
+++ b/placement/scheduler/evict.go
@@ -8,19 +8,19 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// evictionHorizon is the time within which the return of a row counts.
+// evictionHorizon is the time within which a row's next use counts as an eviction cost.
 const evictionHorizon = 5 * time.Minute
 
-// victim is a replica with the adapters on it, which go together.
+// victim is a replica together with the adapters on it, which are evicted with it.
 type victim struct {
 	replica *replicaState
 	bytes   int64
 	cost    float64
 }
 
-// victims chooses idle replicas on the option's runner that make room for the
-// row at the least expected cost, in seconds of reloading. It returns nil when
-// there are not enough.
+// victims chooses idle replicas on the option's runner whose eviction makes room for
+// the row at the lowest expected cost, in seconds of reloading. It returns nil if
+// evicting all candidates would not make enough room.
 func (p *planner) victims(row *rowState, option *placement) ([]*replicaState, float64) {
 	missing := option.need - option.runner.future
 	var candidates []victim
@@ -43,8 +43,8 @@
 	return pickVictims(candidates, missing)
 }
 
-// pickVictims takes candidates in order until enough is freed, and spares those that
-// are not needed beside the later ones.
+// pickVictims takes candidates in order until enough memory is freed, and then drops
+// those that later ones make unnecessary.
 func pickVictims(candidates []victim, missing int64) ([]*replicaState, float64) {
 	var picked []victim
 	for _, candidate := range candidates {
@@ -56,10 +56,10 @@
 	}
 	var chosen []*replicaState
 	cost := 0.0
-	spare := -missing
+	excess := -missing
 	for _, candidate := range slices.Backward(picked) {
-		if candidate.bytes <= spare {
-			spare -= candidate.bytes
+		if candidate.bytes <= excess {
+			excess -= candidate.bytes
 			continue
 		}
 		chosen = append(chosen, candidate.replica)
@@ -69,20 +69,20 @@
 	return chosen, cost
 }
 
-// victim returns the replica with its adapters as a candidate. An adapter whose
-// base may go as well is only counted with the base.
+// victim returns the replica with its adapters as a candidate. An adapter whose base
+// is evictable too counts only with the base.
 func (p *planner) victim(row *rowState, replica *replicaState) (victim, bool) {
 	if !p.evictable(row, replica) {
 		return victim{}, false
 	}
 	if replica.Base != "" {
-		if base := replica.runner.find(replica.Base); base != nil && p.evictable(row, base) && replica.Base != row.Base {
+		if base := replica.runner.replicaOf(replica.Base); base != nil && p.evictable(row, base) && replica.Base != row.Base {
 			return victim{}, false
 		}
 	}
 	candidate := victim{replica, replica.MemoryBytes, p.evictionCost(replica)}
 	for _, adapter := range replica.adapters() {
-		if adapter.going {
+		if adapter.unloading {
 			continue
 		}
 		candidate.bytes += adapter.MemoryBytes
@@ -93,7 +93,7 @@
 
 func (p *planner) evictable(row *rowState, replica *replicaState) bool {
 	victim := replica.row
-	if !replica.idle() || victim.demand.Waiting > 0 || victim.usable <= victim.minimum {
+	if !replica.idle() || victim.demand.Waiting > 0 || victim.usableCount <= victim.minimum {
 		return false
 	}
 	if p.snapshot.Now.Sub(replica.Since) < p.settings.MinimumResidence {
@@ -103,40 +103,41 @@
 		return false
 	}
 	for _, adapter := range replica.adapters() {
-		if !adapter.going && !p.evictable(row, adapter) {
+		if !adapter.unloading && !p.evictable(row, adapter) {
 			return false
 		}
 	}
 	return true
 }
 
-// evictionCost is the expected time of reloading within evictionHorizon, weighed
-// by the row's weight. A base is missed by its adapters as well.
+// evictionCost returns the expected time to reload the replica within evictionHorizon,
+// in seconds, multiplied by the row's weight. The cost of a base includes the use of
+// its adapters.
 func (p *planner) evictionCost(replica *replicaState) float64 {
 	row := replica.row
 	reload := p.readTime(replica.MemoryBytes, structs.TierDisk).Seconds()
-	return reload * p.returnWithin(replica, evictionHorizon) * float64(max(row.Weight, 1))
+	return reload * p.replicaReturnProbability(replica, evictionHorizon) * float64(max(row.Weight, 1))
 }
 
-// returnWithin is the probability that the row, or an adapter on its replica, is
-// used within the horizon.
-func (p *planner) returnWithin(replica *replicaState, horizon time.Duration) float64 {
-	unused := 1 - p.rowReturns(replica.row, horizon)
+// replicaReturnProbability returns the probability that the row, or an adapter on its
+// replica, is used within the horizon.
+func (p *planner) replicaReturnProbability(replica *replicaState, horizon time.Duration) float64 {
+	unused := 1 - p.rowReturnProbability(replica.row, horizon)
 	for _, adapter := range replica.adapters() {
-		if !adapter.going {
-			unused *= 1 - p.rowReturns(adapter.row, horizon)
+		if !adapter.unloading {
+			unused *= 1 - p.rowReturnProbability(adapter.row, horizon)
 		}
 	}
 	return 1 - unused
 }
 
-// rowReturns is the probability that the row is used within the horizon. The
-// longer it has been idle, the further ahead its return is looked for, and the
-// less that is for the horizon.
-func (p *planner) rowReturns(row *rowState, horizon time.Duration) float64 {
+// rowReturnProbability returns the probability that the row is used within the horizon.
+// For a row that has been idle longer than the horizon, it scales down the probability
+// of a use within the idle time.
+func (p *planner) rowReturnProbability(row *rowState, horizon time.Duration) float64 {
 	idle := p.idleFor(row)
 	ahead := max(idle, horizon)
 	probability := p.snapshot.Interarrivals[row.Name].returnProbability(idle, ahead)
 	probability *= horizon.Seconds() / ahead.Seconds()
-	return max(probability, row.expectedWithin(horizon.Seconds()))
+	return max(probability, row.useProbabilityWithin(horizon.Seconds()))
 }
--- a/placement/scheduler/keepalive.go
+++ b/placement/scheduler/keepalive.go
@@ -7,28 +7,28 @@
 
 const (
 	// interarrivalBuckets is the number of buckets; bucket k counts times below 2^k
-	// seconds. The last one reaches to six days, beyond a weekend.
+	// seconds. The last one reaches six days, longer than a weekend.
 	interarrivalBuckets = 20
-	// interarrivalDecayAt is the count at which all buckets are halved, so that
-	// old habits fade.
+	// interarrivalDecayAt is the count at which all buckets are halved, so that old
+	// samples lose weight.
 	interarrivalDecayAt = 256
-	// interarrivalMinimum is how many samples are needed before they are believed.
-	interarrivalMinimum = 4
-	// interarrivalPrior is what each bucket counts before any sample: a time that was
-	// not seen yet is possible, the less likely the more were seen.
+	// minInterarrivalSamples is the number of samples below which the histogram is ignored.
+	minInterarrivalSamples = 4
+	// interarrivalPrior is the pseudo-count of each bucket, so that times not yet
+	// observed keep a probability that shrinks with the number of samples.
 	interarrivalPrior = 0.1
-	// unknownReturn is the probability of use of a row of which too little is known.
-	unknownReturn = 0.5
+	// defaultReturnProbability is the return probability of a row with too few samples.
+	defaultReturnProbability = 0.5
 )
 
-// Interarrivals is a decaying histogram of the times between a row's requests,
-// as far as they are a second or more apart. The zero value is ready for use.
+// Interarrivals is a decaying histogram of the times between a row's requests that
+// are at least a second apart. The zero value is ready for use.
 type Interarrivals struct {
 	counts [interarrivalBuckets]uint16
 	total  uint16
 }
 
-// Observe counts one time between requests.
+// Observe adds one time between requests.
 func (i *Interarrivals) Observe(gap time.Duration) {
 	bucket := 0
 	for bucket < interarrivalBuckets-1 && gap >= time.Second<<bucket {
@@ -46,12 +46,12 @@
 	}
 }
 
-// KeepAlive returns how long an idle replica is worth keeping: the time that
-// minimises the expected idle reservation plus the expected cold starts, of which
-// each costs coldCost, in seconds of the replica's reservation. While too little
-// is known, it is as long as a cold start is worth.
+// KeepAlive returns how long to keep an idle replica: the time that minimises the
+// expected idle time plus the expected cost of cold starts, where one cold start
+// costs coldCost of idle time. With too few samples it is coldCost. The result is
+// within the bounds of the settings.
 func (i *Interarrivals) KeepAlive(coldCost time.Duration, settings Settings) time.Duration {
-	if i == nil || i.total < interarrivalMinimum {
+	if i == nil || i.total < minInterarrivalSamples {
 		return clampKeepAlive(coldCost, settings)
 	}
 	best, bestCost := time.Duration(0), math.Inf(1)
@@ -67,7 +67,7 @@
 	return clampKeepAlive(best, settings)
 }
 
-// expectedCost is in seconds of idle reservation.
+// expectedCost returns the expected cost of the keep-alive time in seconds of idle time.
 func (i *Interarrivals) expectedCost(keep time.Duration, coldCost float64) float64 {
 	cost := 0.0
 	total := float64(i.total) + interarrivalPrior*interarrivalBuckets
@@ -83,11 +83,11 @@
 	return cost
 }
 
-// returnProbability is the probability that a row idle for the given time is
+// returnProbability returns the probability that a row idle for the given time is
 // used again within the horizon.
 func (i *Interarrivals) returnProbability(idle, horizon time.Duration) float64 {
-	if i == nil || i.total < interarrivalMinimum {
-		return unknownReturn
+	if i == nil || i.total < minInterarrivalSamples {
+		return defaultReturnProbability
 	}
 	later, soon := 0.0, 0.0
 	for k, count := range i.counts {
--- a/placement/scheduler/keepalive_test.go
+++ b/placement/scheduler/keepalive_test.go
@@ -15,22 +15,22 @@
 	return gaps
 }
 
-func TestAFewShortGapsDoNotRuleOutLongOnes(t *testing.T) {
+func TestFewShortGapsLeaveProbabilityToLongGaps(t *testing.T) {
 	settings := DefaultSettings()
-	// The calls of one session: what comes after it was not seen yet.
-	session := observed(30*time.Second, interarrivalMinimum)
-	qt.Check(t, session.KeepAlive(24*time.Hour, settings) >= time.Hour, qt.IsTrue)
-	qt.Check(t, session.KeepAlive(10*time.Second, settings), qt.Equals, settings.MinimumKeepAlive)
-	// The more were seen, the less likely are others.
-	habit := observed(30*time.Second, interarrivalDecayAt-1)
+	// The gaps within one session; the gap after it was not observed yet.
+	fewSamples := observed(30*time.Second, minInterarrivalSamples)
+	qt.Check(t, fewSamples.KeepAlive(24*time.Hour, settings) >= time.Hour, qt.IsTrue)
+	qt.Check(t, fewSamples.KeepAlive(10*time.Second, settings), qt.Equals, settings.MinimumKeepAlive)
+	// Unobserved gaps become less likely with more samples.
+	manySamples := observed(30*time.Second, interarrivalDecayAt-1)
 	idle := 2 * time.Minute
-	soon := session.returnProbability(idle, idle)
-	qt.Check(t, soon > 0 && soon < unknownReturn, qt.IsTrue, qt.Commentf("%v", soon))
-	qt.Check(t, habit.returnProbability(15*time.Second, time.Minute) > 0.98, qt.IsTrue)
-	qt.Check(t, habit.expectedCost(time.Minute, 3600) < session.expectedCost(time.Minute, 3600)/10, qt.IsTrue)
+	soon := fewSamples.returnProbability(idle, idle)
+	qt.Check(t, soon > 0 && soon < defaultReturnProbability, qt.IsTrue, qt.Commentf("%v", soon))
+	qt.Check(t, manySamples.returnProbability(15*time.Second, time.Minute) > 0.98, qt.IsTrue)
+	qt.Check(t, manySamples.expectedCost(time.Minute, 3600) < fewSamples.expectedCost(time.Minute, 3600)/10, qt.IsTrue)
 }
 
-func TestARowIsKeptThroughTheWeekendWhenItsStartsAreWorthIt(t *testing.T) {
+func TestKeepAliveSpansWeekendForCostlyColdStarts(t *testing.T) {
 	settings := DefaultSettings()
 	weekend := 62 * time.Hour
 	gaps := observed(weekend, 8)
@@ -38,7 +38,7 @@
 	qt.Check(t, gaps.KeepAlive(time.Hour, settings) < 5*time.Minute, qt.IsTrue)
 }
 
-func TestNoMoreIsEvictedThanNeeded(t *testing.T) {
+func TestPickVictimsEvictsNoMoreThanNeeded(t *testing.T) {
 	small := victim{replica: &replicaState{}, bytes: 8, cost: 1}
 	large := victim{replica: &replicaState{}, bytes: 20, cost: 5}
 	for _, test := range []struct {
@@ -47,9 +47,9 @@
 		want    []*replicaState
 		cost    float64
 	}{
-		{"the cheap one is enough", 8, []*replicaState{small.replica}, 1},
-		{"the other one is enough alone", 14, []*replicaState{large.replica}, 5},
-		{"both are needed", 21, []*replicaState{small.replica, large.replica}, 6},
+		{"cheap victim suffices", 8, []*replicaState{small.replica}, 1},
+		{"large victim suffices alone", 14, []*replicaState{large.replica}, 5},
+		{"both victims are needed", 21, []*replicaState{small.replica, large.replica}, 6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			chosen, cost := pickVictims([]victim{small, large}, test.missing)
--- a/placement/scheduler/load.go
+++ b/placement/scheduler/load.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxFailedPlacements bounds the rows for which one plan looks for room in vain.
+	// maxFailedPlacements bounds the rows for which one plan fails to find room.
 	maxFailedPlacements = 64
 	// maxLoads bounds the loads of one plan.
 	maxLoads = 64
-	// unloadWait is what waiting for memory that is being freed counts as.
+	// unloadWait is the placement cost of waiting for memory that is being freed.
 	unloadWait = time.Second
 )
 
-// failureKey names a kind of placement that found no room.
+// failureKey identifies the rows that share a failed search for room.
 type failureKey struct {
 	role     structs.RunnerRole
 	priority structs.Priority
 }
 
-// placement is a way to load a row on a runner.
+// placement is one way to load a row on a runner.
 type placement struct {
-	runner  *runnerState
-	tier    structs.CacheTier
-	need    int64
-	base    bool
-	cost    float64
-	victims []*replicaState
-	// now is true when the memory is free already.
-	now bool
+	runner    *runnerState
+	tier      structs.CacheTier
+	need      int64
+	loadsBase bool
+	cost      float64
+	victims   []*replicaState
+	// fitsNow is true when the memory is already free.
+	fitsNow bool
 }
 
 func (p *planner) planLoads() {
@@ -41,7 +41,7 @@
 	p.indexCached(short)
 	failures := 0
 	for _, row := range short {
-		for row.usable < min(row.wanted, row.limit) && row.mayGrow() {
+		for row.usableCount < min(row.wantedReplicas, row.limit) && row.mayGrow() {
 			if len(p.plan.Loads) >= maxLoads || failures >= maxFailedPlacements {
 				return
 			}
@@ -50,7 +50,7 @@
 				failures++
 				break
 			}
-			p.take(row, best)
+			p.commit(row, best)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	var short []*rowState
 	for _, name := range p.names {
 		row := p.rows[name]
-		if row.usable < min(row.wanted, row.limit) {
+		if row.usableCount < min(row.wantedReplicas, row.limit) {
 			short = append(short, row)
 		}
 	}
@@ -73,7 +73,7 @@
 	return short
 }
 
-// priority is that of the waiting requests, or the row's own without any.
+// priority returns the highest priority of the row and its waiting requests.
 func (r *rowState) priority() structs.Priority {
 	if r.demand.Waiting > 0 {
 		return max(r.demand.Highest, r.Priority)
@@ -89,15 +89,15 @@
 	switch {
 	case r.demand.Waiting+r.demand.Running > 0:
 		return ReasonDemand
-	case r.usable < r.minimum:
+	case r.usableCount < r.minimum:
 		return ReasonMinimum
-	case r.records == 0:
+	case r.recordCount == 0:
 		return ReasonPrewarm
 	}
 	return ReasonReplace
 }
 
-// indexCached notes where the checkpoints of the short rows and their bases are.
+// indexCached records the cache tiers of the rows and their bases on each runner.
 func (p *planner) indexCached(short []*rowState) {
 	p.cached = map[structs.RowName]map[structs.RunnerID]structs.CacheTier{}
 	for _, row := range short {
@@ -111,8 +111,8 @@
 	}
 	for _, runner := range p.runners {
 		for _, entry := range runner.Cached {
-			if where, ok := p.cached[entry.Row]; ok && (where[runner.ID] != structs.TierMemory) {
-				where[runner.ID] = entry.Tier
+			if tiers, ok := p.cached[entry.Row]; ok && (tiers[runner.ID] != structs.TierMemory) {
+				tiers[runner.ID] = entry.Tier
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 	return structs.TierStore
 }
 
-// bestPlacement returns the cheapest way to load the row, or nil.
+// bestPlacement returns the cheapest placement of the row, or nil if there is none.
 func (p *planner) bestPlacement(row *rowState) *placement {
 	key := failureKey{row.Role, row.priority()}
 	least, known := p.failed[key]
@@ -133,13 +133,13 @@
 		return nil
 	}
 	var best *placement
-	elsewhere := false
+	heldElsewhere := false
 	for _, runner := range p.runners {
 		if runner.Leaving || runner.Lagging || runner.Role != row.Role {
 			continue
 		}
 		if runner.holds(row.Name) {
-			elsewhere = true
+			heldElsewhere = true
 			continue
 		}
 		limit := math.Inf(1)
@@ -152,27 +152,27 @@
 			best = &kept
 		}
 	}
-	if best == nil && !elsewhere && !row.NeedsBase() && p.storeOpen() {
+	if best == nil && !heldElsewhere && !row.NeedsBase() && p.storeBudgetLeft() {
 		p.failed[key] = row.MemoryBytes
 	}
 	return best
 }
 
-func (p *planner) storeOpen() bool { return p.storeLoads < p.snapshot.StoreLoadBudget }
+func (p *planner) storeBudgetLeft() bool { return p.storeLoads < p.snapshot.StoreLoadBudget }
 
 func (o *placement) better(other *placement) bool {
 	if o.cost != other.cost {
 		return o.cost < other.cost
 	}
-	// Rows are spread, so that the loss of a few runners takes few of them.
+	// Spreads rows, so that losing a few runners loses few rows.
 	return o.runner.future-o.need > other.runner.future-other.need
 }
 
 func (r *runnerState) holds(row structs.RowName) bool {
-	return r.find(row) != nil
+	return r.replicaOf(row) != nil
 }
 
-func (r *runnerState) find(row structs.RowName) *replicaState {
+func (r *runnerState) replicaOf(row structs.RowName) *replicaState {
 	for _, replica := range r.replicas {
 		if replica.Row == row {
 			return replica
@@ -181,16 +181,16 @@
 	return nil
 }
 
-// option works out what loading the row on the runner takes; nil when it is not
-// possible or costs the limit or more without a tie. What it returns holds until the
-// next call: of the many that are weighed few are kept.
+// option returns the placement of the row on the runner, or nil if it is impossible or
+// costs more than the limit. The result is valid until the next call: it points to a
+// buffer, since few of the evaluated placements are kept.
 func (p *planner) option(row *rowState, runner *runnerState, limit float64) *placement {
-	option := &p.tried
+	option := &p.scratch
 	*option = placement{runner: runner, tier: p.tier(row.Name, runner.ID), need: row.MemoryBytes}
 	read := p.readTime(row.MemoryBytes, option.tier)
 	if row.NeedsBase() {
-		base := runner.find(row.Base)
-		if base != nil && base.going {
+		base := runner.replicaOf(row.Base)
+		if base != nil && base.unloading {
 			return nil
 		}
 		if base == nil {
@@ -198,12 +198,12 @@
 			if state.Role != row.Role || !state.mayGrow() {
 				return nil
 			}
-			option.base = true
+			option.loadsBase = true
 			option.need += state.MemoryBytes
 			read += p.readTime(state.MemoryBytes, p.tier(row.Base, runner.ID))
 		}
 	}
-	if p.readsStore(row, option) && !p.storeOpen() {
+	if p.placementReadsStore(row, option) && !p.storeBudgetLeft() {
 		return nil
 	}
 	option.cost = read.Seconds()
@@ -213,25 +213,25 @@
 	return p.makeRoom(row, option)
 }
 
-// readsStore reports whether the option reads a checkpoint from the store.
-func (p *planner) readsStore(row *rowState, option *placement) bool {
-	if option.base && p.newStoreRead(row.Base, option.runner) {
+// placementReadsStore reports whether the option starts a new read of the store.
+func (p *planner) placementReadsStore(row *rowState, option *placement) bool {
+	if option.loadsBase && p.needsStoreRead(row.Base, option.runner) {
 		return true
 	}
 	return option.tier == structs.TierStore && option.runner.Prefetching != row.Name
 }
 
-// newStoreRead reports whether loading the row on the runner reads the store, and
-// not what an open prefetch reads already.
-func (p *planner) newStoreRead(row structs.RowName, runner *runnerState) bool {
+// needsStoreRead reports whether loading the row on the runner starts a new read of
+// the store, rather than using a cached checkpoint or an open prefetch.
+func (p *planner) needsStoreRead(row structs.RowName, runner *runnerState) bool {
 	return p.tier(row, runner.ID) == structs.TierStore && runner.Prefetching != row
 }
 
-// makeRoom completes the option by how it gets its memory.
+// makeRoom adds to the option how its memory is obtained, or returns nil if it cannot be.
 func (p *planner) makeRoom(row *rowState, option *placement) *placement {
 	runner := option.runner
 	if option.need <= min(runner.free, runner.future) {
-		option.now = true
+		option.fitsNow = true
 		return option
 	}
 	option.cost += unloadWait.Seconds()
@@ -250,20 +250,20 @@
 	return option
 }
 
-// take puts the placement into the plan.
-func (p *planner) take(row *rowState, option *placement) {
+// commit adds the placement to the plan.
+func (p *planner) commit(row *rowState, option *placement) {
 	runner := option.runner
 	reason := row.reason()
 	for _, victim := range option.victims {
 		p.unload(victim, ReasonEvicted)
 	}
 	runner.future -= option.need
-	row.usable++
-	row.records++
-	if option.base {
-		p.row(row.Base).records++
+	row.usableCount++
+	row.recordCount++
+	if option.loadsBase {
+		p.row(row.Base).recordCount++
 	}
-	if !option.now {
+	if !option.fitsNow {
 		if option.tier == structs.TierStore && runner.Prefetching == "" {
 			runner.Prefetching = row.Name
 			p.plan.Prefetches = append(p.plan.Prefetches, PrefetchDecision{row.Name, runner.ID})
@@ -272,22 +272,22 @@
 		return
 	}
 	runner.free -= option.need
-	if option.base {
+	if option.loadsBase {
 		base := p.row(row.Base)
 		p.addLoad(base, runner, ReasonBase)
-		base.usable++
-		if p.newStoreRead(row.Name, runner) && !p.storeOpen() {
-			return // The adapter follows in a later plan, while the base loads.
+		base.usableCount++
+		if p.needsStoreRead(row.Name, runner) && !p.storeBudgetLeft() {
+			return // A later plan loads the adapter while the base loads.
 		}
 	}
 	p.addLoad(row, runner, reason)
 }
 
-// addLoad plans a load and lets later rows of this plan see it.
+// addLoad adds a load to the plan and to the planner's view of the runner.
 func (p *planner) addLoad(row *rowState, runner *runnerState, reason Reason) {
 	tier := p.tier(row.Name, runner.ID)
 	p.plan.Loads = append(p.plan.Loads, LoadDecision{row.Name, runner.ID, tier, reason})
-	if p.newStoreRead(row.Name, runner) {
+	if p.needsStoreRead(row.Name, runner) {
 		p.storeLoads++
 	}
 	replica := Replica{
--- a/placement/scheduler/plan_test.go
+++ b/placement/scheduler/plan_test.go
@@ -10,8 +10,8 @@
 
 var testNow = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// newTestSnapshot has rows a, b and the adapter t of a, each granted two
-// replicas, and the empty runners r1 and r2 with room for a or b, but not both.
+// newTestSnapshot returns a snapshot of rows a, b and the adapter t of a, each granted
+// two replicas, and the empty runners r1 and r2 with room for a or b, but not both.
 func newTestSnapshot() Snapshot {
 	table := testTable{rows: map[structs.RowName]structs.Row{}, limits: map[structs.RowName]int{"a": 2, "b": 2, "t": 2}}
 	for _, row := range []structs.Row{
@@ -38,7 +38,7 @@
 	s.Table.(testTable).rows[name] = row
 }
 
-// place adds a replica that has been there for an hour.
+// place adds a replica that has been in its state for an hour.
 func (s *Snapshot) place(row structs.RowName, runner int, state structs.ReplicaState, busy int) {
 	spec := s.Table.(testTable).rows[row]
 	s.Runners[runner].MemoryReserved += spec.MemoryBytes
@@ -56,7 +56,7 @@
 	return Demand{Row: row, LastUsed: testNow.Add(-ago)}
 }
 
-// The setups change a snapshot for one case of TestPlan.
+// setup changes a snapshot for one test case.
 type setup func(*Snapshot)
 
 func wants(row structs.RowName, waiting, running int) setup {
@@ -98,116 +98,116 @@
 	s.Table = table
 }
 
-func minimumElsewhere(s *Snapshot) {
+func minimumInOtherZone(s *Snapshot) {
 	s.setRow("a", func(r *structs.Row) { r.MinReplicas = 1 })
 }
 
 func gaps(row structs.RowName, gap time.Duration) setup {
 	return func(s *Snapshot) {
-		for s.Interarrivals[row] = (&Interarrivals{}); s.Interarrivals[row].total < interarrivalMinimum; {
+		for s.Interarrivals[row] = (&Interarrivals{}); s.Interarrivals[row].total < minInterarrivalSamples; {
 			s.Interarrivals[row].Observe(gap)
 		}
 	}
 }
 
-func cachedOnSecond(tier structs.CacheTier) setup {
+func secondRunnerCachesA(tier structs.CacheTier) setup {
 	return func(s *Snapshot) { s.Runners[1].Cached = []structs.CachedRow{{Row: "a", Tier: tier}} }
 }
 
-func oneRunner(s *Snapshot)     { s.Runners = s.Runners[:1] }
-func firstLeaves(s *Snapshot)   { s.Runners[0].Leaving = true }
-func firstLags(s *Snapshot)     { s.Runners[0].Lagging = true }
-func firstSearches(s *Snapshot) { s.Runners[0].Role = "search" }
-func firstIsLarge(s *Snapshot)  { s.Runners[0].MemoryBytes = 200 }
-func justLoaded(s *Snapshot)    { s.Replicas[0].Since = testNow.Add(-time.Second) }
-func longWait(s *Snapshot)      { s.Demand[1].OldestWait = time.Second }
-func storeIsBusy(s *Snapshot)   { s.StoreLoadsInFlight = 8 }
-func oneStoreLoad(s *Snapshot)  { s.StoreLoadBudget = 1 }
-func keepsLong(s *Snapshot)     { s.Settings.MinimumKeepAlive = time.Hour }
-func deleted(s *Snapshot)       { delete(s.Table.(testTable).rows, "a") }
-
-// steps are the loads or the unloads of a plan by "row@runner".
+func oneRunner(s *Snapshot)            { s.Runners = s.Runners[:1] }
+func firstRunnerLeaving(s *Snapshot)   { s.Runners[0].Leaving = true }
+func firstRunnerLagging(s *Snapshot)   { s.Runners[0].Lagging = true }
+func firstRunnerOtherRole(s *Snapshot) { s.Runners[0].Role = "search" }
+func firstRunnerLarge(s *Snapshot)     { s.Runners[0].MemoryBytes = 200 }
+func firstReplicaNew(s *Snapshot)      { s.Replicas[0].Since = testNow.Add(-time.Second) }
+func secondDemandWaits(s *Snapshot)    { s.Demand[1].OldestWait = time.Second }
+func storeBudgetUsed(s *Snapshot)      { s.StoreLoadsInFlight = 8 }
+func storeBudgetOne(s *Snapshot)       { s.StoreLoadBudget = 1 }
+func longKeepAlive(s *Snapshot)        { s.Settings.MinimumKeepAlive = time.Hour }
+func deleted(s *Snapshot)              { delete(s.Table.(testTable).rows, "a") }
+
+// steps maps "row@runner" to the reason of a load or an unload.
 type steps map[string]Reason
 
 var noSteps = steps{}
 
-// planTests say what a plan does with the test snapshot after some setups.
+// planTests are the loads and unloads of a plan of the test snapshot after the setups.
 var planTests = []struct {
 	name    string
 	setups  []setup
 	loads   steps
 	unloads steps
 }{
-	{"nothing without demand", nil, noSteps, noSteps},
-	{"one load for a burst", []setup{wants("a", 30, 0)}, steps{"a@r1": ReasonDemand}, noSteps},
-	{"none while it loads", []setup{places("a", 0, structs.ReplicaLoading, 0), wants("a", 30, 0)}, noSteps, noSteps},
-	{"two for much work", []setup{wants("a", 60, 0)}, steps{"a@r1": ReasonDemand, "a@r2": ReasonDemand}, noSteps},
-	{"no more than the limit", []setup{limits("a", 1), wants("a", 900, 0)}, steps{"a@r1": ReasonDemand}, noSteps},
-	{"none while the grant is frozen", []setup{frozen("a"), wants("a", 30, 0)}, noSteps, noSteps},
-	{"no base while its grant is frozen", []setup{frozen("a"), wants("t", 1, 0)}, noSteps, noSteps},
-	{"nothing makes room for a frozen row", []setup{
+	{"no demand", nil, noSteps, noSteps},
+	{"one replica serves a burst", []setup{wants("a", 30, 0)}, steps{"a@r1": ReasonDemand}, noSteps},
+	{"replica is loading already", []setup{places("a", 0, structs.ReplicaLoading, 0), wants("a", 30, 0)}, noSteps, noSteps},
+	{"two replicas for much work", []setup{wants("a", 60, 0)}, steps{"a@r1": ReasonDemand, "a@r2": ReasonDemand}, noSteps},
+	{"limit is respected", []setup{limits("a", 1), wants("a", 900, 0)}, steps{"a@r1": ReasonDemand}, noSteps},
+	{"frozen grant", []setup{frozen("a"), wants("a", 30, 0)}, noSteps, noSteps},
+	{"frozen grant of the base", []setup{frozen("a"), wants("t", 1, 0)}, noSteps, noSteps},
+	{"no eviction for a frozen row", []setup{
 		oneRunner, frozen("b"), places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Second), wants("b", 1, 0),
 	}, noSteps, noSteps},
-	{"not a second for a little more work", []setup{places("a", 0, structs.ReplicaReady, 32), wants("a", 4, 32)}, noSteps, noSteps},
-	{"the second stays for a little less", []setup{places("a", 0, structs.ReplicaReady, 0), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 30)}, noSteps, noSteps},
-	{"the second goes for much less", []setup{places("a", 0, structs.ReplicaReady, 1), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 1)}, noSteps, steps{"a@r2": ReasonIdle}},
-	{"unloading counts against the limit", []setup{limits("a", 1), places("a", 0, structs.ReplicaUnloading, 0), wants("a", 1, 0)}, noSteps, noSteps},
-	{"minimum that another zone keeps", []setup{minimumElsewhere}, noSteps, noSteps},
-	{"minimum that another zone keeps is unloaded here", []setup{
-		minimumElsewhere, places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Hour),
+	{"no second replica slightly above capacity", []setup{places("a", 0, structs.ReplicaReady, 32), wants("a", 4, 32)}, noSteps, noSteps},
+	{"second replica is kept slightly below capacity", []setup{places("a", 0, structs.ReplicaReady, 0), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 30)}, noSteps, noSteps},
+	{"second replica is unloaded far below capacity", []setup{places("a", 0, structs.ReplicaReady, 1), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 1)}, noSteps, steps{"a@r2": ReasonIdle}},
+	{"unloading replica counts toward the limit", []setup{limits("a", 1), places("a", 0, structs.ReplicaUnloading, 0), wants("a", 1, 0)}, noSteps, noSteps},
+	{"minimum belongs to another zone", []setup{minimumInOtherZone}, noSteps, noSteps},
+	{"idle replica is unloaded if the minimum belongs to another zone", []setup{
+		minimumInOtherZone, places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Hour),
 	}, noSteps, steps{"a@r1": ReasonIdle}},
 	{"minimum", []setup{minimum}, steps{"a@r1": ReasonMinimum}, noSteps},
-	{"cached runner first", []setup{cachedOnSecond(structs.TierDisk), wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
-	{"not on a leaving runner", []setup{firstLeaves, wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
-	{"not on a lagging runner", []setup{firstLags, wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
-	{"not on a runner of another role", []setup{firstSearches, wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
-	{"store budget used up", []setup{storeIsBusy, wants("a", 1, 0)}, noSteps, noSteps},
-	{"store budget spares the cached", []setup{storeIsBusy, cachedOnSecond(structs.TierMemory), wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
-	{"adapter with its base", []setup{wants("t", 1, 0)}, steps{"a@r1": ReasonBase, "t@r1": ReasonDemand}, noSteps},
-	{"adapter shares a base", []setup{places("a", 1, structs.ReplicaReady, 0), wants("t", 1, 0)}, steps{"t@r2": ReasonDemand}, noSteps},
-	{"base first when one store load is left", []setup{oneStoreLoad, wants("t", 1, 0)}, steps{"a@r1": ReasonBase}, noSteps},
-	{"higher priority first", []setup{oneRunner, priority("b", structs.PriorityLive), wants("a", 1, 0), wants("b", 1, 0)}, steps{"b@r1": ReasonDemand}, noSteps},
-	{"longer wait first", []setup{oneRunner, wants("a", 1, 0), wants("b", 1, 0), longWait}, steps{"b@r1": ReasonDemand}, noSteps},
-	{"idle row makes room", []setup{oneRunner, places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Second), wants("b", 1, 0)}, noSteps, steps{"a@r1": ReasonEvicted}},
-	{"the row less likely to be used makes room", []setup{
+	{"runner with cached checkpoint is preferred", []setup{secondRunnerCachesA(structs.TierDisk), wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
+	{"leaving runner is skipped", []setup{firstRunnerLeaving, wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
+	{"lagging runner is skipped", []setup{firstRunnerLagging, wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
+	{"runner of another role is skipped", []setup{firstRunnerOtherRole, wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
+	{"store budget is exhausted", []setup{storeBudgetUsed, wants("a", 1, 0)}, noSteps, noSteps},
+	{"cached checkpoint needs no store budget", []setup{storeBudgetUsed, secondRunnerCachesA(structs.TierMemory), wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
+	{"adapter is loaded with its base", []setup{wants("t", 1, 0)}, steps{"a@r1": ReasonBase, "t@r1": ReasonDemand}, noSteps},
+	{"adapter is loaded beside a loaded base", []setup{places("a", 1, structs.ReplicaReady, 0), wants("t", 1, 0)}, steps{"t@r2": ReasonDemand}, noSteps},
+	{"base is loaded first with one store load left", []setup{storeBudgetOne, wants("t", 1, 0)}, steps{"a@r1": ReasonBase}, noSteps},
+	{"higher priority is loaded first", []setup{oneRunner, priority("b", structs.PriorityLive), wants("a", 1, 0), wants("b", 1, 0)}, steps{"b@r1": ReasonDemand}, noSteps},
+	{"longer wait is loaded first", []setup{oneRunner, wants("a", 1, 0), wants("b", 1, 0), secondDemandWaits}, steps{"b@r1": ReasonDemand}, noSteps},
+	{"idle row is evicted", []setup{oneRunner, places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Second), wants("b", 1, 0)}, noSteps, steps{"a@r1": ReasonEvicted}},
+	{"row less likely to be used is evicted", []setup{
 		places("a", 0, structs.ReplicaReady, 0), places("b", 1, structs.ReplicaReady, 0), limits("c", 1), memory("c", 90),
-		priority("c", structs.PriorityStandard), gaps("a", 3*time.Hour), gaps("b", 2*time.Minute), keepsLong,
+		priority("c", structs.PriorityStandard), gaps("a", 3*time.Hour), gaps("b", 2*time.Minute), longKeepAlive,
 		usedAgo("a", time.Minute), usedAgo("b", time.Minute), wants("c", 1, 0),
 	}, noSteps, steps{"a@r1": ReasonEvicted}},
-	{"row with waiting requests stays", []setup{oneRunner, places("a", 0, structs.ReplicaReady, 0), wants("a", 1, 0), wants("b", 1, 0)}, noSteps, noSteps},
-	{"minimum stays, whoever waits and however long it is idle", []setup{oneRunner, minimum, places("a", 0, structs.ReplicaReady, 0), wants("b", 1, 0)}, noSteps, noSteps},
-	{"memory that a more urgent row waits for is not taken", []setup{
+	{"row with waiting requests is not evicted", []setup{oneRunner, places("a", 0, structs.ReplicaReady, 0), wants("a", 1, 0), wants("b", 1, 0)}, noSteps, noSteps},
+	{"minimum replica is neither evicted nor idle-unloaded", []setup{oneRunner, minimum, places("a", 0, structs.ReplicaReady, 0), wants("b", 1, 0)}, noSteps, noSteps},
+	{"memory promised to a more urgent row is not taken", []setup{
 		oneRunner, places("a", 0, structs.ReplicaUnloading, 0), memory("b", 90), priority("b", structs.PriorityLive),
 		memory("c", 30), limits("c", 1), wants("b", 1, 0), wants("c", 1, 0),
 	}, noSteps, noSteps},
-	{"nothing is unloaded on a lagging runner", []setup{firstLags, places("a", 0, structs.ReplicaReady, 0)}, noSteps, noSteps},
-	{"a row on all runners leaves room for others", []setup{
-		firstIsLarge, limits("a", 3), memory("b", 70), places("a", 0, structs.ReplicaReady, 30), places("a", 1, structs.ReplicaReady, 30),
+	{"no unload on a lagging runner", []setup{firstRunnerLagging, places("a", 0, structs.ReplicaReady, 0)}, noSteps, noSteps},
+	{"row that holds all runners does not block others", []setup{
+		firstRunnerLarge, limits("a", 3), memory("b", 70), places("a", 0, structs.ReplicaReady, 30), places("a", 1, structs.ReplicaReady, 30),
 		wants("a", 900, 60), wants("b", 1, 0),
 	}, steps{"b@r1": ReasonDemand}, noSteps},
-	{"busy row stays", []setup{oneRunner, places("a", 0, structs.ReplicaReady, 1), wants("a", 0, 1), wants("b", 1, 0)}, noSteps, noSteps},
-	{"row of higher priority in use lately stays", []setup{
+	{"busy row is not evicted", []setup{oneRunner, places("a", 0, structs.ReplicaReady, 1), wants("a", 0, 1), wants("b", 1, 0)}, noSteps, noSteps},
+	{"recently used row of higher priority is not evicted", []setup{
 		oneRunner, places("a", 0, structs.ReplicaReady, 0), priority("a", structs.PriorityLive), usedAgo("a", time.Second), wants("b", 1, 0),
 	}, noSteps, noSteps},
-	{"row just loaded stays", []setup{oneRunner, places("a", 0, structs.ReplicaReady, 0), justLoaded, wants("b", 1, 0)}, noSteps, noSteps},
-	{"adapter goes before its base", []setup{
+	{"row within its minimum residence is not evicted", []setup{oneRunner, places("a", 0, structs.ReplicaReady, 0), firstReplicaNew, wants("b", 1, 0)}, noSteps, noSteps},
+	{"adapter is unloaded before its base", []setup{
 		oneRunner, places("a", 0, structs.ReplicaReady, 0), places("t", 0, structs.ReplicaReady, 0), usedAgo("t", time.Second), wants("b", 1, 0),
 	}, noSteps, steps{"t@r1": ReasonEvicted}},
-	{"no second eviction while one goes on", []setup{
+	{"no second eviction while one is in progress", []setup{
 		places("a", 0, structs.ReplicaUnloading, 0), places("a", 1, structs.ReplicaReady, 0), usedAgo("a", time.Second), wants("b", 1, 0),
 	}, noSteps, noSteps},
-	{"idle beyond its time", []setup{places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Hour)}, noSteps, steps{"a@r1": ReasonIdle}},
-	{"lowered limit, also when busy", []setup{limits("a", 0), places("a", 0, structs.ReplicaReady, 5), wants("a", 1, 5)}, noSteps, steps{"a@r1": ReasonSurplus}},
-	{"deleted row", []setup{places("a", 0, structs.ReplicaReady, 0), deleted}, noSteps, steps{"a@r1": ReasonSurplus}},
-	{"leaving runner is replaced first", []setup{firstLeaves, places("a", 0, structs.ReplicaReady, 1), wants("a", 0, 1)}, steps{"a@r2": ReasonDemand}, noSteps},
-	{"and emptied once the replacement is ready", []setup{
-		firstLeaves, places("a", 0, structs.ReplicaReady, 1), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 1),
+	{"idle beyond the keep-alive time", []setup{places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Hour)}, noSteps, steps{"a@r1": ReasonIdle}},
+	{"busy replica above a lowered limit", []setup{limits("a", 0), places("a", 0, structs.ReplicaReady, 5), wants("a", 1, 5)}, noSteps, steps{"a@r1": ReasonSurplus}},
+	{"deleted row is unloaded", []setup{places("a", 0, structs.ReplicaReady, 0), deleted}, noSteps, steps{"a@r1": ReasonSurplus}},
+	{"replacement is loaded before a leaving runner is emptied", []setup{firstRunnerLeaving, places("a", 0, structs.ReplicaReady, 1), wants("a", 0, 1)}, steps{"a@r2": ReasonDemand}, noSteps},
+	{"leaving runner is emptied once the replacement is ready", []setup{
+		firstRunnerLeaving, places("a", 0, structs.ReplicaReady, 1), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 1),
 	}, noSteps, steps{"a@r1": ReasonLeaving}},
-	{"or once idle while the grant is frozen", []setup{
-		firstLeaves, frozen("a"), places("a", 0, structs.ReplicaReady, 0), wants("a", 1, 0),
+	{"leaving runner is emptied once idle if the grant is frozen", []setup{
+		firstRunnerLeaving, frozen("a"), places("a", 0, structs.ReplicaReady, 0), wants("a", 1, 0),
 	}, noSteps, steps{"a@r1": ReasonLeaving}},
-	{"or once idle when the limit leaves no room", []setup{
-		firstLeaves, limits("a", 1), places("a", 0, structs.ReplicaReady, 0), wants("a", 1, 0),
+	{"leaving runner is emptied once idle if the limit leaves no room", []setup{
+		firstRunnerLeaving, limits("a", 1), places("a", 0, structs.ReplicaReady, 0), wants("a", 1, 0),
 	}, noSteps, steps{"a@r1": ReasonLeaving}},
 }
 
@@ -233,7 +233,7 @@
 	}
 }
 
-func TestWantedNamesBasesAndWhatIsKept(t *testing.T) {
+func TestWantedIncludesBasesAndKeptRows(t *testing.T) {
 	snapshot := newTestSnapshot()
 	snapshot.Table.(testTable).limits["a"] = 0
 	snapshot.place("b", 0, structs.ReplicaReady, 0)
@@ -244,7 +244,7 @@
 	qt.Assert(t, plan.Loads, qt.HasLen, 0)
 }
 
-func TestKeepAliveFollowsArrivalsAndWorth(t *testing.T) {
+func TestKeepAliveFollowsInterarrivalsAndColdCost(t *testing.T) {
 	settings := DefaultSettings()
 	settings.MinimumKeepAlive = time.Second
 	const high, low = 480 * time.Second, 16 * time.Second
@@ -254,12 +254,12 @@
 		coldCost time.Duration
 		want     time.Duration
 	}{
-		{"a costly start keeps through the usual gap", 3 * time.Minute, high, 256 * time.Second},
-		{"a cheap one does not", 3 * time.Minute, low, settings.MinimumKeepAlive},
-		{"a cheap one keeps through a short gap", 6 * time.Second, low, 8 * time.Second},
-		{"a costly one gives up on a long gap", 3 * time.Hour, high, settings.MinimumKeepAlive},
-		{"nothing known, costly", 0, high, high},
-		{"nothing known, cheap", 0, low, low},
+		{"costly start, usual gap", 3 * time.Minute, high, 256 * time.Second},
+		{"cheap start, usual gap", 3 * time.Minute, low, settings.MinimumKeepAlive},
+		{"cheap start, short gap", 6 * time.Second, low, 8 * time.Second},
+		{"costly start, long gap", 3 * time.Hour, high, settings.MinimumKeepAlive},
+		{"no samples, costly start", 0, high, high},
+		{"no samples, cheap start", 0, low, low},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			gaps := &Interarrivals{}
@@ -273,18 +273,18 @@
 	}
 }
 
-func TestColdCostFollowsObjectiveAndSize(t *testing.T) {
+func TestColdStartCostFollowsObjectiveAndSize(t *testing.T) {
 	settings := DefaultSettings()
 	settings.StoreBytesPerSecond = 20
 	p := newPlanner(Snapshot{Settings: settings, Table: testTable{}, Runners: []Runner{{ID: "r", MemoryBytes: 120}}})
-	// 60 bytes are read in 3 s, the rest of the start takes 1 s, on half a runner.
-	qt.Assert(t, p.coldCostOf(structs.ObjectiveLatency, 60).Seconds(), qt.Equals, 4*settings.LatencyColdStartWorth*2)
-	qt.Assert(t, p.coldCostOf(structs.ObjectiveIdle, 60).Seconds(), qt.Equals, 4*settings.IdleColdStartWorth*2)
-	// A small row is kept longer than one that fills the runner.
-	qt.Assert(t, p.coldCostOf(structs.ObjectiveIdle, 1) > p.coldCostOf(structs.ObjectiveIdle, 120), qt.IsTrue)
+	// Reading 60 bytes takes 3 s and the rest of the start 1 s, on half a runner.
+	qt.Assert(t, p.coldStartCostOf(structs.ObjectiveLatency, 60).Seconds(), qt.Equals, 4*settings.LatencyColdStartWorth*2)
+	qt.Assert(t, p.coldStartCostOf(structs.ObjectiveIdle, 60).Seconds(), qt.Equals, 4*settings.IdleColdStartWorth*2)
+	// A small row is worth more idle time than one that fills the runner.
+	qt.Assert(t, p.coldStartCostOf(structs.ObjectiveIdle, 1) > p.coldStartCostOf(structs.ObjectiveIdle, 120), qt.IsTrue)
 }
 
-func TestABaseIsMissedByItsAdapters(t *testing.T) {
+func TestReturnProbabilityOfBaseIncludesAdapters(t *testing.T) {
 	snapshot := newTestSnapshot()
 	snapshot.place("a", 0, structs.ReplicaReady, 0)
 	snapshot.place("t", 0, structs.ReplicaReady, 0)
@@ -293,13 +293,13 @@
 	gaps("t", 2*time.Minute)(&snapshot)
 	p := newPlanner(snapshot)
 	base := p.rows["a"].replicas[0]
-	alone := p.rowReturns(p.rows["a"], evictionHorizon)
-	adapter := p.rowReturns(p.rows["t"], evictionHorizon)
+	alone := p.rowReturnProbability(p.rows["a"], evictionHorizon)
+	adapter := p.rowReturnProbability(p.rows["t"], evictionHorizon)
 	qt.Assert(t, alone < 0.1 && adapter > 0.7, qt.IsTrue, qt.Commentf("%v, %v", alone, adapter))
-	qt.Assert(t, p.returnWithin(base, evictionHorizon), qt.Equals, 1-(1-alone)*(1-adapter))
+	qt.Assert(t, p.replicaReturnProbability(base, evictionHorizon), qt.Equals, 1-(1-alone)*(1-adapter))
 }
 
-func TestAdaptersAloneDoNotKeepABase(t *testing.T) {
+func TestAdaptersAloneDoNotKeepBase(t *testing.T) {
 	snapshot := newTestSnapshot()
 	snapshot.place("a", 0, structs.ReplicaReady, 0)
 	snapshot.place("t", 0, structs.ReplicaReady, 0)
@@ -310,7 +310,7 @@
 	qt.Assert(t, plan.Unloads, qt.DeepEquals, []UnloadDecision{{"t", "r1", ReasonIdle}})
 }
 
-func TestRowsAreSpreadOverRunnersThatCostTheSame(t *testing.T) {
+func TestRowsSpreadOverRunnersOfEqualCost(t *testing.T) {
 	snapshot := newTestSnapshot()
 	snapshot.Runners = nil
 	snapshot.StoreLoadBudget = 16
@@ -325,28 +325,28 @@
 	snapshot.want("t", 1, 0)
 	for _, load := range Plan(snapshot).Loads {
 		used[load.Runner]++
-		if load.Row == "t" { // An adapter goes where its base is.
+		if load.Row == "t" { // An adapter is placed beside its base.
 			used[load.Runner]--
 		}
 	}
 	qt.Assert(t, used, qt.HasLen, len(snapshot.Runners))
 }
 
-func TestAnOpenPrefetchIsNeitherRepeatedNorCountedTwice(t *testing.T) {
+func TestOpenPrefetchIsNeitherRepeatedNorCountedTwice(t *testing.T) {
 	snapshot := newTestSnapshot()
 	snapshot.StoreLoadBudget, snapshot.StoreLoadsInFlight = 1, 1
 	snapshot.Runners[0].Prefetching = "b"
 	snapshot.Runners[1].Lagging = true
 	snapshot.want("b", 1, 0)
-	// It has room now: the load joins the read that is under way.
+	// With room, the load shares the store read in progress.
 	qt.Assert(t, Plan(snapshot).Loads, qt.DeepEquals, []LoadDecision{{"b", "r1", structs.TierStore, ReasonDemand}})
-	// While it waits for room, nothing is asked for again, and another gets no room.
+	// Without room, no second prefetch is planned and nothing else is evicted.
 	snapshot.place("a", 0, structs.ReplicaUnloading, 0)
 	plan := Plan(snapshot)
 	qt.Assert(t, len(plan.Loads)+len(plan.Prefetches), qt.Equals, 0)
 }
 
-func TestAPrefetchCountsAsAReadOfTheStore(t *testing.T) {
+func TestPrefetchCountsAgainstStoreBudget(t *testing.T) {
 	snapshot := newTestSnapshot()
 	snapshot.StoreLoadBudget = 1
 	snapshot.Runners[0].MemoryBytes = 60
--- a/placement/scheduler/planner.go
+++ b/placement/scheduler/planner.go
@@ -10,45 +10,45 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// growthFactor is how far above RequestsPerReplica the work has to be before a
-// row gets more replicas, and shrinkFactor how far below it before it loses one.
+// growthFactor and shrinkFactor are the hysteresis around RequestsPerReplica: a row
+// gets more replicas above the first and loses one below the second.
 const (
 	growthFactor = 1.25
 	shrinkFactor = 0.5
 )
 
 const (
-	// coldStartBase is what a cold start takes beside reading the weights.
+	// coldStartBase is the time of a cold start without reading the weights.
 	coldStartBase = time.Second
-	// maxColdCost bounds what a cold start is worth.
-	maxColdCost = 30 * 24 * time.Hour
+	// maxColdStartCost bounds the cost of a cold start, in idle time.
+	maxColdStartCost = 30 * 24 * time.Hour
 )
 
-// planner holds a plan in the making.
+// planner is the working state of one plan.
 type planner struct {
 	snapshot Snapshot
 	settings Settings
 	runners  []*runnerState
 	byID     map[structs.RunnerID]*runnerState
 	rows     map[structs.RowName]*rowState
-	// names are the keys of rows, in order.
+	// names are the sorted keys of rows.
 	names      []structs.RowName
 	cached     map[structs.RowName]map[structs.RunnerID]structs.CacheTier
 	storeLoads int
-	// largest is the memory of the largest runner.
-	largest int64
-	failed  map[failureKey]int64
-	// reserves is what is kept free for each role, as far as it was asked for.
-	reserves map[structs.RunnerRole]int64
-	plan     PlanResult
-	// tried is the placement that was last weighed.
-	tried placement
+	// largestMemory is the memory of the largest runner, in bytes.
+	largestMemory int64
+	failed        map[failureKey]int64
+	// reserveByRole caches the result of reserve.
+	reserveByRole map[structs.RunnerRole]int64
+	plan          PlanResult
+	// scratch is the result of the last call of option, reused to avoid allocation.
+	scratch placement
 }
 
 type runnerState struct {
 	Runner
-	// free is unreserved now; future adds what is being unloaded and takes away
-	// what is promised to rows that wait for it.
+	// free is the unreserved memory. future also counts what unloading replicas will
+	// free, less what is promised to rows that wait for it.
 	free     int64
 	future   int64
 	replicas []*replicaState
@@ -58,8 +58,8 @@
 	Replica
 	row    *rowState
 	runner *runnerState
-	// going is set once the replica is unloading or planned to be.
-	going bool
+	// unloading is set once the replica is unloading or planned to be unloaded.
+	unloading bool
 }
 
 type rowState struct {
@@ -67,36 +67,37 @@
 	exists bool
 	limit  int
 	frozen bool
-	// minimum is the zone's part of the row's MinReplicas.
+	// minimum is the zone's share of the row's MinReplicas.
 	minimum  int
 	demand   Demand
 	replicas []*replicaState
-	// records counts every replica; usable those that serve or will serve; ready
-	// those of them that serve.
-	records int
-	usable  int
-	ready   int
-	wanted  int
-	// expected is the probability of a use within the next hour.
-	expected float64
-	// useful is what the row is said to be able to use.
-	useful int
-	// lastUsed includes the use by adapters.
+	// recordCount counts all replicas, usableCount those that serve or will serve, and
+	// readyCount those that serve now.
+	recordCount    int
+	usableCount    int
+	readyCount     int
+	wantedReplicas int
+	// useProbability is the probability of a use within the next hour.
+	useProbability float64
+	// usefulReplicas is reported to the global group as RowWanted.Replicas.
+	usefulReplicas int
+	// lastUsed includes use through adapters.
 	lastUsed time.Time
 }
 
-// Plan makes a plan from the snapshot. Equal snapshots give equal plans.
+// Plan returns the plan for the snapshot. It is deterministic: equal snapshots give
+// equal plans.
 func Plan(snapshot Snapshot) PlanResult { return newPlanner(snapshot).run() }
 
 func newPlanner(snapshot Snapshot) *planner {
 	p := &planner{
-		snapshot:   snapshot,
-		settings:   snapshot.Settings,
-		byID:       make(map[structs.RunnerID]*runnerState, len(snapshot.Runners)),
-		rows:       map[structs.RowName]*rowState{},
-		storeLoads: snapshot.StoreLoadsInFlight,
-		failed:     map[failureKey]int64{},
-		reserves:   map[structs.RunnerRole]int64{},
+		snapshot:      snapshot,
+		settings:      snapshot.Settings,
+		byID:          make(map[structs.RunnerID]*runnerState, len(snapshot.Runners)),
+		rows:          map[structs.RowName]*rowState{},
+		storeLoads:    snapshot.StoreLoadsInFlight,
+		failed:        map[failureKey]int64{},
+		reserveByRole: map[structs.RunnerRole]int64{},
 	}
 	p.addRunners()
 	for _, demand := range snapshot.Demand {
@@ -111,7 +112,7 @@
 	for _, name := range snapshot.Table.RowsWithMinimum() {
 		p.row(name)
 	}
-	p.addExpected()
+	p.addExpectations()
 	p.addReplicas()
 	p.names = slices.Sorted(maps.Keys(p.rows))
 	return p
@@ -126,7 +127,7 @@
 	}
 	p.planLoads()
 	p.planPrewarm()
-	p.planCompanions()
+	p.planAdapterPrewarm()
 	p.planReserve()
 	return p.plan
 }
@@ -140,7 +141,7 @@
 		*state = runnerState{Runner: runner, free: free, future: free}
 		p.runners = append(p.runners, state)
 		p.byID[runner.ID] = state
-		p.largest = max(p.largest, runner.MemoryBytes)
+		p.largestMemory = max(p.largestMemory, runner.MemoryBytes)
 	}
 	slices.SortFunc(p.runners, func(a, b *runnerState) int { return cmp.Compare(a.ID, b.ID) })
 }
@@ -158,9 +159,9 @@
 		*state = replicaState{Replica: replica, row: row, runner: runner}
 		row.replicas = append(row.replicas, state)
 		runner.replicas = append(runner.replicas, state)
-		row.records++
+		row.recordCount++
 		if replica.State == structs.ReplicaUnloading {
-			state.going = true
+			state.unloading = true
 			runner.future += replica.MemoryBytes
 			continue
 		}
@@ -170,8 +171,8 @@
 	}
 }
 
-// sortedReplicas returns the replicas in the order of their runners and rows, in
-// which a caller mostly has them.
+// sortedReplicas returns the replicas sorted by runner and row. Callers usually pass them
+// sorted already.
 func sortedReplicas(replicas []Replica) []Replica {
 	order := func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(a.Runner, b.Runner), cmp.Compare(a.Row, b.Row))
@@ -184,15 +185,16 @@
 	return sorted
 }
 
-// misplaced reports whether the replica's runner is not one for its row.
+// misplaced reports whether the replica's runner is leaving or has another role than
+// the row.
 func (r *replicaState) misplaced() bool {
 	return r.runner.Leaving || (r.row.exists && r.row.Role != r.runner.Role)
 }
 
 func (r *rowState) count(replica *replicaState, change int) {
-	r.usable += change
+	r.usableCount += change
 	if replica.State == structs.ReplicaReady {
-		r.ready += change
+		r.readyCount += change
 	}
 }
 
@@ -211,37 +213,37 @@
 	return state
 }
 
-// mayGrow reports whether the zone may begin to load another replica.
-func (r *rowState) mayGrow() bool { return r.exists && !r.frozen && r.records < r.limit }
+// mayGrow reports whether the zone may load another replica of the row.
+func (r *rowState) mayGrow() bool { return r.exists && !r.frozen && r.recordCount < r.limit }
 
-// planWanted works out how many replicas each row could use. To the global group
-// it also names the bases that adapters need, and what is kept for later use.
+// planWanted computes how many replicas each row could use. The numbers reported to the
+// global group include bases that adapters need and replicas kept for later use.
 func (p *planner) planWanted() {
 	for _, name := range p.names {
 		row := p.rows[name]
-		row.wanted = p.wanted(row)
-		// The whole MinReplicas, and not the zone's part: that follows the limit, and a
-		// wish that follows the limit would make it move for ever.
-		row.useful = max(row.useful, row.wanted, row.MinReplicas, min(row.usable, row.limit))
+		row.wantedReplicas = p.wanted(row)
+		// Uses the whole MinReplicas instead of the zone's share: the share follows the
+		// limit, and a request that followed the limit would make it oscillate.
+		row.usefulReplicas = max(row.usefulReplicas, row.wantedReplicas, row.MinReplicas, min(row.usableCount, row.limit))
 		if base, ok := p.rows[row.Base]; ok && row.NeedsBase() {
-			base.useful = max(base.useful, row.wanted)
+			base.usefulReplicas = max(base.usefulReplicas, row.wantedReplicas)
 		}
 	}
 	for _, name := range p.names {
-		if row := p.rows[name]; row.exists && row.useful > 0 {
-			p.plan.Wanted = append(p.plan.Wanted, RowWanted{name, row.useful})
+		if row := p.rows[name]; row.exists && row.usefulReplicas > 0 {
+			p.plan.Wanted = append(p.plan.Wanted, RowWanted{name, row.usefulReplicas})
 		}
 	}
 }
 
-// wanted returns how many replicas the row could use, whatever its limit.
+// wanted returns how many replicas the row could use, regardless of its limit.
 func (p *planner) wanted(row *rowState) int {
 	if !row.exists {
 		return 0
 	}
 	wanted := row.minimum
 	if work := row.demand.Waiting + row.demand.Running; work > 0 {
-		wanted = max(wanted, p.neededFor(work, row.usable))
+		wanted = max(wanted, p.replicasFor(work, row.usableCount))
 	}
 	if row.hasMisplaced() && p.idleFor(row) < p.keepAlive(row) {
 		wanted = max(wanted, 1)
@@ -249,9 +251,9 @@
 	return wanted
 }
 
-// neededFor returns the replicas for the work: the first one at once, more only
-// when the work is well above what the present ones carry.
-func (p *planner) neededFor(work, usable int) int {
+// replicasFor returns the number of replicas for the work. The first one is loaded at
+// once, more only when the work is well above the capacity of the present ones.
+func (p *planner) replicasFor(work, usable int) int {
 	capacity := float64(p.settings.RequestsPerReplica)
 	grown := int(math.Ceil(float64(work) / (capacity * growthFactor)))
 	shrunk := int(math.Ceil(float64(work) / (capacity * shrinkFactor)))
@@ -267,31 +269,31 @@
 }
 
 func (p *planner) keepAlive(row *rowState) time.Duration {
-	return p.snapshot.Interarrivals[row.Name].KeepAlive(p.coldCost(row), p.settings)
+	return p.snapshot.Interarrivals[row.Name].KeepAlive(p.coldStartCost(row), p.settings)
 }
 
-// keepAliveWithBase is how long a base is kept for the sake of an adapter.
+// keepAliveWithBase returns how long a base is kept for the adapter.
 func (p *planner) keepAliveWithBase(adapter, base *rowState) time.Duration {
-	cost := p.coldCostOf(p.objective(adapter), adapter.MemoryBytes+base.MemoryBytes)
+	cost := p.coldStartCostOf(p.objective(adapter), adapter.MemoryBytes+base.MemoryBytes)
 	return p.snapshot.Interarrivals[adapter.Name].KeepAlive(cost, p.settings)
 }
 
-func (p *planner) coldCost(row *rowState) time.Duration {
-	return p.coldCostOf(p.objective(row), row.MemoryBytes)
+func (p *planner) coldStartCost(row *rowState) time.Duration {
+	return p.coldStartCostOf(p.objective(row), row.MemoryBytes)
 }
 
-// coldCostOf is what a cold start is worth, in time that replicas of so many
-// bytes are idle: the smaller their share of a runner's memory, the longer.
-func (p *planner) coldCostOf(objective structs.Objective, bytes int64) time.Duration {
+// coldStartCostOf returns the idle time of replicas of the given size that one cold
+// start is worth. It grows as their share of a runner's memory shrinks.
+func (p *planner) coldStartCostOf(objective structs.Objective, bytes int64) time.Duration {
 	worth := p.settings.LatencyColdStartWorth
 	if objective == structs.ObjectiveIdle {
 		worth = p.settings.IdleColdStartWorth
 	}
 	cost := (p.readTime(bytes, structs.TierStore) + coldStartBase).Seconds() * worth
-	if share := float64(bytes) / float64(max(p.largest, 1)); share > 0 && share < 1 {
+	if share := float64(bytes) / float64(max(p.largestMemory, 1)); share > 0 && share < 1 {
 		cost /= share
 	}
-	return time.Duration(min(cost, maxColdCost.Seconds()) * float64(time.Second))
+	return time.Duration(min(cost, maxColdStartCost.Seconds()) * float64(time.Second))
 }
 
 func (p *planner) objective(row *rowState) structs.Objective {
--- a/placement/scheduler/prewarm.go
+++ b/placement/scheduler/prewarm.go
@@ -5,15 +5,14 @@
 )
 
 const (
-	// maxFailedPrewarms bounds the rows for which one plan looks for room in vain.
+	// maxFailedPrewarms bounds the rows for which one plan fails to find room.
 	maxFailedPrewarms = 64
-	// expectationSeconds is the time that an Expectation is about.
+	// expectationSeconds is the period that an Expectation covers.
 	expectationSeconds = 3600
 )
 
-// planPrewarm loads ahead of need what is expected to be used, the most likely
-// first, into memory that nothing else needs now. It never unloads anything, and
-// it leaves a store read for requests.
+// planPrewarm loads the row that is most likely to be used soon into free memory. It
+// never unloads anything, and leaves one store read for requests.
 func (p *planner) planPrewarm() {
 	if len(p.plan.Loads) > 0 || p.storeLoads+1 >= p.snapshot.StoreLoadBudget {
 		return
@@ -23,15 +22,15 @@
 		return
 	}
 	p.indexCached(candidates)
-	roomy := p.roomyRunners()
+	runnersWithReserve := p.countRunnersWithReserve()
 	failures := 0
 	for _, row := range candidates {
 		if failures >= maxFailedPrewarms {
 			return
 		}
-		if best := p.prewarmPlacement(row, roomy[row.Role]); best != nil {
-			p.take(row, best)
-			return // The next plan sees this one under way.
+		if best := p.prewarmPlacement(row, runnersWithReserve[row.Role]); best != nil {
+			p.commit(row, best)
+			return // The next plan sees this load in progress.
 		}
 		failures++
 	}
@@ -41,16 +40,16 @@
 	var candidates []*rowState
 	for _, expectation := range p.snapshot.Expected {
 		row := p.rows[expectation.Row]
-		if row != nil && row.exists && row.records == 0 && row.limit > 0 && p.worthExpecting(row) {
+		if row != nil && row.exists && row.recordCount == 0 && row.limit > 0 && p.worthPrewarming(row) {
 			candidates = append(candidates, row)
 		}
 	}
 	return candidates
 }
 
-// prewarmPlacement returns the cheapest way to load the row into free memory
-// beside the reserve, or nil.
-func (p *planner) prewarmPlacement(row *rowState, roomy int) *placement {
+// prewarmPlacement returns the cheapest placement of the row that uses free memory and
+// leaves the reserve, or nil.
+func (p *planner) prewarmPlacement(row *rowState, runnersWithReserve int) *placement {
 	var best *placement
 	for _, runner := range p.runners {
 		if runner.Leaving || runner.Lagging || runner.Role != row.Role || row.MemoryBytes > runner.future || runner.holds(row.Name) {
@@ -61,7 +60,7 @@
 			limit = best.cost
 		}
 		option := p.option(row, runner, limit)
-		fits := option != nil && option.now && p.leavesReserve(runner, option.need, roomy)
+		fits := option != nil && option.fitsNow && p.leavesReserve(runner, option.need, runnersWithReserve)
 		if fits && (best == nil || option.better(best)) {
 			kept := *option
 			best = &kept
@@ -70,33 +69,33 @@
 	return best
 }
 
-// worthExpecting reports whether the cold start that a loaded replica is expected
-// to save within the next hour is worth the hour.
-func (p *planner) worthExpecting(row *rowState) bool {
-	if base := p.rows[row.Base]; row.NeedsBase() && base != nil && base.usable == 0 {
-		return p.worthExpectingWithBase(row, base)
+// worthPrewarming reports whether the cold-start time that a loaded replica is expected
+// to save within the next hour is worth more than the idle hour.
+func (p *planner) worthPrewarming(row *rowState) bool {
+	if base := p.rows[row.Base]; row.NeedsBase() && base != nil && base.usableCount == 0 {
+		return p.worthPrewarmingWithBase(row, base)
 	}
-	return row.expected*p.coldCost(row).Seconds() > expectationSeconds
+	return row.useProbability*p.coldStartCost(row).Seconds() > expectationSeconds
 }
 
-// worthExpectingWithBase is worthExpecting for an adapter that brings its base.
-func (p *planner) worthExpectingWithBase(adapter, base *rowState) bool {
-	cost := p.coldCostOf(p.objective(adapter), adapter.MemoryBytes+base.MemoryBytes)
-	return adapter.expected*cost.Seconds() > expectationSeconds
+// worthPrewarmingWithBase is worthPrewarming for an adapter loaded together with its base.
+func (p *planner) worthPrewarmingWithBase(adapter, base *rowState) bool {
+	cost := p.coldStartCostOf(p.objective(adapter), adapter.MemoryBytes+base.MemoryBytes)
+	return adapter.useProbability*cost.Seconds() > expectationSeconds
 }
 
-// addExpected takes in what is expected.
-func (p *planner) addExpected() {
+// addExpectations adds the rows that the snapshot expects to be used, and their bases.
+func (p *planner) addExpectations() {
 	for _, expectation := range p.snapshot.Expected {
 		row := p.row(expectation.Row)
-		row.expected = expectation.Probability
+		row.useProbability = expectation.Probability
 		if row.NeedsBase() {
 			p.row(row.Base)
 		}
 	}
 }
 
-// expectedWithin is the probability of a use of the row in the number of seconds.
-func (r *rowState) expectedWithin(seconds float64) float64 {
-	return 1 - math.Pow(1-min(r.expected, 1), seconds/expectationSeconds)
+// useProbabilityWithin returns the probability that the row is used within the seconds.
+func (r *rowState) useProbabilityWithin(seconds float64) float64 {
+	return 1 - math.Pow(1-min(r.useProbability, 1), seconds/expectationSeconds)
 }
--- a/placement/scheduler/reserve.go
+++ b/placement/scheduler/reserve.go
@@ -2,12 +2,12 @@
 
 import "github.com/lotusferry/lotusferry/structs"
 
-// reserveParts is how many times the reserve has to fit into a role's memory.
-const reserveParts = 3
+// minMemoryPerReserve is the minimum ratio of a role's memory to its reserve.
+const minMemoryPerReserve = 3
 
-// planReserve keeps room on one runner of each role for the next load, so that it
-// need not wait for an eviction. It makes the room of what is least likely to be
-// missed, and only while nothing else is under way there.
+// planReserve keeps room free on one runner of each role, so that the next load need
+// not wait for an eviction. It unloads the replicas with the lowest expected cost, and
+// only if the plan loads and unloads nothing else.
 func (p *planner) planReserve() {
 	if p.settings.ReserveBytes <= 0 || len(p.plan.Loads)+len(p.plan.Unloads) > 0 {
 		return
@@ -21,7 +21,7 @@
 	}
 }
 
-// reserveFor makes room on one runner of the role, if none has it.
+// reserveFor makes room on one runner of the role, unless one has room already.
 func (p *planner) reserveFor(role structs.RunnerRole) {
 	if p.reserve(role) == 0 {
 		return
@@ -48,10 +48,11 @@
 	}
 }
 
-// reserve is what is kept free for the role: nothing where that would be a large
-// part of its memory, for then it costs more cold starts than it shortens.
+// reserve returns the bytes to keep free for the role. It is 0 if the reserve would be
+// a large part of the role's memory, where it would cause more cold starts than it
+// shortens.
 func (p *planner) reserve(role structs.RunnerRole) int64 {
-	if reserve, known := p.reserves[role]; known {
+	if reserve, known := p.reserveByRole[role]; known {
 		return reserve
 	}
 	total := int64(0)
@@ -61,37 +62,37 @@
 		}
 	}
 	reserve := p.settings.ReserveBytes
-	if reserve > total/reserveParts {
+	if reserve > total/minMemoryPerReserve {
 		reserve = 0
 	}
-	p.reserves[role] = reserve
+	p.reserveByRole[role] = reserve
 	return reserve
 }
 
-// roomyRunners counts, for each role, the runners that have the reserve.
-func (p *planner) roomyRunners() map[structs.RunnerRole]int {
+// countRunnersWithReserve returns, by role, the number of runners with the reserve free.
+func (p *planner) countRunnersWithReserve() map[structs.RunnerRole]int {
 	count := map[structs.RunnerRole]int{}
 	for _, runner := range p.runners {
-		if p.roomy(runner) {
+		if p.hasReserve(runner) {
 			count[runner.Role]++
 		}
 	}
 	return count
 }
 
-func (p *planner) roomy(runner *runnerState) bool {
+func (p *planner) hasReserve(runner *runnerState) bool {
 	return !runner.Leaving && !runner.Lagging && runner.future >= p.reserve(runner.Role)
 }
 
-// leavesReserve reports whether the reserve is there after so much more is taken,
-// given the number of runners of the role that have it now.
-func (p *planner) leavesReserve(runner *runnerState, need int64, roomy int) bool {
+// leavesReserve reports whether the role still has its reserve after need bytes are
+// taken on the runner. runnersWithReserve is the role's present count.
+func (p *planner) leavesReserve(runner *runnerState, need int64, runnersWithReserve int) bool {
 	reserve := p.reserve(runner.Role)
 	if reserve == 0 || runner.future-need >= reserve {
 		return true
 	}
-	if p.roomy(runner) {
-		roomy--
+	if p.hasReserve(runner) {
+		runnersWithReserve--
 	}
-	return roomy > 0
+	return runnersWithReserve > 0
 }
--- a/placement/scheduler/testtable_test.go
+++ b/placement/scheduler/testtable_test.go
@@ -6,14 +6,14 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// testTable is a Table of literal rows and limits.
+// testTable implements Table with literal rows and limits.
 type testTable struct {
 	// adapters, when not nil, is what AdaptersOf returns.
 	adapters map[structs.RowName][]structs.RowName
 	rows     map[structs.RowName]structs.Row
 	limits   map[structs.RowName]int
 	minimum  []structs.RowName
-	// frozen names the row whose grant is frozen.
+	// frozen is the row whose grant is frozen.
 	frozen structs.RowName
 }
 
--- a/placement/scheduler/unload.go
+++ b/placement/scheduler/unload.go
@@ -8,10 +8,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// unload plans to unload the replica, or, while adapters are on it, those first.
-// It returns false when nothing can be unloaded there now.
+// unload plans to unload the replica; if adapters are on it, only those, since they must
+// go first. It returns false if the replica cannot be unloaded now.
 func (p *planner) unload(replica *replicaState, reason Reason) bool {
-	if replica.going || replica.runner.Lagging {
+	if replica.unloading || replica.runner.Lagging {
 		return false
 	}
 	adapters := replica.adapters()
@@ -21,7 +21,7 @@
 	if !replica.misplaced() {
 		replica.row.count(replica, -1)
 	}
-	replica.going = true
+	replica.unloading = true
 	replica.runner.future += replica.MemoryBytes
 	if len(adapters) > 0 {
 		return true
@@ -30,7 +30,7 @@
 	return true
 }
 
-// adapters returns the adapters that are on this replica, unloading ones too.
+// adapters returns the adapters on the replica, including those that are unloading.
 func (r *replicaState) adapters() []*replicaState {
 	var list []*replicaState
 	for _, other := range r.runner.replicas {
@@ -41,12 +41,12 @@
 	return list
 }
 
-// planSurplus unloads what is above the limit, also when it is busy: routers
-// send nothing more to an unloading replica, and it goes once it is idle.
+// planSurplus unloads replicas above the limit, including busy ones: routers send
+// nothing more to an unloading replica, and it is removed once it is idle.
 func (p *planner) planSurplus(row *rowState) {
-	surplus := row.records - row.limit
+	surplus := row.recordCount - row.limit
 	for _, replica := range row.replicas {
-		if replica.going {
+		if replica.unloading {
 			surplus--
 		}
 	}
@@ -79,15 +79,14 @@
 	return 1
 }
 
-// planLeaving unloads replicas on runners that are not for the row, once enough
-// others are ready or nothing needs them. Where the grant leaves no room for a
-// replacement, it waits until the replica is idle.
+// planLeaving unloads misplaced replicas once enough others are ready or none are needed.
+// If the grant leaves no room for a replacement, it waits until the replica is idle.
 func (p *planner) planLeaving(row *rowState) {
 	for _, replica := range row.replicas {
-		if replica.going || !replica.misplaced() {
+		if replica.unloading || !replica.misplaced() {
 			continue
 		}
-		replaced := row.ready >= min(row.wanted, row.limit)
+		replaced := row.readyCount >= min(row.wantedReplicas, row.limit)
 		noRoom := !row.mayGrow() && replica.Busy == 0
 		if replaced || noRoom || replica.State == structs.ReplicaLoading {
 			p.unload(replica, ReasonLeaving)
@@ -95,43 +94,43 @@
 	}
 }
 
-// planIdle unloads replicas that nobody used for longer than they are kept. A
-// base goes with the adapters on it, which are never a reason alone to keep it.
+// planIdle unloads replicas that were idle for longer than their keep-alive time. The
+// adapters on a base are unloaded with it.
 func (p *planner) planIdle(row *rowState) {
 	if row.demand.Waiting > 0 || len(row.replicas) == 0 {
 		return
 	}
 	for _, replica := range row.replicas {
-		if row.usable <= row.minimum {
+		if row.usableCount <= row.minimum {
 			return
 		}
 		if !replica.idle() || replica.misplaced() || !p.adaptersIdle(replica) {
 			continue
 		}
 		resident := p.snapshot.Now.Sub(replica.Since)
-		extra := row.usable > max(1, row.wanted) && resident > p.settings.MinimumKeepAlive && len(replica.adapters()) == 0
+		extra := row.usableCount > max(1, row.wantedReplicas) && resident > p.settings.MinimumKeepAlive && len(replica.adapters()) == 0
 		if extra || !p.worthKeeping(replica) {
 			p.unload(replica, ReasonIdle)
 		}
 	}
 }
 
-// adaptersIdle reports whether nothing holds the adapters on the replica.
+// adaptersIdle reports whether all adapters on the replica are idle and not needed.
 func (p *planner) adaptersIdle(replica *replicaState) bool {
 	for _, adapter := range replica.adapters() {
-		needed := adapter.row.usable <= adapter.row.minimum
-		if !adapter.going && (!adapter.idle() || adapter.row.demand.Waiting > 0 || needed) {
+		needed := adapter.row.usableCount <= adapter.row.minimum
+		if !adapter.unloading && (!adapter.idle() || adapter.row.demand.Waiting > 0 || needed) {
 			return false
 		}
 	}
 	return true
 }
 
-// worthKeeping reports whether the replica is within the time that it is kept
-// for its own sake, or for that of one of its adapters.
+// worthKeeping reports whether the replica is within its own keep-alive time or that of
+// one of its adapters, or is expected to be used soon.
 func (p *planner) worthKeeping(replica *replicaState) bool {
 	resident := p.snapshot.Now.Sub(replica.Since)
-	if min(p.idleFor(replica.row), resident) <= p.keepAlive(replica.row) || p.worthExpecting(replica.row) {
+	if min(p.idleFor(replica.row), resident) <= p.keepAlive(replica.row) || p.worthPrewarming(replica.row) {
 		return true
 	}
 	adapters := replica.adapters()
@@ -140,21 +139,21 @@
 	}
 	for _, adapter := range adapters {
 		unused := min(p.idleFor(adapter.row), resident)
-		kept := unused <= p.keepAliveWithBase(adapter.row, replica.row) || p.worthExpectingWithBase(adapter.row, replica.row)
-		if !adapter.going && kept {
+		kept := unused <= p.keepAliveWithBase(adapter.row, replica.row) || p.worthPrewarmingWithBase(adapter.row, replica.row)
+		if !adapter.unloading && kept {
 			return true
 		}
 	}
 	return false
 }
 
-// worthKeepingBase reports whether the cold start that a base is expected to save
-// all its adapters together within the next hour is worth the hour.
+// worthKeepingBase reports whether the cold-start time that a base is expected to save
+// itself and its adapters within the next hour is worth more than the idle hour.
 func (p *planner) worthKeepingBase(base *replicaState) bool {
-	returns := p.returnWithin(base, expectationSeconds*time.Second)
-	return returns*p.coldCost(base.row).Seconds() > expectationSeconds
+	returns := p.replicaReturnProbability(base, expectationSeconds*time.Second)
+	return returns*p.coldStartCost(base.row).Seconds() > expectationSeconds
 }
 
 func (r *replicaState) idle() bool {
-	return !r.going && r.State == structs.ReplicaReady && r.Busy == 0
+	return !r.unloading && r.State == structs.ReplicaReady && r.Busy == 0
 }
