--- a/placement/controller/benchmark_test.go
+++ b/placement/controller/benchmark_test.go
@@ -9,9 +9,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// BenchmarkDecide measures a decision in a zone of 420 runners and 58,000 rows: with
-// eight ready replicas a runner, each of another row, and with four of 290 rows. 40
-// rows have waiting requests.
+// BenchmarkDecide measures a decision in a zone of 420 runners and 58,000 rows, 40 of which
+// have waiting requests. It has eight ready replicas per runner, each of another row, or four
+// per runner of 290 rows.
 func BenchmarkDecide(b *testing.B) {
 	b.Run("rows=3360", func(b *testing.B) { benchmarkDecide(b, 8, 3_360) })
 	b.Run("rows=290", func(b *testing.B) { benchmarkDecide(b, 4, 290) })
@@ -21,7 +21,7 @@
 	const runners, rows, waiting = 420, 58_000, 40
 	state := zone.New("z")
 	index := uint64(0)
-	must := func(command zone.Command) {
+	apply := func(command zone.Command) {
 		index++
 		if result := state.Apply(index, command); result.Error != nil {
 			b.Fatal(result.Error)
@@ -33,20 +33,20 @@
 		delta.Rows = append(delta.Rows, structs.Row{Name: name, Kind: structs.RowModel, MemoryBytes: 10, Weight: 1})
 		delta.Grants = append(delta.Grants, structs.Grant{Row: name, Zone: "z", Limit: 64, Held: 64})
 	}
-	must(zone.Command{Adopt: delta})
+	apply(zone.Command{Adopt: delta})
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	core := New(Options{})
 	input := Input{Now: now, Epoch: 1, LeaseValid: true, State: state, StoreBudget: 8, Reports: map[structs.RunnerID]ReportSeen{}}
 	demand := structs.DemandReport{Daemon: "router"}
 	for i := range runners {
 		id := structs.RunnerID(fmt.Sprintf("runner-%03d", i))
-		must(zone.Command{Runner: &zone.RunnerCommand{Info: structs.RunnerInfo{ID: id, Zone: "z", Incarnation: 1, MemoryBytes: 80}}})
+		apply(zone.Command{Runner: &zone.RunnerCommand{Info: structs.RunnerInfo{ID: id, Zone: "z", Incarnation: 1, MemoryBytes: 80}}})
 		report := structs.EngineReport{Runner: id, Incarnation: 1, MemoryBytes: 80}
 		for k := range perRunner {
 			row := delta.Rows[(i*perRunner+k)%used].Name
-			must(zone.Command{Reserve: &zone.ReserveCommand{Row: row, Runner: id, Incarnation: 1, At: now}})
+			apply(zone.Command{Reserve: &zone.ReserveCommand{Row: row, Runner: id, Incarnation: 1, At: now}})
 			order := structs.OrderNumber(index)
-			must(zone.Command{Transition: &zone.TransitionCommand{Row: row, Runner: id, Order: order, To: structs.ReplicaReady, At: now}})
+			apply(zone.Command{Transition: &zone.TransitionCommand{Row: row, Runner: id, Order: order, To: structs.ReplicaReady, At: now}})
 			report.Fence = structs.Fence{Epoch: 1, Number: order}
 			report.Replicas = append(report.Replicas, structs.EngineReplica{Row: row, State: structs.ReplicaReady, Fence: report.Fence})
 			demand.Rows = append(demand.Rows, structs.RowDemand{Row: row, Running: k % 2})
--- a/placement/controller/claims.go
+++ b/placement/controller/claims.go
@@ -7,24 +7,23 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The defaults of Options about claims.
+// Defaults of the claim options.
 const (
-	// DefaultClaimLease is how long a claim is kept without a renewal. Its holder
-	// renews it several times in that time.
+	// DefaultClaimLease is how long a claim is valid without a renewal. Its holder renews
+	// it several times in that period.
 	DefaultClaimLease = 10 * time.Second
-	// DefaultInquiryLimit is how long after the choice of a runner its engine can
-	// be asked what became of the request. It is less than half of the time for which
-	// engines remember request IDs (engineapi.IDRetention), so that clocks that
-	// differ and a request that is long on its way do no harm.
+	// DefaultInquiryLimit is how long after the choice of a runner its engine's statement
+	// that it does not know the request is trusted. It is less than half of
+	// engineapi.IDRetention, which leaves room for clock differences and delayed requests.
 	DefaultInquiryLimit = 7 * time.Minute
 )
 
-// Inquiry asks an engine about a request whose claim is no longer renewed. The engine is
-// asked with the cancel flag, so that it refuses the request from then on.
+// Inquiry asks an engine about a request whose claim is no longer renewed. It sets the
+// cancel flag, so that the engine refuses the request from then on.
 type Inquiry struct {
 	Key    structs.ClaimKey
 	Choice uint64
-	// Address is the engine's, Request the ID under which it knows the attempt.
+	// Address is the engine's address, Request its ID of the attempt.
 	Address string
 	Request structs.RequestID
 }
@@ -35,15 +34,15 @@
 	Status  structs.RequestStatus
 }
 
-// inquired is an inquiry that this leader sent and what came of it.
-type inquired struct {
+// pendingInquiry is an inquiry that this leader sent, with its reply if any.
+type pendingInquiry struct {
 	inquiry Inquiry
 	sentAt  time.Time
 	status  *structs.RequestStatus
 }
 
-// ObserveInquiry takes in an engine's answer; the next Decide acts on it. An
-// inquiry without an answer is sent again.
+// ObserveInquiry records an engine's reply for the next Decide. An inquiry without a
+// reply is sent again.
 func (c *Core) ObserveInquiry(reply InquiryReply) {
 	known, open := c.inquiries[reply.Inquiry.Key]
 	if !open || known.inquiry != reply.Inquiry || reply.Status.ID != reply.Inquiry.Request {
@@ -53,33 +52,32 @@
 	c.inquiries[reply.Inquiry.Key] = known
 }
 
-// resolveClaims ends the claims that were not renewed for longer than the lease:
-// their holder died, or never knew that a late command of its own made them. A wrong suspicion may cut a request, and never runs one twice: what ends
-// a claim as not run also makes the zone refuse the holder's next choice and the
-// engine the request itself.
+// resolveClaims ends the claims whose lease has expired: the holder died, or never learned
+// that a delayed command of its own made them. A wrong suspicion may abort a request, but
+// never runs one twice: a claim that ends as not run also makes the zone refuse the
+// holder's next choice, and the engine the request.
 func (d *decider) resolveClaims() {
-	if d.input.Renewed == nil || d.input.Now.Sub(d.core.leadFrom) < d.core.options.ClaimLease {
+	if d.input.Renewed == nil || d.input.Now.Sub(d.core.leaderSince) < d.core.options.ClaimLease {
 		return
 	}
-	open := map[structs.ClaimKey]inquired{}
+	open := map[structs.ClaimKey]pendingInquiry{}
 	for _, claim := range d.input.State.HeldClaims() {
-		if d.lapsed(claim) {
+		if d.leaseExpired(claim) {
 			d.resolveClaim(claim, open)
 		}
 	}
 	d.core.inquiries = open
 }
 
-// lapsed reports whether the claim's lease has run out. A claim that this leader
-// never heard of has had its lease since the leader began to lead.
-func (d *decider) lapsed(claim structs.Claim) bool {
+// leaseExpired reports whether the claim's lease has expired. The lease of a claim without
+// a renewal under this leader began when the leader's term did.
+func (d *decider) leaseExpired(claim structs.Claim) bool {
 	renewed, known := d.input.Renewed[claim.Request]
 	return !known || d.input.Now.Sub(renewed) >= d.core.options.ClaimLease
 }
 
-// resolveClaim ends the claim if its outcome is certain, or adds to open what
-// must be asked.
-func (d *decider) resolveClaim(claim structs.Claim, open map[structs.ClaimKey]inquired) {
+// resolveClaim ends the claim if its outcome is certain, or else adds its inquiry to open.
+func (d *decider) resolveClaim(claim structs.Claim, open map[structs.ClaimKey]pendingInquiry) {
 	if claim.Runner == "" {
 		d.endClaim(claim, structs.ClaimReleased)
 		return
@@ -87,13 +85,13 @@
 	inquiry := Inquiry{Key: claim.Key, Choice: claim.Choice, Address: claim.Address, Request: claim.EngineRequest}
 	known := d.core.inquiries[claim.Key]
 	if known.inquiry != inquiry {
-		known = inquired{inquiry: inquiry}
+		known = pendingInquiry{inquiry: inquiry}
 	}
-	if end := d.judge(claim, known.status); end != structs.ClaimHeld {
+	if end := d.claimOutcome(claim, known.status); end != structs.ClaimHeld {
 		d.endClaim(claim, end)
 		return
 	}
-	if known.sentAt.IsZero() || !d.recent(known.sentAt) {
+	if known.sentAt.IsZero() || !d.withinResendInterval(known.sentAt) {
 		known.sentAt = d.input.Now
 		known.status = nil
 		d.decisions.Inquiries = append(d.decisions.Inquiries, inquiry)
@@ -101,9 +99,10 @@
 	open[claim.Key] = known
 }
 
-// judge returns how a claim ends by what is known, or ClaimHeld while its engine
-// must still be asked. The answer of a request that ran is lost with its holder.
-func (d *decider) judge(claim structs.Claim, status *structs.RequestStatus) structs.ClaimState {
+// claimOutcome returns the final state of the claim, or ClaimHeld while its engine must
+// still be asked. A request that ran ends as unknown, since its answer is lost with its
+// holder.
+func (d *decider) claimOutcome(claim structs.Claim, status *structs.RequestStatus) structs.ClaimState {
 	inTime := d.input.Now.Sub(claim.ChosenAt) < d.core.options.InquiryLimit
 	runner, known := d.input.State.Runner(claim.Runner)
 	restarted := known && (runner.Incarnation > claim.Incarnation || (runner.Gone && runner.Incarnation == claim.Incarnation))
--- a/placement/controller/claims_model_test.go
+++ b/placement/controller/claims_model_test.go
@@ -15,43 +15,42 @@
 const (
 	claimModelRequests = 120
 	claimModelSpan     = 60 * time.Second
-	// claimModelCalm is long enough for every claim to be resolved after the faults.
-	claimModelCalm = 20 * time.Minute
-	claimModelStep = 100 * time.Millisecond
+	// claimModelSettleTime is long enough for every claim to be resolved after the last fault.
+	claimModelSettleTime = 20 * time.Minute
+	claimModelStep       = 100 * time.Millisecond
 )
 
-// claimFault is a safeguard that the model's shell leaves out, to show that its
-// checks notice.
+// claimFault is a safeguard that the model omits, to show that its checks detect it.
 type claimFault uint8
 
 const (
 	claimFaultNone claimFault = iota
 	claimFaultNoFence
 	claimFaultNoChoiceGuard
-	claimFaultTrustNewLife
-	claimFaultOwnHome
+	claimFaultTrustNewIncarnation
+	claimFaultManyHomes
 )
 
-// claimModel drives several router.Core in two zones over a zone.State and a Core
-// each. Messages are lost, late, doubled and cut off between the zones; routers,
-// leaders and engines crash and routers are paused, at any step.
+// claimModel drives several router.Core in two zones against a zone.State and a Core each.
+// Messages are lost, delayed, duplicated and partitioned between the zones; routers, leaders
+// and engines crash, and routers are paused, at any step.
 type claimModel struct {
-	random     *rand.Rand
-	fault      claimFault
-	now        time.Time
-	calm       bool
-	queue      []claimEvent
-	sequence   int
-	zones      map[structs.ZoneID]*claimZone
-	routers    []*claimRouter
-	engines    map[string]*claimEngine
-	cutUntil   time.Time
-	executions map[structs.RequestID]int
-	byKey      map[string]int
-	key        map[structs.RequestID]string
-	ends       map[structs.RequestID]string
-	counts     map[string]int
-	violations []string
+	random           *rand.Rand
+	fault            claimFault
+	now              time.Time
+	faultFree        bool
+	queue            []claimEvent
+	sequence         int
+	zones            map[structs.ZoneID]*claimZone
+	routers          []*claimRouter
+	engines          map[string]*claimEngine
+	partitionedUntil time.Time
+	executions       map[structs.RequestID]int
+	byKey            map[string]int
+	key              map[structs.RequestID]string
+	outcomes         map[structs.RequestID]string
+	counts           map[string]int
+	violations       []string
 }
 
 type claimEvent struct {
@@ -66,8 +65,8 @@
 	core    *Core
 	epoch   structs.Epoch
 	renewed map[structs.RequestID]time.Time
-	// deafUntil is when the zone has a leader again.
-	deafUntil time.Time
+	// leaderlessUntil is when the zone has a leader again.
+	leaderlessUntil time.Time
 }
 
 type claimRouter struct {
@@ -75,13 +74,13 @@
 	zone    structs.ZoneID
 	session structs.SessionID
 	core    *router.Core
-	// open are the requests whose claims may be held, with their keys' homes.
+	// open maps the requests whose claims may be held to the home zones of their keys.
 	open map[structs.RequestID]structs.ZoneID
-	// kept are the answers on its disk.
-	kept        map[structs.ClaimKey][]byte
-	pausedUntil time.Time
-	// muteUntil is when its lease is renewed again.
-	muteUntil time.Time
+	// savedAnswers are the answers on its disk.
+	savedAnswers map[structs.ClaimKey][]byte
+	pausedUntil  time.Time
+	// renewalsLostUntil is when its claims are renewed again.
+	renewalsLostUntil time.Time
 }
 
 type claimEngine struct {
@@ -100,34 +99,34 @@
 		random: rand.New(rand.NewPCG(seed, 1)), fault: fault, now: claimTime,
 		zones: map[structs.ZoneID]*claimZone{}, engines: map[string]*claimEngine{},
 		executions: map[structs.RequestID]int{}, byKey: map[string]int{}, key: map[structs.RequestID]string{},
-		ends: map[structs.RequestID]string{}, counts: map[string]int{},
+		outcomes: map[structs.RequestID]string{}, counts: map[string]int{},
 	}
 	for _, id := range []structs.ZoneID{"a", "b"} {
 		m.zones[id] = &claimZone{id: id, state: zone.New(id)}
-		m.lead(m.zones[id])
+		m.startLeader(m.zones[id])
 		for number := range 2 {
 			name := fmt.Sprintf("%s-%d", id, number)
 			m.engines[name] = &claimEngine{id: structs.RunnerID(name), zone: id, incarnation: 1, records: map[structs.RequestID]*claimRun{}}
-			m.routers = append(m.routers, &claimRouter{id: structs.DaemonID(name), zone: id, kept: map[structs.ClaimKey][]byte{}})
+			m.routers = append(m.routers, &claimRouter{id: structs.DaemonID(name), zone: id, savedAnswers: map[structs.ClaimKey][]byte{}})
 		}
 	}
 	for _, r := range m.routers {
-		m.boot(r)
+		m.startRouter(r)
 	}
 	return m
 }
 
-func (m *claimModel) lead(z *claimZone) {
+func (m *claimModel) startLeader(z *claimZone) {
 	z.epoch++
 	z.core = New(Options{Zone: z.id})
 	z.renewed = map[structs.RequestID]time.Time{}
 }
 
-func (m *claimModel) boot(r *claimRouter) {
+func (m *claimModel) startRouter(r *claimRouter) {
 	r.session++
 	r.open = map[structs.RequestID]structs.ZoneID{}
 	zones := []structs.ZoneID{"a", "b"}
-	if m.fault == claimFaultOwnHome {
+	if m.fault == claimFaultManyHomes {
 		zones = []structs.ZoneID{r.zone}
 	}
 	r.core = router.New(router.Options{
@@ -135,11 +134,12 @@
 		Random:  rand.New(rand.NewPCG(m.random.Uint64(), 2)),
 		Routing: routing.Options{MaxBatch: 1, QueueSlack: 1},
 	})
-	m.view(r)
+	m.sendView(r)
 }
 
-// view tells a router the placement; the row is ready on every engine of its zone.
-func (m *claimModel) view(r *claimRouter) {
+// sendView sends the router its zone's placement: the row is ready on every engine of the
+// zone.
+func (m *claimModel) sendView(r *claimRouter) {
 	view := structs.ZoneView{Index: uint64(m.now.UnixMilli()), Placement: &structs.Placement{}}
 	view.Table = structs.TableDelta{Full: true, Revision: 1, Rows: []structs.Row{{Name: "row", MaxReplicas: 4}}}
 	view.Table.Grants = []structs.Grant{{Row: "row", Zone: r.zone, Limit: 2, Sequence: 1}}
@@ -152,46 +152,48 @@
 	m.step(r, router.ViewChanged{View: view})
 }
 
-// chance is true once in n times, and never in the calm at the end.
-func (m *claimModel) chance(n int) bool { return !m.calm && m.random.IntN(n) == 0 }
+// chance returns true with probability 1/n, and false in the fault-free phase.
+func (m *claimModel) chance(n int) bool { return !m.faultFree && m.random.IntN(n) == 0 }
 
-func (m *claimModel) between(most time.Duration) time.Duration {
-	return time.Duration(m.random.Int64N(int64(most)))
+func (m *claimModel) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(m.random.Int64N(int64(limit)))
 }
 
-func (m *claimModel) after(delay time.Duration, act func()) {
+func (m *claimModel) schedule(delay time.Duration, act func()) {
 	m.sequence++
 	m.queue = append(m.queue, claimEvent{m.now.Add(delay), m.sequence, act})
 }
 
-// send delivers a message between zones: lost, doubled, or up to half a minute late.
+// send delivers a message between zones, which may be lost, duplicated, or delayed by up to
+// half a minute.
 func (m *claimModel) send(from, to structs.ZoneID, act func()) {
 	copies := 1
 	if m.chance(12) {
 		copies = 2 * m.random.IntN(2)
 	}
 	for range copies {
-		delay := m.between(20 * time.Millisecond)
+		delay := m.randomDuration(20 * time.Millisecond)
 		if m.chance(15) {
-			delay = m.between(30 * time.Second)
+			delay = m.randomDuration(30 * time.Second)
 		}
-		m.after(delay, func() {
-			if from == to || !m.now.Before(m.cutUntil) {
+		m.schedule(delay, func() {
+			if from == to || !m.now.Before(m.partitionedUntil) {
 				act()
 			}
 		})
 	}
 }
 
-// inLife runs act in the router's present life only, and once it is not paused.
-func (m *claimModel) inLife(r *claimRouter, act func()) func() {
+// inSession returns a function that runs act in the router's present session only, once the
+// router is not paused.
+func (m *claimModel) inSession(r *claimRouter, act func()) func() {
 	session := r.session
 	var attempt func()
 	attempt = func() {
 		switch {
 		case r.session != session:
 		case m.now.Before(r.pausedUntil):
-			m.after(r.pausedUntil.Sub(m.now), attempt)
+			m.schedule(r.pausedUntil.Sub(m.now), attempt)
 		default:
 			act()
 		}
@@ -201,11 +203,11 @@
 
 func (m *claimModel) step(r *claimRouter, event router.Event) {
 	for _, effect := range slices.Clone(r.core.Step(m.now, event)) {
-		m.carryOut(r, effect)
+		m.applyEffect(r, effect)
 	}
 }
 
-func (m *claimModel) carryOut(r *claimRouter, effect router.Effect) {
+func (m *claimModel) applyEffect(r *claimRouter, effect router.Effect) {
 	switch effect := effect.(type) {
 	case router.BeginClaim:
 		m.begin(r, effect)
@@ -216,39 +218,39 @@
 	case router.SendAttempt:
 		m.attempt(r, effect)
 	case router.CancelAttempt:
-		// Lost: the engine goes on.
+		// The cancellation is lost and the engine continues.
 	case router.AskStatus:
 		m.ask(r, effect)
 	case router.Finish:
-		m.end(effect.ID, "finish")
+		m.recordOutcome(effect.ID, "finish")
 	case router.Replay:
-		m.end(effect.ID, "replay")
+		m.recordOutcome(effect.ID, "replay")
 	case router.Refuse:
-		m.end(effect.ID, string(effect.Refusal.Execution))
+		m.recordOutcome(effect.ID, string(effect.Refusal.Execution))
 	}
 	if m.chance(150) {
-		m.boot(r)
+		m.startRouter(r)
 	}
 }
 
-func (m *claimModel) end(id structs.RequestID, kind string) {
-	if m.ends[id] != "" {
-		m.violations = append(m.violations, fmt.Sprintf("%s ended twice", id))
+func (m *claimModel) recordOutcome(id structs.RequestID, kind string) {
+	if m.outcomes[id] != "" {
+		m.violations = append(m.violations, fmt.Sprintf("%s finished twice", id))
 	}
-	m.ends[id] = kind
+	m.outcomes[id] = kind
 	m.counts[kind]++
 }
 
-// run lets requests come, then calms down and waits until all is resolved.
+// run sends requests under faults, and then runs without faults until all is resolved.
 func (m *claimModel) run() {
 	for number := range claimModelRequests {
-		m.after(m.between(claimModelSpan), func() { m.arrive(number) })
+		m.schedule(m.randomDuration(claimModelSpan), func() { m.arrive(number) })
 	}
 	for range 16 {
-		m.after(m.between(claimModelSpan), m.disturb)
+		m.schedule(m.randomDuration(claimModelSpan), m.injectFault)
 	}
-	for passed := time.Duration(0); passed < claimModelSpan+claimModelCalm; passed += claimModelStep {
-		m.calm = passed > claimModelSpan+30*time.Second
+	for passed := time.Duration(0); passed < claimModelSpan+claimModelSettleTime; passed += claimModelStep {
+		m.faultFree = passed > claimModelSpan+30*time.Second
 		m.advance(m.now.Add(claimModelStep))
 		for _, r := range m.routers {
 			if !m.now.Before(r.pausedUntil) {
@@ -297,21 +299,21 @@
 	}})
 }
 
-func (m *claimModel) disturb() {
+func (m *claimModel) injectFault() {
 	r := m.routers[m.random.IntN(len(m.routers))]
 	z := m.zones[[]structs.ZoneID{"a", "b"}[m.random.IntN(2)]]
 	switch m.random.IntN(6) {
 	case 0:
-		m.boot(r)
+		m.startRouter(r)
 	case 1:
-		r.pausedUntil = m.now.Add(m.between(30 * time.Second))
+		r.pausedUntil = m.now.Add(m.randomDuration(30 * time.Second))
 	case 2:
-		r.muteUntil = m.now.Add(m.between(30 * time.Second))
+		r.renewalsLostUntil = m.now.Add(m.randomDuration(30 * time.Second))
 	case 3:
-		m.lead(z)
-		z.deafUntil = m.now.Add(m.between(5 * time.Second))
+		m.startLeader(z)
+		z.leaderlessUntil = m.now.Add(m.randomDuration(5 * time.Second))
 	case 4:
-		m.cutUntil = m.now.Add(m.between(30 * time.Second))
+		m.partitionedUntil = m.now.Add(m.randomDuration(30 * time.Second))
 	default:
 		m.restart(m.engines[fmt.Sprintf("%s-%d", z.id, m.random.IntN(2))])
 	}
@@ -323,14 +325,14 @@
 			m.violations = append(m.violations, fmt.Sprintf("key %s ran %d times", key, count))
 		}
 	}
-	for id, end := range m.ends {
+	for id, end := range m.outcomes {
 		if end == string(structs.ExecutionNotRun) && m.executions[id] > 0 {
-			m.violations = append(m.violations, fmt.Sprintf("%s ran although not_run", id))
+			m.violations = append(m.violations, fmt.Sprintf("%s ran although reported as not_run", id))
 		}
 	}
 	for _, z := range m.zones {
 		if held := z.state.HeldClaims(); len(held) > 0 {
-			m.violations = append(m.violations, fmt.Sprintf("%d claims are held at the end", len(held)))
+			m.violations = append(m.violations, fmt.Sprintf("%d claims are still held at the end", len(held)))
 		}
 	}
 }
--- a/placement/controller/claims_world_test.go
+++ b/placement/controller/claims_modelsteps_test.go
@@ -14,9 +14,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// apply commits claim operations; the leader may die before or after.
+// apply commits claim operations; the leader may crash before or after it.
 func (m *claimModel) apply(z *claimZone, operations ...zone.ClaimOperation) (zone.Result, bool) {
-	if m.now.Before(z.deafUntil) || m.chance(40) {
+	if m.now.Before(z.leaderlessUntil) || m.chance(40) {
 		return zone.Result{}, false
 	}
 	batch := &zone.ClaimBatchCommand{At: m.now, Operations: operations}
@@ -35,7 +35,7 @@
 	answered := false
 	r.open[effect.ID] = home.id
 	reply := func(event router.ClaimReplied) func() {
-		return m.inLife(r, func() {
+		return m.inSession(r, func() {
 			if !answered {
 				answered = true
 				if event.Error == nil && !event.New {
@@ -51,15 +51,15 @@
 			m.send(home.id, r.zone, reply(router.ClaimReplied{ID: effect.ID, Claim: result.Claim, New: result.ClaimNew, Error: result.Error}))
 		}
 	})
-	lost := structs.NewError(structs.ErrorUnavailable, "no answer", "Come back.")
-	m.after(4*time.Second, reply(router.ClaimReplied{ID: effect.ID, Error: lost}))
+	lost := structs.NewError(structs.ErrorUnavailable, "no reply", "Retry the request.")
+	m.schedule(4*time.Second, reply(router.ClaimReplied{ID: effect.ID, Error: lost}))
 }
 
-// fetch asks the holder for its answer; the question or the answer may be lost.
+// fetch asks the holder for its answer; request or reply may be lost.
 func (m *claimModel) fetch(r *claimRouter, effect router.FetchAnswer) {
 	answered := false
 	reply := func(event router.AnswerFetched) func() {
-		return m.inLife(r, func() {
+		return m.inSession(r, func() {
 			if !answered {
 				answered = true
 				m.step(r, event)
@@ -68,18 +68,18 @@
 	}
 	for _, holder := range m.routers {
 		if holder.id == effect.Claim.Holder {
-			m.send(r.zone, holder.zone, m.inLife(holder, func() {
-				m.send(holder.zone, r.zone, reply(router.AnswerFetched{ID: effect.ID, Answer: holder.kept[effect.Claim.Key]}))
+			m.send(r.zone, holder.zone, m.inSession(holder, func() {
+				m.send(holder.zone, r.zone, reply(router.AnswerFetched{ID: effect.ID, Answer: holder.savedAnswers[effect.Claim.Key]}))
 			}))
 		}
 	}
-	m.after(time.Second, reply(router.AnswerFetched{ID: effect.ID, Unreachable: true}))
+	m.schedule(time.Second, reply(router.AnswerFetched{ID: effect.ID, Unreachable: true}))
 }
 
 func (m *claimModel) finish(r *claimRouter, effect router.FinishClaim) {
 	claim := effect.Claim
 	if len(effect.Answer) > 0 {
-		r.kept[claim.Key] = effect.Answer
+		r.savedAnswers[claim.Key] = effect.Answer
 	}
 	home := m.zones[claim.Home]
 	operation := zone.ClaimOperation{Finish: &zone.ClaimFinishCommand{
@@ -88,26 +88,26 @@
 	}}
 	done := false
 	var try func()
-	try = m.inLife(r, func() {
+	try = m.inSession(r, func() {
 		if done {
 			return
 		}
 		m.send(r.zone, home.id, func() {
 			if _, ok := m.apply(home, operation); ok {
-				m.send(home.id, r.zone, m.inLife(r, func() {
+				m.send(home.id, r.zone, m.inSession(r, func() {
 					done = true
 					delete(r.open, effect.ID)
 				}))
 			}
 		})
-		m.after(time.Second, try)
+		m.schedule(time.Second, try)
 	})
 	try()
 }
 
 func (m *claimModel) renew() {
 	for _, r := range m.routers {
-		if m.now.Before(r.pausedUntil) || m.now.Before(r.muteUntil) {
+		if m.now.Before(r.pausedUntil) || m.now.Before(r.renewalsLostUntil) {
 			continue
 		}
 		for _, request := range slices.Sorted(maps.Keys(r.open)) {
@@ -117,11 +117,11 @@
 	}
 }
 
-// attempt sends a request to its engine, which starts and finishes it late.
+// attempt sends a request to its engine, which starts and finishes it after random delays.
 func (m *claimModel) attempt(r *claimRouter, effect router.SendAttempt) {
 	e := m.engines[effect.Address]
 	fail := func(stage router.FailureStage) {
-		m.send(e.zone, r.zone, m.inLife(r, func() { m.step(r, router.AttemptFailed{Attempt: effect.Attempt, Stage: stage}) }))
+		m.send(e.zone, r.zone, m.inSession(r, func() { m.step(r, router.AttemptFailed{Attempt: effect.Attempt, Stage: stage}) }))
 	}
 	m.send(r.zone, e.zone, func() {
 		run := e.records[effect.Generate.ID]
@@ -134,10 +134,10 @@
 		}
 		run = &claimRun{}
 		e.records[effect.Generate.ID] = run
-		m.after(m.between(2*time.Second), func() { m.execute(r, e, run, effect) })
+		m.schedule(m.randomDuration(2*time.Second), func() { m.execute(r, e, run, effect) })
 	})
-	// The router gives a silent engine up.
-	m.after(5*time.Second, m.inLife(r, func() { m.step(r, router.AttemptFailed{Attempt: effect.Attempt, Stage: router.Broken}) }))
+	// The router gives up on a silent engine.
+	m.schedule(5*time.Second, m.inSession(r, func() { m.step(r, router.AttemptFailed{Attempt: effect.Attempt, Stage: router.Broken}) }))
 }
 
 func (m *claimModel) execute(r *claimRouter, e *claimEngine, run *claimRun, effect router.SendAttempt) {
@@ -147,23 +147,24 @@
 	run.started = true
 	m.executions[effect.Attempt.Request()]++
 	m.byKey[m.key[effect.Attempt.Request()]]++
-	m.after(m.between(3*time.Second), func() {
+	m.schedule(m.randomDuration(3*time.Second), func() {
 		run.finished = true
 		token := structs.Token{ID: effect.Generate.ID, Text: effect.Generate.Prompt, Finish: structs.FinishStop}
-		m.send(e.zone, r.zone, m.inLife(r, func() { m.step(r, router.TokenReceived{Attempt: effect.Attempt, Token: token}) }))
+		m.send(e.zone, r.zone, m.inSession(r, func() { m.step(r, router.TokenReceived{Attempt: effect.Attempt, Token: token}) }))
 	})
 }
 
-// restart is an engine's new life, which knows no request.
+// restart restarts an engine, which then knows no request.
 func (m *claimModel) restart(e *claimEngine) {
 	e.incarnation++
 	e.records = map[structs.RequestID]*claimRun{}
 	for _, r := range m.routers {
-		m.after(m.between(time.Second), m.inLife(r, func() { m.view(r) }))
+		m.schedule(m.randomDuration(time.Second), m.inSession(r, func() { m.sendView(r) }))
 	}
 }
 
-// status is what an engine says of a request; with fence set it refuses it from then on.
+// status returns the engine's status of a request; with fence set, the engine refuses the
+// request from then on.
 func (e *claimEngine) status(id structs.RequestID, fence bool) structs.RequestStatus {
 	status := structs.RequestStatus{ID: id, State: structs.RunUnknown, Incarnation: e.incarnation}
 	run := e.records[id]
@@ -190,19 +191,19 @@
 	e := m.engines[effect.Address]
 	m.send(r.zone, e.zone, func() {
 		status := e.status(structs.RequestID(effect.Attempt), !effect.Peek)
-		m.send(e.zone, r.zone, m.inLife(r, func() {
+		m.send(e.zone, r.zone, m.inSession(r, func() {
 			m.step(r, router.StatusReplied{ID: effect.ID, Attempt: effect.Attempt, Status: &status, Peek: effect.Peek})
 		}))
 	})
-	lost := structs.NewError(structs.ErrorUnavailable, "no answer", "Ask again.")
-	m.after(2*time.Second, m.inLife(r, func() {
+	lost := structs.NewError(structs.ErrorUnavailable, "no reply", "Ask again.")
+	m.schedule(2*time.Second, m.inSession(r, func() {
 		m.step(r, router.StatusReplied{ID: effect.ID, Attempt: effect.Attempt, Error: lost, Peek: effect.Peek})
 	}))
 }
 
-// decide is one round of a zone's leader, which may die between any two steps.
+// decide runs one round of a zone's leader, which may crash between any two steps.
 func (m *claimModel) decide(z *claimZone) {
-	if m.now.Before(z.deafUntil) {
+	if m.now.Before(z.leaderlessUntil) {
 		return
 	}
 	epoch := z.epoch
@@ -212,15 +213,15 @@
 	}
 	for _, command := range decisions.Commands {
 		if m.chance(20) {
-			m.lead(z)
+			m.startLeader(z)
 			return
 		}
 		if m.fault == claimFaultNoChoiceGuard && command.ClaimFinish != nil {
 			command.ClaimFinish.Resolve = false
 		}
-		// What was decided meets a later state.
-		m.after(m.between(5*time.Second), func() {
-			if command.ClaimFinish != nil && !m.now.Before(z.deafUntil) {
+		// The command is applied to a later state than it was decided on.
+		m.schedule(m.randomDuration(5*time.Second), func() {
+			if command.ClaimFinish != nil && !m.now.Before(z.leaderlessUntil) {
 				if result := z.state.Apply(z.state.Index()+1, command); result.Error == nil {
 					m.counts["resolved "+string(command.ClaimFinish.State)]++
 				}
@@ -233,7 +234,7 @@
 	e := m.engines[inquiry.Address]
 	m.send(z.id, e.zone, func() {
 		status := e.status(inquiry.Request, m.fault != claimFaultNoFence)
-		if m.fault == claimFaultTrustNewLife {
+		if m.fault == claimFaultTrustNewIncarnation {
 			status.Incarnation = 1
 		}
 		m.send(e.zone, z.id, func() {
@@ -244,8 +245,8 @@
 	})
 }
 
-// TestHolderDeathNeverRunsAKeyTwice also checks that the histories reach every
-// kind of end and of resolution, so that no check is idle.
+// Guards against running a key twice after its holder crashed. It also checks that the runs
+// reach every kind of outcome and resolution.
 func TestHolderDeathNeverRunsAKeyTwice(t *testing.T) {
 	c := qt.New(t)
 	counts := map[string]int{}
@@ -266,15 +267,15 @@
 
 func TestClaimModelNoticesMissingSafeguards(t *testing.T) {
 	for _, test := range []struct {
-		about string
+		name  string
 		fault claimFault
 	}{
-		{"the engine is asked without a fence", claimFaultNoFence},
-		{"a resolution ends a later choice", claimFaultNoChoiceGuard},
-		{"an engine's next life speaks for the earlier one", claimFaultTrustNewLife},
-		{"each zone is home to every key", claimFaultOwnHome},
+		{"inquiry without a fence", claimFaultNoFence},
+		{"resolution ends a later choice", claimFaultNoChoiceGuard},
+		{"status of a later incarnation is trusted", claimFaultTrustNewIncarnation},
+		{"every zone is home to every key", claimFaultManyHomes},
 	} {
-		t.Run(test.about, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			found := false
 			for seed := uint64(0); seed < 150 && !found; seed++ {
 				m := newClaimModel(seed, test.fault)
--- a/placement/controller/core_test.go
+++ b/placement/controller/core_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	modelSeeds     = 300
-	troubledSteps  = 900
-	calmSteps      = 900
-	wantedAtTheEnd = 1
-	// modelGarbagePercent spares the collector most of its runs.
-	modelGarbagePercent = 800
+	modelSeeds    = 300
+	faultSteps    = 900
+	settleSteps   = 900
+	finalReplicas = 1
+	// modelGCPercent reduces the number of garbage collections.
+	modelGCPercent = 800
 )
 
-// calmDown ends all faults with a demand for every row and room for it.
-func (m *model) calmDown() {
-	m.calm = true
+// stopFaults ends all faults, and gives every row demand and room for one replica.
+func (m *model) stopFaults() {
+	m.faultFree = true
 	m.leaving = map[structs.RunnerID]bool{}
 	for _, row := range modelRows {
 		m.demand[row.Name] = true
-		m.grant(row.Name, wantedAtTheEnd)
+		m.grant(row.Name, finalReplicas)
 	}
 	for _, e := range m.engines {
 		m.apply(zone.Command{Drain: &zone.DrainCommand{Runner: e.id}})
@@ -37,8 +37,8 @@
 func (m *model) checkConverged() {
 	for _, row := range modelRows {
 		replicas := m.state.ReplicasOf(row.Name)
-		if len(replicas) != wantedAtTheEnd || replicas[0].State != structs.ReplicaReady {
-			m.fail("%s ends as %+v", row.Name, replicas)
+		if len(replicas) != finalReplicas || replicas[0].State != structs.ReplicaReady {
+			m.fail("%s has replicas %+v at the end", row.Name, replicas)
 			continue
 		}
 		for _, e := range m.engines {
@@ -47,16 +47,16 @@
 				m.fail("%s on %s differs from its record", row.Name, e.id)
 			}
 		}
-		if grant := m.state.Grant(row.Name); grant.Held != wantedAtTheEnd {
-			m.fail("%s holds %d", row.Name, grant.Held)
+		if grant := m.state.Grant(row.Name); grant.Held != finalReplicas {
+			m.fail("%s holds a grant of %d at the end", row.Name, grant.Held)
 		}
 	}
 }
 
-// A wish that is not granted is repeated after 1, 2, 4 and 8 seconds and so on.
-func TestWishesAreRepeatedSoonOnlyWhileNotGranted(t *testing.T) {
+// A wish that is not granted must be repeated after 1, 2, 4 and 8 seconds and so on.
+func TestUngrantedWishesAreRepeatedWithBackoff(t *testing.T) {
 	m := newModel(1)
-	m.calm = true
+	m.faultFree = true
 	m.grant("large", 0)
 	for _, row := range modelRows {
 		m.demand[row.Name] = true
@@ -78,7 +78,7 @@
 
 func TestPrefetchOfDeletedRowIsDropped(t *testing.T) {
 	m := newModel(1)
-	m.calm = true
+	m.faultFree = true
 	for range time.Second / modelTick {
 		m.step()
 	}
@@ -93,15 +93,15 @@
 	qt.Assert(t, m.orders, qt.HasLen, 0)
 }
 
-// runModel is one run of a model from trouble to calm.
+// runModel runs a model with faults and then without, and checks that it converges.
 func runModel(seed uint64) *model {
 	m := newModel(seed)
 	m.refusesPrefetch = seed%4 == 0
-	for range troubledSteps {
+	for range faultSteps {
 		m.step()
 	}
-	m.calmDown()
-	for range calmSteps {
+	m.stopFaults()
+	for range settleSteps {
 		m.step()
 	}
 	m.checkConverged()
@@ -109,26 +109,26 @@
 }
 
 func TestLimitsHoldAndThePlanIsReached(t *testing.T) {
-	// The models live on little memory and make much garbage.
-	defer debug.SetGCPercent(debug.SetGCPercent(modelGarbagePercent))
+	// The models use little memory and produce much garbage.
+	defer debug.SetGCPercent(debug.SetGCPercent(modelGCPercent))
 	models := make([]*model, modelSeeds)
 	var running sync.WaitGroup
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for seed := range models {
-		places <- struct{}{}
+		slots <- struct{}{}
 		running.Go(func() {
 			models[seed] = runModel(uint64(seed))
-			<-places
+			<-slots
 		})
 	}
 	running.Wait()
 	loads, failed, prefetches := 0, 0, 0
 	for seed, m := range models {
-		if m.fault != "" {
-			t.Fatalf("seed %d: %s", seed, m.fault)
+		if m.violation != "" {
+			t.Fatalf("seed %d: %s", seed, m.violation)
 		}
 		loads += m.loads
-		failed += m.failed
+		failed += m.failedLoads
 		prefetches += m.prefetches
 	}
 	qt.Assert(t, loads > modelSeeds && failed > modelSeeds && prefetches > modelSeeds/10, qt.IsTrue)
--- a/placement/controller/decider.go
+++ b/placement/controller/decider.go
@@ -10,17 +10,17 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// decider makes one set of decisions.
+// decider is the working state of one Decide.
 type decider struct {
 	core      *Core
 	input     Input
 	decisions Decisions
-	// leaving holds the runners that the machine list shows as leaving, which the
-	// zone's log may not record yet.
+	// leaving holds the runners that the machine list shows as leaving, which the zone log may
+	// not yet record.
 	leaving map[structs.RunnerID]bool
-	// silent holds the runners whose reports stopped.
+	// silent holds the runners without recent reports.
 	silent map[structs.RunnerID]bool
-	// records are those of the state, which no decision changes.
+	// records are the records of the state; decisions do not change them.
 	*records
 }
 
@@ -33,24 +33,24 @@
 	d.decisions.Commands = append(d.decisions.Commands, command)
 }
 
-// report returns the runner's report when it is of the incarnation.
+// report returns the runner's report, and whether it is of the incarnation.
 func (d *decider) report(runner structs.RunnerID, incarnation structs.Incarnation) (ReportSeen, bool) {
 	seen, ok := d.input.Reports[runner]
 	return seen, ok && seen.Report.Incarnation == incarnation
 }
 
-// registerRunners records what the machine list and the reports tell of runners.
+// registerRunners proposes the changes of runners that the machine list and reports show.
 func (d *decider) registerRunners() {
 	machines := d.zoneMachines()
 	d.findSilent()
 	for _, machine := range machines {
 		d.registerRunner(machine)
 	}
-	d.markSilent(machines)
+	d.recordUnlistedSilence(machines)
 }
 
-// zoneMachines returns the zone's machines in the order of their runners; of a
-// runner that is listed twice, the last.
+// zoneMachines returns the zone's machines sorted by runner. The last of several entries
+// of one runner counts.
 func (d *decider) zoneMachines() []structs.Machine {
 	machines := make([]structs.Machine, 0, len(d.input.Machines))
 	for _, machine := range d.input.Machines {
@@ -96,7 +96,7 @@
 	}
 }
 
-// snapshot makes the scheduler's view of the state.
+// snapshot returns the planner's view of the state.
 func (d *decider) snapshot() scheduler.Snapshot {
 	state := d.input.State
 	snapshot := scheduler.Snapshot{
@@ -109,7 +109,7 @@
 		Replicas:        d.core.buffers.replicas[:0],
 	}
 	for _, runner := range d.runners {
-		view := d.runner(runner)
+		view := d.runnerView(runner)
 		snapshot.Runners = append(snapshot.Runners, view)
 		if view.Prefetching != "" {
 			snapshot.StoreLoadsInFlight++
@@ -117,15 +117,15 @@
 	}
 	rows := map[structs.RowName]bool{}
 	for _, replica := range d.replicas {
-		snapshot.Replicas = append(snapshot.Replicas, d.replica(replica))
+		snapshot.Replicas = append(snapshot.Replicas, d.replicaView(replica))
 		rows[replica.Row] = true
-		if replica.State == structs.ReplicaLoading && d.fromStore(replica) {
+		if replica.State == structs.ReplicaLoading && d.readsStore(replica) {
 			snapshot.StoreLoadsInFlight++
 		}
 	}
 	d.core.buffers = snapshotBuffers{snapshot.Runners, snapshot.Replicas}
-	d.core.demand.rhythms.Watch(d.input.Now)
-	snapshot.Expected = d.core.demand.rhythms.Soon(d.input.Now)
+	d.core.demand.usageHistory.Watch(d.input.Now)
+	snapshot.Expected = d.core.demand.usageHistory.Soon(d.input.Now)
 	snapshot.Demand = d.core.demand.collect(d.input.Now, d.core.options.DemandAfter, rows)
 	for _, demand := range snapshot.Demand {
 		if use := d.core.demand.uses[demand.Row]; use != nil {
@@ -135,10 +135,10 @@
 	return snapshot
 }
 
-func (d *decider) runner(runner zone.Runner) scheduler.Runner {
+func (d *decider) runnerView(runner zone.Runner) scheduler.Runner {
 	options := d.core.options
 	seen, ok := d.report(runner.ID, runner.Incarnation)
-	silence := d.silence(runner)
+	silence := d.silentFor(runner)
 	return scheduler.Runner{
 		ID:             runner.ID,
 		Role:           runner.Role,
@@ -152,7 +152,7 @@
 	}
 }
 
-func (d *decider) replica(replica zone.Replica) scheduler.Replica {
+func (d *decider) replicaView(replica zone.Replica) scheduler.Replica {
 	view := scheduler.Replica{
 		Row:         replica.Row,
 		Base:        replica.Base,
@@ -169,9 +169,9 @@
 	return view
 }
 
-// fromStore reports whether the loading replica reads the weight store, beside
-// what its runner prefetches.
-func (d *decider) fromStore(replica zone.Replica) bool {
+// readsStore reports whether the loading replica reads the weight store by itself, rather
+// than through its runner's prefetch.
+func (d *decider) readsStore(replica zone.Replica) bool {
 	if runner, ok := d.input.State.Runner(replica.Runner); ok && d.prefetching(runner) == replica.Row {
 		return false
 	}
@@ -179,10 +179,10 @@
 	if !ok {
 		return true
 	}
-	return !caches(seen.Report, replica.Row)
+	return !hasCached(seen.Report, replica.Row)
 }
 
-// applyPlan turns the plan into commands; the zone's state machine checks them.
+// applyPlan proposes the plan as commands, which the zone's state machine checks.
 func (d *decider) applyPlan(plan scheduler.PlanResult) {
 	for _, unload := range plan.Unloads {
 		if replica, ok := d.input.State.Replica(unload.Runner, unload.Row); ok {
@@ -211,9 +211,9 @@
 	}})
 }
 
-// release gives back what was lowered, once the zone is down to it; of a frozen
-// grant it gives back all that is not loaded.
-func (d *decider) release() {
+// releaseGrants releases lowered grants once the zone's replicas are within them. Of a
+// frozen grant it releases all that is not loaded.
+func (d *decider) releaseGrants() {
 	state := d.input.State
 	lowered := state.LoweredGrants()
 	if len(lowered) == 0 {
@@ -224,34 +224,34 @@
 		if loaded > grant.Limit {
 			continue
 		}
-		down := grant.Limit
+		target := grant.Limit
 		if grant.Frozen {
-			down = loaded
+			target = loaded
 		}
-		if down == grant.Held {
+		if target == grant.Held {
 			continue
 		}
 		last := d.core.releases[grant.Row]
-		if last.sequence == grant.Sequence && d.recent(last.at) {
+		if last.sequence == grant.Sequence && d.withinResendInterval(last.at) {
 			continue
 		}
 		d.core.releases[grant.Row] = sentRelease{grant.Sequence, d.input.Now}
 		d.decisions.Releases = append(d.decisions.Releases, structs.GrantRelease{
-			Row: grant.Row, Zone: state.Zone(), Sequence: grant.Sequence, Limit: down,
+			Row: grant.Row, Zone: state.Zone(), Sequence: grant.Sequence, Limit: target,
 		})
 	}
 }
 
-func (d *decider) recent(at time.Time) bool {
+func (d *decider) withinResendInterval(at time.Time) bool {
 	return d.input.Now.Sub(at) < d.core.options.ResendAfter
 }
 
-// wish tells the global group how many replicas the rows could use. A row that
-// is wanted no more is wished away once; the global group forgets old wishes.
-func (d *decider) wish(wanted []scheduler.RowWanted) {
-	now := make(map[structs.RowName]bool, len(wanted))
+// updateWishes tells the global group how many replicas the rows could use. For a row that
+// is no longer wanted it sends 0 once; the global group drops old wishes.
+func (d *decider) updateWishes(wanted []scheduler.RowWanted) {
+	current := make(map[structs.RowName]bool, len(wanted))
 	for _, row := range wanted {
-		now[row.Row] = true
+		current[row.Row] = true
 		last, known := d.core.wishes[row.Row]
 		next := sentWish{wanted: row.Replicas, at: d.input.Now}
 		if known && last.wanted == row.Replicas {
@@ -263,22 +263,23 @@
 		d.core.wishes[row.Row] = next
 		d.sendWish(row.Row, row.Replicas)
 	}
-	var over []structs.RowName
+	var withdrawn []structs.RowName
 	for row := range d.core.wishes {
-		if !now[row] {
-			over = append(over, row)
+		if !current[row] {
+			withdrawn = append(withdrawn, row)
 		}
 	}
-	slices.Sort(over)
-	for _, row := range over {
+	slices.Sort(withdrawn)
+	for _, row := range withdrawn {
 		delete(d.core.wishes, row)
 		d.sendWish(row, 0)
 	}
 }
 
-// wishInterval is when an unchanged wish is sent again: soon while it is not
-// granted, for it may have been lost, and ever less often, for the table may not
-// allow it; seldom once it is granted.
+// wishInterval returns the time after which an unchanged wish is sent again. For a wish
+// that is not granted, it backs off exponentially from ResendAfter to WishAfter, since the
+// message may be lost or the table may not allow the grant; for a granted one it is
+// WishAfter.
 func (d *decider) wishInterval(row scheduler.RowWanted, repeats int) time.Duration {
 	longest := d.core.options.WishAfter
 	if row.Replicas <= d.input.State.Grant(row.Row).Limit {
--- a/placement/controller/demand.go
+++ b/placement/controller/demand.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// rateHalfLife is the time after which an arrival counts half in the rate.
+	// rateHalfLife is the half-life of an arrival in the smoothed rate.
 	rateHalfLife = 30 * time.Second
-	// maxTrackedRows bounds the rows of which use is remembered.
+	// maxTrackedRows bounds the rows whose use is remembered.
 	maxTrackedRows = 100_000
 )
 
-// demandTable holds the routers' newest reports and what was learned from all.
+// demandTable holds the routers' current demand and the observed use of rows.
 type demandTable struct {
-	reports map[structs.DaemonID]demandSeen
+	reports map[structs.DaemonID]routerDemand
 	uses    map[structs.RowName]*rowUse
-	// rhythms are learned from the arrivals of all routers.
-	rhythms *scheduler.Rhythms
+	// usageHistory records the arrivals at all routers.
+	usageHistory *scheduler.Rhythms
 }
 
-// demandSeen is a router's demand, put together from its reports. It is dropped
-// when the newest report is too old.
-type demandSeen struct {
+// routerDemand is a router's demand, merged from its partial reports. It is dropped when
+// the newest report is too old.
+type routerDemand struct {
 	at   time.Time
-	rows map[structs.RowName]rowSeen
+	rows map[structs.RowName]reportedRow
 }
 
-// rowSeen is what a router last said of a row, and when.
-type rowSeen struct {
+// reportedRow is a router's last report on a row, and its time.
+type reportedRow struct {
 	structs.RowDemand
 	at time.Time
 }
 
-// rowUse is what is remembered of the use of one row.
+// rowUse is the observed use of one row.
 type rowUse struct {
 	lastUsed    time.Time
 	lastArrival time.Time
@@ -49,16 +49,16 @@
 
 func newDemandTable() demandTable {
 	return demandTable{
-		reports: map[structs.DaemonID]demandSeen{},
-		uses:    map[structs.RowName]*rowUse{},
-		rhythms: scheduler.NewRhythms(),
+		reports:      map[structs.DaemonID]routerDemand{},
+		uses:         map[structs.RowName]*rowUse{},
+		usageHistory: scheduler.NewRhythms(),
 	}
 }
 
 func (t *demandTable) observe(now time.Time, report structs.DemandReport) {
-	seen := demandSeen{now, t.reports[report.Daemon].rows}
+	seen := routerDemand{now, t.reports[report.Daemon].rows}
 	if !report.Partial || seen.rows == nil {
-		seen.rows = make(map[structs.RowName]rowSeen, len(report.Rows))
+		seen.rows = make(map[structs.RowName]reportedRow, len(report.Rows))
 	}
 	t.reports[report.Daemon] = seen
 	for _, row := range report.Rows {
@@ -66,9 +66,9 @@
 			delete(seen.rows, row.Row)
 			continue
 		}
-		seen.rows[row.Row] = rowSeen{row, now}
+		seen.rows[row.Row] = reportedRow{row, now}
 		if row.Arrived > 0 {
-			t.rhythms.Observe(now, row.Row)
+			t.usageHistory.Observe(now, row.Row)
 		}
 		use := t.use(row.Row)
 		if use == nil {
@@ -76,12 +76,12 @@
 		}
 		use.lastUsed = now
 		if row.Arrived > 0 {
-			use.arrive(now, row.Arrived)
+			use.recordArrivals(now, row.Arrived)
 		}
 	}
 }
 
-// use returns the row's record, or nil when too many rows are remembered.
+// use returns the row's record, or nil if too many rows are tracked.
 func (t *demandTable) use(row structs.RowName) *rowUse {
 	use, ok := t.uses[row]
 	if !ok && len(t.uses) < maxTrackedRows {
@@ -91,43 +91,43 @@
 	return use
 }
 
-func (u *rowUse) arrive(now time.Time, count int) {
+func (u *rowUse) recordArrivals(now time.Time, count int) {
 	if !u.lastArrival.IsZero() {
 		if gap := now.Sub(u.lastArrival); gap >= time.Second {
 			u.gaps.Observe(gap)
 		}
 	}
-	u.arrivals = u.decayed(now) + float64(count)
+	u.arrivals = u.decayedArrivals(now) + float64(count)
 	u.lastArrival = now
 }
 
-func (u *rowUse) decayed(now time.Time) float64 {
+func (u *rowUse) decayedArrivals(now time.Time) float64 {
 	if u.lastArrival.IsZero() {
 		return 0
 	}
 	return u.arrivals * math.Exp2(-now.Sub(u.lastArrival).Seconds()/rateHalfLife.Seconds())
 }
 
-// rate is the smoothed rate of arrivals, in requests a second.
+// rate returns the smoothed arrival rate, in requests per second.
 func (u *rowUse) rate(now time.Time) float64 {
-	return u.decayed(now) * math.Ln2 / rateHalfLife.Seconds()
+	return u.decayedArrivals(now) * math.Ln2 / rateHalfLife.Seconds()
 }
 
-// collect sums the reports that are not too old, and adds the rows named, so
-// that their last use is known.
-func (t *demandTable) collect(now time.Time, keep time.Duration, rows map[structs.RowName]bool) []scheduler.Demand {
+// collect returns the sum of the reports that are not older than maxAge. It adds the given
+// rows, so that their last use is known.
+func (t *demandTable) collect(now time.Time, maxAge time.Duration, rows map[structs.RowName]bool) []scheduler.Demand {
 	sums := map[structs.RowName]*scheduler.Demand{}
 	for row := range rows {
 		sums[row] = &scheduler.Demand{Row: row}
 	}
 	for daemon, seen := range t.reports {
-		if now.Sub(seen.at) > keep {
+		if now.Sub(seen.at) > maxAge {
 			delete(t.reports, daemon)
 			continue
 		}
 		for name, row := range seen.rows {
 			addDemand(sums, row.RowDemand, now.Sub(row.at))
-			// What is reported no more has not changed: its requests go on.
+			// A row that newer partial reports omit is unchanged: its requests continue.
 			if use := t.uses[name]; use != nil && row.Waiting+row.Running > 0 {
 				use.lastUsed = latest(use.lastUsed, seen.at)
 			}
--- a/placement/controller/demand_test.go
+++ b/placement/controller/demand_test.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestPartialReportsChangeOnlyTheRowsTheyList(t *testing.T) {
+func TestPartialReportsChangeOnlyListedRows(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newDemandTable()
 	report := func(after time.Duration, partial bool, rows ...structs.RowDemand) {
@@ -27,7 +27,7 @@
 	seen := collect(6 * time.Second)
 	qt.Check(t, seen, qt.HasLen, 2)
 	qt.Check(t, seen["calm"].Running, qt.Equals, 3)
-	// Its requests run on, as the later report says by leaving it out.
+	// The later partial report omits the row, so its requests continue.
 	qt.Check(t, seen["calm"].LastUsed, qt.Equals, now.Add(4*time.Second))
 	qt.Check(t, seen["cold"].OldestWait, qt.Equals, 2*time.Second)
 	report(7*time.Second, true)
--- a/placement/controller/model_engine_test.go
+++ b/placement/controller/model_engine_test.go
@@ -7,15 +7,15 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// engine is a model of an engine: a fence, and replicas that change in time.
+// engine models an engine: a fence, and replicas whose state changes over time.
 type engine struct {
 	id          structs.RunnerID
 	incarnation structs.Incarnation
 	fence       structs.Fence
 	replicas    map[structs.RowName]*engineReplica
 	cached      []structs.CachedRow
-	// readied has the last order under which each row became ready.
-	readied map[structs.RowName]structs.OrderNumber
+	// lastReadyOrder is the last order under which each row became ready.
+	lastReadyOrder map[structs.RowName]structs.OrderNumber
 }
 
 type engineReplica struct {
@@ -29,10 +29,10 @@
 	e.fence = structs.Fence{}
 	e.replicas = map[structs.RowName]*engineReplica{}
 	e.cached = nil
-	e.readied = map[structs.RowName]structs.OrderNumber{}
+	e.lastReadyOrder = map[structs.RowName]structs.OrderNumber{}
 }
 
-// advance ends loads and unloads whose time has come, and moves requests.
+// advance completes loads and unloads that are due, and starts and ends requests.
 func (m *model) advance(e *engine) {
 	for _, row := range modelRows {
 		replica := e.replicas[row.Name]
@@ -45,13 +45,13 @@
 			delete(e.replicas, row.Name)
 		case done && replica.State == structs.ReplicaLoading:
 			replica.State = structs.ReplicaReady
-			e.readied[row.Name] = replica.Fence.Number
+			e.lastReadyOrder[row.Name] = replica.Fence.Number
 		case replica.Running > 0 && m.random.IntN(4) == 0:
 			replica.Running = 0
 		case m.routable(e.id, row.Name) && m.demand[row.Name] && replica.State == structs.ReplicaReady && m.random.IntN(4) == 0:
 			replica.Running = 1
 		case replica.State == structs.ReplicaReady && m.chance(1000):
-			delete(e.replicas, row.Name) // The engine lost it.
+			delete(e.replicas, row.Name) // The engine lost the replica.
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	return m.engines[slices.IndexFunc(m.engines, func(e *engine) bool { return e.id == id })]
 }
 
-// execute delivers an order to its engine, and the reply to the leader.
+// execute delivers an order to its engine, and the engine's reply to the leader.
 func (m *model) execute(order structs.Order) {
 	e := m.engine(order.Runner)
 	isRefused := m.refusesPrefetch && order.Kind == structs.OrderPrefetch
@@ -82,14 +82,14 @@
 	}
 	if e.fence.Before(order.Fence) {
 		e.fence = order.Fence
-		m.carryOut(e, order)
+		m.applyOrder(e, order)
 	}
 	if !m.chance(3) && order.Fence.Epoch == m.epoch {
 		m.core.ObserveReply(e.id, structs.OrderReply{Accepted: true, Fence: e.fence, Incarnation: e.incarnation})
 	}
 }
 
-func (m *model) carryOut(e *engine, order structs.Order) {
+func (m *model) applyOrder(e *engine, order structs.Order) {
 	replica := e.replicas[order.Row]
 	changeAt := m.now.Add(time.Duration(m.random.Int64N(int64(2 * time.Second))))
 	if order.Kind == structs.OrderUnload {
@@ -109,7 +109,7 @@
 	}
 	base := e.replicas[order.Base]
 	if m.chance(5) || (order.Base != "" && (base == nil || base.State != structs.ReplicaReady)) {
-		m.failed++
+		m.failedLoads++
 		return
 	}
 	m.loads++
--- a/placement/controller/model_test.go
+++ b/placement/controller/model_test.go
@@ -24,35 +24,35 @@
 	{Name: "tuned", Kind: structs.RowAdapter, Base: "small", MemoryBytes: 10, Role: "answers", Weight: 1, Priority: 1},
 }
 
-type flight[T any] struct {
-	at   time.Time
-	load T
+type message[T any] struct {
+	at      time.Time
+	payload T
 }
 
-// model drives a Core against engines over a network that loses, doubles,
-// delays and reorders, with leaders that crash between any two steps.
+// model drives a Core against engines over a network that loses, duplicates, delays and
+// reorders messages, with leaders that crash between any two steps.
 type model struct {
-	random  *rand.Rand
-	now     time.Time
-	calm    bool
-	state   *zone.State
-	index   uint64
-	core    *Core
-	epoch   structs.Epoch
-	engines []*engine
-	orders  []flight[structs.Order]
-	reports []flight[ReportSeen]
-	seen    map[structs.RunnerID]ReportSeen
-	leaving map[structs.RunnerID]bool
-	grants  map[structs.RowName]*structs.Grant
-	demand  map[structs.RowName]bool
-	fault   string
-	wishes  []structs.GrantWish
-	loads   int
-	failed  int
-	// prefetches counts those that engines carried out.
+	random      *rand.Rand
+	now         time.Time
+	faultFree   bool
+	state       *zone.State
+	index       uint64
+	core        *Core
+	epoch       structs.Epoch
+	engines     []*engine
+	orders      []message[structs.Order]
+	reports     []message[ReportSeen]
+	seen        map[structs.RunnerID]ReportSeen
+	leaving     map[structs.RunnerID]bool
+	grants      map[structs.RowName]*structs.Grant
+	demand      map[structs.RowName]bool
+	violation   string
+	wishes      []structs.GrantWish
+	loads       int
+	failedLoads int
+	// prefetches counts the executed prefetches.
 	prefetches int
-	// refusesPrefetch lets all engines refuse to prefetch.
+	// refusesPrefetch makes all engines refuse to prefetch.
 	refusesPrefetch bool
 }
 
@@ -78,7 +78,7 @@
 		e.restart()
 		m.engines = append(m.engines, e)
 	}
-	m.lead()
+	m.startLeader()
 	return m
 }
 
@@ -87,15 +87,15 @@
 	return m.state.Apply(m.index, command)
 }
 
-func (m *model) lead() {
+func (m *model) startLeader() {
 	m.epoch++
 	m.index++ // The new leader's first entry.
 	m.core = New(Options{})
 	m.seen = map[structs.RunnerID]ReportSeen{}
 }
 
-// chance is true once in n times, and never in the calm at the end.
-func (m *model) chance(n int) bool { return !m.calm && m.random.IntN(n) == 0 }
+// chance returns true with probability 1/n, and false in the fault-free phase.
+func (m *model) chance(n int) bool { return !m.faultFree && m.random.IntN(n) == 0 }
 
 func (m *model) delay() time.Duration {
 	if m.chance(4) {
@@ -105,18 +105,18 @@
 }
 
 func (m *model) fail(format string, values ...any) {
-	if m.fault == "" {
-		m.fault = m.now.Format("05.0 ") + fmt.Sprintf(format, values...)
+	if m.violation == "" {
+		m.violation = m.now.Format("05.0 ") + fmt.Sprintf(format, values...)
 	}
 }
 
 func (m *model) step() {
 	m.now = m.now.Add(modelTick)
-	m.disturb()
+	m.injectFaults()
 	for _, e := range m.engines {
 		m.advance(e)
 		if m.random.IntN(3) == 0 && !m.chance(3) {
-			m.reports = append(m.reports, flight[ReportSeen]{m.now.Add(m.delay()), m.report(e)})
+			m.reports = append(m.reports, message[ReportSeen]{m.now.Add(m.delay()), m.report(e)})
 		}
 	}
 	m.reports = deliver(m.reports, m.now, func(seen ReportSeen) { m.seen[seen.Report.Runner] = seen })
@@ -125,19 +125,19 @@
 	m.check()
 }
 
-func deliver[T any](flights []flight[T], now time.Time, receive func(T)) []flight[T] {
-	var rest []flight[T]
-	for _, one := range flights {
+func deliver[T any](messages []message[T], now time.Time, receive func(T)) []message[T] {
+	var rest []message[T]
+	for _, one := range messages {
 		if one.at.After(now) {
 			rest = append(rest, one)
 		} else {
-			receive(one.load)
+			receive(one.payload)
 		}
 	}
 	return rest
 }
 
-func (m *model) disturb() {
+func (m *model) injectFaults() {
 	for _, row := range modelRows {
 		if m.chance(40) {
 			m.demand[row.Name] = !m.demand[row.Name]
@@ -155,11 +155,11 @@
 	case m.chance(100):
 		m.apply(zone.Command{Drain: &zone.DrainCommand{Runner: e.id, Draining: m.random.IntN(2) == 0}})
 	case m.chance(30):
-		m.lead()
+		m.startLeader()
 	}
 }
 
-// grant plays the global group: what is held only grows here.
+// grant models the global group. It never lowers what is held.
 func (m *model) grant(row structs.RowName, limit int) {
 	grant := m.grants[row]
 	grant.Limit = limit
@@ -180,7 +180,7 @@
 	grant := m.grants[release.Row]
 	if grant.Sequence == release.Sequence {
 		if loaded := m.state.CountOf(release.Row); loaded > release.Limit || !grant.Frozen && grant.Limit > release.Limit {
-			m.fail("%s releases down to %d with %d loaded of %+v", release.Row, release.Limit, loaded, *grant)
+			m.fail("%s releases to %d with %d loaded under %+v", release.Row, release.Limit, loaded, *grant)
 		}
 		grant.Held = release.Limit
 		grant.Limit = min(grant.Limit, grant.Held)
@@ -188,7 +188,7 @@
 	}
 }
 
-// routable tells whether a router may still believe that the replica is ready.
+// routable reports whether a router may still consider the replica ready.
 func (m *model) routable(runner structs.RunnerID, row structs.RowName) bool {
 	replica, ok := m.state.Replica(runner, row)
 	if !ok || replica.State == structs.ReplicaReady {
@@ -215,37 +215,37 @@
 		}
 		input.Machines = append(input.Machines, machine)
 	}
-	m.carry(m.core.Decide(input), input.LeaseValid)
+	m.applyDecisions(m.core.Decide(input), input.LeaseValid)
 }
 
-func (m *model) carry(decisions Decisions, lease bool) {
+func (m *model) applyDecisions(decisions Decisions, lease bool) {
 	if !lease && len(decisions.Commands)+len(decisions.Orders) > 0 {
-		m.fail("decisions without a lease")
+		m.fail("decisions without a valid lease")
 	}
 	m.wishes = decisions.Wishes
 	for _, order := range decisions.Orders {
 		runner, _ := m.state.Runner(order.Runner)
 		if order.Kind != structs.OrderUnload && (!runner.Accepting() || m.leaving[order.Runner]) {
-			m.fail("%s is to get new work", order.Runner)
+			m.fail("%s gets new work although it does not accept any", order.Runner)
 		}
 		if row, _ := m.state.Row(order.Row); order.MemoryBytes != row.MemoryBytes {
-			m.fail("%s is to be given %d bytes on %s", order.Row, order.MemoryBytes, order.Runner)
+			m.fail("order gives %s %d bytes on %s", order.Row, order.MemoryBytes, order.Runner)
 		}
 		grant := m.grants[order.Row]
 		if order.Kind == structs.OrderLoad && (grant.Frozen || m.state.CountOf(order.Row) > grant.Limit) {
-			m.fail("%s is to be loaded with the grant %+v", order.Row, *grant)
+			m.fail("%s is loaded under the grant %+v", order.Row, *grant)
 		}
 		for copies := m.random.IntN(3); !m.chance(5) && copies >= 0; copies-- {
-			m.orders = append(m.orders, flight[structs.Order]{m.now.Add(m.delay()), order})
+			m.orders = append(m.orders, message[structs.Order]{m.now.Add(m.delay()), order})
 		}
 	}
 	for _, command := range decisions.Commands {
 		if m.chance(100) {
-			m.lead() // It dies before the rest is in the log.
+			m.startLeader() // The leader crashes before the rest is in the log.
 			return
 		}
 		if m.chance(30) {
-			// The state moved on since the decision was made.
+			// The state has changed since the decision.
 			m.grant(modelRows[m.random.IntN(len(modelRows))].Name, m.random.IntN(3))
 		}
 		m.checkCommand(command, m.apply(command))
@@ -257,26 +257,26 @@
 	}
 }
 
-// checkCommand checks what the state machine let pass against what is so.
+// checkCommand checks an applied command against the model's grants and engines.
 func (m *model) checkCommand(command zone.Command, result zone.Result) {
 	if result.Error != nil {
 		return
 	}
 	if reserve := command.Reserve; reserve != nil {
 		if grant := m.grants[reserve.Row]; grant.Frozen || m.state.CountOf(reserve.Row) > grant.Limit {
-			m.fail("%s is reserved above its limit: %+v", reserve.Row, *grant)
+			m.fail("%s is reserved above the limit of %+v", reserve.Row, *grant)
 		}
 	}
 	if change := command.Transition; change != nil && change.To == structs.ReplicaReady {
 		replica, _ := m.state.Replica(change.Runner, change.Row)
 		e := m.engine(change.Runner)
-		if e.incarnation == replica.Incarnation && e.readied[change.Row] < replica.Reserved {
-			m.fail("%s on %s is recorded ready and never was", change.Row, change.Runner)
+		if e.incarnation == replica.Incarnation && e.lastReadyOrder[change.Row] < replica.Reserved {
+			m.fail("%s on %s is recorded as ready but never was", change.Row, change.Runner)
 		}
 	}
 }
 
-// check compares what is physically loaded with the grants and the memory.
+// check compares what the engines have loaded with the grants and the memory.
 func (m *model) check() {
 	if err := m.state.CheckInvariants(); err != nil {
 		m.fail("%v", err)
@@ -289,12 +289,12 @@
 			used += replica.memory
 		}
 		if used > engineMemory {
-			m.fail("%s uses %d", e.id, used)
+			m.fail("%s uses %d bytes", e.id, used)
 		}
 	}
 	for row, count := range counts {
 		if held := m.grants[row].Held; count > held {
-			m.fail("%s is loaded %d times and %d are held", row, count, held)
+			m.fail("%s is loaded %d times with %d held", row, count, held)
 		}
 	}
 }
--- a/placement/controller/ahead_test.go
+++ b/placement/controller/prewarm_test.go
@@ -10,19 +10,19 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// aheadWorld is a zone with the empty runners r-0 and r-1, of 100 bytes each, and the
+// prewarmFixture is a zone with the empty runners r-0 and r-1, of 100 bytes each, and the
 // rows a and b of 60 bytes.
-type aheadWorld struct {
+type prewarmFixture struct {
 	state *zone.State
 	index uint64
 	core  *Core
 	input Input
 }
 
-func newAheadWorld(c *qt.C, now time.Time) *aheadWorld {
+func newPrewarmFixture(c *qt.C, now time.Time) *prewarmFixture {
 	settings := scheduler.DefaultSettings()
 	settings.StoreBytesPerSecond = 10
-	w := &aheadWorld{state: zone.New("z"), core: New(Options{Zone: "z", Settings: settings})}
+	w := &prewarmFixture{state: zone.New("z"), core: New(Options{Zone: "z", Settings: settings})}
 	delta := &structs.TableDelta{Revision: 1, Full: true}
 	for _, name := range []structs.RowName{"a", "b"} {
 		delta.Rows = append(delta.Rows, structs.Row{Name: name, Kind: structs.RowModel, MemoryBytes: 60, Weight: 1})
@@ -35,17 +35,17 @@
 		w.apply(c, zone.Command{Runner: &zone.RunnerCommand{Info: info}})
 		w.input.Machines = append(w.input.Machines, structs.Machine{Runner: id, Zone: "z", State: structs.MachineLive})
 	}
-	w.at(now)
+	w.reportAt(now)
 	return w
 }
 
-func (w *aheadWorld) apply(c *qt.C, command zone.Command) {
+func (w *prewarmFixture) apply(c *qt.C, command zone.Command) {
 	w.index++
 	c.Assert(w.state.Apply(w.index, command).Error == nil, qt.IsTrue)
 }
 
-// at lets all runners report at the time.
-func (w *aheadWorld) at(now time.Time) {
+// reportAt sets the time and lets all runners report.
+func (w *prewarmFixture) reportAt(now time.Time) {
 	w.input.Now = now
 	for _, machine := range w.input.Machines {
 		report := structs.EngineReport{Runner: machine.Runner, Incarnation: 1, MemoryBytes: 100}
@@ -53,8 +53,8 @@
 	}
 }
 
-// reserved decides and returns the rows for which memory is reserved.
-func (w *aheadWorld) reserved() []structs.RowName {
+// decideReservedRows decides and returns the rows for which memory is reserved.
+func (w *prewarmFixture) decideReservedRows() []structs.RowName {
 	var rows []structs.RowName
 	for _, command := range w.core.Decide(w.input).Commands {
 		if command.Reserve != nil {
@@ -64,62 +64,62 @@
 	return rows
 }
 
-func (w *aheadWorld) arrives(row structs.RowName, waiting int) {
+func (w *prewarmFixture) observeArrival(row structs.RowName, waiting int) {
 	w.core.ObserveDemand(w.input.Now, structs.DemandReport{
 		Daemon: "router", Rows: []structs.RowDemand{{Row: row, Waiting: waiting, Arrived: 1}},
 	})
 }
 
-func TestRowsAreLoadedAheadOfTheirUsualHour(t *testing.T) {
+func TestRowsArePrewarmedInTheirUsualHour(t *testing.T) {
 	c := qt.New(t)
 	monday := time.Date(2026, 9, 7, 9, 0, 0, 0, time.UTC)
-	w := newAheadWorld(c, monday)
-	w.arrives("a", 0)
-	w.reserved()
-	// Nothing is loaded ahead in an hour that has not been watched before.
-	w.at(monday.Add(10 * time.Hour))
-	c.Assert(w.reserved(), qt.HasLen, 0)
-	w.at(monday.Add(24 * time.Hour))
-	c.Assert(w.reserved(), qt.DeepEquals, []structs.RowName{"a"})
-	w.arrives("a", 0)
-	// The member leads again, after others did for a week.
+	w := newPrewarmFixture(c, monday)
+	w.observeArrival("a", 0)
+	w.decideReservedRows()
+	// Nothing is prewarmed in an hour that was not observed before.
+	w.reportAt(monday.Add(10 * time.Hour))
+	c.Assert(w.decideReservedRows(), qt.HasLen, 0)
+	w.reportAt(monday.Add(24 * time.Hour))
+	c.Assert(w.decideReservedRows(), qt.DeepEquals, []structs.RowName{"a"})
+	w.observeArrival("a", 0)
+	// The member leads again after a week of other leaders.
 	w.input.Epoch = 3
-	w.at(monday.Add(8 * 24 * time.Hour))
-	c.Assert(w.reserved(), qt.DeepEquals, []structs.RowName{"a"})
+	w.reportAt(monday.Add(8 * 24 * time.Hour))
+	c.Assert(w.decideReservedRows(), qt.DeepEquals, []structs.RowName{"a"})
 }
 
-func TestAPrefetchUnderWayCountsAgainstTheStoreBudget(t *testing.T) {
+func TestOpenPrefetchCountsAgainstStoreBudget(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		change func(*aheadWorld)
+		change func(*prewarmFixture)
 		want   []structs.RowName
 	}{
-		{"its order is not accepted yet", func(*aheadWorld) {}, nil},
-		{"its order is accepted, and its record ended", func(w *aheadWorld) {
+		{"order is not accepted yet", func(*prewarmFixture) {}, nil},
+		{"order is accepted and its record removed", func(w *prewarmFixture) {
 			c := qt.New(t)
 			w.apply(c, zone.Command{Prefetch: &zone.PrefetchCommand{Runner: "r-0", Incarnation: 1}})
 		}, nil},
-		{"its checkpoint is there", func(w *aheadWorld) {
+		{"checkpoint is cached", func(w *prewarmFixture) {
 			seen := w.input.Reports["r-0"]
 			seen.Report.Cached = []structs.CachedRow{{Row: "a", Tier: structs.TierDisk}}
 			w.input.Reports["r-0"] = seen
 		}, []structs.RowName{"b"}},
-		{"it failed or was refused", func(w *aheadWorld) {
-			// 24 s at four times the read time of 6 s, and 5 s.
-			w.at(w.input.Now.Add(30 * time.Second))
-			w.arrives("b", 1)
+		{"prefetch failed or was refused", func(w *prewarmFixture) {
+			// Later than 4 times the read time of 6 s, plus 5 s.
+			w.reportAt(w.input.Now.Add(30 * time.Second))
+			w.observeArrival("b", 1)
 		}, []structs.RowName{"b"}},
-		{"its runner is leaving", func(w *aheadWorld) { w.input.Machines[0].State = structs.MachineLeaving }, []structs.RowName{"b"}},
+		{"runner is leaving", func(w *prewarmFixture) { w.input.Machines[0].State = structs.MachineLeaving }, []structs.RowName{"b"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newAheadWorld(c, claimTime)
+			w := newPrewarmFixture(c, claimTime)
 			w.input.StoreBudget = 1
 			w.apply(c, zone.Command{Prefetch: &zone.PrefetchCommand{Row: "a", Runner: "r-0", Incarnation: 1}})
 			w.core.Decide(w.input)
-			w.arrives("b", 1)
+			w.observeArrival("b", 1)
 			test.change(w)
-			c.Assert(w.reserved(), qt.DeepEquals, test.want)
+			c.Assert(w.decideReservedRows(), qt.DeepEquals, test.want)
 		})
 	}
 }
--- a/placement/controller/reportdigest.go
+++ b/placement/controller/reportdigest.go
@@ -10,14 +10,14 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// ReportDigest stands for all that a leader decides on in a report but the load: two
-// reports with equal digests show the same incarnation, accepted orders, replicas and
+// ReportDigest returns a hash of the parts of a report that a leader decides on, without the
+// load. Reports with equal digests show the same incarnation, accepted orders, replicas and
 // cached checkpoints.
 func ReportDigest(report structs.EngineReport) uint64 {
 	digest := xxhash.New()
 	write := func(fields ...string) {
 		for _, field := range fields {
-			// Writing to a hash never fails. The zero byte ends the field.
+			// Writing to a hash never fails. The zero byte terminates the field.
 			_, _ = digest.WriteString(field)
 			_, _ = digest.Write([]byte{0})
 		}
@@ -44,12 +44,12 @@
 	return cmp.Or(cmp.Compare(a.Row, b.Row), cmp.Compare(a.Tier, b.Tier))
 }
 
-// byRow returns the replicas in the order of their rows.
+// byRow returns the replicas sorted by row.
 func byRow(replicas []structs.EngineReplica) []structs.EngineReplica {
 	return slices.SortedFunc(slices.Values(replicas), func(a, b structs.EngineReplica) int { return cmp.Compare(a.Row, b.Row) })
 }
 
-// busyOf counts the requests of each replica, in the order of their rows.
+// busyOf returns the number of requests on each replica, sorted by row.
 func busyOf(report structs.EngineReport) []int {
 	busy := make([]int, 0, len(report.Replicas))
 	for _, replica := range byRow(report.Replicas) {
@@ -58,8 +58,8 @@
 	return busy
 }
 
-// withBusy returns the report with the counts of its replicas replaced. The counts
-// are of a report with the same digest.
+// withBusy returns a copy of the report with the request counts replaced. The counts are
+// from a report with the same digest.
 func withBusy(report structs.EngineReport, busy []int) structs.EngineReport {
 	if len(busy) != len(report.Replicas) {
 		return report
--- a/placement/controller/reportrelay.go
+++ b/placement/controller/reportrelay.go
@@ -8,91 +8,89 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// relayKeeps is for how many intervals a report that was read counts.
-const relayKeeps = calmEvery + 1
+// relayRetentionIntervals is for how many intervals a report that was read is valid.
+const relayRetentionIntervals = idleReadEvery + 1
 
-// busyFactor is by how much a replica's requests must have grown or shrunk to be
-// passed on; their coming and going is at once.
-const busyFactor = 2
+// busyChangeFactor is the relative change of a replica's request count that is relayed. A
+// change from or to zero is always relayed.
+const busyChangeFactor = 2
 
-// ReportRelay is a router's part in reading the zone's engine reports: it says which
-// reports of its share are due, and what is passed on to the leader. The leader never
-// takes more from it than that a report which it has read itself is unchanged, or
-// must be read again. It is not safe for concurrent use.
+// ReportRelay schedules a router's reads of the engine reports in its share and selects what
+// it relays to the leader. The leader only takes from it that a report which it has read
+// itself is unchanged or must be read again. It is not safe for concurrent use.
 type ReportRelay struct {
-	daemon   structs.DaemonID
-	keep     time.Duration
-	share    structs.ReportShare
-	interval uint64
-	read     map[structs.RunnerID]readReport
+	daemon    structs.DaemonID
+	retention time.Duration
+	share     structs.ReportShare
+	interval  uint64
+	read      map[structs.RunnerID]readReport
 }
 
-// readReport is what was last read of a runner.
+// readReport is the last report read from a runner.
 type readReport struct {
 	askedAt time.Time
 	digest  uint64
 	busy    []int
-	// told is set once the leader has the digest, and busyTold is what it knows.
-	told     bool
-	busyTold []int
+	// acknowledged is set once the leader has the digest; acknowledgedBusy are the counts it
+	// has.
+	acknowledged     bool
+	acknowledgedBusy []int
 }
 
-// NewReportRelay makes the relay of a router without a share. Reports are read at
-// the interval.
+// NewReportRelay returns a relay without a share. Reports are read at the interval.
 func NewReportRelay(daemon structs.DaemonID, interval time.Duration) *ReportRelay {
-	return &ReportRelay{daemon: daemon, keep: relayKeeps * interval, read: map[structs.RunnerID]readReport{}}
+	return &ReportRelay{daemon: daemon, retention: relayRetentionIntervals * interval, read: map[structs.RunnerID]readReport{}}
 }
 
-// Due begins an interval and returns the runners whose reports are read in it: each
-// has its turn every fourth, and at once when it has not answered yet.
+// Due begins an interval and returns the runners whose reports are read in it: each runner
+// every idleReadEvery intervals, and at once if it has not answered yet.
 func (r *ReportRelay) Due() []structs.ShareRunner {
 	r.interval++
 	var due []structs.ShareRunner
 	for _, runner := range r.share.Runners {
 		_, known := r.read[runner.Runner]
-		if !known || (r.interval+xxhash.Sum64String(string(runner.Runner)))%calmEvery == 0 {
+		if !known || (r.interval+xxhash.Sum64String(string(runner.Runner)))%idleReadEvery == 0 {
 			due = append(due, runner)
 		}
 	}
 	return due
 }
 
-// Read takes a report that was asked for at a time; one that could not be read is
-// not taken.
+// Read records a report that was requested at askedAt.
 func (r *ReportRelay) Read(askedAt time.Time, report structs.EngineReport) {
 	before := r.read[report.Runner]
 	read := readReport{askedAt: askedAt, digest: ReportDigest(report), busy: busyOf(report)}
 	if before.digest == read.digest {
-		read.told = before.told
-		read.busyTold = before.busyTold
+		read.acknowledged = before.acknowledged
+		read.acknowledgedBusy = before.acknowledgedBusy
 	}
 	r.read[report.Runner] = read
 }
 
-// Message is what to tell the leader now.
+// Message returns the message to send to the leader now.
 func (r *ReportRelay) Message(now time.Time) structs.ReportRelay {
 	message := structs.ReportRelay{Daemon: r.daemon, Epoch: r.share.Epoch, Version: r.share.Version}
 	for _, runner := range r.share.Runners {
 		read, known := r.read[runner.Runner]
 		age := now.Sub(read.askedAt)
-		if !known || age > r.keep {
+		if !known || age > r.retention {
 			message.Silent = append(message.Silent, runner.Runner)
 			continue
 		}
 		message.OldestAge = max(message.OldestAge, age)
-		if !read.told || busyDiffers(read.busy, read.busyTold) {
+		if !read.acknowledged || busyDiffers(read.busy, read.acknowledgedBusy) {
 			message.Changed = append(message.Changed, structs.RelayedReport{Runner: runner.Runner, Digest: read.digest, Busy: read.busy})
 		}
 	}
 	return message
 }
 
-// Told notes that the leader has the message, and takes the share that it gave, nil
-// when that is unchanged. It reports whether the share is new: the leader then
-// awaits a message about it.
+// Told records that the leader has received the message, and adopts the share in its reply,
+// which is nil if unchanged. It reports whether the share is new; the leader then expects
+// another message at once.
 func (r *ReportRelay) Told(message structs.ReportRelay, share *structs.ReportShare) bool {
 	if share != nil {
-		r.takeShare(*share)
+		r.setShare(*share)
 		return true
 	}
 	for _, changed := range message.Changed {
@@ -100,21 +98,21 @@
 		if !known || read.digest != changed.Digest {
 			continue
 		}
-		read.told = true
-		read.busyTold = changed.Busy
+		read.acknowledged = true
+		read.acknowledgedBusy = changed.Busy
 		r.read[changed.Runner] = read
 	}
 	return false
 }
 
-// takeShare keeps what was read of runners that stay in the share; the leader is
-// told all of it again.
-func (r *ReportRelay) takeShare(share structs.ReportShare) {
+// setShare adopts a share. Reports of runners that remain in it are kept, and relayed to the
+// leader again.
+func (r *ReportRelay) setShare(share structs.ReportShare) {
 	kept := make(map[structs.RunnerID]readReport, len(share.Runners))
 	for _, runner := range share.Runners {
 		if read, known := r.read[runner.Runner]; known {
-			read.told = false
-			read.busyTold = nil
+			read.acknowledged = false
+			read.acknowledgedBusy = nil
 			kept[runner.Runner] = read
 		}
 	}
@@ -122,14 +120,14 @@
 	r.read = kept
 }
 
-// busyDiffers reports whether the counts differ enough to be passed on.
-func busyDiffers(busy, told []int) bool {
-	if len(busy) != len(told) {
+// busyDiffers reports whether the counts differ enough to be relayed.
+func busyDiffers(busy, acknowledged []int) bool {
+	if len(busy) != len(acknowledged) {
 		return true
 	}
 	for i := range busy {
-		isBusy, wasBusy := busy[i] > 0, told[i] > 0
-		if isBusy != wasBusy || busy[i] > busyFactor*told[i] || told[i] > busyFactor*busy[i] {
+		isBusy, wasBusy := busy[i] > 0, acknowledged[i] > 0
+		if isBusy != wasBusy || busy[i] > busyChangeFactor*acknowledged[i] || acknowledged[i] > busyChangeFactor*busy[i] {
 			return true
 		}
 	}
--- a/placement/controller/reportschedule.go
+++ b/placement/controller/reportschedule.go
@@ -8,38 +8,37 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// calmEvery is how many report intervals lie between two reads of an engine of
-// which nothing is awaited. The longest time between two reads of a live engine
-// stays below DefaultLaggingAfter.
-const calmEvery = 4
+// idleReadEvery is the number of report intervals between reads of an engine whose report is
+// not awaited. The time between two reads of a live engine stays below DefaultLaggingAfter.
+const idleReadEvery = 4
 
-// relayedEvery is the same for an engine whose report a router says to be unchanged:
-// the leader takes no router's word for longer.
-const relayedEvery = 128
+// relayedReadEvery is the same for an engine whose report a router relays as unchanged. It
+// bounds how long the leader relies on a router.
+const relayedReadEvery = 128
 
-// ReportSchedule decides which engines' reports a leader reads. It is not safe for
+// ReportSchedule selects the engines whose reports a leader reads. It is not safe for
 // concurrent use.
 type ReportSchedule struct {
 	interval uint64
 	awaited  map[structs.RunnerID]bool
-	// answered holds the runners whose latest read brought a report.
+	// answered holds the runners whose last read returned a report.
 	answered map[structs.RunnerID]bool
-	// relayed holds the runners whose reports are unchanged by a router's word, and
-	// suspect those that are read next because such a word ended.
+	// relayed holds the runners whose reports a router relays as unchanged, and suspect those
+	// to read next because a router reported a change or stopped relaying them.
 	relayed map[structs.RunnerID]time.Time
 	suspect map[structs.RunnerID]bool
 }
 
-// NewReportSchedule makes the schedule of a leader that has read nothing yet.
+// NewReportSchedule returns the schedule of a new leader, which has read no report.
 func NewReportSchedule() *ReportSchedule {
 	return &ReportSchedule{answered: map[structs.RunnerID]bool{}, suspect: map[structs.RunnerID]bool{}}
 }
 
-// Await names the runners from whose reports something is expected (see Decisions).
+// Await sets the runners whose reports are awaited; see Decisions.Awaited.
 func (s *ReportSchedule) Await(runners map[structs.RunnerID]bool) { s.awaited = runners }
 
-// Relay names the runners whose reports are unchanged by a router's word. One that is
-// named no more is read at once.
+// Relay sets the runners whose reports a router relays as unchanged. One that is no longer
+// among them becomes suspect.
 func (s *ReportSchedule) Relay(runners map[structs.RunnerID]time.Time) {
 	for runner := range s.relayed {
 		if _, still := runners[runner]; !still {
@@ -49,14 +48,14 @@
 	s.relayed = runners
 }
 
-// Suspect names runners whose reports have changed by a router's word.
+// Suspect adds runners whose reports have changed according to a router.
 func (s *ReportSchedule) Suspect(runners []structs.RunnerID) {
 	for _, runner := range runners {
 		s.suspect[runner] = true
 	}
 }
 
-// Read notes whether a read brought a report.
+// Read records a read and whether it returned a report.
 func (s *ReportSchedule) Read(runner structs.RunnerID, answered bool) {
 	delete(s.suspect, runner)
 	if !answered {
@@ -66,10 +65,9 @@
 	s.answered[runner] = true
 }
 
-// Due begins a report interval and returns the machines whose reports are read in
-// it: all of which something is awaited or suspected or that did not answer, and a
-// part of the others, so that each has its turn every fourth interval, and seldom
-// when routers read it.
+// Due begins a report interval and returns the machines whose reports are read in it: those
+// that are awaited, suspect or did not answer, every idleReadEvery-th interval the others,
+// and every relayedReadEvery-th those that routers relay.
 func (s *ReportSchedule) Due(machines []structs.Machine) []structs.Machine {
 	s.interval++
 	listed := make(map[structs.RunnerID]bool, len(machines))
@@ -77,9 +75,9 @@
 	for _, machine := range machines {
 		id := machine.Runner
 		listed[id] = s.answered[id]
-		every := uint64(calmEvery)
+		every := uint64(idleReadEvery)
 		if _, relayed := s.relayed[id]; relayed {
-			every = relayedEvery
+			every = relayedReadEvery
 		}
 		turn := (s.interval+xxhash.Sum64String(string(id)))%every == 0
 		if turn || !s.answered[id] || s.awaited[id] || s.suspect[id] {
@@ -90,7 +88,7 @@
 	return due
 }
 
-// New returns the machines that have not answered yet, or are suspected of a change.
+// New returns the machines that have not answered yet or are suspect.
 func (s *ReportSchedule) New(machines []structs.Machine) []structs.Machine {
 	var added []structs.Machine
 	for _, machine := range machines {
@@ -101,8 +99,8 @@
 	return added
 }
 
-// awaited returns the runners whose next report decides something: a load, an
-// unload or a prefetch is recorded there, or is about to be.
+// awaited returns the runners whose next report decides something: a load, an unload or a
+// prefetch is recorded there or being proposed.
 func (d *decider) awaited() map[structs.RunnerID]bool {
 	runners := map[structs.RunnerID]bool{}
 	for _, replica := range d.replicas {
--- a/placement/controller/reportschedule_test.go
+++ b/placement/controller/reportschedule_test.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestEngineReportsAreReadOftenOnlyWhereSomethingIsAwaited(t *testing.T) {
+func TestAwaitedReportsAreReadEveryInterval(t *testing.T) {
 	const runners, rounds = 40, 3
 	var machines []structs.Machine
 	for i := range runners {
@@ -24,7 +24,7 @@
 	schedule.Await(map[structs.RunnerID]bool{"runner-7": true})
 	schedule.Read("runner-9", false)
 	reads := map[structs.RunnerID]int{}
-	for range rounds * calmEvery {
+	for range rounds * idleReadEvery {
 		due := schedule.Due(machines)
 		qt.Assert(t, len(due) < runners, qt.IsTrue)
 		for _, machine := range due {
@@ -34,7 +34,7 @@
 	for _, machine := range machines {
 		want := rounds
 		if machine.Runner == "runner-7" || machine.Runner == "runner-9" {
-			want = rounds * calmEvery
+			want = rounds * idleReadEvery
 		}
 		qt.Check(t, reads[machine.Runner], qt.Equals, want, qt.Commentf("%s", machine.Runner))
 	}
--- a/placement/controller/reportshares.go
+++ b/placement/controller/reportshares.go
@@ -11,69 +11,68 @@
 )
 
 const (
-	// MinimumSharedRunners is from how many runners on a zone's reports are read by
-	// its routers; a leader reads the reports of fewer itself.
+	// MinimumSharedRunners is the number of runners from which on a zone's routers read the
+	// engine reports; for fewer the leader reads them itself.
 	MinimumSharedRunners = 32
-	// routerIntervals is for how many report intervals a router counts as live after
-	// its last message, and relayIntervals for how many that message holds.
-	routerIntervals = 6
-	relayIntervals  = 3
+	// routerLiveIntervals is for how many report intervals after its last message a router
+	// counts as live, and relayValidIntervals for how many that message is valid.
+	routerLiveIntervals = 6
+	relayValidIntervals = 3
 )
 
-// ReportShares is a leader's part in the reading of engine reports by the zone's
-// routers: it assigns each runner to one live router, by rendezvous hashing, and keeps
-// what the routers say. It is not safe for concurrent use.
+// ReportShares distributes the reading of engine reports over the zone's live routers by
+// rendezvous hashing, and keeps what they relay to the leader. It is not safe for
+// concurrent use.
 type ReportShares struct {
 	epoch    structs.Epoch
 	interval time.Duration
 	minimum  int
-	routers  map[structs.DaemonID]*sharingRouter
-	// assigned is the assignment of the machines to the live routers.
+	routers  map[structs.DaemonID]*routerShare
+	// assigned maps each live router to its share of the machines.
 	assigned map[structs.DaemonID][]structs.ShareRunner
 	machines []structs.Machine
 	live     []structs.DaemonID
 }
 
-// sharingRouter is a router that reads reports.
-type sharingRouter struct {
-	heardAt time.Time
-	// readAt is when the oldest of the reports that its last message is about was
-	// asked for.
+// routerShare is the state of one router that reads reports.
+type routerShare struct {
+	lastMessageAt time.Time
+	// readAt is when the oldest report covered by its last message was requested.
 	readAt  time.Time
 	version uint64
 	share   []structs.ShareRunner
 	silent  map[structs.RunnerID]bool
-	said    map[structs.RunnerID]saidReport
+	relayed map[structs.RunnerID]relayedDigest
 }
 
-// saidReport is what a router said of a report.
-type saidReport struct {
+// relayedDigest is the digest of a report that a router relayed.
+type relayedDigest struct {
 	digest uint64
-	// checked is set once the leader read the report itself because of it.
+	// checked is set once the leader has read the report itself because of the digest.
 	checked bool
 }
 
-// NewReportShares makes the shares of one term of leading. Reports are read at the
-// interval; a zone with fewer machines than the minimum has no shares.
+// NewReportShares returns the shares of one leader term. Reports are read at the interval;
+// zones with fewer machines than the minimum have no shares.
 func NewReportShares(epoch structs.Epoch, interval time.Duration, minimum int) *ReportShares {
-	return &ReportShares{epoch: epoch, interval: interval, minimum: minimum, routers: map[structs.DaemonID]*sharingRouter{}}
+	return &ReportShares{epoch: epoch, interval: interval, minimum: minimum, routers: map[structs.DaemonID]*routerShare{}}
 }
 
-// LedIn reports whether the shares are of the epoch.
+// LedIn reports whether the shares belong to the epoch.
 func (s *ReportShares) LedIn(epoch structs.Epoch) bool { return s.epoch == epoch }
 
-// Take takes a router's message, and returns the share that the router is to read
-// from now on, or nil when it has it already.
+// Take records a router's message, and returns the share that the router is to read from
+// now on, or nil if it has that share already.
 func (s *ReportShares) Take(now time.Time, message structs.ReportRelay, machines []structs.Machine) *structs.ReportShare {
 	router := s.routers[message.Daemon]
 	if router == nil {
-		router = &sharingRouter{}
+		router = &routerShare{}
 		s.routers[message.Daemon] = router
 	}
-	router.heardAt = now
+	router.lastMessageAt = now
 	current := message.Epoch == s.epoch && message.Version == router.version
 	if current {
-		router.take(now, message)
+		router.applyMessage(now, message)
 	}
 	s.assign(now, machines)
 	share := s.assigned[message.Daemon]
@@ -83,26 +82,26 @@
 	router.version++
 	router.share = share
 	router.silent = nil
-	router.said = map[structs.RunnerID]saidReport{}
+	router.relayed = map[structs.RunnerID]relayedDigest{}
 	return &structs.ReportShare{Epoch: s.epoch, Version: router.version, Runners: share}
 }
 
-func (r *sharingRouter) take(now time.Time, message structs.ReportRelay) {
+func (r *routerShare) applyMessage(now time.Time, message structs.ReportRelay) {
 	r.readAt = now.Add(-message.OldestAge)
 	r.silent = make(map[structs.RunnerID]bool, len(message.Silent))
 	for _, runner := range message.Silent {
 		r.silent[runner] = true
 	}
 	for _, changed := range message.Changed {
-		checked := r.said[changed.Runner].checked && r.said[changed.Runner].digest == changed.Digest
-		r.said[changed.Runner] = saidReport{changed.Digest, checked}
+		checked := r.relayed[changed.Runner].checked && r.relayed[changed.Runner].digest == changed.Digest
+		r.relayed[changed.Runner] = relayedDigest{changed.Digest, checked}
 	}
 }
 
-// assign gives each machine to a live router when routers or machines have changed.
+// assign distributes the machines over the live routers if either have changed.
 func (s *ReportShares) assign(now time.Time, machines []structs.Machine) {
 	for daemon, router := range s.routers {
-		if now.Sub(router.heardAt) > routerIntervals*s.interval {
+		if now.Sub(router.lastMessageAt) > routerLiveIntervals*s.interval {
 			delete(s.routers, daemon)
 		}
 	}
@@ -117,14 +116,14 @@
 		return
 	}
 	for _, machine := range machines {
-		daemon := readerOf(machine.Runner, live)
+		daemon := assignedRouter(machine.Runner, live)
 		s.assigned[daemon] = append(s.assigned[daemon], structs.ShareRunner{Runner: machine.Runner, Address: machine.Address})
 	}
 }
 
-// readerOf returns the router with the highest hash of router and runner, so that
-// few runners change hands when a router comes or goes.
-func readerOf(runner structs.RunnerID, live []structs.DaemonID) structs.DaemonID {
+// assignedRouter returns the router with the highest hash of router and runner, which
+// reassigns few runners when a router joins or leaves.
+func assignedRouter(runner structs.RunnerID, live []structs.DaemonID) structs.DaemonID {
 	var best structs.DaemonID
 	var highest uint64
 	for _, daemon := range live {
@@ -137,16 +136,16 @@
 	return best
 }
 
-// Relayed returns when a router last read the reports that, by its word, are those
-// with the digests: the ones that the leader read itself.
+// Relayed returns, for the runners whose relayed digests equal those of the leader's own
+// reads, when a router last read their reports.
 func (s *ReportShares) Relayed(now time.Time, digests map[structs.RunnerID]uint64) map[structs.RunnerID]time.Time {
 	relayed := make(map[structs.RunnerID]time.Time, len(digests))
 	for _, router := range s.routers {
-		if now.Sub(router.heardAt) > relayIntervals*s.interval {
+		if now.Sub(router.lastMessageAt) > relayValidIntervals*s.interval {
 			continue
 		}
 		for _, runner := range router.share {
-			said, known := router.said[runner.Runner]
+			said, known := router.relayed[runner.Runner]
 			digest, read := digests[runner.Runner]
 			if known && read && said.digest == digest && !router.silent[runner.Runner] {
 				relayed[runner.Runner] = router.readAt
@@ -156,12 +155,12 @@
 	return relayed
 }
 
-// Suspects returns the runners whose reports changed by a router's word since the
-// leader read them: it reads them again, once for each such word.
+// Suspects returns the runners whose reports, according to a router, changed since the
+// leader read them. The leader reads each once per relayed change.
 func (s *ReportShares) Suspects(digests map[structs.RunnerID]uint64) []structs.RunnerID {
 	var suspects []structs.RunnerID
 	for _, router := range s.routers {
-		for runner, said := range router.said {
+		for runner, said := range router.relayed {
 			if digest, read := digests[runner]; !said.checked && read && said.digest != digest {
 				suspects = append(suspects, runner)
 			}
@@ -171,18 +170,18 @@
 	return suspects
 }
 
-// Checked notes that the leader has read the runner's report itself.
+// Checked records that the leader has read the runner's report itself.
 func (s *ReportShares) Checked(runner structs.RunnerID) {
 	for _, router := range s.routers {
-		if said, known := router.said[runner]; known {
+		if said, known := router.relayed[runner]; known {
 			said.checked = true
-			router.said[runner] = said
+			router.relayed[runner] = said
 		}
 	}
 }
 
-// WithBusy returns the report that the leader read itself with the counts of requests
-// that a router passed on of one with the same digest. The time of the reading stays.
+// WithBusy returns the leader's own report with the request counts that a router relayed
+// from one with the same digest. ReceivedAt is unchanged.
 func WithBusy(seen ReportSeen, said structs.RelayedReport) ReportSeen {
 	seen.Report = withBusy(seen.Report, said.Busy)
 	return seen
--- a/placement/controller/silence.go
+++ b/placement/controller/silence.go
@@ -8,24 +8,24 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// maxSilentPart is the part of the zone's runners, as a divisor, up to which
-// silence is put down to the runners. When more are silent, it is as likely that
-// this leader is cut off, while routers still reach them.
-const maxSilentPart = 2
+// maxSilentDivisor is the inverse of the part of the zone's runners up to which silence is
+// attributed to the runners. If more are silent, the leader itself is as likely partitioned,
+// while routers may still reach them.
+const maxSilentDivisor = 2
 
-// silence returns for how long nothing was heard of the runner.
-func (d *decider) silence(runner zone.Runner) time.Duration {
-	heard := d.core.leadFrom
-	if seen, ok := d.report(runner.ID, runner.Incarnation); ok && seen.ReceivedAt.After(heard) {
-		heard = seen.ReceivedAt
+// silentFor returns the time since the last sign of life of the runner.
+func (d *decider) silentFor(runner zone.Runner) time.Duration {
+	lastSeen := d.core.leaderSince
+	if seen, ok := d.report(runner.ID, runner.Incarnation); ok && seen.ReceivedAt.After(lastSeen) {
+		lastSeen = seen.ReceivedAt
 	}
-	if relayed := d.input.Relayed[runner.ID]; relayed.After(heard) {
-		heard = relayed
+	if relayed := d.input.Relayed[runner.ID]; relayed.After(lastSeen) {
+		lastSeen = relayed
 	}
-	return d.input.Now.Sub(heard)
+	return d.input.Now.Sub(lastSeen)
 }
 
-// findSilent fills d.silent with the runners that routers should not choose.
+// findSilent sets d.silent to the runners that routers should not choose.
 func (d *decider) findSilent() {
 	runners := d.runners
 	silent := map[structs.RunnerID]bool{}
@@ -35,7 +35,7 @@
 		}
 	}
 	d.silent = silent
-	if len(silent)*maxSilentPart <= len(runners) {
+	if len(silent)*maxSilentDivisor <= len(runners) {
 		return
 	}
 	for _, runner := range runners {
@@ -43,23 +43,24 @@
 	}
 }
 
-// isSilent reports whether a runner is silent for too long. One that is recorded as
-// silent stays so under a new leader, until that hears of it.
+// isSilent reports whether the runner has been silent for too long. A runner recorded as
+// silent stays so under a new leader until that one receives a report.
 func (d *decider) isSilent(runner zone.Runner) bool {
 	seen, known := d.input.Reports[runner.ID]
 	newer := known && seen.Report.Incarnation >= runner.Incarnation
-	heard := seen.ReceivedAt
-	if relayed := d.input.Relayed[runner.ID]; relayed.After(heard) {
-		heard = relayed
+	lastSeen := seen.ReceivedAt
+	if relayed := d.input.Relayed[runner.ID]; relayed.After(lastSeen) {
+		lastSeen = relayed
 	}
-	if newer && d.input.Now.Sub(heard) <= d.core.options.SilentAfter {
+	if newer && d.input.Now.Sub(lastSeen) <= d.core.options.SilentAfter {
 		return false
 	}
-	return runner.Silent || d.silence(runner) > d.core.options.SilentAfter
+	return runner.Silent || d.silentFor(runner) > d.core.options.SilentAfter
 }
 
-// markSilent records a change of the runners that the machine list does not name.
-func (d *decider) markSilent(listed []structs.Machine) {
+// recordUnlistedSilence proposes changes of silence for the runners that are not on the
+// machine list.
+func (d *decider) recordUnlistedSilence(listed []structs.Machine) {
 	for _, runner := range d.runners {
 		_, ok := slices.BinarySearchFunc(listed, structs.Machine{Runner: runner.ID}, compareMachines)
 		if ok || runner.Silent == d.silent[runner.ID] {
--- a/placement/controller/silence_test.go
+++ b/placement/controller/silence_test.go
@@ -9,29 +9,29 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// silenceWorld is a zone with three runners, whose commands apply at once.
-type silenceWorld struct {
+// silenceFixture is a zone with three runners whose commands are applied at once.
+type silenceFixture struct {
 	now     time.Time
 	index   uint64
 	epoch   structs.Epoch
 	state   *zone.State
 	core    *Core
 	reports map[structs.RunnerID]ReportSeen
-	// unlisted are off the machine list.
+	// unlisted are missing from the machine list.
 	unlisted map[structs.RunnerID]bool
 }
 
 var silenceRunners = []structs.RunnerID{"a", "b", "c"}
 
-func newSilenceWorld() *silenceWorld {
-	w := &silenceWorld{now: time.Unix(1000, 0), epoch: 1, state: zone.New("z"), core: New(Options{Zone: "z"}),
+func newSilenceFixture() *silenceFixture {
+	w := &silenceFixture{now: time.Unix(1000, 0), epoch: 1, state: zone.New("z"), core: New(Options{Zone: "z"}),
 		reports: map[structs.RunnerID]ReportSeen{}, unlisted: map[structs.RunnerID]bool{}}
-	w.pass(time.Second, silenceRunners...)
+	w.advance(time.Second, silenceRunners...)
 	return w
 }
 
-// pass lets time go by in which only the runners given report, and decides.
-func (w *silenceWorld) pass(span time.Duration, reporting ...structs.RunnerID) {
+// advance advances the time, with reports of the given runners only, and decides.
+func (w *silenceFixture) advance(span time.Duration, reporting ...structs.RunnerID) {
 	w.now = w.now.Add(span)
 	for _, id := range reporting {
 		w.reports[id] = ReportSeen{structs.EngineReport{Runner: id, Incarnation: 1, MemoryBytes: 1 << 30}, w.now}
@@ -48,8 +48,8 @@
 	}
 }
 
-// hidden lists the runners that routers are told not to choose.
-func (w *silenceWorld) hidden() []structs.RunnerID {
+// hidden returns the runners that routers must not choose.
+func (w *silenceFixture) hidden() []structs.RunnerID {
 	var hidden []structs.RunnerID
 	for _, runner := range w.state.View(0, 0).Placement.Runners {
 		if runner.Leaving {
@@ -59,47 +59,47 @@
 	return hidden
 }
 
-func TestSilentRunnerIsHiddenFromRoutersUntilItIsHeard(t *testing.T) {
+func TestSilentRunnerIsHiddenFromRoutersUntilItReports(t *testing.T) {
 	const bound = DefaultSilentAfter
 	a := []structs.RunnerID{"a"}
 	tests := []struct {
-		about string
-		play  func(*silenceWorld)
-		want  []structs.RunnerID
+		name string
+		run  func(*silenceFixture)
+		want []structs.RunnerID
 	}{
-		{"within the bound", func(w *silenceWorld) { w.pass(bound, "b", "c") }, nil},
-		{"after the bound", func(w *silenceWorld) { w.pass(bound+1, "b", "c") }, a},
-		{"when the machine list has dropped it", func(w *silenceWorld) {
+		{"within the bound", func(w *silenceFixture) { w.advance(bound, "b", "c") }, nil},
+		{"after the bound", func(w *silenceFixture) { w.advance(bound+1, "b", "c") }, a},
+		{"missing from the machine list", func(w *silenceFixture) {
 			w.unlisted["a"] = true
-			w.pass(bound+1, "b", "c")
+			w.advance(bound+1, "b", "c")
 		}, a},
-		{"heard again", func(w *silenceWorld) {
-			w.pass(bound+1, "b", "c")
-			w.pass(1, "a")
+		{"reports again", func(w *silenceFixture) {
+			w.advance(bound+1, "b", "c")
+			w.advance(1, "a")
 		}, nil},
-		{"a new leader has not heard of it either", func(w *silenceWorld) {
-			w.pass(bound+1, "b", "c")
+		{"still silent under a new leader", func(w *silenceFixture) {
+			w.advance(bound+1, "b", "c")
 			w.epoch++
-			w.pass(1, "b", "c")
+			w.advance(1, "b", "c")
 		}, a},
-		{"most are silent, so the leader may be cut off", func(w *silenceWorld) { w.pass(bound+1, "c") }, nil},
-		{"the leader is cut off once one is hidden", func(w *silenceWorld) {
-			w.pass(bound+1, "b", "c")
-			w.pass(bound + 1)
+		{"most are silent, so the leader may be partitioned", func(w *silenceFixture) { w.advance(bound+1, "c") }, nil},
+		{"leader is partitioned after one is hidden", func(w *silenceFixture) {
+			w.advance(bound+1, "b", "c")
+			w.advance(bound + 1)
 		}, a},
 	}
 	for _, test := range tests {
-		t.Run(test.about, func(t *testing.T) {
-			w := newSilenceWorld()
-			test.play(w)
+		t.Run(test.name, func(t *testing.T) {
+			w := newSilenceFixture()
+			test.run(w)
 			qt.Assert(t, w.hidden(), qt.DeepEquals, test.want)
 		})
 	}
 }
 
-func TestARoutersWordKeepsARunnerInUseAndFreesNothing(t *testing.T) {
-	w := newSilenceWorld()
-	w.pass(time.Second, silenceRunners...)
+func TestRelayedReportsKeepRunnersAliveAndFreeNothing(t *testing.T) {
+	w := newSilenceFixture()
+	w.advance(time.Second, silenceRunners...)
 	before := w.state.Runners()
 	relayed := map[structs.RunnerID]time.Time{}
 	for range 30 {
@@ -112,7 +112,7 @@
 	}
 	qt.Assert(t, w.state.Runners(), qt.DeepEquals, before)
 	decisions := w.core.Decide(Input{Now: w.now, Epoch: w.epoch, LeaseValid: true, State: w.state, Reports: w.reports})
-	qt.Assert(t, decisions.Commands, qt.HasLen, 0, qt.Commentf("all at once may be the leader's own fault"))
+	qt.Assert(t, decisions.Commands, qt.HasLen, 0, qt.Commentf("if all are silent, the leader may be partitioned"))
 	delete(relayed, silenceRunners[0])
 	decisions = w.core.Decide(Input{Now: w.now, Epoch: w.epoch, LeaseValid: true, State: w.state, Reports: w.reports, Relayed: relayed})
 	qt.Assert(t, decisions.Commands, qt.HasLen, 1)
