--- a/placement/site/doc.go
+++ b/placement/site/doc.go
@@ -1,8 +1,7 @@
-// Package site holds the document by which operators configure a whole site: the
-// routes that callers may use, the services behind them and the models that each
-// service may load. A document has a version; the highest version holds. Whether a
-// document is valid depends on the document alone, so that a document that was
-// accepted once is accepted again.
+// Package site defines the document that configures a whole site: its routes, the
+// services behind them and the models that each service may load. The document with the
+// highest version applies. Validity depends on the document alone, so that a document
+// once accepted is always accepted.
 //
-// The package has no clock, goroutine or socket.
+// The package uses no clock, goroutine or socket.
 package site
--- a/placement/site/document.go
+++ b/placement/site/document.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RouteKind says what may be done with a request whose outcome is not known.
+// RouteKind is how a request may be handled if its outcome is unknown.
 type RouteKind uint8
 
 // The kinds of route.
@@ -22,30 +22,30 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// RequiresKeys is set if callers of routes that are not Public must present the key of a
-	// tenant.
+	// RequiresKeys is set if callers of routes that are not Public must present a tenant's
+	// key.
 	RequiresKeys bool
 	Tenants      []Tenant
 }
 
-// Route says which requests go to which services, and on which terms.
+// Route selects requests and says which services serve them, and on what terms.
 type Route struct {
 	Name string
-	// Host and PathPrefix select requests; the longest prefix of a host wins.
+	// Host and PathPrefix select requests; the longest matching prefix of a host wins.
 	Host       string
 	PathPrefix string
 	Kind       RouteKind
-	// Timeout is the longest that a request may be held.
+	// Timeout is the maximum time that a request may be held.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or its first event, is on time.
+	// Objective is the target time for an answer, or for its first event.
 	Objective time.Duration
-	// MaxPause is the longest pause between events of a stream that is on time.
+	// MaxPause is the target for the longest pause between the events of a stream.
 	MaxPause time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// Split divides the requests over services by weight.
+	// Split distributes the requests over services by weight.
 	Split []Share
-	// MaxAttempts is the most runners that one request may be sent to.
+	// MaxAttempts is the maximum number of runners that one request is sent to.
 	MaxAttempts int
 	// Resumable streams may be continued by another runner.
 	Resumable bool
@@ -53,11 +53,11 @@
 	Sticky bool
 	// Public routes need no key.
 	Public bool
-	// Regions are those in which requests may be served and kept; empty for all.
+	// Regions are where requests may be served and stored; empty means all regions.
 	Regions []string
 }
 
-// Share is a service's part of the requests of a route.
+// Share is a service's share of the requests of a route.
 type Share struct {
 	Service string
 	Weight  float64
@@ -71,11 +71,11 @@
 // Service is a set of runners that serve the same requests.
 type Service struct {
 	Name string
-	// HealthPath is where a runner tells whether it is healthy.
+	// HealthPath is the path of a runner's health check.
 	HealthPath string
-	// MaxConnections is the most connections that one runner takes.
+	// MaxConnections is the maximum number of connections to one runner.
 	MaxConnections int
-	// ColdRate is how many requests a second a cold runner bears; 0 if cold runners bear as many as others.
+	// ColdRate is the maximum requests per second for a cold runner; 0 sets no such limit.
 	ColdRate float64
 	// Engine is nil for services whose runners load no models.
 	Engine *Engine
@@ -83,36 +83,36 @@
 
 // Engine describes the runners of a service that load models.
 type Engine struct {
-	// Slots is how many requests a runner executes at once.
+	// Slots is how many requests a runner executes concurrently.
 	Slots int
-	// CacheTokens is the memory of a runner for prompts and answers.
+	// CacheTokens is a runner's memory for prompts and answers, in tokens.
 	CacheTokens int
-	// WeightsMB is the memory of a runner for models and adapters.
+	// WeightsMB is a runner's memory for models and adapters, in MB.
 	WeightsMB float64
-	// MaxAdapters is the most adapters that a runner holds.
+	// MaxAdapters is the maximum number of adapters on a runner.
 	MaxAdapters int
-	// LoadsPerSecond is what the weight store allows over all runners.
+	// LoadsPerSecond is the rate limit of the weight store over all runners.
 	LoadsPerSecond float64
 	Models         []Model
-	// byName is made by NewIndex; nil before.
-	byName map[string]*Model
+	// modelsByName is set by NewIndex.
+	modelsByName map[string]*Model
 }
 
 // Model is a model that the runners of a service can load.
 type Model struct {
 	Name   string
 	SizeMB float64
-	// LoadTime, DiskLoadTime and MemoryLoadTime are how long a load takes from the
-	// weight store, the runner's disk and the memory of its machine.
+	// LoadTime, DiskLoadTime and MemoryLoadTime are the load times from the weight store,
+	// the runner's disk and its machine's memory.
 	LoadTime       time.Duration
 	DiskLoadTime   time.Duration
 	MemoryLoadTime time.Duration
-	// Adapters is how many adapters the model has.
+	// Adapters is the number of adapters of the model.
 	Adapters  int
 	AdapterMB float64
 }
 
-// Limits bound what a caller may send.
+// Limits bound a caller's requests and connections.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -120,10 +120,10 @@
 	IdleTimeout    time.Duration
 }
 
-// ModelByName returns the model, or nil.
+// ModelByName returns the named model, or nil if there is none.
 func (e *Engine) ModelByName(name string) *Model {
-	if e.byName != nil {
-		return e.byName[name]
+	if e.modelsByName != nil {
+		return e.modelsByName[name]
 	}
 	for i := range e.Models {
 		if e.Models[i].Name == name {
@@ -133,12 +133,13 @@
 	return nil
 }
 
-// indexModels makes ModelByName quick. The first of two models with a name counts.
+// indexModels builds the index of ModelByName. The first of several models with a name
+// counts.
 func (e *Engine) indexModels() {
-	e.byName = make(map[string]*Model, len(e.Models))
+	e.modelsByName = make(map[string]*Model, len(e.Models))
 	for i := range e.Models {
-		if model := &e.Models[i]; e.byName[model.Name] == nil {
-			e.byName[model.Name] = model
+		if model := &e.Models[i]; e.modelsByName[model.Name] == nil {
+			e.modelsByName[model.Name] = model
 		}
 	}
 }
--- a/placement/site/index.go
+++ b/placement/site/index.go
@@ -8,18 +8,18 @@
 	"github.com/lotusferry/lotusferry/internal/keys"
 )
 
-// Index finds the route of a request in one document. It does not change, so that
-// many goroutines may use it.
+// Index finds the route of a request in one document. It is immutable and safe for
+// concurrent use.
 type Index struct {
 	Document *Document
 	// routes lists the routes of each host, the longest prefix first.
 	routes   map[string][]*Route
 	services map[string]*Service
-	// tenants is by the hashes of their keys.
+	// tenants is keyed by the hashes of the tenants' keys.
 	tenants map[keys.Hash]*Tenant
 }
 
-// NewIndex makes the index of a document, which must not change afterwards.
+// NewIndex returns the index of a document, which must not be modified afterwards.
 func NewIndex(document *Document) *Index {
 	index := &Index{
 		Document: document,
@@ -52,8 +52,8 @@
 	return index
 }
 
-// Route returns the route with the longest prefix that begins the path, or nil.
-// Host may carry a port.
+// Route returns the route with the longest prefix of the path, or nil if none matches.
+// The host may include a port.
 func (x *Index) Route(host, path string) *Route {
 	for _, route := range x.routes[normalHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// Service returns the service, or nil.
+// Service returns the named service, or nil if there is none.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Pick chooses the service of a request; point is drawn evenly from [0, 1).
+// Pick returns the service for a request, where point is drawn uniformly from [0, 1).
 func (r *Route) Pick(point float64) string {
 	total := 0.0
 	for _, share := range r.Split {
--- a/placement/site/site_test.go
+++ b/placement/site/site_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestRouteUsesLongestPrefixOfHost(t *testing.T) {
 	c := qt.New(t)
 	index := NewIndex(validDocument())
 	c.Assert(index.Route("A.example:80", "/find/it").Name, qt.Equals, "find")
@@ -30,7 +30,7 @@
 	c.Assert(index.Route("c.example", "/find/"), qt.IsNil)
 }
 
-func TestSplitFollowsTheWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	c := qt.New(t)
 	route := validDocument().Routes[2]
 	c.Assert(route.Pick(0), qt.Equals, "answers")
@@ -39,19 +39,19 @@
 	c.Assert(route.Pick(0.9999), qt.Equals, "search")
 }
 
-func TestInvalidDocumentsAreRefused(t *testing.T) {
+func TestValidateRejectsInvalidDocuments(t *testing.T) {
 	for name, change := range map[string]func(*Document){
 		"no version":      func(d *Document) { d.Version = 0 },
 		"unknown service": func(d *Document) { d.Routes[0].Split[0].Service = "nowhere" },
-		"same place":      func(d *Document) { d.Routes[1].PathPrefix = "/" },
-		"same place in other letters": func(d *Document) {
+		"duplicate route": func(d *Document) { d.Routes[1].PathPrefix = "/" },
+		"duplicate route in other case": func(d *Document) {
 			d.Routes[1].PathPrefix, d.Routes[1].Host = "/", "A.EXAMPLE"
 		},
-		"no weight":    func(d *Document) { d.Routes[0].Split[0].Weight = 0 },
-		"no time-out":  func(d *Document) { d.Routes[0].Timeout = 0 },
-		"no split":     func(d *Document) { d.Routes[0].Split = nil },
-		"name twice":   func(d *Document) { d.Services[1].Name = "answers" },
-		"not a prefix": func(d *Document) { d.Routes[0].PathPrefix = "x" },
+		"zero weight":            func(d *Document) { d.Routes[0].Split[0].Weight = 0 },
+		"no timeout":             func(d *Document) { d.Routes[0].Timeout = 0 },
+		"no split":               func(d *Document) { d.Routes[0].Split = nil },
+		"duplicate service name": func(d *Document) { d.Services[1].Name = "answers" },
+		"prefix without slash":   func(d *Document) { d.Routes[0].PathPrefix = "x" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			document := validDocument()
--- a/placement/site/tenant_test.go
+++ b/placement/site/tenant_test.go
@@ -21,7 +21,7 @@
 	return document
 }
 
-func TestKeysLeadToTheirTenants(t *testing.T) {
+func TestTenantOfFindsTenantByKey(t *testing.T) {
 	c := qt.New(t)
 	document := documentWithTenants()
 	c.Assert(document.Validate(), qt.IsNil)
@@ -34,16 +34,16 @@
 	}
 }
 
-func TestInvalidTenantsAreRefused(t *testing.T) {
+func TestValidateRejectsInvalidTenants(t *testing.T) {
 	for name, change := range map[string]func(*Document){
-		"shared key":     func(d *Document) { d.Tenants[1].Keys = d.Tenants[0].Keys[:1] },
-		"name twice":     func(d *Document) { d.Tenants[1].Name = "a" },
-		"no name":        func(d *Document) { d.Tenants[1].Name = "" },
-		"negative rate":  func(d *Document) { d.Tenants[0].Limit.Rate = -1 },
-		"negative burst": func(d *Document) { d.Tenants[0].Limit.Burst = -1 },
-		"absurd rate":    func(d *Document) { d.Tenants[0].Limit.Rate = math.Inf(1) },
-		"no number":      func(d *Document) { d.Tenants[0].Limit.Burst = math.NaN() },
-		"negative size":  func(d *Document) { d.Tenants[0].Limit.PlainTokens = -3 },
+		"shared key":            func(d *Document) { d.Tenants[1].Keys = d.Tenants[0].Keys[:1] },
+		"duplicate name":        func(d *Document) { d.Tenants[1].Name = "a" },
+		"no name":               func(d *Document) { d.Tenants[1].Name = "" },
+		"negative rate":         func(d *Document) { d.Tenants[0].Limit.Rate = -1 },
+		"negative burst":        func(d *Document) { d.Tenants[0].Limit.Burst = -1 },
+		"infinite rate":         func(d *Document) { d.Tenants[0].Limit.Rate = math.Inf(1) },
+		"burst is NaN":          func(d *Document) { d.Tenants[0].Limit.Burst = math.NaN() },
+		"negative plain tokens": func(d *Document) { d.Tenants[0].Limit.PlainTokens = -3 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			document := documentWithTenants()
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestCostIsCountedInTheUnitOfTheLimit(t *testing.T) {
+func TestCostUsesUnitOfLimit(t *testing.T) {
 	c := qt.New(t)
 	tokens := RateLimit{Unit: UnitTokens, Rate: 1, PlainTokens: 200}
 	c.Assert(tokens.Cost(1540), qt.Equals, 1540.0)
