--- a/placement/shares/book.go
+++ b/placement/shares/book.go
@@ -11,49 +11,50 @@
 )
 
 const (
-	// useTime is the time over which work is averaged: the time over which callers notice who is
-	// served, and some requests of a small tenant.
-	useTime = 3 * time.Second
-	// aboveShare is what a tenant must use of its share to count as above it: use that is uneven by
-	// chance, or by hour, is not.
-	aboveShare = 1.5
-	// reportLife is how long the requests of a router that has gone silent count as waiting: some
-	// reports.
-	reportLife = 3 * time.Second
-	// sweepInterval is the pause between two looks for such routers.
+	// usageTimeConstant is the time constant of the moving average of work: short enough for
+	// callers to notice, and long enough for several requests of a small tenant.
+	usageTimeConstant = 3 * time.Second
+	// overuseThreshold is the use, relative to its share, at which a tenant counts as above it.
+	// It tolerates random and daily fluctuations.
+	overuseThreshold = 1.5
+	// reportLifetime is how long the waiting requests of a router count without a new report:
+	// several report intervals.
+	reportLifetime = 3 * time.Second
+	// sweepInterval is the minimum time between two removals of expired reports.
 	sweepInterval = 500 * time.Millisecond
-	// maxTold bounds the tenants that a word names, those furthest above their shares first, so
-	// that it takes some hundred bytes.
-	maxTold = 32
-	// requestWork is the work of a request of a tenant whose limit counts requests, in tokens.
-	requestWork = 700
-	// idleWork a second is what a tenant uses that does not count as asking for something.
-	idleWork = 1
+	// maxReportedTenants bounds the tenants in a Word to those furthest above their shares,
+	// which limits its size to a few hundred bytes.
+	maxReportedTenants = 32
+	// tokensPerRequest is the assumed work of a request, in tokens, if a tenant's limit counts
+	// requests.
+	tokensPerRequest = 700
+	// minActiveWork is the work, in tokens per second, above which a tenant counts as active.
+	minActiveWork = 1
 )
 
 // Work is what a router did for a tenant since its last report.
 type Work struct {
 	Tenant string
-	// Done is the work that was let in, in tokens; what was not run after all counts below 0.
+	// Done is the admitted work in tokens, less earlier admitted work that was not run.
 	Done float64
-	// Waiting is how many requests of the tenant wait.
+	// Waiting is the number of waiting requests of the tenant.
 	Waiting int
 }
 
-// Share is what a tenant uses over its share: 1 for all of it and no more.
+// Share is a tenant's use relative to its share; 1 is exactly its share.
 type Share struct {
 	Tenant string
 	Use    float64
 }
 
-// Word names the tenants that are above their shares.
+// Word lists the tenants that are above their shares.
 type Word struct {
-	// IsKnown is false while the leader cannot tell.
+	// IsKnown is false while the leader has too little data.
 	IsKnown bool
 	Above   []Share
 }
 
-// Weights are those of the tenants of a document, by name.
+// Weights returns the weights of a document's tenants by name.
 func Weights(tenants []site.Tenant) map[string]float64 {
 	weights := make(map[string]float64, len(tenants))
 	sum := 0.0
@@ -64,7 +65,7 @@
 		}
 		weight := limit.Rate
 		if limit.Unit == site.UnitRequests {
-			weight *= requestWork
+			weight *= tokensPerRequest
 		}
 		weights[tenants[i].Name] = weight
 		sum += weight
@@ -81,34 +82,34 @@
 	return weights
 }
 
-// Book adds up the work of all routers. It belongs to one leader.
+// Book sums the work reported by all routers during one leader term.
 type Book struct {
-	began   time.Time
-	at      time.Time
-	sweptAt time.Time
-	weights map[string]float64
-	tenants map[string]*account
+	startedAt time.Time
+	decayedAt time.Time
+	sweptAt   time.Time
+	weights   map[string]float64
+	tenants   map[string]*account
 }
 
-// account is what was done for one tenant lately, in tokens.
+// account is the recent work for one tenant, in tokens.
 type account struct {
 	work float64
-	// waiting is by router.
+	// waiting is keyed by router.
 	waiting map[string]waitingCount
 }
 
-// waitingCount is how many requests wait at a router, as it said at a time.
+// waitingCount is the number of waiting requests at a router as of a report.
 type waitingCount struct {
 	count int
 	at    time.Time
 }
 
-// New makes a book for a leadership that begins now.
+// New returns an empty Book for a leader term that begins at the time.
 func New(at time.Time) *Book {
-	return &Book{began: at, at: at, tenants: make(map[string]*account)}
+	return &Book{startedAt: at, decayedAt: at, tenants: make(map[string]*account)}
 }
 
-// SetTenants adopts the weights of a document.
+// SetTenants adopts the weights of a document's tenants.
 func (b *Book) SetTenants(tenants []site.Tenant) {
 	b.weights = Weights(tenants)
 	for name := range b.tenants {
@@ -118,13 +119,13 @@
 	}
 }
 
-// Observe takes what a router reports.
-func (b *Book) Observe(at time.Time, router string, works []Work) {
-	b.fade(at)
+// Observe adds a router's report.
+func (b *Book) Observe(at time.Time, router string, reported []Work) {
+	b.decay(at)
 	for _, known := range b.tenants {
 		delete(known.waiting, router)
 	}
-	for _, work := range works {
+	for _, work := range reported {
 		if b.weights[work.Tenant] == 0 || math.IsNaN(work.Done) || math.IsInf(work.Done, 0) {
 			continue
 		}
@@ -140,39 +141,39 @@
 	}
 }
 
-func (b *Book) fade(at time.Time) {
-	passed := at.Sub(b.at)
+func (b *Book) decay(at time.Time) {
+	passed := at.Sub(b.decayedAt)
 	if passed <= 0 {
 		return
 	}
-	b.at = at
-	left := math.Exp(-passed.Seconds() / useTime.Seconds())
+	b.decayedAt = at
+	factor := math.Exp(-passed.Seconds() / usageTimeConstant.Seconds())
 	for _, known := range b.tenants {
-		known.work *= left
+		known.work *= factor
 	}
 	if at.Sub(b.sweptAt) < sweepInterval {
 		return
 	}
 	b.sweptAt = at
 	for _, known := range b.tenants {
-		maps.DeleteFunc(known.waiting, func(_ string, waiting waitingCount) bool { return at.Sub(waiting.at) > reportLife })
+		maps.DeleteFunc(known.waiting, func(_ string, waiting waitingCount) bool { return at.Sub(waiting.at) > reportLifetime })
 	}
 }
 
-// Word names the tenants that are above their shares. A new leader cannot tell before it has
-// heard of some time.
+// Word returns the tenants that are above their shares. It is unknown until the leader has
+// received reports for the averaging time.
 func (b *Book) Word(at time.Time) Word {
-	if at.Sub(b.began) < useTime {
+	if at.Sub(b.startedAt) < usageTimeConstant {
 		return Word{}
 	}
-	above := slices.DeleteFunc(b.Shares(at), func(share Share) bool { return share.Use < aboveShare })
+	above := slices.DeleteFunc(b.Shares(at), func(share Share) bool { return share.Use < overuseThreshold })
 	slices.SortStableFunc(above, func(a, c Share) int { return cmp.Compare(c.Use, a.Use) })
-	return Word{IsKnown: true, Above: above[:min(len(above), maxTold)]}
+	return Word{IsKnown: true, Above: above[:min(len(above), maxReportedTenants)]}
 }
 
-// Shares lists what the tenants that ask for something use of their shares, by name.
+// Shares returns the relative use of the active tenants, sorted by name.
 func (b *Book) Shares(at time.Time) []Share {
-	b.fade(at)
+	b.decay(at)
 	work, weights := 0.0, 0.0
 	for name, known := range b.tenants {
 		if known.isActive() {
@@ -190,9 +191,11 @@
 	return listed
 }
 
-func (a *account) isActive() bool { return a.work > idleWork*useTime.Seconds() || len(a.waiting) > 0 }
+func (a *account) isActive() bool {
+	return a.work > minActiveWork*usageTimeConstant.Seconds() || len(a.waiting) > 0
+}
 
-// Waiting is how many requests of a tenant wait at all routers together.
+// Waiting returns the number of waiting requests of a tenant at all routers.
 func (b *Book) Waiting(tenant string) int {
 	sum := 0
 	if known := b.tenants[tenant]; known != nil {
--- a/placement/shares/book_test.go
+++ b/placement/shares/book_test.go
@@ -21,8 +21,9 @@
 	return tenants
 }
 
-// observe plays some seconds in which routers report what is done for each tenant in a second.
-func observe(b *Book, at time.Time, seconds int, perSecond ...float64) time.Time {
+// observeWork reports, for the seconds, the work per second of each tenant through ten routers,
+// and returns the new time.
+func observeWork(b *Book, at time.Time, seconds int, perSecond ...float64) time.Time {
 	for range seconds * 2 {
 		at = at.Add(500 * time.Millisecond)
 		for router := range 10 {
@@ -36,40 +37,40 @@
 	return at
 }
 
-func TestTenantAtSixTimesItsUseIsAbove(t *testing.T) {
+func TestTenantFarAboveItsShareIsReported(t *testing.T) {
 	c := qt.New(t)
 	b := New(start)
 	b.SetTenants(tenantsOf(1000, 1000, 500, 100))
-	at := observe(b, start, 10, 600, 700, 350, 60)
+	at := observeWork(b, start, 10, 600, 700, 350, 60)
 	c.Assert(b.Word(at), qt.DeepEquals, Word{IsKnown: true, Above: []Share{}})
-	at = observe(b, at, 3, 600, 4200, 350, 60)
+	at = observeWork(b, at, 3, 600, 4200, 350, 60)
 	word := b.Word(at)
 	c.Assert(word.Above, qt.HasLen, 1)
 	c.Assert(word.Above[0].Tenant, qt.Equals, "t1")
-	at = observe(b, at, 12, 600, 700, 350, 60)
+	at = observeWork(b, at, 12, 600, 700, 350, 60)
 	c.Assert(b.Word(at).Above, qt.HasLen, 0)
 }
 
-func TestNewLeaderCannotTell(t *testing.T) {
+func TestWordIsUnknownForNewLeader(t *testing.T) {
 	c := qt.New(t)
 	b := New(start)
 	b.SetTenants(tenantsOf(100, 100))
-	at := observe(b, start, 1, 10, 900)
+	at := observeWork(b, start, 1, 10, 900)
 	c.Assert(b.Word(at).IsKnown, qt.IsFalse)
-	at = observe(b, at, 3, 10, 900)
+	at = observeWork(b, at, 3, 10, 900)
 	c.Assert(b.Word(at).IsKnown, qt.IsTrue)
 }
 
-func TestTenantAloneIsNotAboveItsShare(t *testing.T) {
+func TestOnlyActiveTenantIsNotAboveItsShare(t *testing.T) {
 	c := qt.New(t)
 	b := New(start)
 	b.SetTenants(tenantsOf(100, 100))
-	at := observe(b, start, 10, 0, 5000)
+	at := observeWork(b, start, 10, 0, 5000)
 	c.Assert(b.Word(at).Above, qt.HasLen, 0)
 	c.Assert(b.Shares(at), qt.HasLen, 1)
 }
 
-func TestSilentRoutersAndGoneTenantsAreForgotten(t *testing.T) {
+func TestExpiredReportsAndRemovedTenantsAreDropped(t *testing.T) {
 	c := qt.New(t)
 	b := New(start)
 	b.SetTenants(tenantsOf(100, 100))
@@ -78,9 +79,9 @@
 	c.Assert(b.Waiting("t0"), qt.Equals, 7)
 	b.Observe(start.Add(time.Second), "b", nil)
 	c.Assert(b.Waiting("t0"), qt.Equals, 3)
-	b.Observe(start.Add(reportLife+time.Millisecond), "b", nil)
+	b.Observe(start.Add(reportLifetime+time.Millisecond), "b", nil)
 	c.Assert(b.Waiting("t0"), qt.Equals, 0)
-	c.Assert(b.Shares(start.Add(reportLife+time.Millisecond)), qt.HasLen, 0)
+	c.Assert(b.Shares(start.Add(reportLifetime+time.Millisecond)), qt.HasLen, 0)
 	b.SetTenants(nil)
 	c.Assert(b.Waiting("t0"), qt.Equals, 0)
 }
@@ -91,7 +92,7 @@
 	qt.Assert(t, Weights(tenants), qt.DeepEquals, map[string]float64{"t0": 100, "t1": 300, "counted": 1400, "free": 600})
 }
 
-// BenchmarkObserve takes the report of one of 830 routers on 16 tenants.
+// BenchmarkObserve measures reports on 16 tenants from 830 routers.
 func BenchmarkObserve(b *testing.B) {
 	book := New(start)
 	book.SetTenants(tenantsOf(make([]float64, 16)...))
--- a/placement/shares/doc.go
+++ b/placement/shares/doc.go
@@ -1,10 +1,10 @@
-// Package shares adds up what is done for each tenant over all routers, and tells who has more
-// than its share. A router sees a few requests of a tenant, of which one may be worth a minute of
-// what the tenant uses there: only the sum tells who takes from others.
+// Package shares sums the work done for each tenant over all routers and finds the tenants
+// that use more than their share. A single router sees too few requests of a tenant to tell,
+// since one request may amount to a minute of the tenant's use there.
 //
-// A tenant's share of the work is its weight over the weights of all tenants that ask for
-// something. Its weight is the rate of its limit, which is what it was promised; tenants without
-// one have the mean of those that have.
+// A tenant's share is its weight over the weights of all active tenants. The weight is the
+// rate of its limit, which is what it was promised; tenants without a limit have the mean
+// weight of those with one.
 //
-// The package is pure: time comes in as an argument.
+// The package is pure: the time is an argument.
 package shares
