--- a/request/relay/acquire.go
+++ b/request/relay/acquire.go
@@ -11,56 +11,56 @@
 )
 
 const (
-	// maxWaitShare is the part of its time that a request may wait for a runner; after
-	// it, its caller may still be served elsewhere or a little later.
+	// maxWaitShare is the largest fraction of its time that a request waits for a runner. The rest
+	// is left for the caller to be served elsewhere or on a retry.
 	maxWaitShare = 0.45
-	// turnPause separates two questions whether a suspected request may run now: a part of what a
-	// short answer takes, and some tens of questions for a request at most.
-	turnPause = 150 * time.Millisecond
+	// permitRetryDelay is the interval between permission requests for a suspected request.
+	permitRetryDelay = 150 * time.Millisecond
 )
 
-// acquireTurn waits for a runner, and then for permission to send the request there, as long as the
-// caller is likely to. The choice must be given back unless permission is denied.
-func (x *exchange) acquireTurn(ctx context.Context) (routing.Choice, permit, error) {
+// acquireRunner waits for a runner and for permission to send the request to it, until waitLimit.
+// The choice must be released unless permission is denied.
+func (x *exchange) acquireRunner(ctx context.Context) (routing.Choice, permit, error) {
 	began := x.router.now()
 	defer func() { x.waited += x.router.now().Sub(began) }()
 	for {
-		choice, err := x.acquire(ctx)
+		choice, err := x.awaitRunner(ctx)
 		if err != nil {
 			return choice, permit{}, err
 		}
-		given := x.askPermit(ctx, choice.Runner())
+		given := x.requestPermit(ctx, choice.Runner())
 		if x.timeLeft() <= 0 {
-			// The machine may have been suspended, so that no timer has gone off.
-			x.giveTurnBack(choice, given)
+			// Timers do not fire while the machine is suspended.
+			x.releaseRunner(choice, given)
 			return choice, given, errTimeout
 		}
 		if given.isGranted() {
 			return choice, given, nil
 		}
-		x.giveChoiceBack(choice)
-		mustEnd := given.permission == poison.Refused || x.router.now().Add(turnPause).After(x.waitLimit())
-		if mustEnd || !pause.For(ctx, turnPause) {
+		x.releaseChoice(choice)
+		mustEnd := given.permission == poison.Refused || x.router.now().Add(permitRetryDelay).After(x.waitLimit())
+		if mustEnd || !pause.For(ctx, permitRetryDelay) {
 			return choice, given, nil
 		}
 	}
 }
 
-// giveTurnBack gives up what acquireTurn returned.
-func (x *exchange) giveTurnBack(choice routing.Choice, given permit) {
-	x.giveChoiceBack(choice)
-	x.noteEnd(choice.Runner(), given.isTrial(), result{isNotRun: true})
+// releaseRunner undoes acquireRunner for a request that is not sent.
+func (x *exchange) releaseRunner(choice routing.Choice, given permit) {
+	x.releaseChoice(choice)
+	x.reportEnd(choice.Runner(), given.isTrial(), result{isNotRun: true})
 }
 
-// giveChoiceBack gives up a runner that the request is not sent to, and the work that was counted for it.
-func (x *exchange) giveChoiceBack(choice routing.Choice) {
-	x.router.notServed(x.ticket)
+// releaseChoice releases a runner that the request is not sent to, and refunds the work charged for
+// it.
+func (x *exchange) releaseChoice(choice routing.Choice) {
+	x.router.refundWork(x.ticket)
 	x.router.release(x.row, choice, routing.OutcomeNeutral)
 }
 
-// waitLimit is when a request that no runner was found for is given up.
+// waitLimit returns the time at which a request without a runner is abandoned.
 func (x *exchange) waitLimit() time.Time {
-	limit := x.request.Arrived.Add(share(x.deadline.Sub(x.request.Arrived), maxWaitShare))
+	limit := x.request.Arrived.Add(fraction(x.deadline.Sub(x.request.Arrived), maxWaitShare))
 	if x.route.Kind != site.KindStream || x.isStarted {
 		return limit
 	}
@@ -71,28 +71,28 @@
 	return limit
 }
 
-// acquire waits for a runner.
-func (x *exchange) acquire(ctx context.Context) (routing.Choice, error) {
+// awaitRunner waits for a runner until waitLimit.
+func (x *exchange) awaitRunner(ctx context.Context) (routing.Choice, error) {
 	limit := x.waitLimit()
 	ctx, cancel := context.WithTimeoutCause(ctx, limit.Sub(x.router.now()), errTimeout)
 	defer cancel()
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
 	defer context.AfterFunc(x.router.stop.waiting, func() { end(errStopped) })()
-	x.waiting = &waiter{
-		row: x.row, work: x.work(), ticket: x.presentTicket(), until: limit,
-		mayDefer: x.attempts == 0, home: x.home,
+	x.waiter = &waiter{
+		row: x.row, work: x.work(), ticket: x.currentTicket(), until: limit,
+		mayDefer: x.attempts == 0, regions: x.regions,
 	}
-	return x.router.acquire(ctx, x.waiting)
+	return x.router.acquire(ctx, x.waiter)
 }
 
-// work is what the request asks of a runner, and which runners it should not get.
+// work returns what the request needs from a runner and which runners to avoid.
 func (x *exchange) work() routing.Work {
 	work := routing.Work{
 		Prefixes: x.prefixes, Prompt: x.request.Size.Uncached(0), Avoid: x.avoid, Barred: x.barred,
 	}
-	if x.home != nil {
-		work.Zones = x.home.zones
+	if x.regions != nil {
+		work.Zones = x.regions.zones
 	}
 	end := int64(0)
 	for _, part := range x.request.Size.Parts {
--- a/request/relay/answer.go
+++ b/request/relay/answer.go
@@ -10,23 +10,23 @@
 	"github.com/lotusferry/lotusferry/request/routing"
 )
 
-type wholeAnswer struct {
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// relayWhole reads the whole answer before it is passed on, so that one that is cut
-// short can be asked for again.
-func (x *exchange) relayWhole(ctx context.Context, answer *Answer, watchdog *watchdog) result {
+// relayBuffered reads the whole response before sending any of it, so that a truncated response can
+// be retried.
+func (x *exchange) relayBuffered(ctx context.Context, answer *Answer, watchdog *watchdog) result {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBuffered+1))
 	switch {
 	case err != nil && ctx.Err() != nil:
-		return x.ended(ctx, result{outcome: routing.OutcomeBroken, err: err})
+		return x.contextResult(ctx, result{outcome: routing.OutcomeBroken, err: err})
 	case err != nil:
 		return result{outcome: routing.OutcomeBroken, reason: reasonCutShort, err: err}
 	case x.isStarted:
-		// A stream that goes on elsewhere must go on as a stream.
+		// A stream that has started can only be continued by another stream.
 		return result{outcome: routing.OutcomeRefused, reason: "not_resumed"}
 	case answer.Status < http.StatusMultipleChoices && !answer.Signed:
 		return result{outcome: routing.OutcomeBroken, reason: reasonNotSigned}
@@ -34,22 +34,22 @@
 		watchdog.stop()
 		return x.relayLarge(answer, body)
 	}
-	whole := &wholeAnswer{status: answer.Status, header: answer.Header, body: body}
+	whole := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	if answer.Status >= http.StatusInternalServerError {
 		ended := result{outcome: routing.OutcomeRefused, reason: reasonRunnerFailed, answer: whole}
 		if answer.Status == http.StatusGatewayTimeout {
-			// The time was too short, which is not the runner's fault.
+			// The deadline was too short, which is no fault of the runner.
 			ended.outcome = routing.OutcomeNeutral
 		}
 		return ended
 	}
-	x.pass(whole)
+	x.sendBuffered(whole)
 	return result{outcome: routing.OutcomeSuccess, isDone: true}
 }
 
-// relayLarge passes on an answer that is too large to be held.
+// relayLarge forwards a response that exceeds maxBuffered. begun holds the bytes read so far.
 func (x *exchange) relayLarge(answer *Answer, begun []byte) result {
-	x.start(answer)
+	x.sendHeader(answer)
 	if _, err := x.writer.Write(begun); err != nil {
 		return result{outcome: routing.OutcomeNeutral, isDone: true, reason: "caller_left", err: err}
 	}
@@ -59,25 +59,25 @@
 	return result{outcome: routing.OutcomeSuccess, isDone: true}
 }
 
-func (x *exchange) start(answer *Answer) {
+func (x *exchange) sendHeader(answer *Answer) {
 	copyHeader(x.writer.Header(), answer.Header)
 	if answer.Length >= 0 {
 		x.writer.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
 	x.writer.WriteHeader(answer.Status)
-	x.isStarted, x.begunAt = true, x.router.now()
+	x.isStarted, x.startedAt = true, x.router.now()
 }
 
-// pass sends a whole answer to the caller.
-func (x *exchange) pass(whole *wholeAnswer) {
+// sendBuffered writes a buffered response to the caller.
+func (x *exchange) sendBuffered(whole *bufferedAnswer) {
 	copyHeader(x.writer.Header(), whole.header)
 	x.writer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
 	x.writer.WriteHeader(whole.status)
-	x.isStarted, x.begunAt = true, x.router.now()
+	x.isStarted, x.startedAt = true, x.router.now()
 	_, _ = x.writer.Write(whole.body)
 }
 
-// refuse answers in the router's own name.
+// refuse writes a response of the router itself.
 func refuse(writer http.ResponseWriter, status int, retryAfter time.Duration, message string) {
 	header := writer.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -89,8 +89,8 @@
 	_, _ = io.WriteString(writer, message+"\n")
 }
 
-// copyHeader copies an answer's header. net/http would add a content type that the
-// runner did not give.
+// copyHeader copies a response header. A nil Content-Type keeps net/http from adding one that the
+// runner did not send.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
--- a/request/relay/attempts.go
+++ b/request/relay/attempts.go
@@ -9,18 +9,18 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// noteAttempt counts how an attempt at a runner ended, for the leader, which adds up what all routers
-// saw. The leader hears of failures at once.
-func (r *Router) noteAttempt(runner structs.RunnerID, ended result) {
-	isFailed := ended.isFailureOfRunner()
+// countAttempt counts the outcome of an attempt for the next report to the leader, which sums up
+// all routers. A failure triggers a report at once.
+func (r *Router) countAttempt(runner structs.RunnerID, ended result) {
+	isFailed := ended.isRunnerFailure()
 	if !isFailed && !ended.isServed() {
 		return
 	}
 	r.mutex.Lock()
-	known := r.ended[runner]
+	known := r.attemptCounts[runner]
 	if known == nil {
 		known = &fleet.Attempts{Instance: string(runner)}
-		r.ended[runner] = known
+		r.attemptCounts[runner] = known
 	}
 	if isFailed {
 		known.Failed++
@@ -33,8 +33,8 @@
 	}
 }
 
-// isFailureOfRunner reports whether the runner, or the way to it, failed the attempt.
-func (r result) isFailureOfRunner() bool {
+// isRunnerFailure reports whether the runner or the connection to it failed the attempt.
+func (r result) isRunnerFailure() bool {
 	switch r.reason {
 	case reasonSendFailed, reasonSilent, reasonCutShort, reasonNotSigned:
 		return true
@@ -44,18 +44,18 @@
 	return false
 }
 
-// takeAttempts hands out the counts to report, by instance.
+// takeAttempts returns the counts since the last call, sorted by instance, and resets them.
 func (r *Router) takeAttempts() []fleet.Attempts {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.ended) == 0 {
+	if len(r.attemptCounts) == 0 {
 		return nil
 	}
-	taken := make([]fleet.Attempts, 0, len(r.ended))
-	for _, each := range r.ended {
+	taken := make([]fleet.Attempts, 0, len(r.attemptCounts))
+	for _, each := range r.attemptCounts {
 		taken = append(taken, *each)
 	}
-	clear(r.ended)
+	clear(r.attemptCounts)
 	slices.SortFunc(taken, func(a, b fleet.Attempts) int { return cmp.Compare(a.Instance, b.Instance) })
 	return taken
 }
--- a/request/relay/attempts_test.go
+++ b/request/relay/attempts_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The leader hears of every end that tells something of the runner, and of no other.
-func TestEndsOfAttemptsAreReported(t *testing.T) {
+// Only outcomes that reflect on the runner are reported to the leader.
+func TestAttemptOutcomesAreReported(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		answer           func() (*Answer, error)
@@ -17,7 +17,7 @@
 		{"answered", fine, 1, 0},
 		{"broken", broken, 0, 1},
 		{"failed by the runner", failed, 0, 1},
-		{"refused for want of room", shed, 0, 0},
+		{"rejected at capacity", shed, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/request/relay/budget.go
+++ b/request/relay/budget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RetryRule bounds repeated sendings over all routers: in each window, the Ratio of
-// the requests of a service and Extra more.
+// RetryRule bounds the retries of all routers: in each window, Ratio times the number of requests
+// of a service, plus Extra.
 type RetryRule struct {
 	Ratio  float64
 	Extra  float64
@@ -11,22 +11,22 @@
 }
 
 const (
-	// budgetSlots divide the window.
+	// budgetSlots is the number of slots of the window.
 	budgetSlots = 20
-	// extraShare is the part of Extra that is handed out; the rest is kept for
-	// routers that were not known when it was divided.
+	// extraShare is the fraction of Extra that is distributed. The rest covers routers that the
+	// leader did not count yet.
 	extraShare = 0.8
-	// grantLife is how long a router may use its part of Extra without having heard
-	// how many routers there are.
-	grantLife = 10 * time.Second
+	// routerCountTTL is how long a router may use its share of Extra without an update of the
+	// number of routers.
+	routerCountTTL = 10 * time.Second
 )
 
-// budget is one router's part of a RetryRule for one service. The leader says how
-// many routers there are; it counts one for longer than its grant lives.
+// budget is one router's share of a RetryRule for one service. The leader reports the number of
+// routers and counts each for longer than routerCountTTL.
 type budget struct {
 	rule RetryRule
-	// origin is the first time that was seen. Slots are counted from it by the steady
-	// clock: the time of day may jump.
+	// origin is the time of the first call. Slots are counted from it by the monotonic clock, as
+	// the wall clock may jump.
 	origin  time.Time
 	slots   [budgetSlots + 1]budgetSlot
 	current int64
@@ -37,40 +37,39 @@
 	repeats  int
 }
 
-// grant is what a router last heard of the number of routers.
-type grant struct {
+// routerCount is the number of routers as last reported by the leader.
+type routerCount struct {
 	routers int
 	at      time.Time
 }
 
-// share is the router's part of what is granted to all together.
-func (g grant) share(now time.Time, extra float64) float64 {
-	if g.routers <= 0 || now.Sub(g.at) > grantLife {
+// share returns the router's share of extra, or 0 if the count has expired.
+func (g routerCount) share(now time.Time, extra float64) float64 {
+	if g.routers <= 0 || now.Sub(g.at) > routerCountTTL {
 		return 0
 	}
 	return extra * extraShare / float64(g.routers)
 }
 
-// request counts a request.
-func (b *budget) request(now time.Time) { b.slot(now).requests++ }
+func (b *budget) addRequest(now time.Time) { b.currentSlot(now).requests++ }
 
-// withdraw counts a repeated sending if the budget allows one.
-func (b *budget) withdraw(now time.Time, granted grant) bool {
-	slot := b.slot(now)
+// tryRepeat counts a retry and returns true if the budget allows one.
+func (b *budget) tryRepeat(now time.Time, count routerCount) bool {
+	slot := b.currentSlot(now)
 	requests, repeats := 0, 0
 	for _, each := range b.slots {
 		requests += each.requests
 		repeats += each.repeats
 	}
-	if float64(repeats+1) > b.rule.Ratio*float64(requests)+granted.share(now, b.rule.Extra) {
+	if float64(repeats+1) > b.rule.Ratio*float64(requests)+count.share(now, b.rule.Extra) {
 		return false
 	}
 	slot.repeats++
 	return true
 }
 
-// slot returns the present slot after clearing those that have left the window.
-func (b *budget) slot(now time.Time) *budgetSlot {
+// currentSlot returns the slot of now after clearing those that have left the window.
+func (b *budget) currentSlot(now time.Time) *budgetSlot {
 	width := b.rule.Window / budgetSlots
 	if width <= 0 {
 		width = time.Second
--- a/request/relay/budget_test.go
+++ b/request/relay/budget_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A sum over routers must keep to the rule in each sliding window.
-func TestBudgetsOfAllRoutersTogetherKeepTheRule(t *testing.T) {
+// The retries of all routers must keep to the rule in each sliding window.
+func TestBudgetsOfAllRoutersKeepTheRule(t *testing.T) {
 	const routers = 6
 	rule := RetryRule{Ratio: 0.2, Extra: 52, Window: 10 * time.Second}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -23,10 +23,10 @@
 		now = now.Add(time.Duration(random.IntN(8)) * time.Millisecond)
 		own := &budgets[random.IntN(routers)]
 		if random.IntN(3) == 0 {
-			own.request(now)
+			own.addRequest(now)
 			requests = append(requests, now)
 		}
-		if own.withdraw(now, grant{routers: routers, at: now}) {
+		if own.tryRepeat(now, routerCount{routers: routers, at: now}) {
 			repeats = append(repeats, now)
 		}
 	}
@@ -40,34 +40,34 @@
 	}
 	for at := time.Unix(1000, 0); at.Before(now); at = at.Add(500 * time.Millisecond) {
 		end := at.Add(rule.Window)
-		// The rule counts the requests of this window or of the one before it.
+		// The rule counts the requests of this window or of the previous one.
 		most := max(count(requests, at, end), count(requests, at.Add(-rule.Window), at))
 		qt.Assert(t, float64(count(repeats, at, end)) <= rule.Ratio*float64(most)+rule.Extra, qt.IsTrue)
 	}
 	qt.Assert(t, len(repeats) > 100, qt.IsTrue)
 }
 
-func TestRouterWithoutNewsHasNoPartOfTheExtra(t *testing.T) {
+func TestExtraExpiresWithoutRouterCount(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	own := budget{rule: RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}}
-	granted := grant{routers: 2, at: now}
-	c.Assert(own.withdraw(now.Add(grantLife), granted), qt.IsTrue)
-	c.Assert(own.withdraw(now.Add(grantLife+time.Millisecond), granted), qt.IsFalse)
-	c.Assert(own.withdraw(now, grant{}), qt.IsFalse)
+	granted := routerCount{routers: 2, at: now}
+	c.Assert(own.tryRepeat(now.Add(routerCountTTL), granted), qt.IsTrue)
+	c.Assert(own.tryRepeat(now.Add(routerCountTTL+time.Millisecond), granted), qt.IsFalse)
+	c.Assert(own.tryRepeat(now, routerCount{}), qt.IsFalse)
 }
 
-// On a large site a router's part of the extra is less than one repeat; with its requests
-// it adds up to one.
-func TestSmallPartsOfTheExtraCount(t *testing.T) {
+// With many routers, a router's share of Extra is less than one retry and must add up with its
+// requests.
+func TestFractionsOfExtraAddUp(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	own := budget{rule: RetryRule{Ratio: 0.2, Extra: 52, Window: 10 * time.Second}}
-	granted := grant{routers: 99, at: now}
-	own.request(now)
-	c.Assert(own.withdraw(now, granted), qt.IsFalse)
-	own.request(now)
-	own.request(now)
-	c.Assert(own.withdraw(now, granted), qt.IsTrue)
-	c.Assert(own.withdraw(now, granted), qt.IsFalse)
+	granted := routerCount{routers: 99, at: now}
+	own.addRequest(now)
+	c.Assert(own.tryRepeat(now, granted), qt.IsFalse)
+	own.addRequest(now)
+	own.addRequest(now)
+	c.Assert(own.tryRepeat(now, granted), qt.IsTrue)
+	c.Assert(own.tryRepeat(now, granted), qt.IsFalse)
 }
--- a/request/relay/conclude.go
+++ b/request/relay/conclude.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// giveUp answers a request for which no runner was found in time, after the last attempt
-// if there was one.
+// giveUp answers a request for which no runner was found in time. last is the result of the last
+// attempt, if any.
 func (x *exchange) giveUp(err error, last result) {
-	var comeBack *comeBackError
+	var retry *retryLaterError
 	switch {
-	case errors.As(err, &comeBack) && x.attempts == 0:
-		x.tellToComeBack(comeBack)
+	case errors.As(err, &retry) && x.attempts == 0:
+		x.refuseWithRetryAfter(retry)
 		return
-	case errors.As(err, &comeBack):
+	case errors.As(err, &retry):
 		last.reason, last.err = reasonNoRunner, err
 	case errors.Is(err, errStopped):
 		last.reason, last.err = "router_stops", err
@@ -28,35 +28,35 @@
 	x.conclude(last)
 }
 
-// conclude answers a request after the last attempt.
+// conclude answers a request after its last attempt.
 func (x *exchange) conclude(ended result) {
 	if ended.answer != nil && !x.isStarted {
 		x.logUnserved(ended.reason, ended.err)
-		x.pass(ended.answer)
+		x.sendBuffered(ended.answer)
 		x.count(ended.reason)
 		return
 	}
 	x.fail(ended.reason, ended.err)
 }
 
-// fail answers a request that no runner answered. 503 promises that the request has
-// not run; without that promise it is 502, or 504 when its time is over.
+// fail answers a request that no runner answered. Status 503 promises that the request has not run;
+// otherwise the status is 502, or 504 after the deadline.
 func (x *exchange) fail(reason string, err error) {
 	x.count(reason)
 	x.logUnserved(reason, err)
 	message := "the runner's answer was lost: " + reason
-	retryAfter := retryAfterNow
+	retryAfter := minRetryAfter
 	if x.attempts == 0 {
 		message = "no runner could take the request: " + reason
 		if reason == reasonNoRunner || reason == reasonShed || reason == reasonBudget {
-			retryAfter = x.router.comeBackIn(x.waiting)
+			retryAfter = x.router.retryAfter(x.waiter)
 		}
 	}
 	x.answerUnserved(retryAfter, message)
 }
 
-// answerUnserved answers a request that no runner answered, or breaks off an answer that has begun.
-// Only callers of requests that have not run are told when to come back.
+// answerUnserved answers a request that no runner answered, or aborts a response that has started.
+// Only callers of requests that have not run get a Retry-After.
 func (x *exchange) answerUnserved(retryAfter time.Duration, message string) {
 	switch {
 	case x.isStarted:
--- a/request/relay/deferral.go
+++ b/request/relay/deferral.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// returnShare is the largest part of its time that a caller is asked to stay away.
-	returnShare = 1.0 / 3
-	// returnSlack is added to the time of the forecast, for the way of the news.
-	returnSlack = 150 * time.Millisecond
-	// returnLife is how long after its time a caller that was told to come back is counted
-	// as waiting: a new connection and a late timer fit in.
-	returnLife = 1500 * time.Millisecond
-	// forecastLife is how long a forecast is used for requests that come after it.
-	forecastLife = 700 * time.Millisecond
-	// crowdedMargin of the wait that is expected by the pace of a row must be more than the time that a
-	// request may wait, or else it waits: a pace that fell with runners that were lost comes back with
-	// others. It is looked at when a request comes, and not again: to tell those that wait, when their
-	// chances had become worse, refused up to 3 in 100 that would be served in a play of runners that
-	// crash, and left them too little time for another try.
+	// maxRetryShare is the largest fraction of its remaining time that a caller is asked to wait
+	// before a retry.
+	maxRetryShare = 1.0 / 3
+	// retrySlack is added to a forecast for the delay until routers learn that the model is loaded.
+	retrySlack = 150 * time.Millisecond
+	// retryGrace is how long after its Retry-After a caller still counts as waiting. It covers a
+	// new connection and a late timer.
+	retryGrace = 1500 * time.Millisecond
+	// forecastTTL is how long a forecast is used for new requests.
+	forecastTTL = 700 * time.Millisecond
+	// crowdedMargin times the expected wait must exceed the time that a request may wait for it to
+	// be rejected: a service rate that dropped with the loss of runners recovers when they are
+	// replaced. It is checked on arrival only, as rejecting requests that already wait leaves too
+	// little time for a retry.
 	crowdedMargin float64 = 1 / 1.5
 )
 
-// comeBackReason is why a caller should come back instead of waiting.
-type comeBackReason string
+// retryReason is why a caller is told to retry later.
+type retryReason string
 
 const (
-	// reasonComeBack is that of a model that is being loaded, reasonCrowded that of a row in which
-	// too many wait, reasonResting that of one whose runners all asked for rest.
-	reasonComeBack comeBackReason = "come_back"
-	reasonCrowded  comeBackReason = "crowded"
-	reasonResting  comeBackReason = "resting"
+	// reasonLoading means that the model is being loaded, reasonCrowded that too many requests wait
+	// for the row, and reasonResting that all its runners have asked for a rest period.
+	reasonLoading retryReason = "come_back"
+	reasonCrowded retryReason = "crowded"
+	reasonResting retryReason = "resting"
 )
 
-// message tells the caller the reason.
-func (r comeBackReason) message() string {
+// message returns the text for the caller.
+func (r retryReason) message() string {
 	switch r {
 	case reasonCrowded:
 		return "too many requests wait for the model"
@@ -50,118 +50,117 @@
 	return "the model is being loaded"
 }
 
-// forecast is when the model of a row should be ready, as the leader said at heardAt.
+// forecast is when the leader, heard at heardAt, expects the model of a row to be ready.
 type forecast struct {
 	readyAt time.Time
 	heardAt time.Time
 }
 
-// at is when the model should be ready, and false if nothing was said lately.
+// at returns the forecast, and false if there is none or it has expired.
 func (f *forecast) at(now time.Time) (readyAt time.Time, isKnown bool) {
-	return f.readyAt, !f.heardAt.IsZero() && now.Sub(f.heardAt) <= forecastLife
+	return f.readyAt, !f.heardAt.IsZero() && now.Sub(f.heardAt) <= forecastTTL
 }
 
-// absentee is a caller that was told to come back.
-type absentee struct {
+// deferredCaller is a caller that was told to retry later.
+type deferredCaller struct {
 	since time.Time
-	// until is when it is no longer expected.
+	// until is when the caller is no longer expected.
 	until    time.Time
 	priority int
 }
 
-// deferral decides whether a request whose model should be ready at readyAt is given up at
-// once, and after how long its caller should come back. It waits only as long as the model should
-// be there before the request would be given up anyway: to be held, and then refused, is the
-// worst that can happen to its caller.
+// deferral reports whether a request whose model should be ready at readyAt is rejected at once,
+// and after how long its caller should retry. A request waits only if the model should be ready
+// before until; otherwise it would be held and then rejected anyway.
 func (w *waiter) deferral(now, readyAt time.Time) (time.Duration, bool) {
 	if !w.mayDefer || !readyAt.After(w.until) {
 		return 0, false
 	}
-	return w.comeBackIn(now, readyAt), true
+	return w.retryAfter(now, readyAt), true
 }
 
-// comeBackIn is after how long a caller should come back for a model that should be ready at
-// readyAt: it keeps most of its time for the next try.
-func (w *waiter) comeBackIn(now, readyAt time.Time) time.Duration {
-	return max(0, min(readyAt.Sub(now)+returnSlack, share(w.ticket.Deadline.Sub(now), returnShare)))
+// retryAfter returns after how long a caller should retry for a model that should be ready at
+// readyAt. Most of the caller's time is left for the retry.
+func (w *waiter) retryAfter(now, readyAt time.Time) time.Duration {
+	return max(0, min(readyAt.Sub(now)+retrySlack, fraction(w.ticket.Deadline.Sub(now), maxRetryShare)))
 }
 
-func share(of time.Duration, part float64) time.Duration { return time.Duration(float64(of) * part) }
+func fraction(of time.Duration, part float64) time.Duration { return time.Duration(float64(of) * part) }
 
-// deferNow tells when a request that has just come should come back instead of waiting; nil for one
-// that waits. It runs under the mutex.
-func (r *Router) deferNow(state *rowState, wanted *waiter) *comeBackError {
+// deferNow returns when the caller of a new request should retry, or nil if the request should
+// wait. The caller must hold r.mutex.
+func (r *Router) deferNow(state *rowState, wanted *waiter) *retryLaterError {
 	now := r.now()
-	if comeBack := r.deferCrowded(now, wanted); comeBack != nil {
-		state.expect(now, wanted, comeBack.after)
-		return comeBack
+	if retry := r.deferCrowded(now, wanted); retry != nil {
+		state.addDeferred(now, wanted, retry.after)
+		return retry
 	}
-	comeBack := r.deferral(now, state, wanted)
-	if comeBack == nil {
+	retry := r.deferral(now, state, wanted)
+	if retry == nil {
 		return nil
 	}
 	r.queue.Remove(&wanted.entry)
-	state.expect(now, wanted, comeBack.after)
-	return comeBack
+	state.addDeferred(now, wanted, retry.after)
+	return retry
 }
 
-// deferral is when a caller should come back whose request cannot be served in the time that it may wait; nil if it
-// can, or may, as far as is known. It runs under the mutex.
-func (r *Router) deferral(now time.Time, state *rowState, wanted *waiter) *comeBackError {
+// deferral returns when a request that cannot be served before its wait limit should be retried, or
+// nil if it may be served. The caller must hold r.mutex.
+func (r *Router) deferral(now time.Time, state *rowState, wanted *waiter) *retryLaterError {
 	readyAt, reason, isKnown := r.readyAt(now, state, wanted)
 	if !isKnown {
 		return nil
 	}
 	after, isDeferred := wanted.deferral(now, readyAt)
-	// One that may have run is not told to come back, and does not wait in vain either.
-	isInVain := reason == reasonResting && readyAt.After(wanted.until)
-	if !isDeferred && !isInVain {
+	// A request that may have run must not be told to retry, but waiting would be useless too.
+	isFutile := reason == reasonResting && readyAt.After(wanted.until)
+	if !isDeferred && !isFutile {
 		return nil
 	}
-	return &comeBackError{after: after, reason: reason}
+	return &retryLaterError{after: after, reason: reason}
 }
 
-// readyAt is when there should be a runner for a request that has none, by the leader's forecast and by the rests that
-// runners asked for; false if that is not known. It runs under the mutex.
-func (r *Router) readyAt(now time.Time, state *rowState, wanted *waiter) (at time.Time, reason comeBackReason, isKnown bool) {
+// readyAt returns when a runner should be available for a request, from the leader's forecast and
+// the rest periods of runners, and false if that is not known. The caller must hold r.mutex.
+func (r *Router) readyAt(now time.Time, state *rowState, wanted *waiter) (at time.Time, reason retryReason, isKnown bool) {
 	if state != nil {
 		at, isKnown = state.forecast.at(now)
 	}
 	if until, isResting := r.restsUntil(wanted); isResting && (!isKnown || until.Before(at)) {
 		return until, reasonResting, true
 	}
-	return at, reasonComeBack, isKnown
+	return at, reasonLoading, isKnown
 }
 
-// deferCrowded gives a request up that, by the pace of its row and those that go before it, would
-// still wait when it must be given up. Who is above its share has the most before it, and is hit
-// first. It runs under the mutex.
-func (r *Router) deferCrowded(now time.Time, wanted *waiter) *comeBackError {
+// deferCrowded rejects a request that would reach its wait limit before the requests ahead of it
+// are served at the row's current rate. A tenant above its share has the most requests ahead and is
+// rejected first. The caller must hold r.mutex.
+func (r *Router) deferCrowded(now time.Time, wanted *waiter) *retryLaterError {
 	in, isKnown := r.queue.StartIn(now, &wanted.entry)
 	margin := crowdedMargin
-	if limits := r.limitsOf(wanted.row); limits.isAll() {
-		// This pace fell with nobody's loss, and does not come back with others.
-		in, isKnown, margin = max(in, limits.leastWait(r.queue.Ahead(now, &wanted.entry))), true, 1
+	if limits := r.rowLimitOf(wanted.row); limits.isLimited() {
+		// A rate set by the limits of the runners does not recover when runners are replaced.
+		in, isKnown, margin = max(in, limits.minWait(r.queue.Ahead(now, &wanted.entry))), true, 1
 	}
-	if !wanted.mayDefer || !isKnown || !now.Add(share(in, margin)).After(wanted.until) {
+	if !wanted.mayDefer || !isKnown || !now.Add(fraction(in, margin)).After(wanted.until) {
 		return nil
 	}
 	r.queue.Remove(&wanted.entry)
-	return &comeBackError{after: wanted.comeBackIn(now, now.Add(in)), reason: reasonCrowded}
+	return &retryLaterError{after: wanted.retryAfter(now, now.Add(in)), reason: reasonCrowded}
 }
 
-// expect notes that a caller will come back, if it is told to.
-func (s *rowState) expect(now time.Time, wanted *waiter, after time.Duration) {
+// addDeferred records a caller that is expected to retry, if the request may be deferred.
+func (s *rowState) addDeferred(now time.Time, wanted *waiter, after time.Duration) {
 	if !wanted.mayDefer {
 		return
 	}
-	s.absentees = append(s.absentees, absentee{
-		since: wanted.ticket.Arrived, until: now.Add(after + returnLife), priority: wanted.ticket.Rank,
+	s.deferredCallers = append(s.deferredCallers, deferredCaller{
+		since: wanted.ticket.Arrived, until: now.Add(after + retryGrace), priority: wanted.ticket.Rank,
 	})
 }
 
-// adoptForecasts takes what the leader said about rows that wait, and tells callers for
-// which that is better to come back.
+// adoptForecasts stores the leader's forecasts and defers the waiting requests that cannot be
+// served in time.
 func (r *Router) adoptForecasts(forecasts []residency.Forecast) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -176,24 +175,24 @@
 	}
 }
 
-// deferWaiters tells those callers of a row to come back for whom that is better than to wait. It
-// runs under the mutex.
+// deferWaiters defers those waiting requests of a row that cannot be served in time. The caller
+// must hold r.mutex.
 func (r *Router) deferWaiters(now time.Time, state *rowState) {
 	var leaving []*waiter
-	var comeBacks []*comeBackError
+	var retries []*retryLaterError
 	state.eachWaiter(func(entry *fairqueue.Entry[*waiter]) {
-		if comeBack := r.deferral(now, state, entry.Value); comeBack != nil {
-			leaving, comeBacks = append(leaving, entry.Value), append(comeBacks, comeBack)
+		if retry := r.deferral(now, state, entry.Value); retry != nil {
+			leaving, retries = append(leaving, entry.Value), append(retries, retry)
 		}
 	})
 	for i, wanted := range leaving {
 		r.queue.Remove(&wanted.entry)
-		state.expect(now, wanted, comeBacks[i].after)
-		wanted.deferred <- comeBacks[i]
+		state.addDeferred(now, wanted, retries[i].after)
+		wanted.deferred <- retries[i]
 	}
 }
 
-// deferAll does the same for the callers of all rows. It runs under the mutex.
+// deferAll calls deferWaiters for all rows. The caller must hold r.mutex.
 func (r *Router) deferAll() {
 	now := r.now()
 	for _, state := range r.rows {
@@ -203,34 +202,34 @@
 	}
 }
 
-// comeBackIn is after how long the caller of a request that was given up should come back:
-// when its model should be ready, as far as that is known.
-func (r *Router) comeBackIn(wanted *waiter) time.Duration {
+// retryAfter returns after how long the caller of an abandoned request should retry: when its model
+// should be ready, if that is known.
+func (r *Router) retryAfter(wanted *waiter) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
-	if r.isCutOff(now, rowName(wanted.row)) {
-		return max(retryAfterNow, share(wanted.ticket.Deadline.Sub(now), returnShare))
+	if r.isPartitioned(now, rowName(wanted.row)) {
+		return max(minRetryAfter, fraction(wanted.ticket.Deadline.Sub(now), maxRetryShare))
 	}
 	state := r.rows[wanted.row]
-	if limits := r.limitsOf(wanted.row); state != nil && limits.isAll() {
-		return max(retryAfterNow, wanted.comeBackIn(now, now.Add(limits.timeFor(state.waiting()+1))))
+	if limits := r.rowLimitOf(wanted.row); state != nil && limits.isLimited() {
+		return max(minRetryAfter, wanted.retryAfter(now, now.Add(limits.timeFor(state.waiting()+1))))
 	}
 	readyAt, _, isKnown := r.readyAt(now, state, wanted)
 	if !isKnown {
-		return retryAfterNow
+		return minRetryAfter
 	}
-	return max(retryAfterNow, wanted.comeBackIn(now, readyAt))
+	return max(minRetryAfter, wanted.retryAfter(now, readyAt))
 }
 
-// tellToComeBack answers a request that has not been sent to any runner.
-func (x *exchange) tellToComeBack(comeBack *comeBackError) {
-	x.count(string(comeBack.reason))
+// refuseWithRetryAfter answers a request that was not sent to any runner.
+func (x *exchange) refuseWithRetryAfter(retry *retryLaterError) {
+	x.count(string(retry.reason))
 	if x.tenant != nil {
-		x.router.metrics.tenant(x.tenantName(), string(comeBack.reason))
+		x.router.metrics.tenant(x.tenantName(), string(retry.reason))
 	}
 	level.Info(x.router.logger).Log("msg", "A request was told to come back.", "request", x.request.ID,
-		"route", x.route.Name, "model", x.row.Model, "adapter", x.row.Adapter, "tenant", x.tenantName(), "outcome", string(comeBack.reason),
-		"after", comeBack.after, "age", x.router.age(x.request), "version", x.version)
-	refuse(x.writer, http.StatusServiceUnavailable, comeBack.after, comeBack.reason.message())
+		"route", x.route.Name, "model", x.row.Model, "adapter", x.row.Adapter, "tenant", x.tenantName(), "outcome", string(retry.reason),
+		"after", retry.after, "age", x.router.age(x.request), "version", x.version)
+	refuse(x.writer, http.StatusServiceUnavailable, retry.after, retry.reason.message())
 }
--- a/request/relay/connects.go
+++ b/request/relay/dialer.go
@@ -14,9 +14,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Connects dials runners. How long a connect may take is learned for each zone, so that one that is
-// lost costs tens of milliseconds and not the half second that an unknown network is given. Make one
-// with NewConnects; it is safe for concurrent use.
+// Connects dials runners. It learns the connect timeout of each zone, so that a lost connect costs
+// tens of milliseconds rather than the default of half a second. Create one with NewConnects. It is
+// safe for concurrent use.
 type Connects struct {
 	network network.Network
 
@@ -27,7 +27,7 @@
 
 var _ network.Network = (*Connects)(nil)
 
-// NewConnects makes Connects over a network that know no runner's zone yet.
+// NewConnects returns a Connects over the given network that knows the zone of no runner yet.
 func NewConnects(over network.Network) *Connects { return &Connects{network: over} }
 
 // Listen implements network.Network.
@@ -35,7 +35,7 @@
 	return c.network.Listen(ctx, address)
 }
 
-// DialContext implements network.Network. It gives up after the timeout of the address.
+// DialContext implements network.Network. It applies the timeout of the address's zone.
 func (c *Connects) DialContext(ctx context.Context, protocol, address string) (net.Conn, error) {
 	return c.dialWithin(ctx, protocol, address, c.timeout(address))
 }
@@ -47,7 +47,7 @@
 	conn, err := c.network.DialContext(ctx, protocol, address)
 	switch {
 	case err == nil:
-		c.observe(address, clock.Now().Sub(began))
+		c.observeConnect(address, clock.Now().Sub(began))
 	case parent.Err() == nil && isTimeout(err):
 		c.observeTimeout(address)
 	}
@@ -58,11 +58,11 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// lateFactor times its timeout is after how long a connect that failed tells nothing of the runner:
-// the process itself was held up, and the timeout went off before the answer was looked at.
+// lateFactor times the timeout is the time after which a failed connect says nothing about the
+// runner, because the process itself was delayed.
 const lateFactor = 1.5
 
-// probe connects to a runner and hangs up at once.
+// probe connects to a runner and closes the connection at once.
 func (c *Connects) probe(ctx context.Context, address string) zonewatch.Outcome {
 	began := clock.Now()
 	timeout := c.timeout(address)
@@ -71,7 +71,7 @@
 	case err == nil:
 		_ = conn.Close()
 		return zonewatch.OutcomeAnswered
-	case ctx.Err() != nil || clock.Now().Sub(began) > share(timeout, lateFactor):
+	case ctx.Err() != nil || clock.Now().Sub(began) > fraction(timeout, lateFactor):
 		return zonewatch.OutcomeUnknown
 	case isTimeout(err):
 		return zonewatch.OutcomeFailed
@@ -79,7 +79,7 @@
 	return zonewatch.OutcomeRefused
 }
 
-// setZone adopts in which zone an address is.
+// setZone sets the zone of an address.
 func (c *Connects) setZone(address string, zone structs.ZoneID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -89,7 +89,7 @@
 	c.zones[address] = zone
 }
 
-// forget drops the zone of an address at which there is no runner any more.
+// forget drops the zone of an address that no runner uses any more.
 func (c *Connects) forget(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -102,7 +102,7 @@
 	return c.times.Timeout(c.zones[address])
 }
 
-func (c *Connects) observe(address string, took time.Duration) {
+func (c *Connects) observeConnect(address string, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if zone := c.zones[address]; zone != "" {
@@ -118,16 +118,16 @@
 	}
 }
 
-// isUnmeasured reports whether too little is known of connects to a zone.
+// isUnmeasured reports whether too few connects to a zone were measured.
 func (c *Connects) isUnmeasured(zone structs.ZoneID) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.times.IsMeasured(zone)
 }
 
-// ways returns how much longer than to a runner of the own zone the way to one of each other zone is,
-// there and back, as connects show; zones of which too little is known are left out.
-func (c *Connects) ways(own structs.ZoneID) map[structs.ZoneID]time.Duration {
+// extraLatencies returns how much longer a round trip to each other zone takes than one within own.
+// Zones with too few measurements are left out.
+func (c *Connects) extraLatencies(own structs.ZoneID) map[structs.ZoneID]time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	near := c.times.Mean(own)
--- a/request/relay/connects_test.go
+++ b/request/relay/dialer_test.go
@@ -12,26 +12,25 @@
 	"github.com/lotusferry/lotusferry/internal/pause"
 )
 
-// slowNetwork is a network on which a connect takes so long.
+// slowNetwork is a network on which connects take the given time.
 type slowNetwork struct {
-	cutNetwork
-	takes time.Duration
+	partitionedNetwork
+	delay time.Duration
 }
 
 func (n *slowNetwork) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
-	if !pause.For(ctx, n.takes) {
+	if !pause.For(ctx, n.delay) {
 		return nil, ctx.Err()
 	}
 	conn, other := net.Pipe()
 	return conn, other.Close()
 }
 
-// A way that turns slower than what a connect was given until then is still learned: else no runner of
-// the zone could be connected to for as long as the way stays slow.
-func TestConnectsFollowAWayThatTurnsSlow(t *testing.T) {
+// A zone whose latency rises above the learned timeout must not stay unreachable.
+func TestConnectTimeoutAdaptsToSlowerZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		network := &slowNetwork{takes: 2 * time.Millisecond}
+		network := &slowNetwork{delay: 2 * time.Millisecond}
 		connects := NewConnects(network)
 		connects.setZone("b0", "b")
 		dial := func() bool {
@@ -44,7 +43,7 @@
 		for range 20 {
 			c.Assert(dial(), qt.IsTrue)
 		}
-		network.takes = 200 * time.Millisecond
+		network.delay = 200 * time.Millisecond
 		c.Assert(dial(), qt.IsFalse)
 		missed := 1
 		for missed < 10 && !dial() {
--- a/request/relay/doc.go
+++ b/request/relay/doc.go
@@ -1,10 +1,9 @@
-// Package relay runs a router of a placement domain: it takes callers' requests,
-// finds the route and a runner for each, passes the request on and its answer back,
-// and tries again elsewhere where that is safe.
+// Package relay implements the request router of a placement domain. It admits a request, selects a
+// route and a runner, forwards the request, streams back the response, and retries on another
+// runner where that is safe.
 //
-// A Router works by the newest view that a leader of the controllers gave it, also
-// while no leader can be reached, and never goes back to an older document. It gives
-// up on a request at once when it cannot be served in time, and says when to come
-// back. It tells a caller that a request did not run only if a runner said so or the
-// request was never sent.
+// A Router uses the latest view received from a leader of the controllers, keeps using it while no
+// leader is reachable, and never reverts to an older document. A request that cannot be served
+// before its deadline is rejected at once with a Retry-After. A caller is told that its request did
+// not run only if a runner said so or the request was never sent.
 package relay
--- a/request/relay/event.go
+++ b/request/relay/event.go
@@ -5,16 +5,16 @@
 	"strconv"
 )
 
-// eventSplitter cuts a stream into whole events.
+// eventSplitter splits a byte stream into server-sent events.
 type eventSplitter struct{ rest []byte }
 
 var eventEnds = [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")}
 
-// add takes more bytes of the stream.
+// add appends bytes of the stream.
 func (s *eventSplitter) add(more []byte) { s.rest = append(s.rest, more...) }
 
-// next returns the next whole event with its end, or nil. The slice is valid until
-// the next add.
+// next returns the next complete event with its terminator, or nil. The slice is valid until the
+// next call of add.
 func (s *eventSplitter) next() []byte {
 	end := -1
 	for _, mark := range eventEnds {
@@ -30,10 +30,10 @@
 	return event
 }
 
-// isEmpty reports whether nothing is left of an event that is not whole.
+// isEmpty reports whether no incomplete event is left.
 func (s *eventSplitter) isEmpty() bool { return len(bytes.TrimSpace(s.rest)) == 0 }
 
-// eventID returns the number of an event, or false if it has none.
+// eventID returns the ID of an event, and false if it has no valid one.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		value, found := bytes.CutPrefix(line, []byte("id:"))
--- a/request/relay/exchange.go
+++ b/request/relay/exchange.go
@@ -16,59 +16,58 @@
 )
 
 const (
-	// minAttemptTime is the least time with which an attempt is sent.
+	// minAttemptTime is the least remaining time with which another attempt is made.
 	minAttemptTime = 20 * time.Millisecond
-	// lastAnswerTime is kept of the time that a runner is given, so that it says itself
-	// when the time is over: an attempt that is given up costs its connection. It is at
-	// most a lastAnswerShare of the time that is left.
+	// lastAnswerTime is subtracted from the time given to a runner, at most one lastAnswerShare-th
+	// of what is left. The runner then reports the timeout itself, and the connection can be kept.
 	lastAnswerTime  = 20 * time.Millisecond
 	lastAnswerShare = 10
-	// maxBuffered bounds an answer that is read whole before its head is sent.
+	// maxBuffered bounds the bytes of a response that are read before its header is sent.
 	maxBuffered = 1 << 20
-	// retryAfterNow is told to callers of requests that another try may serve.
-	retryAfterNow = 200 * time.Millisecond
-	// maxRefusals bounds the runners that may refuse one request.
+	// minRetryAfter is the least Retry-After given to a caller.
+	minRetryAfter = 200 * time.Millisecond
+	// maxRefusals bounds the runners that may reject one request.
 	maxRefusals = 3
-	// maxUnsent bounds the runners that one request finds nobody at. When a zone is lost, a request may
-	// meet several of its runners before the zone is found to be out of reach; each costs it a connect.
+	// maxUnsent bounds the failed connects of one request. It may meet several runners of an
+	// unreachable zone before the loss of the zone is detected.
 	maxUnsent = 6
-	// silenceFactor times the objective is how long a runner may be silent before a
-	// request that may be repeated is sent elsewhere.
+	// silenceFactor times the route's objective is how long a runner may send nothing before a
+	// repeatable request is sent to another one.
 	silenceFactor      = 3
 	minSilence         = 400 * time.Millisecond
 	streamSilenceFloor = 1200 * time.Millisecond
-	// streamSilencePauses times the longest pause is the same for streams.
+	// streamSilencePauses times the route's longest pause is the limit for streams.
 	streamSilencePauses = 4
 )
 
 const (
-	// reasonNoRunner is that of a request for which no runner was found in time.
+	// reasonNoRunner means that no runner was found in time.
 	reasonNoRunner = "no_runner"
-	// reasonSilent is that of an attempt at a runner that said nothing for too long, and
-	// reasonSendFailed that of one for which there was no connection, or which broke.
+	// reasonSilent means that the runner sent nothing for too long, reasonSendFailed that
+	// connecting failed or the connection broke.
 	reasonSilent     = "silent"
 	reasonSendFailed = "send_failed"
-	// reasonNotHeld is that of a runner that does not hold what the request needs, and reasonShed
-	// that of one that is full.
+	// reasonNotHeld means that the runner does not hold the model, reasonShed that it is at
+	// capacity.
 	reasonNotHeld = "not_held"
 	reasonShed    = "shed"
-	// reasonBudget is that of a request for which the retry budget had no second sending.
+	// reasonBudget means that the retry budget was exhausted.
 	reasonBudget = "retry_budget"
-	// reasonNotSigned is that of an answer without the runner's signature, and reasonRunnerFailed that
-	// of a failure that the runner itself told of.
+	// reasonNotSigned means that the response lacks the runner's signature, reasonRunnerFailed that
+	// the runner itself reported a failure.
 	reasonNotSigned    = "not_signed"
 	reasonRunnerFailed = "runner_failed"
-	// reasonCutShort is that of an answer that broke off.
+	// reasonCutShort means that the response was truncated.
 	reasonCutShort = "cut_short"
 )
 
-// errTimeout is the cause of ending a request whose time is over.
-var errTimeout = errors.New("the time of the request is over")
+// errTimeout is the cancellation cause after a request's deadline.
+var errTimeout = errors.New("request deadline exceeded")
 
-// errStopped is the cause of ending what is left when a router stops.
-var errStopped = errors.New("the router stops")
+// errStopped is the cancellation cause of requests in progress when the router shuts down.
+var errStopped = errors.New("the router is shutting down")
 
-// exchange is one request on its way.
+// exchange is the state of one request in progress.
 type exchange struct {
 	router  *Router
 	request *Request
@@ -76,52 +75,52 @@
 	row     residency.Row
 	version uint64
 	writer  http.ResponseWriter
-	// tenant is whose key the caller holds; nil for none. priority is its rank.
+	// tenant is the caller's tenant, or nil. priority is its rank.
 	tenant   *site.Tenant
 	ticket   waiting.Ticket
 	priority int
-	// home is where the request may be served; nil for anywhere.
-	home *home
-	// hidesKey is set if the document has tenants, so that keys go no further.
+	// regions limits where the request may be served; nil for anywhere.
+	regions *regionLimit
+	// hidesKey is set if the document has tenants, so that API keys are not forwarded.
 	hidesKey bool
-	// attempts counts the runners that may have run the request, refusals those that
-	// said that they did not.
+	// attempts counts the runners that may have run the request, refusals those that reported that
+	// they did not.
 	attempts int
 	refusals int
-	// unsent counts the runners that could not be connected to.
+	// unsent counts failed connects.
 	unsent int
-	// sent counts all sendings, and arrivals those of which a runner may have got something:
-	// only what comes on top of these are repeated sendings.
+	// sent counts all sends, arrivals those of which a runner may have received something. Only
+	// sends after the first arrival are retries.
 	sent     int
 	arrivals int
 	prefixes []uint64
-	// avoid is the runner that had the request last, barred one that has turned it away twice
-	// and gets it no more.
+	// avoid is the runner of the last attempt, barred one that rejected the request twice and is
+	// not tried again.
 	avoid  structs.RunnerID
 	barred structs.RunnerID
-	// turnedAway are the runners that have turned it away, maxRefusals at most.
-	turnedAway []structs.RunnerID
-	// digest names what the request asks for, whoever brings it.
+	// rejectedBy lists the runners that rejected the request, at most maxRefusals.
+	rejectedBy []structs.RunnerID
+	// digest identifies the content of the request.
 	digest poison.Digest
-	// asker names the request to the leader once it has asked for permission to run.
-	asker string
-	// isStarted is set once the head of the answer has been sent.
+	// trialID identifies the request to the leader once it has asked for permission to run.
+	trialID string
+	// isStarted is set once the response header has been sent.
 	isStarted bool
-	// lastEvent is the last event that the caller has.
+	// lastEvent is the ID of the last event that the caller received.
 	lastEvent int64
 	deadline  time.Time
-	// waiting is the request as it last asked for a runner.
-	waiting *waiter
-	// waited is how long the request waited for runners, and begunAt when the head of
-	// its answer was sent.
-	waited  time.Duration
-	begunAt time.Time
-	// seen is what was seen of the stream of the answer.
-	seen streamTiming
+	// waiter is the request's latest entry in the queue.
+	waiter *waiter
+	// waited is the total time spent waiting for runners, startedAt the time at which the response
+	// header was sent.
+	waited    time.Duration
+	startedAt time.Time
+	// timing records the timing of a streamed response.
+	timing streamTiming
 }
 
-// Serve answers a request. It panics with http.ErrAbortHandler when an answer that
-// has begun cannot be finished, so that it does not look whole.
+// Serve handles a request. It panics with http.ErrAbortHandler if a response that has started
+// cannot be completed, so that it is not mistaken for a complete one.
 func (r *Router) Serve(writer http.ResponseWriter, request *Request) {
 	r.metrics.inFlight.Inc()
 	defer r.metrics.inFlight.Dec()
@@ -129,7 +128,7 @@
 	if index == nil {
 		r.metrics.requests.WithLabelValues(kindName(0), "no_document").Inc()
 		r.log(request, 0, "no_document", nil)
-		refuse(writer, http.StatusServiceUnavailable, retryAfterNow, "no document is known yet")
+		refuse(writer, http.StatusServiceUnavailable, minRetryAfter, "no document is known yet")
 		return
 	}
 	route := index.Route(request.HTTP.Host, request.HTTP.URL.EscapedPath())
@@ -153,8 +152,8 @@
 	x := &exchange{
 		router: r, request: request, route: route, version: index.Document.Version, writer: writer,
 		tenant: tenant, ticket: ticket, priority: ticket.Rank, deadline: ticket.Deadline, digest: digest,
-		hidesKey: index.Document.RequiresKeys, row: residency.Row{Service: route.Pick(r.point())}, lastEvent: request.ResumeAfter,
-		home: homeOf(route, tenant, r.options.Regions),
+		hidesKey: index.Document.RequiresKeys, row: residency.Row{Service: route.Pick(r.randomFraction())}, lastEvent: request.ResumeAfter,
+		regions: regionLimitOf(route, tenant, r.options.Regions),
 	}
 	service := index.Service(x.row.Service)
 	if service.Engine != nil {
@@ -166,12 +165,12 @@
 			r.refund(counted)
 		}
 	}()
-	if permission, refusedFor := r.standing(x.digest); permission == poison.Refused {
-		x.refuseSuspect(permit{permission: permission, comeBackIn: refusedFor}, result{})
+	if permission, refusedFor := r.localPermission(x.digest); permission == poison.Refused {
+		x.refuseSuspect(permit{permission: permission, retryAfter: refusedFor}, result{})
 		return
 	}
 	if !x.hasRunners() {
-		x.refuseHomeless()
+		x.refuseNoRegion()
 		return
 	}
 	r.countRequest(x.row, route.Objective)
@@ -183,7 +182,7 @@
 	x.run(ctx)
 }
 
-// deadlineOf is when the time of a request on a route is over.
+// deadlineOf returns the deadline of a request on a route.
 func deadlineOf(request *Request, route *site.Route) time.Time {
 	if request.Wait > 0 && request.Wait < route.Timeout {
 		return request.Arrived.Add(request.Wait)
@@ -191,15 +190,15 @@
 	return request.Arrived.Add(route.Timeout)
 }
 
-// firstDocumentWait is how long a request waits for the first document after the start
-// of a router, at most; firstDocumentShare is the part of its own time that it waits.
+// firstDocumentWait bounds how long a request waits for the first document after the router starts,
+// firstDocumentShare the fraction of its own time.
 const (
 	firstDocumentWait  = 2 * time.Second
 	firstDocumentShare = 0.6
 )
 
-// awaitIndex returns the index of the document in force. Just after its start a router
-// waits a little for the first.
+// awaitIndex returns the index of the current document. It waits for the first document for a
+// limited time and may return nil.
 func (r *Router) awaitIndex(request *Request) *site.Index {
 	if index := r.index.Load(); index != nil {
 		return index
@@ -218,11 +217,11 @@
 	return r.index.Load()
 }
 
-// run tries runners until one has answered or no other may be tried.
+// run tries runners until one has answered or no further attempt is allowed.
 func (x *exchange) run(ctx context.Context) {
 	var last result
 	for {
-		choice, given, err := x.acquireTurn(ctx)
+		choice, given, err := x.acquireRunner(ctx)
 		switch {
 		case err != nil:
 			x.giveUp(err, last)
@@ -231,25 +230,25 @@
 			x.refuseSuspect(given, last)
 			return
 		case x.arrivals > 0 && !x.router.mayRepeat(x.row.Service):
-			x.giveTurnBack(choice, given)
+			x.releaseRunner(choice, given)
 			last.reason = reasonBudget
 			x.conclude(last)
 			return
 		}
 		last = x.attempt(ctx, choice)
-		x.noteEnd(choice.Runner(), given.isTrial(), last)
+		x.reportEnd(choice.Runner(), given.isTrial(), last)
 		x.router.metrics.attempts.WithLabelValues(last.name()).Inc()
 		x.router.release(x.row, choice, last.outcome)
-		x.router.noteAttempt(choice.Runner(), last)
+		x.router.countAttempt(choice.Runner(), last)
 		if last.isNotRun {
-			x.router.notServed(x.ticket)
+			x.router.refundWork(x.ticket)
 		}
 		if last.isUnreachable() {
-			x.router.complain(choice.Runner())
+			x.router.noteUnreachable(choice.Runner())
 		}
 		if last.isDone {
 			x.count(last.name())
-			x.notePace(last)
+			x.reportPace(last)
 			x.logServed(choice, last)
 			return
 		}
@@ -272,19 +271,19 @@
 	return x.route.MayRepeat() && x.attempts < max(1, x.route.MaxAttempts)
 }
 
-// attempt sends the request to a runner and passes its answer on.
+// attempt sends the request to a runner and forwards its response.
 func (x *exchange) attempt(parent context.Context, choice routing.Choice) result {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
 	watchdog := x.watch(choice, cancel)
 	defer watchdog.stop()
-	defer x.router.noteSent(choice, watchdog)()
+	defer x.router.beginAttempt(choice, watchdog)()
 	if errors.Is(context.Cause(ctx), errUnwanted) {
 		return x.sendFailed(ctx, choice, ErrNotSent)
 	}
 	x.sent++
 	sent := x.router.now()
-	x.seen.sent(choice.Runner())
+	x.timing.noteSent(choice.Runner())
 	answer, err := x.router.options.Backend.Send(ctx, &Attempt{
 		Request: x.request, Instance: string(choice.Runner()), Address: choice.Address(), Service: x.row.Service,
 		Wait: x.runnerTime(), Priority: x.priority, ResumeAfter: x.lastEvent,
@@ -294,8 +293,8 @@
 		return x.sendFailed(ctx, choice, err)
 	}
 	x.arrivals++
-	x.router.hear(choice, sent, answer)
-	watchdog.heardNow()
+	x.router.observeAnswer(choice, sent, answer)
+	watchdog.resetSilence()
 	defer answer.Body.Close()
 	ended := x.receive(ctx, choice, answer, watchdog)
 	if ended.reason != "" || x.sent > 1 {
@@ -304,7 +303,7 @@
 	return ended
 }
 
-// tenantName names the tenant, or nobody.
+// tenantName returns the tenant's name, or "".
 func (x *exchange) tenantName() string {
 	if x.tenant == nil {
 		return ""
@@ -312,10 +311,10 @@
 	return x.tenant.Name
 }
 
-// timeLeft is how much of the time of the request is left.
+// timeLeft returns the time until the deadline.
 func (x *exchange) timeLeft() time.Duration { return x.deadline.Sub(x.router.now()) }
 
-// runnerTime is the time that a runner is given.
+// runnerTime returns the time given to a runner.
 func (x *exchange) runnerTime() time.Duration {
 	left := x.timeLeft()
 	return left - min(lastAnswerTime, left/lastAnswerShare)
@@ -336,14 +335,14 @@
 		x.arrivals++
 	}
 	if ctx.Err() != nil {
-		ended = x.ended(ctx, ended)
+		ended = x.contextResult(ctx, ended)
 	}
 	x.logAttempt(choice, 0, ended)
 	return ended
 }
 
-// ended says why the context of an attempt ended.
-func (x *exchange) ended(ctx context.Context, ended result) result {
+// contextResult adds to a result the reason why the attempt's context ended.
+func (x *exchange) contextResult(ctx context.Context, ended result) result {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, errSilent):
@@ -367,30 +366,30 @@
 	return ended
 }
 
-// receive reads the answer and passes it on, if it is one to pass on.
+// receive reads a response and forwards it if it is final.
 func (x *exchange) receive(ctx context.Context, choice routing.Choice, answer *Answer, watchdog *watchdog) result {
 	switch {
 	case answer.NotHeld:
 		x.refusals++
-		x.router.doubt(choice.Runner(), x.row)
+		x.router.noteNotHeld(choice.Runner(), x.row)
 		return result{outcome: routing.OutcomeRefused, isNotRun: true, reason: reasonNotHeld}
 	case answer.NotRun:
 		x.refusals++
-		x.noteTurnedAway(choice.Runner())
+		x.noteRejection(choice.Runner())
 		return result{outcome: routing.OutcomeTurnedAway, isNotRun: true, reason: reasonShed}
 	}
 	x.attempts++
 	if answer.IsStream && answer.Status == http.StatusOK {
 		return x.relayStream(ctx, answer, watchdog)
 	}
-	return x.relayWhole(ctx, answer, watchdog)
+	return x.relayBuffered(ctx, answer, watchdog)
 }
 
-// noteTurnedAway notes that a runner is full or unloads what the request needs. A runner that
-// does so again after its rest is not asked a third time.
-func (x *exchange) noteTurnedAway(runner structs.RunnerID) {
-	if slices.Contains(x.turnedAway, runner) {
+// noteRejection records that a runner rejected the request. A runner that rejects it a second time
+// is barred.
+func (x *exchange) noteRejection(runner structs.RunnerID) {
+	if slices.Contains(x.rejectedBy, runner) {
 		x.barred = runner
 	}
-	x.turnedAway = append(x.turnedAway, runner)
+	x.rejectedBy = append(x.rejectedBy, runner)
 }
--- a/request/relay/exchangelog.go
+++ b/request/relay/exchangelog.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/request/routing"
 )
 
-// name is the outcome of the attempt in metrics.
+// name returns the outcome of the attempt for metrics.
 func (r result) name() string {
 	if r.reason == "" {
 		return "answered"
@@ -15,7 +15,7 @@
 	return r.reason
 }
 
-// count counts the request with its outcome.
+// count updates the metrics of a finished request.
 func (x *exchange) count(outcome string) {
 	kind := kindName(x.route.Kind)
 	x.router.metrics.requests.WithLabelValues(kind, outcome).Inc()
@@ -24,28 +24,28 @@
 		x.router.metrics.unserved.WithLabelValues(kind).Observe(x.router.age(x.request).Seconds())
 	}
 	if x.isStarted {
-		x.router.metrics.first.WithLabelValues(kind).Observe(x.begunAt.Sub(x.request.Arrived).Seconds())
+		x.router.metrics.first.WithLabelValues(kind).Observe(x.startedAt.Sub(x.request.Arrived).Seconds())
 	}
 }
 
-// log tells of a request that no runner served, with more fields where there are.
+// log logs a request that no runner served, with additional fields.
 func (r *Router) log(request *Request, version uint64, outcome string, err error, more ...any) {
 	level.Info(r.logger).Log(append([]any{"msg", "A request was answered without a runner's success.", "request", request.ID,
 		"host", request.HTTP.Host, "path", request.HTTP.URL.Path, "model", request.Model, "adapter", request.Adapter, "version", version,
 		"age", r.age(request), "outcome", outcome, "err", err}, more...)...)
 }
 
-// logUnserved tells of the exchange's request, which no runner served.
+// logUnserved logs that no runner served the request.
 func (x *exchange) logUnserved(outcome string, err error) {
 	x.router.log(x.request, x.version, outcome, err, "content", x.digest)
 }
 
-// logServed logs a request that was answered: always when the answer was late or took
-// more than one sending, and else one in so many, by the request's ID.
+// logServed logs an answered request: always if the response was late or took more than one send,
+// otherwise a sample chosen by request ID.
 func (x *exchange) logServed(choice routing.Choice, ended result) {
-	first := x.begunAt.Sub(x.request.Arrived)
+	first := x.startedAt.Sub(x.request.Arrived)
 	isLate := x.isStarted && x.route.Objective > 0 && first > x.route.Objective ||
-		x.route.MaxPause > 0 && x.seen.pause > x.route.MaxPause
+		x.route.MaxPause > 0 && x.timing.pause > x.route.MaxPause
 	if isLate {
 		x.router.metrics.late.WithLabelValues(kindName(x.route.Kind)).Inc()
 	}
@@ -54,10 +54,10 @@
 	}
 	level.Info(x.router.logger).Log("msg", "A request was answered.", "request", x.request.ID, "content", x.digest, "route", x.route.Name,
 		"runner", choice.Runner(), "model", x.row.Model, "adapter", x.row.Adapter, "late", isLate, "first", first, "expected", choice.Expected(),
-		"waited", x.waited, "pause", x.seen.pause, "sent", x.sent, "age", x.router.age(x.request), "version", x.version, "outcome", ended.reason)
+		"waited", x.waited, "pause", x.timing.pause, "sent", x.sent, "age", x.router.age(x.request), "version", x.version, "outcome", ended.reason)
 }
 
-// servedLogSample is how many ordinary answers one line stands for.
+// servedLogSample is the sampling interval of ordinary responses in the log.
 const servedLogSample = 16
 
 func (x *exchange) logAttempt(choice routing.Choice, status int, ended result) {
--- a/request/relay/failure_test.go
+++ b/request/relay/failure_test.go
@@ -12,13 +12,13 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// A runner's failure is passed on as it was when no other runner may or can be tried.
-func TestFailureOfTheLastRunnerIsPassedOn(t *testing.T) {
+// An error response must be forwarded unchanged if no other runner may or can be tried.
+func TestFailureOfLastRunnerIsForwarded(t *testing.T) {
 	for name, prepare := range map[string]func(router *Router){
 		"no budget left": func(router *Router) {
 			router.mutex.Lock()
 			defer router.mutex.Unlock()
-			router.granted = grant{}
+			router.routerCount = routerCount{}
 		},
 		"no runner left": func(router *Router) { router.adoptView(fleet.View{Complete: true}) },
 	} {
@@ -41,15 +41,14 @@
 	}
 }
 
-// A runner that is told how much time there is says itself when it is over: the
-// connection to it stays.
-func TestRunnerSaysThatTheTimeIsOver(t *testing.T) {
+// A runner that reports the timeout itself keeps its connection open.
+func TestTimeoutReportedByRunnerIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTestRouter(func(ctx context.Context, attempt *Attempt) (*Answer, error) {
 			select {
 			case <-time.After(attempt.Wait + 5*time.Millisecond):
-				return whole(http.StatusGatewayTimeout, "over")
+				return newAnswer(http.StatusGatewayTimeout, "over")
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -63,9 +62,9 @@
 	})
 }
 
-// What never reached a runner is not repeated when it is sent elsewhere, so that it needs
-// nothing of the budget for that.
-func TestOnlyWhatArrivedIsRepeated(t *testing.T) {
+// A request that never reached a runner must not use the retry budget when it is sent to another
+// one.
+func TestOnlyReceivedRequestsUseRetryBudget(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		first  func() (*Answer, error)
@@ -79,7 +78,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				router, _ := newTestRouter(firstThen(test.first, fine))
-				router.granted = grant{}
+				router.routerCount = routerCount{}
 				recorder, _ := ask(router, t.Context(), "/again/x", "")
 				c.Assert(recorder.Code, qt.Equals, test.status)
 			})
--- a/request/relay/fleet_test.go
+++ b/request/relay/fleet_test.go
@@ -35,35 +35,34 @@
 	testRouters     = 4
 	testRunners     = 6
 	testControllers = 3
-	// heartbeatPause separates the heartbeats of a runner, restartTime its end and the start
-	// of the next at its address.
+	// heartbeatPause is the interval between heartbeats of a runner, restartTime the time from its
+	// end to the start of the next one at its address.
 	heartbeatPause = time.Second
 	restartTime    = 3 * time.Second
-	// workTime is how long a request runs, and poisonTime after how long one that crashes
-	// its runner does.
+	// workTime is the run time of a request, poisonTime the time after which a poison request
+	// crashes its runner.
 	workTime   = 250 * time.Millisecond
 	poisonTime = 80 * time.Millisecond
-	// testColdRate is how many requests a second a cold runner bears.
+	// testColdRate is the rate in requests per second that a cold runner can bear.
 	testColdRate = 17
-	// cutText makes a runner break one answer off and live on.
-	cutText = "cut"
+	// abortText is the body prefix for which a runner aborts its response but survives.
+	abortText = "cut"
 )
 
-// testSite is a domain of controllers, routers and runners in virtual time. The runners are
-// stand-ins, all else is the product.
+// testSite is a domain of real controllers and routers and simulated runners in virtual time.
 type testSite struct {
 	c       *qt.C
 	ctx     context.Context
 	network *networktest.Memory
 	folder  string
 	random  *rand.Rand
-	// slowest is the longest that a request that crashes its runner runs before; 0 for always
-	// poisonTime. Runners that are stubborn run what has been given up, and heartbeats are up to
-	// latest late.
-	slowest    time.Duration
-	isStubborn bool
-	latest     time.Duration
-	// registry has the metrics of all controllers.
+	// maxPoisonTime bounds the random run time of poison requests; 0 means poisonTime. Runners with
+	// ignoresCancel go on running canceled requests, and heartbeats are delayed by up to
+	// maxHeartbeatDelay.
+	maxPoisonTime     time.Duration
+	ignoresCancel     bool
+	maxHeartbeatDelay time.Duration
+	// registry holds the metrics of all controllers.
 	registry *prometheus.Registry
 
 	mutex       sync.Mutex
@@ -71,26 +70,29 @@
 	routers     []*testRouter
 	runners     map[string]*testRunner
 	started     int
-	// poison is the text of bodies that crash what runs them.
+	// poison is the set of bodies that crash the runners that run them.
 	poison map[string]bool
-	// sent is when each body arrived at a runner, crashed when it ended one.
+	// sent is when each body arrived at a runner, crashed when it crashed one.
 	sent    map[string][]time.Time
 	crashed map[string][]time.Time
-	// lastRunner is where a body arrived last.
+	// lastRunner is the runner at which a body arrived last.
 	lastRunner map[string]string
-	// coldUntil is until when the runners at each address are cold, arrivals when requests came to each runner.
+	// coldUntil is until when the runners at each address are cold, arrivals when requests arrived
+	// at each runner.
 	coldUntil map[string]time.Time
 	arrivals  map[string][]time.Time
-	// limits are the rate limits that the runners at each address name, in requests a second.
+	// limits are the rate limits in requests per second that the runners at each address announce.
 	limits map[string]float64
-	// fails are the answers of which the runners at each address give one in place of every second answer.
-	fails map[string][]relay.Answer
-	// turnsAway has the answers with which the runners at each address turn everything away, and sayingLeaving the
-	// addresses whose runners say in their answers that they are leaving.
-	turnsAway     map[string]relay.Answer
-	sayingLeaving map[string]bool
-	// visits are what each runner got from each router, and routerStarted is when each router last started.
-	visits        map[string]*visits
+	// failures are the responses that the runners at each address return at random for half of the
+	// requests.
+	failures map[string][]relay.Answer
+	// rejections are the responses with which the runners at each address reject all requests, and
+	// leavingAddresses those whose runners announce that they are leaving.
+	rejections       map[string]relay.Answer
+	leavingAddresses map[string]bool
+	// runnerLogs are the requests of each runner by router, routerStarted is when each router last
+	// started.
+	runnerLogs    map[string]*runnerLog
 	routerStarted [testRouters]time.Time
 }
 
@@ -105,7 +107,7 @@
 	end context.CancelFunc
 }
 
-// testRunner is one life of a runner.
+// testRunner is one incarnation of a runner.
 type testRunner struct {
 	id, address string
 	// gone is closed when the runner ends.
@@ -122,7 +124,7 @@
 	}
 }
 
-// noEngines is for runners that load no models.
+// noEngines stands in for the engines of runners without models.
 type noEngines struct{}
 
 func (noEngines) Order(context.Context, domainnode.Holder, residency.Order) (residency.Outcome, notice.Notice) {
@@ -163,8 +165,8 @@
 			runners: make(map[string]*testRunner), poison: make(map[string]bool),
 			sent: make(map[string][]time.Time), crashed: make(map[string][]time.Time), lastRunner: make(map[string]string),
 			coldUntil: make(map[string]time.Time), arrivals: make(map[string][]time.Time), limits: make(map[string]float64),
-			fails: make(map[string][]relay.Answer), turnsAway: make(map[string]relay.Answer), sayingLeaving: make(map[string]bool),
-			visits: make(map[string]*visits),
+			failures: make(map[string][]relay.Answer), rejections: make(map[string]relay.Answer), leavingAddresses: make(map[string]bool),
+			runnerLogs: make(map[string]*runnerLog),
 		}
 		c.Cleanup(func() {
 			cancel()
@@ -199,7 +201,7 @@
 		}
 		pause.For(s.ctx, 10*time.Millisecond)
 	}
-	s.c.Fatalf("%s never came", what)
+	s.c.Fatalf("%s did not happen in time", what)
 }
 
 func controllerAt(index int) string { return fmt.Sprint("10.0.0.", index+1, ":7000") }
@@ -229,7 +231,7 @@
 	s.controllers[index] = started
 }
 
-// stopController ends a controller without handing anything over.
+// stopController ends a controller without a handover.
 func (s *testSite) stopController(index int) {
 	s.mutex.Lock()
 	stopped := s.controllers[index]
@@ -238,7 +240,7 @@
 	<-stopped.done
 }
 
-// startRouter starts a router, in place of the one that was there.
+// startRouter starts a router and ends its predecessor.
 func (s *testSite) startRouter(index int) {
 	router := relay.New(relay.Options{
 		Logger: log.NewNopLogger(), Name: fmt.Sprint("router-", index), Seeds: controllerAddresses, Decoder: decodeSite,
@@ -276,7 +278,7 @@
 			Instance: of.id, Service: "plain", Address: of.address, Zone: "z", Slots: 16, Sequence: sequence,
 			ColdFor: s.coldFor(of.address),
 		}
-		late := s.draw(s.latest)
+		late := s.randomDuration(s.maxHeartbeatDelay)
 		go func() {
 			pause.For(s.ctx, late)
 			s.sendHeartbeat(heartbeat)
@@ -285,7 +287,7 @@
 	}
 }
 
-// sendHeartbeat tells any controller that takes it.
+// sendHeartbeat sends a heartbeat to the first controller that accepts it.
 func (s *testSite) sendHeartbeat(heartbeat fleet.Heartbeat) {
 	for index := range testControllers {
 		s.mutex.Lock()
@@ -297,8 +299,8 @@
 	}
 }
 
-// draw draws a time below the longest; 0 if that is 0.
-func (s *testSite) draw(longest time.Duration) time.Duration {
+// randomDuration returns a random duration below longest; 0 if longest is 0.
+func (s *testSite) randomDuration(longest time.Duration) time.Duration {
 	if longest <= 0 {
 		return 0
 	}
@@ -307,7 +309,7 @@
 	return time.Duration(s.random.Int64N(int64(longest)))
 }
 
-// crash ends a runner with all that it runs; another starts in its place later.
+// crash ends a runner with all its requests. Another one starts at its address after restartTime.
 func (s *testSite) crash(ended *testRunner) {
 	ended.ended.Do(func() {
 		close(ended.gone)
@@ -315,7 +317,7 @@
 	})
 }
 
-// Send is what a runner does with a request.
+// Send implements the runners.
 func (s *testSite) Send(ctx context.Context, attempt *relay.Attempt) (*relay.Answer, error) {
 	body := string(attempt.Request.Body)
 	s.mutex.Lock()
@@ -327,9 +329,9 @@
 	s.sent[body] = append(s.sent[body], time.Now())
 	s.arrivals[attempt.Instance] = append(s.arrivals[attempt.Instance], time.Now())
 	s.lastRunner[body] = attempt.Instance
-	rejection, turnsAway := s.turnsAway[target.address]
+	rejection, isRejected := s.rejections[target.address]
 	s.mutex.Unlock()
-	if turnsAway {
+	if isRejected {
 		rejection.Header, rejection.Body = make(http.Header), io.NopCloser(strings.NewReader(""))
 		return &rejection, nil
 	}
@@ -343,7 +345,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if strings.HasPrefix(body, cutText) {
+	if strings.HasPrefix(body, abortText) {
 		return nil, errors.New("connection reset")
 	}
 	if failure := s.drawFailure(target.address); failure != nil {
@@ -355,18 +357,18 @@
 	}, nil
 }
 
-// isLeavingAt reports whether the runner at the address says that it is leaving.
+// isLeavingAt reports whether the runner at the address announces that it is leaving.
 func (s *testSite) isLeavingAt(address string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.sayingLeaving[address]
+	return s.leavingAddresses[address]
 }
 
-// drawFailure draws an answer that the runner at the address gives in place of a good one; nil for half of them.
+// drawFailure returns a random failure of the runner at the address; nil in half of the cases.
 func (s *testSite) drawFailure(address string) *relay.Answer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	listed := s.fails[address]
+	listed := s.failures[address]
 	if len(listed) == 0 || s.random.IntN(2) == 0 {
 		return nil
 	}
@@ -378,11 +380,11 @@
 // runPoison runs a request until it crashes its runner.
 func (s *testSite) runPoison(ctx context.Context, target *testRunner, body string) error {
 	work := poisonTime
-	if s.slowest > 0 {
-		work = s.draw(s.slowest)
+	if s.maxPoisonTime > 0 {
+		work = s.randomDuration(s.maxPoisonTime)
 	}
 	running, end := context.WithCancel(ctx)
-	if s.isStubborn {
+	if s.ignoresCancel {
 		running = context.WithoutCancel(ctx)
 	}
 	defer end()
@@ -403,12 +405,12 @@
 	}
 }
 
-// ask sends a request by a router and returns the answer.
+// ask sends a request through a router.
 func (s *testSite) ask(router int, body string) *httptest.ResponseRecorder {
 	return s.askFor(s.ctx, router, body)
 }
 
-// askFor does the same for a caller that leaves when ctx ends.
+// askFor sends a request whose caller leaves when ctx ends.
 func (s *testSite) askFor(ctx context.Context, router int, body string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "http://h/x", nil).WithContext(ctx)
@@ -421,14 +423,14 @@
 	return recorder
 }
 
-// anyRouter draws a router.
+// anyRouter returns the index of a random router.
 func (s *testSite) anyRouter() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.random.IntN(testRouters)
 }
 
-// trials counts the runs that leaders permitted as trials.
+// trials returns the number of runs that leaders permitted as trials.
 func (s *testSite) trials() (count float64) {
 	families, err := s.registry.Gather()
 	s.c.Assert(err, qt.IsNil)
@@ -442,7 +444,7 @@
 	return count
 }
 
-// sentAfter counts the arrivals of a body at runners later than a time.
+// sentAfter counts the arrivals of a body at runners after the given time.
 func (s *testSite) sentAfter(body string, at time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -455,7 +457,7 @@
 	return count
 }
 
-// thirdCrash is when a body ended its third runner.
+// thirdCrash returns when a body crashed its third runner.
 func (s *testSite) thirdCrash(body string) (time.Time, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -465,7 +467,7 @@
 	return s.crashed[body][2], true
 }
 
-// traffic is what callers send while a test runs.
+// traffic is a background load of harmless requests.
 type traffic struct {
 	site     *testSite
 	mutex    sync.Mutex
@@ -474,8 +476,7 @@
 	statuses map[int]int
 }
 
-// run sends harmless requests by all routers for a time, each with content of its own, and
-// asks again once for those that fail.
+// run sends requests with distinct bodies through all routers and retries failed ones once.
 func (f *traffic) run(during time.Duration) {
 	s := f.site
 	var callers sync.WaitGroup
--- a/request/relay/follow.go
+++ b/request/relay/follow.go
@@ -16,24 +16,22 @@
 )
 
 const (
-	// followPause is the pause after a watch that failed.
-	followPause = 100 * time.Millisecond
-	// followTimeout bounds the search for a leader; then the addresses are looked up
-	// again.
-	followTimeout = 2500 * time.Millisecond
-	// watchMargin is how much longer than the leader holds it a watch may take.
+	// watchRetryDelay is the delay after a failed watch.
+	watchRetryDelay = 100 * time.Millisecond
+	// watchTimeout bounds the search for a leader. Afterwards the addresses are looked up again.
+	watchTimeout = 2500 * time.Millisecond
+	// watchMargin is added to the leader's hold time for the timeout of a watch.
 	watchMargin = 600 * time.Millisecond
-	// reportInterval is the pause between two reports without a reason to hurry, and
-	// reportPause the shortest.
-	reportInterval = 250 * time.Millisecond
-	reportPause    = 10 * time.Millisecond
-	// wordAge is how old what the leader says of the loads of runners is on average when it
-	// comes: half of the pause between two reports of a router, half of that between two
-	// plans of the leader, which sum them up, and the ways.
-	wordAge = reportInterval/2 + 75*time.Millisecond
+	// reportInterval is the interval between regular reports, minReportInterval the least between
+	// triggered ones.
+	reportInterval    = 250 * time.Millisecond
+	minReportInterval = 10 * time.Millisecond
+	// loadAge is the average age of the leader's load figures on arrival: half a report interval,
+	// half an interval of the leader's aggregation, and network latency.
+	loadAge = reportInterval/2 + 75*time.Millisecond
 )
 
-// watchLoop follows the leader's view.
+// watchLoop keeps a watch on the leader's view until ctx ends.
 func (r *Router) watchLoop(ctx context.Context) {
 	hold := domainapi.LeastHold
 	caller := leadercall.New(r.client, nil).WithTryTimeout(hold + watchMargin)
@@ -41,7 +39,7 @@
 	var controllers []string
 	isConnected := false
 	for ctx.Err() == nil {
-		// Members of the group come first, then seeds.
+		// Members of the group are tried before seeds.
 		addresses := leadercall.Unique(controllers, r.options.Seeds())
 		caller.SetAddresses(addresses)
 		r.caller.SetAddresses(addresses)
@@ -53,11 +51,11 @@
 				level.Warn(r.logger).Log("msg", "The leader of the controllers is lost.", "term", arguments.Term, "err", err)
 			}
 			isConnected = false
-			pause.For(ctx, followPause)
+			pause.For(ctx, watchRetryDelay)
 			continue
 		}
 		if !isConnected || reply.Term != arguments.Term {
-			level.Info(r.logger).Log("msg", "A leader of the controllers is followed.", "term", reply.Term, "routers", reply.Routers)
+			level.Info(r.logger).Log("msg", "Following a leader of the controllers.", "term", reply.Term, "routers", reply.Routers)
 		}
 		isConnected = true
 		if len(reply.Controllers) > 0 {
@@ -71,30 +69,30 @@
 	}
 }
 
-// holdOf is how long the leader holds the next watch.
+// holdOf returns how long the leader holds the next watch.
 func holdOf(reply *domainapi.WatchReply) time.Duration {
 	return min(max(reply.Hold, domainapi.LeastHold), domainapi.MostHold)
 }
 
 func (r *Router) watch(ctx context.Context, caller *leadercall.Caller, arguments domainapi.WatchArguments) (*domainapi.WatchReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, followTimeout)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	return leadercall.Call(ctx, caller, domainapi.MethodWatch, arguments,
 		func() *domainapi.WatchReply { return &domainapi.WatchReply{} })
 }
 
-// adopt takes the news of a watch that was asked for at a time. A reply of an earlier term than one before comes
-// from a leader that was deposed, and is passed over.
+// adopt applies a reply to the watch sent at asked. A reply of an earlier term comes from a deposed
+// leader and is ignored.
 func (r *Router) adopt(reply *domainapi.WatchReply, arguments *domainapi.WatchArguments, asked time.Time) {
 	if reply.Term < arguments.Term {
 		return
 	}
 	r.mutex.Lock()
-	r.granted = grant{routers: reply.Routers, at: r.now()}
+	r.routerCount = routerCount{routers: reply.Routers, at: r.now()}
 	r.leaderHold = holdOf(reply)
 	r.queue.SetShares(r.now(), reply.Shares)
 	if reply.Term != arguments.Term {
-		// Before its view, which may know of no limit yet.
+		// A new leader may know none of the limits and notices yet, so all are sent again.
 		r.runnerLimits.belief.TellAnew()
 		r.notices.book.TellAnew()
 		r.wakeReport()
@@ -119,12 +117,12 @@
 	arguments.Revision = reply.Revision
 }
 
-// takeView adopts the view of a reply, or reports false if it cannot be read; then it is
-// asked for again.
+// takeView applies the view of a reply. It returns false if the view cannot be decoded; it is then
+// requested again.
 func (r *Router) takeView(reply *domainapi.WatchReply) bool {
 	view, err := reply.View.Decode()
 	if err != nil {
-		level.Error(r.logger).Log("msg", "A view of the runners cannot be decoded.", "term", reply.Term, "err", err)
+		level.Error(r.logger).Log("msg", "The view of the runners could not be decoded.", "term", reply.Term, "err", err)
 		return false
 	}
 	r.adoptView(view)
@@ -133,13 +131,13 @@
 	return true
 }
 
-// takeSuspects adopts the list of requests that may crash runners. A new leader is told of the losses
-// that the one before may have learned of too late.
+// takeSuspects applies the list of requests that may crash runners. Losses are reported again to a
+// new leader, since its predecessor may not have stored them.
 func (r *Router) takeSuspects(reply *domainapi.WatchReply, arguments *domainapi.WatchArguments) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if reply.Term != arguments.Term {
-		r.suspects.reportAnew(r.now())
+		r.suspects.reportAgain(r.now())
 		arguments.Suspects = 0
 	}
 	if reply.Suspects == nil {
@@ -149,19 +147,19 @@
 	arguments.Suspects = reply.Suspects.Revision
 }
 
-// takeLoads adopts what all routers together have at the runners. Runners that are not listed have
-// less to do than those that are.
+// takeLoads applies the load of all routers at the runners. Runners that are not listed have less
+// load than those that are.
 func (r *Router) takeLoads(loads []fleet.Load) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at := time.Now().Add(-wordAge)
+	at := time.Now().Add(-loadAge)
 	listed := make(map[string]fleet.Load, len(loads))
 	for _, load := range loads {
-		if _, isPlaced := r.placed.runners[load.Instance]; isPlaced {
+		if _, isCandidate := r.candidates.runners[load.Instance]; isCandidate {
 			listed[load.Instance] = load
 		}
 	}
-	for instance := range r.placed.runners {
+	for instance := range r.candidates.runners {
 		load := listed[instance]
 		id := structs.RunnerID(instance)
 		r.balancer.ObserveLoad(id, structs.LoadReport{Running: load.Requests, ObservedAt: at})
@@ -173,12 +171,12 @@
 func (r *Router) takeDocument(packed domain.Document) {
 	source, err := domain.Expand(packed.Source)
 	if err != nil {
-		level.Error(r.logger).Log("msg", "A document cannot be expanded.", "version", packed.Version, "err", err)
+		level.Error(r.logger).Log("msg", "The document could not be decompressed.", "version", packed.Version, "err", err)
 		return
 	}
 	document, err := r.options.Decoder(source)
 	if err != nil {
-		level.Error(r.logger).Log("msg", "A document cannot be decoded.", "version", packed.Version, "err", err)
+		level.Error(r.logger).Log("msg", "The document could not be decoded.", "version", packed.Version, "err", err)
 		return
 	}
 	if r.adoptDocument(document) {
@@ -186,17 +184,17 @@
 	}
 }
 
-// wakeReport asks for a report soon.
+// wakeReport triggers a report.
 func (r *Router) wakeReport() {
 	wake.Up(r.report)
 }
 
-// noteWork ends the rest of a report loop that has nothing to report.
+// noteWork wakes an idle report loop.
 func (r *Router) noteWork() {
 	wake.Up(r.hasWork)
 }
 
-// reportLoop reports demand to the leader, every reportInterval while there is any.
+// reportLoop reports demand to the leader every reportInterval while there is any.
 func (r *Router) reportLoop(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -213,7 +211,7 @@
 				continue
 			case <-r.report:
 				ticker.Reset(reportInterval)
-				pause.For(ctx, reportPause)
+				pause.For(ctx, minReportInterval)
 			}
 		} else {
 			select {
@@ -221,17 +219,17 @@
 				return
 			case <-ticker.C:
 			case <-r.report:
-				pause.For(ctx, reportPause)
+				pause.For(ctx, minReportInterval)
 			}
 		}
 		isIdle = !r.reportDemand(ctx)
 	}
 }
 
-// reportDemand reports what there is, and returns false if there is nothing.
+// reportDemand sends one report. It returns false if there is nothing to report.
 func (r *Router) reportDemand(ctx context.Context) bool {
 	demands := r.takeDemands(r.now())
-	doubted, unreachable := r.takeNames(r.doubted), r.takeNames(r.unreachable)
+	doubted, unreachable := r.takeNames(r.notHeld), r.takeNames(r.unreachable)
 	paces, attempts := r.takePaces(), r.takeAttempts()
 	r.mutex.Lock()
 	losses, endings := r.suspects.take()
@@ -253,10 +251,10 @@
 		func() *domainapi.DemandReply { return &domainapi.DemandReply{} })
 	if err != nil {
 		r.mutex.Lock()
-		r.suspects.giveBack(losses, endings)
+		r.suspects.requeue(losses, endings)
 		r.mutex.Unlock()
 		if ctx.Err() == nil {
-			level.Debug(r.logger).Log("msg", "Demand was not reported.", "err", err)
+			level.Debug(r.logger).Log("msg", "The demand report to the leader failed.", "err", err)
 		}
 		return true
 	}
@@ -268,7 +266,7 @@
 	return true
 }
 
-// takeNames hands out the names of a set and empties it.
+// takeNames returns the names of a set and empties it.
 func (r *Router) takeNames(set map[string]bool) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/request/relay/limits.go
+++ b/request/relay/limits.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// drawPause separates two questions for requests that wait.
-	drawPause = 5 * time.Millisecond
-	// refillPause separates two questions for reserves only: the leader answers one of each
-	// router a second at most.
-	refillPause = time.Second
-	// drawTimeout bounds one question, with the search for a leader.
+	// drawInterval is the interval between draws for waiting requests.
+	drawInterval = 5 * time.Millisecond
+	// refillInterval is the interval between draws for reserves only. The leader answers at most
+	// one of those per router and second.
+	refillInterval = time.Second
+	// drawTimeout bounds one draw, including the search for a leader.
 	drawTimeout = 900 * time.Millisecond
 )
 
-// limits are the parts of tenants' limits that the router holds, and what asks for more.
+// limits holds the router's shares of tenants' rate limits and requests more from the leader.
 type limits struct {
-	// wake has room for one.
+	// wake has capacity 1.
 	wake chan struct{}
 
 	mutex   sync.Mutex
 	limiter *limiter.Limiter
-	// refilledAt is when the leader was last asked.
+	// refilledAt is the time of the last draw.
 	refilledAt time.Time
-	// session names the life of this process to the leader, and question numbers its questions.
+	// session identifies this process to the leader; sequence numbers its draws.
 	session  uint64
-	question uint64
+	sequence uint64
 }
 
 func newLimits(session uint64) *limits {
@@ -47,17 +47,17 @@
 	wake.Up(l.wake)
 }
 
-// isLow reports whether it is time to ask for reserves. It runs under the mutex.
+// isLow reports whether reserves should be drawn. The caller must hold l.mutex.
 func (l *limits) isLow(at time.Time) bool {
-	if at.Sub(l.refilledAt) < refillPause {
+	if at.Sub(l.refilledAt) < refillInterval {
 		return false
 	}
 	_, soon := l.limiter.IsAsking(at)
 	return soon
 }
 
-// await waits for what becomes of a request, at most for limit. It reports false if nobody said
-// in time.
+// await waits at most limit for the verdict on a request. It returns false if there is none in
+// time.
 func (l *limits) await(ctx context.Context, waiter *limiter.Waiter, settled chan limiter.Verdict, limit time.Duration) (limiter.Verdict, bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -76,7 +76,7 @@
 	return <-settled, true
 }
 
-// limitLoop asks the leader for parts of limits until ctx ends.
+// limitLoop draws shares of limits from the leader until ctx ends.
 func (r *Router) limitLoop(ctx context.Context) {
 	for {
 		select {
@@ -85,30 +85,29 @@
 			return
 		}
 		for r.drawOnce(ctx) {
-			pause.For(ctx, drawPause)
+			pause.For(ctx, drawInterval)
 		}
 	}
 }
 
-// drawOnce asks the leader once, if there is something to ask for. It reports whether requests
-// still wait.
+// drawOnce sends one draw if anything is wanted. It reports whether requests still wait.
 func (r *Router) drawOnce(ctx context.Context) bool {
 	asked := r.now()
 	r.limits.mutex.Lock()
 	wants := r.limits.limiter.Wants(asked)
 	r.limits.refilledAt = asked
-	r.limits.question++
-	question := r.limits.question
+	r.limits.sequence++
+	sequence := r.limits.sequence
 	isWaiting, _ := r.limits.limiter.IsAsking(asked)
 	r.limits.mutex.Unlock()
 	if len(wants) == 0 || ctx.Err() != nil {
 		return isWaiting && ctx.Err() == nil
 	}
-	grants, err := r.draw(ctx, question, wants)
+	grants, err := r.draw(ctx, sequence, wants)
 	at := r.now()
 	r.metrics.draws.Observe(at.Sub(asked).Seconds())
 	if err != nil && ctx.Err() == nil {
-		level.Debug(r.logger).Log("msg", "The leader could not be asked for parts of limits.", "tenants", len(wants), "err", err)
+		level.Debug(r.logger).Log("msg", "The request to the leader for shares of limits failed.", "tenants", len(wants), "err", err)
 	}
 	r.limits.mutex.Lock()
 	defer r.limits.mutex.Unlock()
@@ -119,11 +118,11 @@
 	return waiting
 }
 
-func (r *Router) draw(ctx context.Context, question uint64, wants []quota.Want) ([]quota.Grant, error) {
+func (r *Router) draw(ctx context.Context, sequence uint64, wants []quota.Want) ([]quota.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, drawTimeout)
 	defer cancel()
 	ageReturns(wants)
-	arguments := domainapi.DrawArguments{Router: r.options.Name, Wants: wants, Session: r.limits.session, Question: question}
+	arguments := domainapi.DrawArguments{Router: r.options.Name, Wants: wants, Session: r.limits.session, Question: sequence}
 	reply, err := leadercall.Call(ctx, r.caller, domainapi.MethodDraw, arguments,
 		func() *domainapi.DrawReply { return &domainapi.DrawReply{} })
 	if err != nil {
@@ -132,9 +131,8 @@
 	return reply.Grants, nil
 }
 
-// ageReturns adds to the ages of returns how long a question may be under way, and the search for
-// a leader take: the leader counts ages from when it hears them, and must take nothing off that was
-// granted after the return itself.
+// ageReturns adds the longest transit time to the ages of returned shares. The leader counts ages
+// from arrival and must not deduct a return from a later grant.
 func ageReturns(wants []quota.Want) {
 	for _, want := range wants {
 		for i := range want.Returned {
--- a/request/relay/limits_test.go
+++ b/request/relay/limits_test.go
@@ -10,9 +10,9 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// A slow link or the search for a leader holds a return up, while others are granted something. When
-// the grant that was returned has left the window, what they used still counts.
-func TestReturnThatIsHeldUpIsTakenOffNothingNewer(t *testing.T) {
+// A return may be delayed while other routers draw. Their usage must still count after the returned
+// grant has left the window.
+func TestDelayedReturnIsNotDeductedFromLaterGrants(t *testing.T) {
 	c := qt.New(t)
 	began := time.Unix(1000, 0)
 	const window, cost = 8 * time.Second, 100.0
--- a/request/relay/load_test.go
+++ b/request/relay/load_test.go
@@ -11,19 +11,18 @@
 	"github.com/lotusferry/lotusferry/placement/residency"
 )
 
-// Each of many routers has a request now and then, so that its own do not tell it which
-// runner is crowded.
-func TestRouterSparesRunnersThatOthersCrowd(t *testing.T) {
+// With many routers, a router's own requests do not show which runner is loaded.
+func TestRouterAvoidsRunnersLoadedByOthers(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		loads []fleet.Load
 		most  int
-		// isBusy is set if the crowded runner has as many requests as places.
+		// isBusy is set if all slots of the loaded runner are taken.
 		isBusy bool
 	}{
-		{"one is crowded", []fleet.Load{{Instance: "a", Requests: 10}}, 5, false},
+		{"one is loaded", []fleet.Load{{Instance: "a", Requests: 10}}, 5, false},
 		{"one is full", []fleet.Load{{Instance: "a", Requests: 12}}, 5, true},
-		{"none is", nil, 36, false},
+		{"none is loaded", nil, 36, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -42,7 +41,7 @@
 				if choice.Runner() == "a" {
 					crowded++
 				}
-				r.giveBack(residency.Row{Service: "s", Model: "m"}, choice, 1)
+				r.releaseLocked(residency.Row{Service: "s", Model: "m"}, choice, 1)
 			}
 			c.Assert(crowded <= test.most, qt.IsTrue, qt.Commentf("%d of 50", crowded))
 			c.Assert(test.loads != nil || crowded >= 14, qt.IsTrue, qt.Commentf("%d of 50", crowded))
--- a/request/relay/metrics.go
+++ b/request/relay/metrics.go
@@ -10,44 +10,46 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// metrics are a router's counters. There are as many series as kinds of route and
-// outcomes, however many routes and models there are.
+// metrics are the router's metrics. The number of series does not depend on the number of routes or
+// models.
 type metrics struct {
-	requests  *prometheus.CounterVec
-	attempts  *prometheus.CounterVec
-	first     *prometheus.HistogramVec
-	waited    *prometheus.HistogramVec
-	unserved  *prometheus.HistogramVec
-	late      *prometheus.CounterVec
-	inFlight  prometheus.Gauge
-	repeats   *prometheus.CounterVec
-	version   prometheus.Gauge
-	runners   prometheus.Gauge
-	leaderSet prometheus.Gauge
-	viewAt    prometheus.Gauge
-	loadsAt   prometheus.Gauge
-	tenants   *prometheus.CounterVec
-	draws     prometheus.Histogram
-	// zonesLost counts zones out of reach now, zoneLosses how often one got out of reach.
+	requests      *prometheus.CounterVec
+	attempts      *prometheus.CounterVec
+	first         *prometheus.HistogramVec
+	waited        *prometheus.HistogramVec
+	unserved      *prometheus.HistogramVec
+	late          *prometheus.CounterVec
+	inFlight      prometheus.Gauge
+	repeats       *prometheus.CounterVec
+	version       prometheus.Gauge
+	runners       prometheus.Gauge
+	leaderTerm    prometheus.Gauge
+	leaderHeardAt prometheus.Gauge
+	loadsAt       prometheus.Gauge
+	tenants       *prometheus.CounterVec
+	draws         prometheus.Histogram
+	// zonesLost is the number of zones currently out of reach, zoneLosses the number of transitions
+	// to that state.
 	zonesLost  prometheus.Gauge
 	zoneLosses prometheus.Counter
 	zoneProbes prometheus.Counter
-	// lateness is by how much the router's timers are late, pressed is 1 while it lets connections go.
-	lateness prometheus.Gauge
-	pressed  prometheus.Gauge
-	letGo    prometheus.Counter
+	// lateness is the delay of the router's timers; overloaded is 1 while the router closes
+	// connections because of it.
+	lateness          prometheus.Gauge
+	overloaded        prometheus.Gauge
+	connectionsClosed prometheus.Counter
 	// coldRequests counts the requests to cold runners that the leader granted.
 	coldRequests prometheus.Counter
-	// limitedRunners counts the runners that name a rate limit, as this router knows, and limitedSent the
-	// requests that were sent to them, first and repeated ones.
+	// limitedRunners is the number of runners known to announce a rate limit, limitedSent counts
+	// sends to them.
 	limitedRunners prometheus.Gauge
 	limitedSent    *prometheus.CounterVec
-	// restingRunners counts the runners that want no requests of this router now, restsAsked how often one said so, and
-	// unwantedSent the requests that were sent all the same to runners that rest or are leaving, first and repeated ones.
+	// restingRunners is the number of runners in a rest period asked of this router, restsAsked
+	// counts such requests. unwantedSent counts sends to runners that rest or are leaving.
 	restingRunners prometheus.Gauge
 	restsAsked     prometheus.Counter
 	unwantedSent   *prometheus.CounterVec
-	// named are the tenants with series of their own.
+	// named are the tenants with their own series.
 	named sync.Map
 	count atomic.Int32
 }
@@ -55,7 +57,7 @@
 // latencyBuckets are in seconds.
 var latencyBuckets = []float64{0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1, 1.5, 2.5, 4, 6, 10, 20}
 
-// newMetrics makes the metrics and registers them, unless registerer is nil.
+// newMetrics creates the metrics and registers them, unless registerer is nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	const namespace, subsystem = "lotusferry", "router"
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
@@ -70,18 +72,18 @@
 		}, labels)
 	}
 	made := &metrics{
-		requests:  counter("requests_total", "Requests by kind of route and outcome.", "kind", "outcome"),
-		attempts:  counter("attempts_total", "Sendings to runners by outcome.", "outcome"),
-		first:     histogram("first_seconds", "Time until the head of the answer was sent.", "kind"),
-		waited:    histogram("waited_seconds", "Time that requests waited for runners.", "kind"),
-		unserved:  histogram("unserved_seconds", "Time that requests were held which no runner has run in the end.", "kind"),
-		late:      counter("late_total", "Answers after the route's objective or with too long a pause.", "kind"),
-		inFlight:  gauge("requests_in_progress", "Requests that have no answer yet."),
-		repeats:   counter("repeats_total", "Repeated sendings asked for, by whether the retry budget allowed them.", "allowed"),
-		version:   gauge("document_version", "Version of the document in force."),
-		runners:   gauge("runners", "Runners in the view."),
-		leaderSet: gauge("leader_term", "Term of the leader that is followed."),
-		tenants:   counter("tenant_requests_total", "Requests by tenant and what its key and limit made of them.", "tenant", "outcome"),
+		requests:   counter("requests_total", "Requests by kind of route and outcome.", "kind", "outcome"),
+		attempts:   counter("attempts_total", "Sendings to runners by outcome.", "outcome"),
+		first:      histogram("first_seconds", "Time until the head of the answer was sent.", "kind"),
+		waited:     histogram("waited_seconds", "Time that requests waited for runners.", "kind"),
+		unserved:   histogram("unserved_seconds", "Time that requests were held which no runner has run in the end.", "kind"),
+		late:       counter("late_total", "Answers after the route's objective or with too long a pause.", "kind"),
+		inFlight:   gauge("requests_in_progress", "Requests that have no answer yet."),
+		repeats:    counter("repeats_total", "Repeated sendings asked for, by whether the retry budget allowed them.", "allowed"),
+		version:    gauge("document_version", "Version of the document in force."),
+		runners:    gauge("runners", "Runners in the view."),
+		leaderTerm: gauge("leader_term", "Term of the leader that is followed."),
+		tenants:    counter("tenant_requests_total", "Requests by tenant and what its key and limit made of them.", "tenant", "outcome"),
 		draws: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: namespace, Subsystem: subsystem, Name: "limit_draw_seconds",
 			Help: "Time of a question for parts of limits.", Buckets: latencyBuckets,
@@ -90,7 +92,7 @@
 		zoneLosses:     counter("zone_losses_total", "Times that a zone got out of reach.").WithLabelValues(),
 		zoneProbes:     counter("zone_probes_total", "Connects made to learn whether a zone is reached.").WithLabelValues(),
 		lateness:       gauge("timers_late_seconds", "By how much the timers of the process usually are late."),
-		pressed:        gauge("at_limit", "1 while the router lets connections go as its machine is too slow for them."),
+		overloaded:     gauge("at_limit", "1 while the router lets connections go as its machine is too slow for them."),
 		coldRequests:   counter("cold_requests_granted_total", "Requests to cold runners that the leader granted to this router.").WithLabelValues(),
 		limitedRunners: gauge("limited_runners", "Runners that name a rate limit, as this router knows."),
 		limitedSent:    counter("limited_sendings_total", "Sendings to runners that name a rate limit, by whether the request was sent before.", "repeated"),
@@ -98,20 +100,20 @@
 		restsAsked:     counter("rests_asked_total", "Times that a runner asked this router for rest, or for a longer one.").WithLabelValues(),
 		unwantedSent: counter("unwanted_sendings_total",
 			"Sendings to runners that had asked for rest, or said in an answer that they are leaving.", "runner", "repeated"),
-		letGo:   counter("connections_let_go_total", "Connections of callers closed after an answer for that.").WithLabelValues(),
-		loadsAt: gauge("loads_timestamp_seconds", "As of when the work of other routers at the runners is known, in Unix time."),
-		viewAt:  gauge("leader_heard_timestamp_seconds", "When the leader was last heard, in Unix time."),
+		connectionsClosed: counter("connections_let_go_total", "Connections of callers closed after an answer for that.").WithLabelValues(),
+		loadsAt:           gauge("loads_timestamp_seconds", "As of when the work of other routers at the runners is known, in Unix time."),
+		leaderHeardAt:     gauge("leader_heard_timestamp_seconds", "When the leader was last heard, in Unix time."),
 	}
 	if registerer != nil {
 		registerer.MustRegister(made.requests, made.attempts, made.first, made.waited, made.unserved, made.late, made.inFlight,
-			made.repeats, made.version, made.runners, made.leaderSet, made.viewAt, made.loadsAt, made.tenants, made.draws,
-			made.zonesLost, made.zoneLosses, made.zoneProbes, made.lateness, made.pressed, made.letGo, made.coldRequests,
+			made.repeats, made.version, made.runners, made.leaderTerm, made.leaderHeardAt, made.loadsAt, made.tenants, made.draws,
+			made.zonesLost, made.zoneLosses, made.zoneProbes, made.lateness, made.overloaded, made.connectionsClosed, made.coldRequests,
 			made.limitedRunners, made.limitedSent, made.restingRunners, made.restsAsked, made.unwantedSent)
 	}
 	return made
 }
 
-// kindName names a kind of route in metrics.
+// kindName returns the label of a kind of route.
 func kindName(kind site.RouteKind) string {
 	switch kind {
 	case site.KindOnce:
@@ -124,24 +126,24 @@
 	return "none"
 }
 
-// heardLeader notes that a leader was heard.
+// heardLeader records contact with a leader.
 func (m *metrics) heardLeader(term uint64, at time.Time) {
-	m.leaderSet.Set(float64(term))
-	m.viewAt.Set(float64(at.UnixMilli()) / 1000)
+	m.leaderTerm.Set(float64(term))
+	m.leaderHeardAt.Set(float64(at.UnixMilli()) / 1000)
 }
 
-// heardLoads notes as of when the work of other routers is known.
+// heardLoads records the time of the latest load figures.
 func (m *metrics) heardLoads(at time.Time) { m.loadsAt.Set(float64(at.UnixMilli()) / 1000) }
 
 const (
-	// maxTenantSeries bounds the tenants with series of their own; those that come after them
-	// share the series of otherTenants.
+	// maxTenantSeries bounds the tenants with their own series. Further tenants share the series
+	// otherTenants.
 	maxTenantSeries = 64
 	otherTenants    = "others"
 	noTenant        = "none"
 )
 
-// tenant counts a request of a tenant; the name is empty for a request without one.
+// tenant counts a request of a tenant. The name is empty for a request without one.
 func (m *metrics) tenant(name, outcome string) {
 	m.tenants.WithLabelValues(m.tenantLabel(name), outcome).Inc()
 }
--- a/request/relay/notices.go
+++ b/request/relay/notices.go
@@ -13,34 +13,37 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// maxNoticeLines is how many lines a second tell of what runners say of themselves.
-const maxNoticeLines = 20
+// maxNoticeLogRate bounds the log lines per second about notices of runners.
+const maxNoticeLogRate = 20
 
-// restMargin is how long after the end of a rest those that wait are served: the choice goes by another clock than rests.
-const restMargin = time.Millisecond
+// restEndDelay is added to the end of a rest period before the queue is served, because the
+// balancer uses another clock.
+const restEndDelay = time.Millisecond
 
-// reasonUnwanted is that of an attempt that was not sent, as its runner asked for rest or is leaving.
+// reasonUnwanted means that the request was not sent because the runner asked for a rest period or
+// is leaving.
 const reasonUnwanted = "unwanted"
 
-// errUnwanted is the cause of ending such an attempt.
-var errUnwanted = errors.New("the runner wants no requests any more")
+// errUnwanted is the cancellation cause of such an attempt.
+var errUnwanted = errors.New("the runner no longer accepts requests")
 
-// notices is what runners said of themselves in answers. The router's mutex guards it.
+// notices is what runners reported about themselves in responses: rest periods, during which the
+// router must not send them requests, and that they are leaving. It is guarded by Router.mutex.
 type notices struct {
 	book *notice.Book
-	// logged bounds the log lines about them.
-	logged *asynclog.Limiter
-	// restEnd goes off when the next rest ends; nil before the first.
-	restEnd *time.Timer
+	// logLimiter limits the log lines about notices.
+	logLimiter *asynclog.Limiter
+	// restTimer fires at the end of the next rest period; nil before the first.
+	restTimer *time.Timer
 }
 
 func newNotices() notices {
-	return notices{book: notice.NewBook(), logged: asynclog.NewLimiter(maxNoticeLines)}
+	return notices{book: notice.NewBook(), logLimiter: asynclog.NewLimiter(maxNoticeLogRate)}
 }
 
-// hear takes what an answer to a request that was sent at a time tells of its runner. What is kept of it stays with this
-// life of the runner, whatever views say meanwhile.
-func (r *Router) hear(choice routing.Choice, sent time.Time, answer *Answer) {
+// observeAnswer applies the notices in a response to a request sent at the given time. They hold
+// for this incarnation of the runner, whatever later views say.
+func (r *Router) observeAnswer(choice routing.Choice, sent time.Time, answer *Answer) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	runner := choice.Runner()
@@ -54,12 +57,13 @@
 			r.serveWaiters()
 		}
 	}
-	r.noteWishes(runner, answer.Notice)
+	r.noteNotice(runner, answer.Notice)
 }
 
-// noteWishes takes that a runner asks for rest, or is leaving. A rest binds this router alone; that the runner is
-// leaving is true for all, and the leader tells the others. It runs under the mutex.
-func (r *Router) noteWishes(runner structs.RunnerID, heard notice.Notice) {
+// noteNotice records that a runner asks for a rest period or is leaving. A rest period applies to
+// this router only; that a runner is leaving is reported to the leader, which informs the other
+// routers. The caller must hold r.mutex.
+func (r *Router) noteNotice(runner structs.RunnerID, heard notice.Notice) {
 	for _, problem := range heard.Problems {
 		r.logNotice("What a runner says of itself cannot be read.", runner, "err", problem)
 	}
@@ -74,50 +78,52 @@
 	if change.IsLeaving {
 		r.logNotice("A runner says in an answer that it is leaving.", runner)
 	}
-	r.heed(string(runner))
+	r.applyNotices(string(runner))
 	for attempt := range r.zones.attempts[r.zones.watch.ZoneOf(runner)] {
 		if attempt.runner == runner {
 			attempt.recall()
 		}
 	}
 	r.deferAll()
-	r.awaitRestEnd()
+	r.scheduleRestEnd()
 	r.wakeReport()
 }
 
-// heed has a placed runner get no requests while it wants none. It runs under the mutex.
-func (r *Router) heed(instance string) {
+// applyNotices excludes a candidate from selection while it rests or is leaving. The caller must
+// hold r.mutex.
+func (r *Router) applyNotices(instance string) {
 	if r.notices.book.IsEmpty() {
 		return
 	}
 	if r.notices.book.IsLeaving(instance) {
 		r.balancer.Leave(structs.RunnerID(instance))
 	}
-	r.rest(instance, r.notices.book.RestsUntil(instance).Sub(r.now()))
+	r.setRest(instance, r.notices.book.RestsUntil(instance).Sub(r.now()))
 }
 
-// awaitRestEnd has those that wait be served when the next rest ends. It runs under the mutex.
-func (r *Router) awaitRestEnd() {
+// scheduleRestEnd sets the timer for the end of the next rest period. The caller must hold r.mutex.
+func (r *Router) scheduleRestEnd() {
 	now := r.now()
 	r.metrics.restingRunners.Set(float64(r.notices.book.Resting(now)))
-	if r.notices.restEnd != nil {
-		r.notices.restEnd.Stop()
+	if r.notices.restTimer != nil {
+		r.notices.restTimer.Stop()
 	}
 	if next, isAny := r.notices.book.NextEnd(now); isAny {
-		r.notices.restEnd = time.AfterFunc(next.Sub(now)+restMargin, r.endRest)
+		r.notices.restTimer = time.AfterFunc(next.Sub(now)+restEndDelay, r.endRest)
 	}
 }
 
-// endRest serves those that waited for the end of a rest.
+// endRest serves the requests that waited for the end of a rest period.
 func (r *Router) endRest() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.serveWaiters()
-	r.awaitRestEnd()
+	r.scheduleRestEnd()
 }
 
-// noteSending counts a request that is sent to a runner that said something of itself. It runs under the mutex.
-func (r *Router) noteSending(now time.Time, sent *watchdog) {
+// countSending counts a send to a runner that has a rate limit, rests or is leaving. The caller
+// must hold r.mutex.
+func (r *Router) countSending(now time.Time, sent *watchdog) {
 	instance, repeated := string(sent.runner), strconv.FormatBool(sent.isRepeated)
 	if _, isNamed := r.runnerLimits.belief.Of(instance); isNamed {
 		r.metrics.limitedSent.WithLabelValues(repeated).Inc()
@@ -130,9 +136,9 @@
 	}
 }
 
-// logNotice tells of what a runner says of itself. It runs under the mutex.
+// logNotice logs a notice of a runner. The caller must hold r.mutex.
 func (r *Router) logNotice(text string, runner structs.RunnerID, rest ...any) {
-	suppressed, allowed := r.notices.logged.Allow(r.now())
+	suppressed, allowed := r.notices.logLimiter.Allow(r.now())
 	if !allowed {
 		return
 	}
--- a/request/relay/notices_test.go
+++ b/request/relay/notices_test.go
@@ -16,34 +16,35 @@
 	"github.com/lotusferry/lotusferry/placement/notice"
 )
 
-// resting is a router whose only runner turns the first request away and asks for rest; later ones run.
-func resting(rest time.Duration) (*Router, *scriptedBackend) {
+// newRestingRouter returns a router whose only runner rejects the first request, asks for a rest
+// period, and serves later requests.
+func newRestingRouter(rest time.Duration) (*Router, *scriptedBackend) {
 	asked := 0
 	router, backend := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
 		if asked++; asked == 1 {
-			return askForRest(rest)
+			return rejectWithRest(rest)
 		}
 		return fine()
 	})
-	router.adoptView(holders("p1"))
+	router.adoptView(plainView("p1"))
 	return router, backend
 }
 
-// The time that a request may wait ends before the rest does: its caller is told at once when the rest is over.
-func TestCallerWhoseRunnersRestForTooLongIsToldAtOnce(t *testing.T) {
+// A request must be rejected at once if all runners rest beyond its wait limit.
+func TestRequestIsRejectedAtOnceDuringLongRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		router, backend := resting(4 * time.Second)
-		router.adoptView(holders("p1", "p2"))
+		router, backend := newRestingRouter(4 * time.Second)
+		router.adoptView(plainView("p1", "p2"))
 		router.mutex.Lock()
-		router.noteWishes("p2", notice.Notice{Rest: 3 * time.Second})
+		router.noteNotice("p2", notice.Notice{Rest: 3 * time.Second})
 		router.mutex.Unlock()
 		began := time.Now()
 		for range 3 {
 			recorder, _ := ask(router, t.Context(), "/once/x", "")
 			c.Assert(recorder.Code, qt.Equals, http.StatusServiceUnavailable)
 			c.Assert(recorder.Body.String(), qt.Contains, "asked for rest")
-			// A third of the time of the caller at most.
+			// At most a third of the caller's time.
 			c.Assert(retryAfter(c, recorder), qt.Equals, 5*time.Second/3)
 		}
 		c.Assert(time.Since(began), qt.Equals, time.Duration(0))
@@ -51,8 +52,8 @@
 	})
 }
 
-// Those that can wait do so, and the runner that had too much a moment ago gets one of them first.
-func TestRequestsThatWaitForTheEndOfARestDoNotComeAllAtOnce(t *testing.T) {
+// Requests that wait for the end of a rest period must be sent one at a time at first.
+func TestWaitingRequestsAreSentOneByOneAfterRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		const rest = time.Second
@@ -66,14 +67,14 @@
 			isFirst := len(at) == 1
 			mutex.Unlock()
 			if isFirst {
-				return askForRest(rest)
+				return rejectWithRest(rest)
 			}
 			pause.For(ctx, 100*time.Millisecond)
 			return fine()
 		})
-		router.adoptView(holders("p1"))
+		router.adoptView(plainView("p1"))
 		for range 4 {
-			come(t, router, t.Context(), "/once/x", "", answered)
+			askAsync(t, router, t.Context(), "/once/x", "", answered)
 		}
 		for range 4 {
 			c.Assert((<-answered).Code, qt.Equals, http.StatusOK)
@@ -86,18 +87,18 @@
 	})
 }
 
-// A request waits for a connection while another one learns that the runner wants none: it is taken back and sent
-// elsewhere, as nothing of it has left. One that has left is not touched.
-func TestRequestThatWaitsForAConnectionIsTakenBack(t *testing.T) {
+// A request that waits for a connection must be recalled when its runner asks for a rest period or
+// is leaving, unless it was already sent.
+func TestUnsentRequestIsRecalled(t *testing.T) {
 	for name, test := range map[string]struct {
 		hasLeft bool
 		said    notice.Notice
 		servers int
 	}{
-		"rest":                 {false, notice.Notice{Rest: time.Second}, 2},
-		"leaving":              {false, notice.Notice{IsLeaving: true}, 2},
-		"rest, already sent":   {true, notice.Notice{Rest: time.Second}, 1},
-		"nothing that matters": {false, notice.Notice{Problems: []string{"unreadable"}}, 1},
+		"rest":               {false, notice.Notice{Rest: time.Second}, 2},
+		"leaving":            {false, notice.Notice{IsLeaving: true}, 2},
+		"rest, already sent": {true, notice.Notice{Rest: time.Second}, 1},
+		"unreadable notice":  {false, notice.Notice{Problems: []string{"unreadable"}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -112,8 +113,8 @@
 							c.Check(attempt.MaySend(), qt.IsTrue)
 						}
 						router.mutex.Lock()
-						router.noteWishes("p1", test.said)
-						router.noteWishes("p2", notice.Notice{})
+						router.noteNotice("p1", test.said)
+						router.noteNotice("p2", notice.Notice{})
 						router.mutex.Unlock()
 						if !pause.For(ctx, 100*time.Millisecond) {
 							return notSent()
@@ -122,8 +123,8 @@
 					}
 					return fine()
 				})
-				router.adoptView(holders("p1"))
-				time.AfterFunc(10*time.Millisecond, func() { router.adoptView(holders("p1", "p2")) })
+				router.adoptView(plainView("p1"))
+				time.AfterFunc(10*time.Millisecond, func() { router.adoptView(plainView("p1", "p2")) })
 				recorder, _ := ask(router, t.Context(), "/once/x", "")
 				c.Assert(recorder.Code, qt.Equals, http.StatusOK)
 				c.Assert(servers, qt.HasLen, test.servers)
@@ -132,16 +133,16 @@
 	}
 }
 
-// backendFunc is a Backend of one function.
+// backendFunc adapts a function to Backend.
 type backendFunc func(context.Context, *Attempt) (*Answer, error)
 
 func (f backendFunc) Send(ctx context.Context, attempt *Attempt) (*Answer, error) {
 	return f(ctx, attempt)
 }
 
-// Neither a view that drops and lists the runner again nor a new leader takes back that it is leaving; its next life
-// under the same ID is another runner.
-func TestRunnerThatIsLeavingStaysSoForThisLife(t *testing.T) {
+// That a runner is leaving must survive view changes and a new leader, but not apply to its next
+// incarnation.
+func TestLeavingAppliesToOneIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
@@ -150,26 +151,27 @@
 			return answer, err
 		})
 		former, next := fleet.Incarnation("p1", 1000), fleet.Incarnation("p1", 2000)
-		router.adoptView(holders(former))
+		router.adoptView(plainView(former))
 		recorder, _ := ask(router, t.Context(), "/once/x", "")
 		c.Assert(recorder.Code, qt.Equals, http.StatusOK)
 		for range 2 {
 			router.adoptView(fleet.View{Complete: true})
-			router.adoptView(holders(former))
+			router.adoptView(plainView(former))
 			pause.For(t.Context(), 11*time.Second)
 			recorder, _ = ask(router, t.Context(), "/once/x", "")
 			c.Assert(recorder.Code, qt.Equals, http.StatusServiceUnavailable)
 		}
 		c.Assert(router.notices.book.News(router.now()).Reports, qt.DeepEquals, []notice.Report{{Instance: former, IsLeaving: true}})
-		router.adoptView(holders(next))
+		router.adoptView(plainView(next))
 		recorder, _ = ask(router, t.Context(), "/once/x", "")
 		c.Assert(recorder.Code, qt.Equals, http.StatusOK)
 		c.Assert(backend.runners(), qt.DeepEquals, []string{former, next})
 	})
 }
 
-// A request that may have run cannot be told that it has not: it is answered as its last attempt ended, at once.
-func TestRequestThatMayHaveRunDoesNotWaitForARestInVain(t *testing.T) {
+// A request that may have run must be answered with its last result instead of waiting for a long
+// rest period.
+func TestRequestThatMayHaveRunDoesNotAwaitLongRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
@@ -177,7 +179,7 @@
 			answer.Notice.Rest = 4 * time.Second
 			return answer, err
 		})
-		router.adoptView(holders("p1"))
+		router.adoptView(plainView("p1"))
 		began := time.Now()
 		recorder, _ := ask(router, t.Context(), "/again/x", "")
 		c.Assert(recorder.Code, qt.Equals, http.StatusInternalServerError)
--- a/request/relay/options.go
+++ b/request/relay/options.go
@@ -12,44 +12,43 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// ErrNotSent says that no byte of a request has been sent.
+// ErrNotSent means that no byte of a request was sent.
 var ErrNotSent = errors.New("the request was not sent")
 
-// Options configure a Router.
+// Options configures a Router.
 type Options struct {
 	Logger log.Logger
-	// Name names the process.
+	// Name identifies the process.
 	Name string
-	// Seeds are addresses of controllers, as they are known now.
+	// Seeds returns the currently known addresses of controllers.
 	Seeds   func() []string
 	Decoder func(source []byte) (*site.Document, error)
 	Backend Backend
 	// Zone is the zone of the process; empty for a site without zones.
 	Zone structs.ZoneID
-	// Regions names the region of each zone.
+	// Regions maps zones to regions.
 	Regions map[structs.ZoneID]string
-	// Connects is what Backend dials runners with; nil if it does not, and then zones that are cut
-	// off are not noticed.
+	// Connects is the dialer of Backend. If it is nil, unreachable zones are not detected.
 	Connects *Connects
 	Retry    RetryRule
-	// Patience is how long callers of streams wait for the first event, or between
-	// two events, before they leave.
+	// Patience is how long callers of streams are expected to wait for the first event and between
+	// events.
 	Patience Patience
-	// ConfirmationLife is how long after a leader was asked, and has confirmed that the
-	// document was the newest, the keys in it count as good; 0 means for good.
+	// ConfirmationLife is how long API keys are valid after the request with which a leader
+	// confirmed that the document is the newest; 0 means indefinitely.
 	ConfirmationLife time.Duration
-	// Network is what controllers are dialled over; nil means TCP.
+	// Network is used to dial controllers; nil means TCP.
 	Network network.Network
 	// Metrics is where the router registers its metrics; nil for none.
 	Metrics prometheus.Registerer
-	// Seed makes the random choices.
+	// Seed seeds the random number generator.
 	Seed uint64
-	// Now is the clock that deadlines and whatever the leader grants are held against, which
-	// counts suspensions of the machine; nil means clock.Now. Requests arrive by it.
+	// Now is the clock for deadlines and leases. It must advance while the machine is suspended.
+	// Nil means clock.Now. Request.Arrived must come from the same clock.
 	Now func() time.Time
 }
 
-// Patience is the longest of its parts.
+// Patience is the maximum of its terms.
 type Patience struct {
 	Floor time.Duration
 	// Objectives and Pauses are multiples of the route's Objective and MaxPause.
@@ -57,7 +56,7 @@
 	Pauses     int
 }
 
-// of returns the patience of callers of a route.
+// of returns the patience of callers on a route.
 func (p Patience) of(route *site.Route) time.Duration {
 	return max(p.Floor, time.Duration(p.Objectives)*route.Objective, time.Duration(p.Pauses)*route.MaxPause)
 }
--- a/request/relay/order_test.go
+++ b/request/relay/order_test.go
@@ -21,13 +21,14 @@
 
 type fairEntry = fairqueue.Entry[*waiter]
 
-// servedTime is what a stream takes at the runner of newCrowdedRouter.
-const servedTime = 300 * time.Millisecond
+// streamTime is the duration of a stream at the runner of newCrowdedRouter.
+const streamTime = 300 * time.Millisecond
 
-// newCrowdedRouter has one runner for its model, with few places, and a second, patient route.
+// newCrowdedRouter returns a router with a single one-slot runner for its model, and a second route
+// with a long objective.
 func newCrowdedRouter() (*Router, *scriptedBackend) {
 	router, backend := newTestRouter(func(ctx context.Context, _ *Attempt) (*Answer, error) {
-		pause.For(ctx, servedTime)
+		pause.For(ctx, streamTime)
 		return stream(events(1, 1), io.EOF)
 	})
 	document := testDocument()
@@ -42,8 +43,8 @@
 	return router, backend
 }
 
-// come sends a request in the background and counts it as waiting for its answer.
-func come(t *testing.T, router *Router, ctx context.Context, path, model string, answered chan<- *httptest.ResponseRecorder) {
+// askAsync sends a request in the background and returns once it is waiting.
+func askAsync(t *testing.T, router *Router, ctx context.Context, path, model string, answered chan<- *httptest.ResponseRecorder) {
 	t.Helper()
 	go func() {
 		recorder, _ := ask(router, ctx, path, model)
@@ -52,68 +53,68 @@
 	synctest.Wait()
 }
 
-func waitingIn(router *Router) int {
+func waitingCount(router *Router) int {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	return router.rowState(residency.Row{Service: "engine", Model: "m"}).waiters.Len()
 }
 
-// fill sends requests until one waits, and returns how many were sent.
-func fill(t *testing.T, router *Router, answered chan *httptest.ResponseRecorder) int {
+// fillRunner sends requests until one waits, and returns how many were sent.
+func fillRunner(t *testing.T, router *Router, answered chan *httptest.ResponseRecorder) int {
 	for sent := 1; ; sent++ {
-		come(t, router, t.Context(), "/patient/filler", "m", answered)
-		// The places are free one after the other.
+		askAsync(t, router, t.Context(), "/patient/filler", "m", answered)
+		// The slots are freed one after the other.
 		pause.For(t.Context(), 5*time.Millisecond)
-		if waitingIn(router) > 0 {
+		if waitingCount(router) > 0 {
 			return sent
 		}
 	}
 }
 
-func TestUrgentRequestPassesOneThatCanWait(t *testing.T) {
+func TestUrgentRequestOvertakesOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newCrowdedRouter()
 		answered := make(chan *httptest.ResponseRecorder, 20)
-		sent := fill(t, router, answered)
-		come(t, router, t.Context(), "/patient/second", "m", answered)
-		come(t, router, t.Context(), "/stream/urgent", "m", answered)
+		sent := fillRunner(t, router, answered)
+		askAsync(t, router, t.Context(), "/patient/second", "m", answered)
+		askAsync(t, router, t.Context(), "/stream/urgent", "m", answered)
 		for range sent + 2 {
 			c.Assert((<-answered).Code, qt.Equals, http.StatusOK)
 		}
-		// The first that was let in after the places were full.
+		// This is the first one served after the runner was full.
 		c.Assert(backend.attempts[sent-1].Request.HTTP.URL.Path, qt.Equals, "/stream/urgent")
 	})
 }
 
-func TestCallerThatLeavesFreesItsPlaceAmongThoseThatWait(t *testing.T) {
+func TestCanceledRequestLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newCrowdedRouter()
 		answered := make(chan *httptest.ResponseRecorder, 20)
-		fill(t, router, answered)
+		fillRunner(t, router, answered)
 		ctx, leave := context.WithCancel(t.Context())
-		come(t, router, ctx, "/patient/leaves", "m", answered)
-		c.Assert(waitingIn(router), qt.Equals, 2)
+		askAsync(t, router, ctx, "/patient/leaves", "m", answered)
+		c.Assert(waitingCount(router), qt.Equals, 2)
 		leave()
 		synctest.Wait()
-		c.Assert(waitingIn(router), qt.Equals, 1)
+		c.Assert(waitingCount(router), qt.Equals, 1)
 		pause.For(t.Context(), 5*time.Second)
 	})
 }
 
-// Sixty requests wait where some ten a second are served. One that comes then and can wait has them all
-// before it, and is told so at once; one that can still be in time goes before them.
-func TestRequestThatTooManyGoBeforeIsRefusedAtOnce(t *testing.T) {
+// With sixty requests waiting, a request with a late deadline must be rejected at once, and an
+// urgent one served.
+func TestRequestBehindLongQueueIsRejectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newCrowdedRouter()
 		answered := make(chan *httptest.ResponseRecorder, 100)
-		come(t, router, t.Context(), "/patient/first", "m", answered)
+		askAsync(t, router, t.Context(), "/patient/first", "m", answered)
 		for range 60 {
-			come(t, router, t.Context(), "/stream/x", "m", answered)
+			askAsync(t, router, t.Context(), "/stream/x", "m", answered)
 		}
-		// Too little is known of the pace at first, and nobody is refused.
+		// At first the service rate is unknown and no request is rejected.
 		c.Assert(answered, qt.HasLen, 0)
 		pause.For(t.Context(), 1100*time.Millisecond)
 		began := time.Now()
@@ -121,19 +122,20 @@
 		c.Assert(refused.Code, qt.Equals, http.StatusServiceUnavailable)
 		c.Assert(time.Since(began), qt.Equals, time.Duration(0))
 		c.Assert(refused.Body.String(), qt.Contains, "too many requests wait")
-		c.Assert(retryAfter(c, refused) > returnSlack, qt.IsTrue)
+		c.Assert(retryAfter(c, refused) > retrySlack, qt.IsTrue)
 		served, _ := ask(router, t.Context(), "/stream/late", "m")
 		c.Assert(served.Code, qt.Equals, http.StatusOK)
 		pause.For(t.Context(), 10*time.Second)
 	})
 }
 
-// A tenant that is above its share over all routers waits for one that is not, until the word is old.
-func TestWordOnSharesDecidesBetweenTenants(t *testing.T) {
+// A tenant above its share over all routers must wait for one below it, until the shares reported
+// by the leader expire.
+func TestReportedSharesOrderTenants(t *testing.T) {
 	for name, test := range map[string]struct {
 		age   time.Duration
 		first string
-	}{"fresh word": {0, "free"}, "old word": {3 * time.Second, "limited"}} {
+	}{"fresh shares": {0, "free"}, "expired shares": {3 * time.Second, "limited"}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
--- a/request/relay/poison_test.go
+++ b/request/relay/poison_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// learnTime is how long after a request has crashed its third runner all routers must
-	// have learned of it, and maxRetries how often it may be sent to runners after that.
+	// learnTime is how long after its third crash all routers must know of a poison request, and
+	// maxResends how often it may be sent after that.
 	learnTime  = 3 * time.Second
-	maxRetries = 3
+	maxResends = 3
 	// poisonText is the body of a request that crashes each runner that runs it.
 	poisonText = "poison"
 )
 
-// repeatPoison sends the request that crashes runners again and again by any router, as
-// several callers at once.
+// repeatPoison repeatedly sends the poison request concurrently through random routers, and counts
+// the rejections.
 func (s *testSite) repeatPoison(during time.Duration) (refused int) {
 	s.poison[poisonText] = true
 	for began := time.Now(); time.Since(began) < during; {
@@ -43,19 +43,20 @@
 	third, isReached := s.thirdCrash(poisonText)
 	s.c.Assert(isReached, qt.IsTrue)
 	after := s.sentAfter(poisonText, third.Add(learnTime))
-	s.c.Assert(after <= maxRetries, qt.IsTrue, qt.Commentf("sent %d times more; %d runners ended", after, len(s.crashed[poisonText])))
+	s.c.Assert(after <= maxResends, qt.IsTrue, qt.Commentf("sent %d times more; %d runners ended", after, len(s.crashed[poisonText])))
 }
 
-func TestRequestThatCrashesRunnersIsSoonSentToNone(t *testing.T) {
-	inTraffic(t, 60*time.Second, 0.97, func(s *testSite) {
+func TestPoisonRequestIsSoonRejected(t *testing.T) {
+	withTraffic(t, 60*time.Second, 0.97, func(s *testSite) {
 		refused := s.repeatPoison(60 * time.Second)
 		s.assertContained()
 		s.c.Assert(refused > 50, qt.IsTrue, qt.Commentf("%d", refused))
 	})
 }
 
-// inTraffic runs a test while harmless requests come, of which nearly all must be served.
-func inTraffic(t *testing.T, during time.Duration, least float64, test func(s *testSite)) {
+// withTraffic runs a test under a load of harmless requests, of which the fraction least must be
+// served.
+func withTraffic(t *testing.T, during time.Duration, least float64, test func(s *testSite)) {
 	t.Helper()
 	inSite(t, func(s *testSite) {
 		callers := &traffic{site: s, statuses: make(map[int]int)}
@@ -71,8 +72,8 @@
 	})
 }
 
-func TestWhatIsKnownOfARequestOutlivesLeadersAndRouters(t *testing.T) {
-	for name, strike := range map[string]func(s *testSite){
+func TestSuspicionSurvivesRestartsOfLeadersAndRouters(t *testing.T) {
+	for name, fault := range map[string]func(s *testSite){
 		"a leader is lost": func(s *testSite) {
 			for index := range testControllers {
 				s.stopController(index)
@@ -99,16 +100,16 @@
 				s.repeatPoison(10 * time.Second)
 				third, isReached := s.thirdCrash(poisonText)
 				s.c.Assert(isReached, qt.IsTrue)
-				strike(s)
+				fault(s)
 				s.repeatPoison(20 * time.Second)
-				s.c.Assert(s.sentAfter(poisonText, third.Add(learnTime)) <= maxRetries, qt.IsTrue)
+				s.c.Assert(s.sentAfter(poisonText, third.Add(learnTime)) <= maxResends, qt.IsTrue)
 			})
 		})
 	}
 }
 
-// The third loss comes while there is no leader: routers tell the next one of the first two.
-func TestLossesBeforeANewLeaderCount(t *testing.T) {
+// Routers must report the first two losses to a new leader, as the third occurs under it.
+func TestLossesAreReportedToNewLeader(t *testing.T) {
 	inSite(t, func(s *testSite) {
 		s.poison[poisonText] = true
 		s.ask(0, poisonText)
@@ -122,11 +123,11 @@
 	})
 }
 
-// unluckyText is the body of a request that shares its runners with whatever ends them.
-const unluckyText = "unlucky"
+// bystanderText is the body of a harmless request whose runners crash for other reasons.
+const bystanderText = "unlucky"
 
-// loseUnder ends each runner that runs a request while it is asked for, until so many have ended.
-func (s *testSite) loseUnder(body string, runners int) {
+// crashRunnersOf crashes the given number of runners while they run a request.
+func (s *testSite) crashRunnersOf(body string, runners int) {
 	for ended := 0; ended < runners; {
 		done := make(chan struct{})
 		go func() {
@@ -145,18 +146,18 @@
 	}
 }
 
-// A request that was at four runners that went for other reasons is tried, served, and free again.
-func TestUnluckyRequestIsServed(t *testing.T) {
+// A harmless request whose runners crashed four times must pass its trial and be cleared.
+func TestBystanderRequestIsServed(t *testing.T) {
 	inSite(t, func(s *testSite) {
-		s.loseUnder(unluckyText, 4)
+		s.crashRunnersOf(bystanderText, 4)
 		s.c.Assert(s.trials(), qt.Equals, 0.0)
-		s.c.Assert(s.ask(0, unluckyText).Code, qt.Equals, http.StatusOK)
+		s.c.Assert(s.ask(0, bystanderText).Code, qt.Equals, http.StatusOK)
 		s.c.Assert(s.trials(), qt.Equals, 1.0)
 		pause.For(s.ctx, time.Second)
 		var answers [testRouters]int
 		var asking sync.WaitGroup
 		for router := range testRouters {
-			asking.Go(func() { answers[router] = s.ask(router, unluckyText).Code })
+			asking.Go(func() { answers[router] = s.ask(router, bystanderText).Code })
 		}
 		asking.Wait()
 		s.c.Assert(answers, qt.Equals, [testRouters]int{200, 200, 200, 200})
@@ -164,10 +165,10 @@
 	})
 }
 
-// Answers that break off say nothing against a request if the runner lives on.
-func TestRequestIsNotSuspectedWhereRunnersLiveOn(t *testing.T) {
+// Aborted responses must not make a request suspect if the runner survives.
+func TestAbortedResponsesDoNotMakeRequestSuspect(t *testing.T) {
 	inSite(t, func(s *testSite) {
-		body := cutText + " answer"
+		body := abortText + " answer"
 		for range 6 {
 			s.ask(s.anyRouter(), body)
 			pause.For(s.ctx, 4*heartbeatPause)
@@ -180,7 +181,7 @@
 	})
 }
 
-func TestCallerIsToldThatTheRequestIsTheTrouble(t *testing.T) {
+func TestCallerIsToldThatRequestCrashesRunners(t *testing.T) {
 	inSite(t, func(s *testSite) {
 		s.repeatPoison(10 * time.Second)
 		answer := s.ask(0, poisonText)
@@ -191,9 +192,9 @@
 	})
 }
 
-// Several requests that crash runners, at the same runners, are each found.
-func TestSeveralRequestsThatCrashRunnersAreFound(t *testing.T) {
-	inTraffic(t, 40*time.Second, 0.9, func(s *testSite) {
+// Several poison requests at the same runners must each be detected.
+func TestSeveralPoisonRequestsAreDetected(t *testing.T) {
+	withTraffic(t, 40*time.Second, 0.9, func(s *testSite) {
 		bodies := []string{"poison a", "poison b", "poison c"}
 		for _, body := range bodies {
 			s.poison[body] = true
@@ -209,29 +210,29 @@
 			ended += len(s.crashed[body])
 			third, isReached := s.thirdCrash(body)
 			if !isReached {
-				// The others were faster: it was found by what it shared with them.
+				// It was detected by crashes that it shared with the others.
 				continue
 			}
 			after := s.sentAfter(body, third.Add(learnTime))
-			s.c.Check(after <= maxRetries, qt.IsTrue, qt.Commentf("%s was sent %d times more; %d runners ended", body, after, len(s.crashed[body])))
+			s.c.Check(after <= maxResends, qt.IsTrue, qt.Commentf("%s was sent %d times more; %d runners ended", body, after, len(s.crashed[body])))
 		}
 		s.c.Assert(ended >= 3 && ended <= 5*len(bodies), qt.IsTrue, qt.Commentf("%d runners ended", ended))
 	})
 }
 
-// Callers leave before or after the crash, runners run what has been given up, and heartbeats come up
-// to three seconds late, so that a runner that has crashed seems to live on.
-func TestPoisonIsContainedWhateverCallersAndRunnersDo(t *testing.T) {
+// Callers leave at random times, runners ignore cancellation, and heartbeats are up to three
+// seconds late, so that a crashed runner seems alive.
+func TestPoisonIsContainedUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inTraffic(t, 50*time.Second, 0.98, func(s *testSite) {
+			withTraffic(t, 50*time.Second, 0.98, func(s *testSite) {
 				s.random = rand.New(rand.NewPCG(seed, 2))
-				s.slowest, s.latest, s.isStubborn = s.draw(1500*time.Millisecond)+1, 3*time.Second, true
+				s.maxPoisonTime, s.maxHeartbeatDelay, s.ignoresCancel = s.randomDuration(1500*time.Millisecond)+1, 3*time.Second, true
 				s.poison[poisonText] = true
-				pauseTime := 100*time.Millisecond + s.draw(900*time.Millisecond)
+				pauseTime := 100*time.Millisecond + s.randomDuration(900*time.Millisecond)
 				for began := time.Now(); time.Since(began) < 50*time.Second; {
 					go func() {
-						ctx, leave := context.WithTimeout(s.ctx, 30*time.Millisecond+s.draw(1500*time.Millisecond))
+						ctx, leave := context.WithTimeout(s.ctx, 30*time.Millisecond+s.randomDuration(1500*time.Millisecond))
 						defer leave()
 						s.askFor(ctx, s.anyRouter(), poisonText)
 					}()
--- a/request/relay/queue.go
+++ b/request/relay/queue.go
@@ -17,42 +17,42 @@
 // waiter is a request that waits for a runner.
 type waiter struct {
 	row residency.Row
-	// work is what the request asks of a runner, and which runners it should not get.
+	// work is what the request needs from a runner, and which runners to avoid.
 	work routing.Work
-	// ticket decides its place among those that wait.
+	// ticket determines the position in the queue.
 	ticket waiting.Ticket
-	// home is where the request may be served; nil for anywhere.
-	home *home
-	// until is when it is given up if there is no runner for it.
+	// regions limits where the request may be served; nil for anywhere.
+	regions *regionLimit
+	// until is when the request is abandoned.
 	until time.Time
-	// mayDefer is set if the request has certainly not run, so that its caller may be told
-	// to come back.
+	// mayDefer is set if the request has certainly not run, so that its caller may be told to
+	// retry.
 	mayDefer bool
-	// deferred gets when and why the caller should come back; it has room for one.
-	deferred chan *comeBackError
-	// granted gets the choice; it has room for one.
+	// deferred receives the advice to retry later; it has capacity 1.
+	deferred chan *retryLaterError
+	// granted receives the choice; it has capacity 1.
 	granted chan routing.Choice
-	// cachedParts is how many parts of the prompt the chosen runner probably keeps.
+	// cachedParts is the estimated number of prompt parts cached at the chosen runner.
 	cachedParts int
 	entry       fairqueue.Entry[*waiter]
 }
 
-// rowState is what a router counts for a row between two reports.
+// rowState is the router's state of a row, that is, of a service, model and adapter.
 type rowState struct {
 	arrived int
-	// objective is the shortest of those that arrived or wait; 0 for none.
+	// objective is the shortest latency objective of the requests that arrived or wait; 0 for none.
 	objective time.Duration
 	waiters   fairqueue.Row[*waiter]
-	// restricted holds the waiters that should not have the room of one of the runners, as it has failed them
-	// or turned them away: others of the row may be served there all the same.
+	// restricted holds waiters that must avoid a runner that failed or rejected them. They are kept
+	// apart so that they do not block other requests of the row.
 	restricted fairqueue.Row[*waiter]
-	// homes holds the waiters that may be served in some regions alone, by these.
-	homes map[string]*fairqueue.Row[*waiter]
-	// absentees are callers that were told to come back.
-	absentees []absentee
-	forecast  forecast
-	active    map[structs.RunnerID]int
-	// prompts are the tokens of prompts to be read that were sent since the last report.
+	// byRegions holds waiters that are limited to certain regions, by the names of these.
+	byRegions map[string]*fairqueue.Row[*waiter]
+	// deferredCallers are the callers that were told to retry later.
+	deferredCallers []deferredCaller
+	forecast        forecast
+	active          map[structs.RunnerID]int
+	// prompts counts the uncached prompt tokens sent to each runner since the last report.
 	prompts map[structs.RunnerID]int64
 }
 
@@ -65,38 +65,38 @@
 	return state
 }
 
-// queueOf is where a request waits.
+// queueOf returns the queue for a request.
 func (s *rowState) queueOf(wanted *waiter) *fairqueue.Row[*waiter] {
 	switch {
-	case wanted.home != nil:
-		return s.queueAt(wanted.home)
+	case wanted.regions != nil:
+		return s.regionQueue(wanted.regions)
 	case wanted.work.Avoid != "" || wanted.work.Barred != "":
 		return &s.restricted
 	}
 	return &s.waiters
 }
 
-// queueAt is where requests wait that may be served in some regions alone.
-func (s *rowState) queueAt(at *home) *fairqueue.Row[*waiter] {
-	if s.homes == nil {
-		s.homes = make(map[string]*fairqueue.Row[*waiter])
+// regionQueue returns the queue of the requests limited to the given regions.
+func (s *rowState) regionQueue(at *regionLimit) *fairqueue.Row[*waiter] {
+	if s.byRegions == nil {
+		s.byRegions = make(map[string]*fairqueue.Row[*waiter])
 	}
-	if s.homes[at.name] == nil {
-		s.homes[at.name] = &fairqueue.Row[*waiter]{}
+	if s.byRegions[at.name] == nil {
+		s.byRegions[at.name] = &fairqueue.Row[*waiter]{}
 	}
-	return s.homes[at.name]
+	return s.byRegions[at.name]
 }
 
-// queues lists where requests wait.
+// queues returns all queues of the row.
 func (s *rowState) queues() []*fairqueue.Row[*waiter] {
 	listed := []*fairqueue.Row[*waiter]{&s.waiters, &s.restricted}
-	for _, name := range slices.Sorted(maps.Keys(s.homes)) {
-		listed = append(listed, s.homes[name])
+	for _, name := range slices.Sorted(maps.Keys(s.byRegions)) {
+		listed = append(listed, s.byRegions[name])
 	}
 	return listed
 }
 
-// waiting counts the requests that wait.
+// waiting returns the number of waiting requests.
 func (s *rowState) waiting() int {
 	count := 0
 	for _, queue := range s.queues() {
@@ -105,7 +105,7 @@
 	return count
 }
 
-// eachWaiter calls visit for all requests that wait. None must be removed meanwhile.
+// eachWaiter calls visit for each waiting request. visit must not remove any.
 func (s *rowState) eachWaiter(visit func(*fairqueue.Entry[*waiter])) {
 	for _, queue := range s.queues() {
 		queue.Each(func(entry *fairqueue.Entry[*waiter]) bool {
@@ -115,31 +115,30 @@
 	}
 }
 
-// comeBackError ends the wait of a request whose caller should come back.
-type comeBackError struct {
+// retryLaterError ends the wait of a request whose caller should retry later.
+type retryLaterError struct {
 	after  time.Duration
-	reason comeBackReason
+	reason retryReason
 }
 
-func (e *comeBackError) Error() string {
-	return string(e.reason) + ": the caller should come back in " + e.after.String()
+func (e *retryLaterError) Error() string {
+	return string(e.reason) + ": retry after " + e.after.String()
 }
 
-// acquire returns a runner that may be sent the request now, or waits for one until
-// ctx ends. The choice must be given back with release. The error is a comeBackError if
-// waiting is of no use.
+// acquire returns a runner that the request may be sent to, waiting for one until ctx ends. The
+// choice must be released with release. The error is a retryLaterError if the wait would be futile.
 func (r *Router) acquire(ctx context.Context, wanted *waiter) (routing.Choice, error) {
 	r.mutex.Lock()
-	r.track(wanted.row)
+	r.trackModel(wanted.row)
 	state := r.rowState(wanted.row)
 	if choice, found := r.pickFirst(state, wanted); found {
 		r.mutex.Unlock()
 		return choice, nil
 	}
-	if comeBack := r.deferNow(state, wanted); comeBack != nil {
+	if retry := r.deferNow(state, wanted); retry != nil {
 		r.mutex.Unlock()
 		r.wakeReport()
-		return routing.Choice{}, comeBack
+		return routing.Choice{}, retry
 	}
 	if len(r.pacedRunners(wanted.row)) > 0 {
 		r.wakeTokens()
@@ -149,8 +148,8 @@
 	select {
 	case choice := <-wanted.granted:
 		return choice, nil
-	case comeBack := <-wanted.deferred:
-		return routing.Choice{}, comeBack
+	case retry := <-wanted.deferred:
+		return routing.Choice{}, retry
 	case <-ctx.Done():
 	}
 	r.mutex.Lock()
@@ -158,7 +157,7 @@
 	r.queue.Remove(&wanted.entry)
 	select {
 	case choice := <-wanted.granted:
-		r.giveBack(wanted.row, choice, routing.OutcomeNeutral)
+		r.releaseLocked(wanted.row, choice, routing.OutcomeNeutral)
 		r.queue.Charge(r.now(), wanted.ticket.Tenant, -fairqueue.Work(wanted.ticket))
 		r.serveWaiters()
 	default:
@@ -166,8 +165,8 @@
 	return routing.Choice{}, context.Cause(ctx)
 }
 
-// pickFirst chooses a runner for a request that has just come, unless others go before it. A
-// request without one is among those that wait then. It runs under the mutex.
+// pickFirst selects a runner for a new request unless others are ahead of it. A request without a
+// runner is queued. The caller must hold r.mutex.
 func (r *Router) pickFirst(state *rowState, wanted *waiter) (routing.Choice, bool) {
 	queue := state.queueOf(wanted)
 	if queue.Len() == 0 {
@@ -177,7 +176,7 @@
 		}
 	}
 	wanted.granted = make(chan routing.Choice, 1)
-	wanted.deferred = make(chan *comeBackError, 1)
+	wanted.deferred = make(chan *retryLaterError, 1)
 	wanted.entry = fairqueue.Entry[*waiter]{Ticket: wanted.ticket, Value: wanted}
 	r.queue.Push(r.now(), queue, &wanted.entry)
 	if queue.Len() > 1 {
@@ -191,7 +190,7 @@
 	}
 }
 
-// pick chooses a runner and counts the attempt on it. It runs under the mutex.
+// pick selects a runner and counts the attempt. The caller must hold r.mutex.
 func (r *Router) pick(wanted *waiter) (routing.Choice, bool) {
 	r.expireTokens()
 	at := time.Now()
@@ -202,27 +201,28 @@
 	wanted.cachedParts = choice.Cached(wanted.work.Prefixes)
 	choice.Sent(at, wanted.work.Prefixes)
 	if again := choice.NextTry(at); again > 0 {
-		time.AfterFunc(again, r.serveRested)
+		time.AfterFunc(again, r.serveAfterRest)
 	}
 	state := r.rowState(wanted.row)
 	state.active[choice.Runner()]++
 	state.prompts[choice.Runner()] += choice.Unread()
-	r.wantAhead(wanted.row)
+	r.prefetchTokens(wanted.row)
 	return choice, true
 }
 
-// rest takes a runner out of the choice for a time, if that is not over. It runs under the mutex.
-func (r *Router) rest(instance string, left time.Duration) {
+// setRest excludes a runner from selection for the time left of its rest period, if any. The caller
+// must hold r.mutex.
+func (r *Router) setRest(instance string, left time.Duration) {
 	if left > 0 {
 		r.balancer.Rest(structs.RunnerID(instance), time.Now().Add(left))
 	}
 }
 
-// isWanted reports whether the chosen runner still wants requests. It runs under the mutex.
+// isWanted reports whether the chosen runner still accepts requests. The caller must hold r.mutex.
 func (r *Router) isWanted(choice routing.Choice) bool { return choice.IsWanted(time.Now()) }
 
-// restsUntil is when the first of the runners that may have a request takes some again, if all of them rest. It runs under
-// the mutex.
+// restsUntil returns when the first eligible runner ends its rest period, if all of them are
+// resting. The caller must hold r.mutex.
 func (r *Router) restsUntil(wanted *waiter) (time.Time, bool) {
 	if r.notices.book.IsEmpty() {
 		return time.Time{}, false
@@ -232,31 +232,32 @@
 	return r.now().Add(until.Sub(at)), isResting
 }
 
-// pacedRunners lists the paced runners that requests of the row could get with tokens. It runs under the mutex.
+// pacedRunners returns the runners of the row that accept requests only for tokens. The caller must
+// hold r.mutex.
 func (r *Router) pacedRunners(row residency.Row) []structs.RunnerID {
 	return r.balancer.Paced(time.Now(), rowName(row))
 }
 
-// release ends the attempt and lets those that wait have the room.
+// release ends the attempt and serves the queue with the freed capacity.
 func (r *Router) release(row residency.Row, choice routing.Choice, outcome routing.Outcome) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.giveBack(row, choice, outcome)
+	r.releaseLocked(row, choice, outcome)
 	if outcome == routing.OutcomeTurnedAway {
-		// Nothing else may tell those that wait that the runner takes requests again.
-		time.AfterFunc(choice.Rest(time.Now()), r.serveRested)
+		// No other event may signal the end of the runner's rest.
+		time.AfterFunc(choice.Rest(time.Now()), r.serveAfterRest)
 	}
 	r.serveWaiters()
 }
 
-// serveRested gives those that wait a runner that takes requests again.
-func (r *Router) serveRested() {
+// serveAfterRest serves the queue after the rest of a runner.
+func (r *Router) serveAfterRest() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.serveWaiters()
 }
 
-func (r *Router) giveBack(row residency.Row, choice routing.Choice, outcome routing.Outcome) {
+func (r *Router) releaseLocked(row residency.Row, choice routing.Choice, outcome routing.Outcome) {
 	choice.Done(time.Now(), outcome)
 	state := r.rowState(row)
 	state.active[choice.Runner()]--
@@ -265,12 +266,12 @@
 	}
 }
 
-// serveWaiters gives runners to those that wait, in their order. It runs under the mutex.
+// serveWaiters assigns runners to waiting requests in order. The caller must hold r.mutex.
 func (r *Router) serveWaiters() {
 	r.queue.Serve(r.now(), r.grant)
 }
 
-// grant gives a runner to a request that waits, if there is one.
+// grant assigns a runner to a waiting request and reports whether there was one.
 func (r *Router) grant(entry *fairqueue.Entry[*waiter]) bool {
 	choice, found := r.pick(entry.Value)
 	if found {
@@ -279,22 +280,22 @@
 	return found
 }
 
-// notServed gives back the work that was counted for an attempt that no runner has run.
-func (r *Router) notServed(ticket waiting.Ticket) {
+// refundWork refunds the work charged for an attempt that did not run.
+func (r *Router) refundWork(ticket waiting.Ticket) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.queue.Charge(r.now(), ticket.Tenant, -fairqueue.Work(ticket))
 }
 
-// takeDemands lists what is to be reported and begins anew.
+// takeDemands returns the demand to report and resets the counts.
 func (r *Router) takeDemands(at time.Time) []residency.Demand {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var demands []residency.Demand
 	for row, state := range r.rows {
 		if row.Model == "" {
-			// Nobody loads anything for it, so that nothing is told.
-			state.arrived, state.absentees = 0, nil
+			// Services without models are not reported, as there is nothing to load.
+			state.arrived, state.deferredCallers = 0, nil
 			clear(state.prompts)
 			continue
 		}
@@ -306,7 +307,7 @@
 			state.objective = 0
 		}
 		if demand.Waiting == 0 && demand.Arrived == 0 && len(demand.Active) == 0 {
-			// The leader forgets what it was told once this empty report has come.
+			// An empty report makes the leader drop the row.
 			delete(r.rows, row)
 		}
 		demands = append(demands, demand)
@@ -314,8 +315,8 @@
 	return demands
 }
 
-// takeActive lists the requests at runners, and the tokens that were sent there since the last
-// list.
+// takeActive returns the requests in progress at each runner and the prompt tokens sent there since
+// the last call.
 func (s *rowState) takeActive() []residency.ActiveCount {
 	var listed []residency.ActiveCount
 	for runner, count := range s.active {
@@ -330,19 +331,19 @@
 	return listed
 }
 
-// countWaiting adds those that wait to the demand, callers that are to come back included.
+// countWaiting adds waiting requests and deferred callers to the demand.
 func (s *rowState) countWaiting(at time.Time, demand *residency.Demand) {
-	s.absentees = slices.DeleteFunc(s.absentees, func(caller absentee) bool { return at.After(caller.until) })
-	demand.Waiting = s.waiting() + len(s.absentees)
+	s.deferredCallers = slices.DeleteFunc(s.deferredCallers, func(caller deferredCaller) bool { return at.After(caller.until) })
+	demand.Waiting = s.waiting() + len(s.deferredCallers)
 	demand.Priority = math.MaxInt
 	s.eachWaiter(func(entry *fairqueue.Entry[*waiter]) {
 		demand.Oldest = max(demand.Oldest, at.Sub(entry.Ticket.Arrived))
 		demand.Priority = min(demand.Priority, entry.Ticket.Rank)
-		if at := entry.Value.home; at != nil && demand.Zones == nil {
-			demand.Zones = at.listZones()
+		if at := entry.Value.regions; at != nil && demand.Zones == nil {
+			demand.Zones = at.zoneNames()
 		}
 	})
-	for _, caller := range s.absentees {
+	for _, caller := range s.deferredCallers {
 		demand.Oldest = max(demand.Oldest, at.Sub(caller.since))
 		demand.Priority = min(demand.Priority, caller.priority)
 	}
--- a/request/relay/homes_test.go
+++ b/request/relay/regions_test.go
@@ -18,47 +18,47 @@
 
 var testRegions = map[structs.ZoneID]string{"n1": "north", "n2": "north", "s1": "south"}
 
-func TestRegionsOfRouteAndTenantBothBind(t *testing.T) {
+func TestRegionsOfRouteAndTenantAreIntersected(t *testing.T) {
 	for name, test := range map[string]struct {
 		route, tenant []string
 		zones         []string
 		isAnywhere    bool
 	}{
 		"neither":              {isAnywhere: true},
-		"the route":            {route: []string{"south"}, zones: []string{"s1"}},
-		"the tenant":           {tenant: []string{"north"}, zones: []string{"n1", "n2"}},
-		"both alike":           {route: []string{"north"}, tenant: []string{"north", "south"}, zones: []string{"n1", "n2"}},
-		"both apart":           {route: []string{"north"}, tenant: []string{"south"}},
-		"a region of no zones": {route: []string{"east"}},
+		"route only":           {route: []string{"south"}, zones: []string{"s1"}},
+		"tenant only":          {tenant: []string{"north"}, zones: []string{"n1", "n2"}},
+		"overlapping":          {route: []string{"north"}, tenant: []string{"north", "south"}, zones: []string{"n1", "n2"}},
+		"disjoint":             {route: []string{"north"}, tenant: []string{"south"}},
+		"region without zones": {route: []string{"east"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			found := homeOf(&site.Route{Regions: test.route}, &site.Tenant{Regions: test.tenant}, testRegions)
+			found := regionLimitOf(&site.Route{Regions: test.route}, &site.Tenant{Regions: test.tenant}, testRegions)
 			c.Assert(found == nil, qt.Equals, test.isAnywhere)
 			if found != nil {
-				c.Assert(found.listZones(), qt.DeepEquals, test.zones)
+				c.Assert(found.zoneNames(), qt.DeepEquals, test.zones)
 			}
 		})
 	}
 	c := qt.New(t)
-	c.Assert(homeOf(&site.Route{}, nil, testRegions), qt.IsNil)
+	c.Assert(regionLimitOf(&site.Route{}, nil, testRegions), qt.IsNil)
 }
 
-// newHomesRouter has a runner of a plain service and one that holds a model in each zone but n2, and a tenant that may be
-// served in the regions.
-func newHomesRouter(regions ...string) (*Router, *scriptedBackend) {
+// newRegionsRouter returns a router with a plain runner and a runner that holds a model in each
+// zone but n2, and a tenant limited to the regions.
+func newRegionsRouter(regions ...string) (*Router, *scriptedBackend) {
 	router, backend := newTestRouter(always(fine))
 	router.options.Regions = testRegions
 	document := testDocument()
 	document.Version = 2
 	document.RequiresKeys = true
-	document.Tenants = []site.Tenant{{Name: "homely", Keys: []keys.Hash{keys.HashAPIKey("key")}, Regions: regions}}
+	document.Tenants = []site.Tenant{{Name: "restricted", Keys: []keys.Hash{keys.HashAPIKey("key")}, Regions: regions}}
 	router.adoptDocument(document)
-	router.adoptView(homesView("n1", "s1"))
+	router.adoptView(regionsView("n1", "s1"))
 	return router, backend
 }
 
-func homesView(zones ...string) fleet.View {
+func regionsView(zones ...string) fleet.View {
 	view := fleet.View{Complete: true}
 	for _, zone := range zones {
 		view.Runners = append(view.Runners,
@@ -69,10 +69,10 @@
 	return view
 }
 
-func TestRequestsReachRunnersOfTheirHomesAlone(t *testing.T) {
+func TestRequestsStayInAllowedRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		router, backend := newHomesRouter("south")
+		router, backend := newRegionsRouter("south")
 		for range 30 {
 			c.Assert(askAs(router, "/once/", Credential{Key: "key"}, Size{}).Code, qt.Equals, http.StatusOK)
 		}
@@ -82,12 +82,12 @@
 	})
 }
 
-// Where none is left, the caller is told so at once, and nothing is sent astray.
-func TestRequestsWithoutRunnersAtHomeAreRefusedAtOnce(t *testing.T) {
+// Without a runner in the allowed regions, a request must be rejected at once and sent nowhere.
+func TestRequestWithoutRunnerInRegionIsRejectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		router, backend := newHomesRouter("south")
-		router.adoptView(homesView("n1"))
+		router, backend := newRegionsRouter("south")
+		router.adoptView(regionsView("n1"))
 		began := time.Now()
 		refused := askAs(router, "/once/", Credential{Key: "key"}, Size{})
 		c.Assert(refused.Code, qt.Equals, http.StatusServiceUnavailable)
@@ -98,13 +98,13 @@
 	})
 }
 
-// A request waits for its model at home, though others of the model are served elsewhere meanwhile, and tells the
-// leader where it is wanted.
-func TestRequestWaitsForItsModelAtHome(t *testing.T) {
+// A request must wait for its model in the allowed regions even if others are served elsewhere, and
+// its zones must be reported to the leader.
+func TestRequestWaitsForModelInAllowedRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		router, backend := newHomesRouter("south")
-		view := homesView("n1", "s1")
+		router, backend := newRegionsRouter("south")
+		view := regionsView("n1", "s1")
 		view.Runners[3].Models = nil
 		router.adoptView(view)
 		var code int
@@ -115,14 +115,14 @@
 		c.Assert(demands, qt.HasLen, 1)
 		c.Assert(demands[0].Waiting, qt.Equals, 1)
 		c.Assert(demands[0].Zones, qt.DeepEquals, []string{"s1"})
-		router.adoptView(homesView("n1", "s1"))
+		router.adoptView(regionsView("n1", "s1"))
 		synctest.Wait()
 		c.Assert(code, qt.Equals, http.StatusOK)
 		c.Assert(backend.runners(), qt.DeepEquals, []string{"engine-s1"})
 	})
 }
 
-// serveModel asks for the model with a key.
+// serveModel sends a request for the model with an API key.
 func serveModel(router *Router, key string) int {
 	recorder := httptest.NewRecorder()
 	router.Serve(recorder, &Request{
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -22,7 +22,7 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// scriptedBackend answers attempts by a function, and notes them.
+// scriptedBackend is a Backend that records its attempts.
 type scriptedBackend struct {
 	answer func(ctx context.Context, attempt *Attempt) (*Answer, error)
 
@@ -50,20 +50,20 @@
 	return names
 }
 
-func whole(status int, body string) (*Answer, error) {
+func newAnswer(status int, body string) (*Answer, error) {
 	return &Answer{
 		Status: status, Header: http.Header{"Content-Type": {"text/plain"}}, Body: io.NopCloser(strings.NewReader(body)),
 		Length: int64(len(body)), Signed: true,
 	}, nil
 }
 
-// cutBody yields its text and then fails, unless err is io.EOF.
-type cutBody struct {
+// truncatedBody yields its text and then fails, unless err is io.EOF.
+type truncatedBody struct {
 	io.Reader
 	err error
 }
 
-func (b *cutBody) Read(buffer []byte) (int, error) {
+func (b *truncatedBody) Read(buffer []byte) (int, error) {
 	count, err := b.Reader.Read(buffer)
 	if err == io.EOF {
 		err = b.err
@@ -71,7 +71,7 @@
 	return count, err
 }
 
-func (b *cutBody) Close() error { return nil }
+func (b *truncatedBody) Close() error { return nil }
 
 // silentBody yields nothing until its context ends.
 type silentBody struct{ ctx context.Context }
@@ -94,7 +94,7 @@
 func stream(text string, end error) (*Answer, error) {
 	return &Answer{
 		Status: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}},
-		Body: &cutBody{strings.NewReader(text), end}, Length: -1, Signed: true, IsStream: true,
+		Body: &truncatedBody{strings.NewReader(text), end}, Length: -1, Signed: true, IsStream: true,
 	}, nil
 }
 
@@ -135,14 +135,13 @@
 		Retry:    RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
 		Patience: Patience{Floor: 2 * time.Second, Objectives: 4, Pauses: 8},
 	})
-	router.granted = grant{routers: 1, at: time.Now()}
+	router.routerCount = routerCount{routers: 1, at: time.Now()}
 	router.adoptDocument(testDocument())
 	router.adoptView(testView())
 	return router, backend
 }
 
-// ask sends a request and returns the answer. aborted is set if the answer was broken
-// off.
+// ask sends a request and returns the response. aborted is set if the response was aborted.
 func ask(router *Router, ctx context.Context, path, model string) (recorder *httptest.ResponseRecorder, aborted bool) {
 	recorder = httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "http://h"+path, nil).WithContext(ctx)
@@ -174,14 +173,14 @@
 func broken() (*Answer, error)  { return nil, errors.New("connection reset") }
 func notSent() (*Answer, error) { return nil, pkgerrors.Wrap(ErrNotSent, "connection refused") }
 func shed() (*Answer, error) {
-	answer, _ := whole(http.StatusServiceUnavailable, "full")
+	answer, _ := newAnswer(http.StatusServiceUnavailable, "full")
 	answer.NotRun, answer.Signed = true, false
 	return answer, nil
 }
-func fine() (*Answer, error)   { return whole(http.StatusOK, "fine") }
-func failed() (*Answer, error) { return whole(http.StatusInternalServerError, "failed") }
+func fine() (*Answer, error)   { return newAnswer(http.StatusOK, "fine") }
+func failed() (*Answer, error) { return newAnswer(http.StatusInternalServerError, "failed") }
 
-func TestWhatMayBeTriedAgain(t *testing.T) {
+func TestRetryPolicy(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		path     string
@@ -189,11 +188,11 @@
 		status   int
 		attempts int
 	}{
-		{"lost answer of a request that runs once", "/once/", broken, http.StatusBadGateway, 1},
-		{"lost answer of a repeatable request", "/again/", broken, http.StatusOK, 2},
-		{"unsent request that runs once", "/once/", notSent, http.StatusOK, 2},
-		{"shed request that runs once", "/once/", shed, http.StatusOK, 2},
-		{"failure of a request that runs once", "/once/", failed, http.StatusInternalServerError, 1},
+		{"lost response of a non-repeatable request", "/once/", broken, http.StatusBadGateway, 1},
+		{"lost response of a repeatable request", "/again/", broken, http.StatusOK, 2},
+		{"unsent non-repeatable request", "/once/", notSent, http.StatusOK, 2},
+		{"rejected non-repeatable request", "/once/", shed, http.StatusOK, 2},
+		{"failure of a non-repeatable request", "/once/", failed, http.StatusInternalServerError, 1},
 		{"failure of a repeatable request", "/again/", failed, http.StatusOK, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -213,7 +212,7 @@
 	}
 }
 
-func TestNotRunIsSaidOnlyOfWhatCertainlyDidNotRun(t *testing.T) {
+func TestUnavailableImpliesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTestRouter(func(context.Context, *Attempt) (*Answer, error) { return shed() })
@@ -226,12 +225,12 @@
 	})
 }
 
-func TestStreamGoesOnElsewhereAtTheNextEvent(t *testing.T) {
+func TestStreamResumesOnAnotherRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTestRouter(firstThen(
 			func() (*Answer, error) { return stream(events(1, 3)+"id: 4\nda", errors.New("reset")) },
-			// The second runner repeats an event that the caller has.
+			// The second runner repeats an event that the caller already has.
 			func() (*Answer, error) { return stream(events(3, 6), io.EOF) },
 		))
 		recorder, aborted := ask(router, t.Context(), "/stream/x", "m")
@@ -242,7 +241,7 @@
 	})
 }
 
-func TestStreamThatMayNotRunTwiceIsBrokenOff(t *testing.T) {
+func TestNonResumableStreamIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
@@ -254,7 +253,7 @@
 	})
 }
 
-func TestStreamThatEndsInsideAnEventIsNotWhole(t *testing.T) {
+func TestStreamEndingInsideEventIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
@@ -265,11 +264,11 @@
 	})
 }
 
-func TestUnsignedSuccessIsNotPassedOn(t *testing.T) {
+func TestUnsignedSuccessIsNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
-			answer, _ := whole(http.StatusOK, "forged")
+			answer, _ := newAnswer(http.StatusOK, "forged")
 			answer.Signed = false
 			return answer, nil
 		})
@@ -278,7 +277,7 @@
 	})
 }
 
-func TestSilentRunnerIsLeftForRepeatableRequestsOnly(t *testing.T) {
+func TestOnlyRepeatableRequestsLeaveSilentRunner(t *testing.T) {
 	for path, attempts := range map[string]int{"/again/x": 2, "/once/x": 1} {
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -306,8 +305,7 @@
 	}
 }
 
-// A runner that sends to others is busy, and is given more time before a stream is
-// begun elsewhere.
+// A runner that sends data for other requests must get more time before its stream is moved.
 func TestBusyRunnerGetsMoreTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -332,7 +330,7 @@
 	})
 }
 
-func TestRequestForAnAbsentModelWaitsForItsLoad(t *testing.T) {
+func TestRequestWaitsForModelLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTestRouter(func(context.Context, *Attempt) (*Answer, error) { return stream(events(1, 1), io.EOF) })
@@ -349,7 +347,7 @@
 	})
 }
 
-func TestRequestIsRefusedAtOnceWhenItsCallerWillLeave(t *testing.T) {
+func TestStreamRequestIsRejectedBeforeCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTestRouter(nil)
@@ -362,12 +360,12 @@
 	})
 }
 
-func TestRowThatARunnerRefusedIsNotAskedForThereAgain(t *testing.T) {
+func TestRowNotHeldByRunnerIsNotSentThereAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTestRouter(func(_ context.Context, attempt *Attempt) (*Answer, error) {
 			if attempt.Instance == "e1" {
-				answer, _ := whole(http.StatusMisdirectedRequest, "")
+				answer, _ := newAnswer(http.StatusMisdirectedRequest, "")
 				answer.NotHeld = true
 				return answer, nil
 			}
@@ -392,7 +390,7 @@
 	})
 }
 
-func TestCallerThatLeavesEndsTheAttempt(t *testing.T) {
+func TestCallerCancellationEndsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ended := false
@@ -413,7 +411,7 @@
 	})
 }
 
-func TestRequestWaitsForTheFirstDocument(t *testing.T) {
+func TestRequestWaitsForFirstDocument(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		backend := &scriptedBackend{answer: func(context.Context, *Attempt) (*Answer, error) { return fine() }}
@@ -428,7 +426,7 @@
 	})
 }
 
-func TestNoDocumentIsReplacedByAnOlderOne(t *testing.T) {
+func TestOlderDocumentIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	router, _ := newTestRouter(nil)
 	newer := testDocument()
@@ -440,14 +438,14 @@
 	c.Assert(router.version(), qt.Equals, uint64(5))
 }
 
-func TestRequestsWithoutARouteAreNotFound(t *testing.T) {
+func TestRequestWithoutRouteIsNotFound(t *testing.T) {
 	c := qt.New(t)
 	router, _ := newTestRouter(nil)
 	recorder, _ := ask(router, t.Context(), "/nowhere/", "")
 	c.Assert(recorder.Code, qt.Equals, http.StatusNotFound)
 }
 
-func TestStopRefusesWhatWaitsAndAnswersWhatIsLeft(t *testing.T) {
+func TestShutdownRejectsWaitingAndEndsInProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTestRouter(func(ctx context.Context, _ *Attempt) (*Answer, error) {
--- a/request/relay/rest_test.go
+++ b/request/relay/rest_test.go
@@ -17,15 +17,16 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// sendings notes when requests came to runners, each of which turns away so many at first.
-type sendings struct {
+// rejectingRunners records when requests arrive at runners, each of which rejects a number of them
+// first.
+type rejectingRunners struct {
 	mutex sync.Mutex
 	began time.Time
 	at    []time.Duration
 	full  map[string]int
 }
 
-func (s *sendings) answer(_ context.Context, attempt *Attempt) (*Answer, error) {
+func (s *rejectingRunners) answer(_ context.Context, attempt *Attempt) (*Answer, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.at = append(s.at, time.Since(s.began))
@@ -36,8 +37,8 @@
 	return fine()
 }
 
-// holders is a view in which the named runners serve the plain service.
-func holders(names ...string) fleet.View {
+// plainView returns a view in which the named runners serve the plain service.
+func plainView(names ...string) fleet.View {
 	view := fleet.View{Complete: true}
 	for _, name := range names {
 		view.Runners = append(view.Runners, fleet.Runner{Instance: name, Service: "plain", Address: name, Slots: 4})
@@ -45,29 +46,29 @@
 	return view
 }
 
-// A runner that is full for a moment, or is about to unload a model, turns requests away within
-// a millisecond: sent there again at once, a request uses its tries up and its caller is refused.
-func TestRequestWaitsForARunnerThatTurnedItAway(t *testing.T) {
+// A rejected request must not use up its attempts at once at a runner that is at capacity only for
+// a moment.
+func TestRejectedRequestWaitsBeforeResend(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		full map[string]int
-		// joins is a runner that comes after 200 ms.
+		// joins is a runner that is added after 200 ms.
 		joins    string
 		status   int
 		sendings int
 	}{
-		{"full for a moment", map[string]int{"p1": 1}, "", http.StatusOK, 2},
-		{"full for long", map[string]int{"p1": 100}, "", http.StatusServiceUnavailable, 2},
-		{"full until another one comes", map[string]int{"p1": 100}, "p2", http.StatusOK, 3},
+		{"briefly full", map[string]int{"p1": 1}, "", http.StatusOK, 2},
+		{"persistently full", map[string]int{"p1": 100}, "", http.StatusServiceUnavailable, 2},
+		{"full until another runner joins", map[string]int{"p1": 100}, "p2", http.StatusOK, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				seen := &sendings{began: time.Now(), full: test.full}
+				seen := &rejectingRunners{began: time.Now(), full: test.full}
 				router, backend := newTestRouter(seen.answer)
-				router.adoptView(holders("p1"))
+				router.adoptView(plainView("p1"))
 				if test.joins != "" {
-					time.AfterFunc(200*time.Millisecond, func() { router.adoptView(holders("p1", test.joins)) })
+					time.AfterFunc(200*time.Millisecond, func() { router.adoptView(plainView("p1", test.joins)) })
 				}
 				recorder, _ := ask(router, t.Context(), "/once/x", "")
 				c.Assert(recorder.Code, qt.Equals, test.status)
@@ -78,10 +79,10 @@
 	}
 }
 
-func TestRequestsThatWaitForARestingRunnerAreReported(t *testing.T) {
+func TestRequestsWaitingForRestAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		seen := &sendings{began: time.Now(), full: map[string]int{"e1": 1}}
+		seen := &rejectingRunners{began: time.Now(), full: map[string]int{"e1": 1}}
 		router, _ := newTestRouter(seen.answer)
 		view := testView()
 		view.Runners = view.Runners[2:3]
@@ -99,21 +100,20 @@
 	})
 }
 
-// A request that was turned away twice needs another runner than those that came after it, which its
-// runner serves again: they must not wait behind it.
-func TestRequestsPassOneThatNeedsAnotherRunner(t *testing.T) {
+// A request barred from its runner must not block later ones that the runner can serve.
+func TestBarredRequestDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		seen := &sendings{began: time.Now(), full: map[string]int{"p1": 2}}
+		seen := &rejectingRunners{began: time.Now(), full: map[string]int{"p1": 2}}
 		router, backend := newTestRouter(seen.answer)
-		router.adoptDocument(patientDocument())
-		router.adoptView(holders("p1"))
+		router.adoptDocument(longObjectiveDocument())
+		router.adoptView(plainView("p1"))
 		barred := make(chan int, 1)
 		go func() {
 			recorder, _ := ask(router, t.Context(), "/once/x", "")
 			barred <- recorder.Code
 		}()
-		// By then it was turned away twice, and the second rest is over.
+		// It has been rejected twice, and the second rest is over.
 		time.Sleep(400 * time.Millisecond)
 		c.Assert(backend.runners(), qt.HasLen, 2)
 		began := time.Now()
@@ -124,14 +124,14 @@
 	})
 }
 
-// A request that failed at the only runner of its row, which fails many, waits for another one. Those that
-// came after it are still sent there, as that is better than nothing.
-func TestRequestsPassOneThatFailedAtAFailingRunner(t *testing.T) {
+// A request that waits for another runner must not block later ones that may still be sent to the
+// failing runner.
+func TestRetriedRequestDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTestRouter(firstThen(broken, fine))
-		router.adoptDocument(patientDocument())
-		view := holders("p1")
+		router.adoptDocument(longObjectiveDocument())
+		view := plainView("p1")
 		view.Runners[0].Failing = true
 		router.adoptView(view)
 		done := make(chan int, 1)
@@ -149,8 +149,9 @@
 	})
 }
 
-// patientDocument has routes on which nothing is late for long, so that the first to come goes first.
-func patientDocument() *site.Document {
+// longObjectiveDocument returns a document with long objectives, so that requests are served in
+// order of arrival.
+func longObjectiveDocument() *site.Document {
 	document := testDocument()
 	document.Version = 2
 	for i := range document.Routes {
@@ -159,32 +160,33 @@
 	return document
 }
 
-// askForRest is the answer of a runner that turns a request away and wants none for a time.
-func askForRest(rest time.Duration) (*Answer, error) {
+// rejectWithRest returns the response of a runner that rejects a request and asks for a rest
+// period.
+func rejectWithRest(rest time.Duration) (*Answer, error) {
 	answer, err := shed()
 	answer.Notice.Rest = rest
 	return answer, err
 }
 
-// twoModels is a view of one runner that holds two models.
-func twoModels() fleet.View {
+// twoModelView returns a view of one runner that holds two models.
+func twoModelView() fleet.View {
 	return fleet.View{Complete: true, Runners: []fleet.Runner{{
 		Instance: "e1", Service: "engine", Address: "e1", Slots: 8, Models: []fleet.LoadedModel{{Name: "m"}, {Name: "n"}},
 	}}}
 }
 
-// What a runner asks for is for all that it serves, and nothing but its time ends it: requests for another of its models, the
-// answer to one that was sent before, a view that lists it anew.
-func TestRestOfARunnerIsForAllThatItServes(t *testing.T) {
+// A rest period must apply to all models of the runner, and end neither with responses to earlier
+// requests nor with a new view.
+func TestRestAppliesToAllModelsOfRunner(t *testing.T) {
 	const rest = 3 * time.Second
 	for name, meanwhile := range map[string]func(router *Router, t *testing.T){
 		"another model": func(*Router, *testing.T) {},
-		"an answer to what was sent before": func(_ *Router, t *testing.T) {
-			pause.For(t.Context(), servedTime)
+		"response to an earlier request": func(_ *Router, t *testing.T) {
+			pause.For(t.Context(), streamTime)
 		},
-		"a view that lists it anew": func(router *Router, _ *testing.T) {
+		"runner listed again": func(router *Router, _ *testing.T) {
 			router.adoptView(fleet.View{Complete: true})
-			router.adoptView(twoModels())
+			router.adoptView(twoModelView())
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -193,20 +195,20 @@
 				asked := 0
 				router, backend := newTestRouter(func(ctx context.Context, _ *Attempt) (*Answer, error) {
 					if asked++; asked == 1 {
-						pause.For(ctx, servedTime)
+						pause.For(ctx, streamTime)
 						return stream(events(1, 1), io.EOF)
 					}
-					return askForRest(rest)
+					return rejectWithRest(rest)
 				})
-				router.adoptView(twoModels())
+				router.adoptView(twoModelView())
 				answered := make(chan *httptest.ResponseRecorder, 10)
-				come(t, router, t.Context(), "/stream/before", "m", answered)
-				come(t, router, t.Context(), "/stream/turned-away", "m", answered)
+				askAsync(t, router, t.Context(), "/stream/before", "m", answered)
+				askAsync(t, router, t.Context(), "/stream/turned-away", "m", answered)
 				c.Assert(backend.runners(), qt.HasLen, 2)
 				began := time.Now()
 				meanwhile(router, t)
 				for _, model := range []string{"n", "m", "n"} {
-					come(t, router, t.Context(), "/stream/after", model, answered)
+					askAsync(t, router, t.Context(), "/stream/after", model, answered)
 					pause.For(t.Context(), 300*time.Millisecond)
 				}
 				pause.For(t.Context(), rest-time.Since(began)-time.Millisecond)
--- a/request/relay/result.go
+++ b/request/relay/result.go
@@ -2,30 +2,30 @@
 
 import "github.com/lotusferry/lotusferry/request/routing"
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	outcome routing.Outcome
-	// isDone is set if the caller has its answer, or has left.
+	// isDone is set if the caller has received its response or has left.
 	isDone bool
-	// isNotRun is set if the request certainly has not run.
+	// isNotRun is set if the request certainly did not run.
 	isNotRun bool
-	// answer is a failure of the runner that may be passed on; nil if there is none.
-	answer *wholeAnswer
+	// answer is the runner's error response, which may be forwarded; nil if there is none.
+	answer *bufferedAnswer
 	reason string
 	err    error
 }
 
-// isUnreachable reports whether the runner could not be reached, or said nothing for too
-// long. A connection that broke later may have had other causes.
+// isUnreachable reports whether the runner could not be reached or sent nothing for too long. A
+// connection that broke later may have other causes.
 func (r result) isUnreachable() bool {
 	return r.reason == reasonSilent || r.reason == reasonSendFailed && r.isNotRun
 }
 
-// isBroken reports whether the connection broke while the runner may have run the request: the
-// runner may have crashed.
+// isBroken reports whether the connection broke while the runner may have been running the request,
+// which indicates a crash.
 func (r result) isBroken() bool {
 	return (r.reason == reasonSendFailed || r.reason == reasonCutShort) && !r.isNotRun && !r.isDone
 }
 
-// isServed reports whether the caller has a whole answer of the runner.
+// isServed reports whether the caller received the complete response of a runner.
 func (r result) isServed() bool { return r.isDone && r.reason == "" }
--- a/request/relay/router.go
+++ b/request/relay/router.go
@@ -24,88 +24,86 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Router passes requests on to runners.
+// Router forwards requests to runners.
 type Router struct {
 	options Options
 	logger  log.Logger
 	metrics *metrics
 	client  *transport.Client
 	caller  *leadercall.Caller
-	// index is that of the document in force; nil before the first.
+	// index is the index of the current document; nil before the first.
 	index atomic.Pointer[site.Index]
-	// known is closed once a document is in force.
+	// known is closed once there is a document.
 	known chan struct{}
-	// confirmed is the newest time at which the document in force was the newest; nil for
-	// never.
+	// confirmed is the latest time at which the current document was known to be the newest; nil if
+	// it never was.
 	confirmed atomic.Pointer[time.Time]
 	limits    *limits
-	// refused bounds the log lines about requests refused for their keys or limits.
-	refused *asynclog.Limiter
-	// refusedSuspects does the same for requests that may crash runners.
-	refusedSuspects *asynclog.Limiter
-	// askers numbers the requests that ask the leader for permission to run.
-	askers atomic.Uint64
-	stop   stops
-	// report asks the report loop for a report now, and wantsTokens the token loop for a question.
+	// refusalLog limits the log lines about requests refused for their keys or limits.
+	refusalLog *asynclog.Limiter
+	// suspectLog limits those about requests that may crash runners.
+	suspectLog *asynclog.Limiter
+	// trialIDs numbers the requests that ask the leader for permission to run.
+	trialIDs atomic.Uint64
+	stop     stops
+	// report triggers the report loop, wantsTokens the token loop.
 	report      chan struct{}
 	wantsTokens chan struct{}
-	// hasWork ends the rest of a report loop that has nothing to report.
+	// hasWork wakes an idle report loop.
 	hasWork chan struct{}
 
-	mutex    sync.Mutex
-	random   *rand.Rand
-	balancer *routing.Balancer
-	rows     map[residency.Row]*rowState
-	queue    *fairqueue.Queue[*waiter]
-	budgets  map[string]*budget
-	granted  grant
-	// leaderHold is how long the leader holds a watch at most.
+	mutex       sync.Mutex
+	random      *rand.Rand
+	balancer    *routing.Balancer
+	rows        map[residency.Row]*rowState
+	queue       *fairqueue.Queue[*waiter]
+	budgets     map[string]*budget
+	routerCount routerCount
+	// leaderHold is the longest time for which the leader holds a watch.
 	leaderHold time.Duration
-	// fleet is what is known of the runners, and placed those of them that may be chosen.
-	fleet   *fleet.Directory
-	placed  placed
-	doubted map[string]bool
-	// unreachable are runners that could not be reached since the last report.
+	// fleet holds all known runners, candidates those that may be selected.
+	fleet      *fleet.Directory
+	candidates candidates
+	notHeld    map[string]bool
+	// unreachable are the runners that could not be reached since the last report.
 	unreachable map[string]bool
-	// tokensUntil is until when the tokens for requests to paced runners may be used; zero if there are none.
+	// tokensUntil is the expiry of the current tokens; zero if there are none.
 	tokensUntil time.Time
-	// runnerLimits are the rate limits that runners name.
+	// runnerLimits are the rate limits announced by runners.
 	runnerLimits runnerLimits
 	notices      notices
-	// ended counts how attempts ended since the last report.
-	ended map[structs.RunnerID]*fleet.Attempts
-	// heard is when each runner last sent something.
-	heard map[structs.RunnerID]time.Time
-	// paces are those of streams that have ended since the last report.
+	// attemptCounts counts the outcomes of attempts since the last report.
+	attemptCounts map[structs.RunnerID]*fleet.Attempts
+	// lastHeard is the time of the last data from each runner.
+	lastHeard map[structs.RunnerID]time.Time
+	// paces are the stream timings to be reported.
 	paces []residency.Pace
-	// suspects are requests that may crash runners.
+	// suspects are the requests that may crash runners.
 	suspects suspects
 	zones    zones
 
-	pressure ownPressure
+	overload overload
 }
 
 const (
 	callTimeout = 1200 * time.Millisecond
 	dialTimeout = 600 * time.Millisecond
 	tryTimeout  = 400 * time.Millisecond
-	// defaultBatch is the room of a runner that has not said its own.
+	// defaultBatch is the assumed number of slots of a runner that has not reported it.
 	defaultBatch = 16
-	// coldTime is what a new connection to a runner costs its request: the way there and back, some
-	// milliseconds within a region. One that answered within warmTime is still open.
-	coldTime = 4 * time.Millisecond
-	warmTime = 8 * time.Second
-	// drawSharpness is how much the expected time decides between replicas. With 68 routers and
-	// word that is 0.1 to 0.5 s old, 3 served most callers in time in the load test of package
-	// routing; with 1 slow and full replicas got too many, with 6 those that were best in the
-	// last word.
-	drawSharpness = 3
-	// loadLife is how long it counts what the leader says of the requests at a runner: about as
-	// long as a stream takes, and several times the pause between two replies to a watch.
-	loadLife = 2 * time.Second
+	// newConnTime is the assumed cost of a new connection to a runner. A connection that was used
+	// within idleConnTime is still open.
+	newConnTime  = 4 * time.Millisecond
+	idleConnTime = 8 * time.Second
+	// selectionSharpness controls how strongly the expected latency decides between replicas. Lower
+	// values overload slow replicas; higher values make all routers select the same ones.
+	selectionSharpness = 3
+	// loadTTL is how long the load figures of the leader are used: about the length of a stream,
+	// and several watch intervals.
+	loadTTL = 2 * time.Second
 )
 
-// New makes a router, which knows nothing until Run is called.
+// New returns a router. It has no document or view before Run is called.
 func New(options Options) *Router {
 	if options.Now == nil {
 		options.Now = clock.Now
@@ -128,35 +126,35 @@
 		hasWork:     make(chan struct{}, 1),
 		random:      random,
 		fleet:       fleet.NewDirectory(),
-		placed:      newPlaced(),
+		candidates:  newCandidates(),
 		balancer: routing.New(routing.Options{
-			Daemon: structs.DaemonID(options.Name), Zone: options.Zone, MaxBatch: defaultBatch, ReportLife: loadLife,
+			Daemon: structs.DaemonID(options.Name), Zone: options.Zone, MaxBatch: defaultBatch, ReportLife: loadTTL,
 			BreakerFailures: 2, BreakerDelay: 500 * time.Millisecond, BreakerDelayLimit: 4 * time.Second,
-			EjectionTime: 2 * time.Second, ColdTime: coldTime, WarmTime: warmTime, UseFailing: true, Sharpness: drawSharpness,
+			EjectionTime: 2 * time.Second, ColdTime: newConnTime, WarmTime: idleConnTime, UseFailing: true, Sharpness: selectionSharpness,
 		}, random),
 		rows:    make(map[residency.Row]*rowState),
 		queue:   fairqueue.New[*waiter](),
 		budgets: make(map[string]*budget),
-		doubted: make(map[string]bool),
+		notHeld: make(map[string]bool),
 
-		unreachable: make(map[string]bool),
-		ended:       make(map[structs.RunnerID]*fleet.Attempts),
+		unreachable:   make(map[string]bool),
+		attemptCounts: make(map[structs.RunnerID]*fleet.Attempts),
 
-		heard: make(map[structs.RunnerID]time.Time),
-		known: make(chan struct{}),
+		lastHeard: make(map[structs.RunnerID]time.Time),
+		known:     make(chan struct{}),
 
-		limits:  newLimits(random.Uint64()),
-		refused: asynclog.NewLimiter(maxTenantLines),
+		limits:     newLimits(random.Uint64()),
+		refusalLog: asynclog.NewLimiter(maxTenantLogRate),
 
-		runnerLimits:    newRunnerLimits(),
-		notices:         newNotices(),
-		suspects:        newSuspects(),
-		zones:           newZones(options.Seed),
-		refusedSuspects: asynclog.NewLimiter(maxSuspectLines),
+		runnerLimits: newRunnerLimits(),
+		notices:      newNotices(),
+		suspects:     newSuspects(),
+		zones:        newZones(options.Seed),
+		suspectLog:   asynclog.NewLimiter(maxSuspectLogRate),
 	}
 }
 
-// Run follows the controllers until ctx ends.
+// Run exchanges state with the controllers until ctx ends.
 func (r *Router) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { r.watchLoop(ctx) })
@@ -168,31 +166,31 @@
 	r.client.Close()
 }
 
-// now is the time that deadlines and grants are held against. What is measured within one answer
-// goes by the steady clock, which costs less.
+// now returns the time for deadlines and leases. Intervals within one response use the monotonic
+// clock, which is cheaper to read.
 func (r *Router) now() time.Time { return r.options.Now() }
 
-// age is how long ago a request came.
+// age returns the time since the request arrived.
 func (r *Router) age(request *Request) time.Duration { return r.now().Sub(request.Arrived) }
 
-// IsReady reports whether the router knows a document.
+// IsReady reports whether the router has a document.
 func (r *Router) IsReady() bool { return r.index.Load() != nil }
 
-// adoptView adopts a view of the runners.
+// adoptView applies a view of the runners.
 func (r *Router) adoptView(view fleet.View) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.placed.hasPaced = false
-	r.adoptChanges(r.fleet.Learn(view))
+	r.candidates.hasPaced = false
+	r.applyFleetChanges(r.fleet.Learn(view))
 	r.metrics.runners.Set(float64(r.fleet.Len()))
-	r.forgetUnasked(r.now())
+	r.dropIdleModels(r.now())
 	r.serveWaiters()
-	if r.placed.hasPaced {
+	if r.candidates.hasPaced {
 		r.wakeTokens()
 	}
 }
 
-// adoptDocument adopts a document that is newer than the one in force.
+// adoptDocument replaces the current document by a newer one, and reports whether it was newer.
 func (r *Router) adoptDocument(document *site.Document) bool {
 	current := r.index.Load()
 	if current != nil && current.Document.Version >= document.Version {
@@ -212,7 +210,7 @@
 	return true
 }
 
-// version is that of the document in force, or 0.
+// version returns the version of the current document, or 0.
 func (r *Router) version() uint64 {
 	if current := r.index.Load(); current != nil {
 		return current.Document.Version
@@ -220,13 +218,12 @@
 	return 0
 }
 
-// countRequest counts a request for the budget of its service and the demand of its
-// row.
+// countRequest counts a request for its service's retry budget and its row's demand.
 func (r *Router) countRequest(row residency.Row, objective time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	defer r.noteWork()
-	r.budget(row.Service).request(r.now())
+	r.budget(row.Service).addRequest(r.now())
 	state := r.rowState(row)
 	state.arrived++
 	if objective > 0 && (state.objective == 0 || objective < state.objective) {
@@ -234,11 +231,11 @@
 	}
 }
 
-// mayRepeat takes one repeated sending from the budget of the service.
+// mayRepeat takes one retry from the budget of the service.
 func (r *Router) mayRepeat(service string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	allowed := r.budget(service).withdraw(r.now(), r.granted)
+	allowed := r.budget(service).tryRepeat(r.now(), r.routerCount)
 	r.metrics.repeats.WithLabelValues(strconv.FormatBool(allowed)).Inc()
 	return allowed
 }
@@ -252,51 +249,51 @@
 	return known
 }
 
-// point draws evenly from [0, 1).
-func (r *Router) point() float64 {
+// randomFraction returns a uniform random number in [0, 1).
+func (r *Router) randomFraction() float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.random.Float64()
 }
 
-// doubt notes a runner that refused a row that it was thought to hold: no further
-// request of the row goes there until a view says again that it is held.
-func (r *Router) doubt(instance structs.RunnerID, row residency.Row) {
+// noteNotHeld records that a runner does not hold a row. The row is not sent there until a view
+// lists it again.
+func (r *Router) noteNotHeld(instance structs.RunnerID, row residency.Row) {
 	r.mutex.Lock()
-	r.doubted[string(instance)] = true
+	r.notHeld[string(instance)] = true
 	r.fleet.Update(string(instance), without(row))
 	if r.fleet.Runner(string(instance)) == nil {
-		r.displace([]string{string(instance)})
+		r.removeCandidates([]string{string(instance)})
 	} else {
-		r.place([]string{string(instance)})
+		r.addCandidates([]string{string(instance)})
 	}
 	r.mutex.Unlock()
 	r.wakeReport()
 }
 
-// complain notes a runner that could not be reached or said nothing for too long.
-func (r *Router) complain(instance structs.RunnerID) {
+// noteUnreachable records that a runner could not be reached or sent nothing for too long.
+func (r *Router) noteUnreachable(instance structs.RunnerID) {
 	r.mutex.Lock()
 	r.unreachable[string(instance)] = true
 	r.mutex.Unlock()
 	r.wakeReport()
 }
 
-// heardFrom notes that a runner has sent something.
+// heardFrom records that a runner sent data.
 func (r *Router) heardFrom(instance structs.RunnerID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.noteHeard(instance)
 }
 
-// noteHeard notes the same under the mutex.
+// noteHeard is heardFrom for callers that hold r.mutex.
 func (r *Router) noteHeard(instance structs.RunnerID) {
-	r.heard[instance] = time.Now()
+	r.lastHeard[instance] = time.Now()
 	r.zones.watch.Heard(r.now(), instance)
 }
 
-// notePace notes the pace of a stream that has ended.
-func (r *Router) notePace(pace residency.Pace) {
+// addPace queues the timing of a stream for the next report.
+func (r *Router) addPace(pace residency.Pace) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(r.paces) < maxPaces {
@@ -304,7 +301,7 @@
 	}
 }
 
-// takePaces hands out the paces to report.
+// takePaces returns the timings to report and resets them.
 func (r *Router) takePaces() []residency.Pace {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -313,13 +310,13 @@
 	return taken
 }
 
-// maxPaces bounds the paces in one report.
+// maxPaces bounds the stream timings in one report.
 const maxPaces = 64
 
-// isBusy reports whether a runner that has sent nothing for a request since a time has other
-// things to do: it has answered another one, or has as many as it can run.
+// isBusy reports whether a runner that has sent nothing for a request since the given time is
+// occupied: it has sent data for another request, or all its slots are taken.
 func (r *Router) isBusy(instance structs.RunnerID, since time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.heard[instance].After(since) || r.balancer.IsCrowded(time.Now(), instance)
+	return r.lastHeard[instance].After(since) || r.balancer.IsCrowded(time.Now(), instance)
 }
