--- a/request/relay/row.go
+++ b/request/relay/row.go
@@ -13,16 +13,16 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// rowSeparator stands between the parts of a row's name; no part contains it.
+// rowSeparator separates the parts of a row's name; no part contains it.
 const rowSeparator = "\x00"
 
-// rowName names a row for the balancer.
+// rowName returns the name of a row in the balancer.
 func rowName(row residency.Row) structs.RowName {
 	return structs.RowName(row.Service + rowSeparator + row.Model + rowSeparator + row.Adapter)
 }
 
-// addPlacement translates a runner into what the balancer works by: one without
-// models serves one row, another one for each model and adapter that it holds.
+// addPlacement adds a runner and its replicas: one for the service, and one for each model and
+// adapter that it holds.
 func addPlacement(placed *structs.Placement, runner *fleet.Runner) {
 	id := structs.RunnerID(runner.Instance)
 	placed.Runners = append(placed.Runners, structs.RunnerInfo{
@@ -33,16 +33,15 @@
 	}
 }
 
-// The pace of a usual runner of models, taken for one of which nothing is known yet, so that
-// it can be compared with others. Accelerators read prompts at some tens of tokens a millisecond
-// and make events of a few tokens at some twenty a second.
+// These are assumed for a runner whose speed is not known yet: prompt tokens read per second, and
+// the time between events of a stream.
 const (
-	usualPromptRate = 30000
-	usualEvent      = 40 * time.Millisecond
+	defaultPromptRate = 30000
+	defaultEventTime  = 40 * time.Millisecond
 )
 
-// paceOf is what work takes at a runner, with what is usual in place of what is not known. A
-// runner without models reads no prompts.
+// paceOf returns the speed of a runner, with defaults for unknown values. A runner without models
+// reads no prompts.
 func paceOf(runner fleet.Runner) pace.Runner {
 	known := runner.Pace
 	if known.Slowness <= 0 {
@@ -52,10 +51,10 @@
 		return pace.Runner{Slowness: known.Slowness}
 	}
 	if known.PromptRate <= 0 {
-		known.PromptRate = usualPromptRate / known.Slowness
+		known.PromptRate = defaultPromptRate / known.Slowness
 	}
 	if known.Event <= 0 {
-		known.Event = time.Duration(float64(usualEvent) * known.Slowness)
+		known.Event = time.Duration(float64(defaultEventTime) * known.Slowness)
 	}
 	return known
 }
@@ -71,8 +70,8 @@
 	return rows
 }
 
-// prefixHashes gives one hash for each prefix of the prompt's parts. What a runner
-// has cached of a prompt holds for the same model and adapter only.
+// prefixHashes returns one hash for each prefix of the prompt's parts. Cached prefixes are valid
+// for one model and adapter only.
 func prefixHashes(row residency.Row, parts []string) []uint64 {
 	if len(parts) == 0 {
 		return nil
@@ -88,7 +87,8 @@
 	return hashes
 }
 
-// without returns how to take a row from a runner, which is gone if it holds nothing else.
+// without returns an update that removes a row from a runner. The update reports false if the
+// runner is to be removed.
 func without(row residency.Row) func(*fleet.Runner) bool {
 	return func(runner *fleet.Runner) bool {
 		if row.Model == "" {
--- a/request/relay/runnerlimits.go
+++ b/request/relay/runnerlimits.go
@@ -11,35 +11,33 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// aheadPause separates two questions for tokens that no request waits for: half of the life of one, in which the next
-// request of a busy row comes.
-const aheadPause = ratelimit.TokenLife / 2
+// prefetchInterval is the interval between token requests for a runner that no request waits for.
+const prefetchInterval = ratelimit.TokenLife / 2
 
-// runnerLimits are the rate limits that runners name. The router's mutex guards them.
+// runnerLimits holds the rate limits announced by runners. It is guarded by Router.mutex.
 type runnerLimits struct {
 	belief *ratelimit.Belief
-	// ahead are the runners for which a token is to be asked though no request waits for one, and askedAt is when
-	// there was the last such question for a runner.
-	ahead   map[structs.RunnerID]bool
-	askedAt map[structs.RunnerID]time.Time
+	// prefetch are the runners for which a token is to be requested although no request waits.
+	// requestedAt is the time of the last such request for each runner.
+	prefetch    map[structs.RunnerID]bool
+	requestedAt map[structs.RunnerID]time.Time
 }
 
 func newRunnerLimits() runnerLimits {
 	return runnerLimits{
-		belief: ratelimit.NewBelief(),
-		ahead:  make(map[structs.RunnerID]bool), askedAt: make(map[structs.RunnerID]time.Time),
+		belief:   ratelimit.NewBelief(),
+		prefetch: make(map[structs.RunnerID]bool), requestedAt: make(map[structs.RunnerID]time.Time),
 	}
 }
 
-// noteLimit takes what a runner's answer to a request that was sent at a time tells of its rate limit. The limit is
-// that of all routers together, of which only this one knows: from now on it sends what the leader lends it, and
-// tells the leader at once, for the others to do the same.
-// It runs under the mutex.
+// noteLimit applies the rate limit in the response to a request sent at the given time. The limit
+// is shared by all routers: from now on requests are sent to the runner only for tokens of the
+// leader, which is told at once and informs the other routers. The caller must hold r.mutex.
 func (r *Router) noteLimit(runner structs.RunnerID, sent time.Time, notice ratelimit.Notice) {
 	if notice.Problem != "" {
-		r.logNotice("A runner's rate limit cannot be read.", runner, "err", notice.Problem)
+		r.logNotice("The rate limit announced by a runner could not be parsed.", runner, "err", notice.Problem)
 	}
-	// What was listed no more when the answer came has no limit to keep.
+	// A runner that is no longer listed has no limit to track.
 	if r.fleet.Runner(string(runner)) == nil || !r.runnerLimits.belief.Hear(r.now(), sent, string(runner), notice) {
 		return
 	}
@@ -48,7 +46,7 @@
 	} else {
 		r.logNotice("A runner names no rate limit any more.", runner)
 	}
-	r.pace(string(runner))
+	r.updatePacing(string(runner))
 	r.metrics.limitedRunners.Set(float64(r.runnerLimits.belief.Len()))
 	if !notice.IsNamed {
 		r.serveWaiters()
@@ -56,61 +54,61 @@
 	r.wakeReport()
 }
 
-// pace has a listed runner get only requests for which there are tokens while it is cold or names a limit. It runs
-// under the mutex.
-func (r *Router) pace(instance string) {
+// updatePacing makes a listed runner require tokens while it is cold or has a rate limit. The
+// caller must hold r.mutex.
+func (r *Router) updatePacing(instance string) {
 	_, isNamed := r.runnerLimits.belief.Of(instance)
 	isCold := r.fleet.Runner(instance).Cold
 	r.balancer.SetPaced(structs.RunnerID(instance), isCold, isNamed)
-	r.placed.hasPaced = r.placed.hasPaced || isCold || isNamed
+	r.candidates.hasPaced = r.candidates.hasPaced || isCold || isNamed
 }
 
-// wantAhead asks for tokens for the runners that name a limit and could have taken a request of the row that another
-// one took: they take part as far as they say, and their answers tell when their limit is over. It runs under the
-// mutex.
-func (r *Router) wantAhead(row residency.Row) {
+// prefetchTokens requests tokens for the rate-limited runners that could have served a request of
+// the row that was sent elsewhere. They then get their share of the traffic, and their responses
+// tell when a limit has ended. The caller must hold r.mutex.
+func (r *Router) prefetchTokens(row residency.Row) {
 	limits := &r.runnerLimits
 	if limits.belief.IsEmpty() {
 		return
 	}
 	now := r.now()
 	for _, id := range r.pacedRunners(row) {
-		if _, isNamed := limits.belief.Of(string(id)); isNamed && now.Sub(limits.askedAt[id]) >= aheadPause {
-			limits.ahead[id], limits.askedAt[id] = true, now
+		if _, isNamed := limits.belief.Of(string(id)); isNamed && now.Sub(limits.requestedAt[id]) >= prefetchInterval {
+			limits.prefetch[id], limits.requestedAt[id] = true, now
 			r.wakeTokens()
 		}
 	}
 }
 
-// takeAhead hands out the runners for which a token is to be asked though no request waits for one. It runs under the
-// mutex.
-func (l *runnerLimits) takeAhead() []structs.RunnerID {
-	if len(l.ahead) == 0 {
+// takePrefetch returns the sorted runners to request tokens for although no request waits, and
+// resets them. The caller must hold the router's mutex.
+func (l *runnerLimits) takePrefetch() []structs.RunnerID {
+	if len(l.prefetch) == 0 {
 		return nil
 	}
-	taken := slices.Sorted(maps.Keys(l.ahead))
-	clear(l.ahead)
+	taken := slices.Sorted(maps.Keys(l.prefetch))
+	clear(l.prefetch)
 	return taken
 }
 
-// forget drops a runner that is listed no more. It runs under the mutex.
+// forget drops a runner that is no longer listed. The caller must hold the router's mutex.
 func (l *runnerLimits) forget(id structs.RunnerID) {
 	l.belief.Forget(string(id))
-	delete(l.ahead, id)
-	delete(l.askedAt, id)
+	delete(l.prefetch, id)
+	delete(l.requestedAt, id)
 }
 
-// limitedRow is what the runners that hold a row's model take if all of them name a limit.
-type limitedRow struct {
-	// pace is how many requests a second they take together, and runners how many they are; 0 if one of them names
-	// no limit, or there is none.
-	pace    float64
+// rowLimit is the combined rate limit of the runners that hold a row's model.
+type rowLimit struct {
+	// rate is in requests per second for all runners together; 0 if one of them has no limit, or
+	// there is none.
+	rate    float64
 	runners int
 }
 
-// limitsOf looks up what the runners of a row take. It runs under the mutex.
-func (r *Router) limitsOf(row residency.Row) limitedRow {
-	var found limitedRow
+// rowLimitOf returns the combined limit of the runners of a row. The caller must hold r.mutex.
+func (r *Router) rowLimitOf(row residency.Row) rowLimit {
+	var found rowLimit
 	if r.runnerLimits.belief.IsEmpty() {
 		return found
 	}
@@ -120,26 +118,26 @@
 		}
 		perSecond, isNamed := r.runnerLimits.belief.Of(runner.Instance)
 		if !isNamed {
-			found = limitedRow{}
+			found = rowLimit{}
 			return false
 		}
-		found.pace += max(ratelimit.LeastRate, perSecond)
+		found.rate += max(ratelimit.LeastRate, perSecond)
 		found.runners++
 		return true
 	})
 	return found
 }
 
-// isAll reports whether all runners of the row name a limit.
-func (l limitedRow) isAll() bool { return l.pace > 0 }
+// isLimited reports whether all runners of the row have a rate limit.
+func (l rowLimit) isLimited() bool { return l.rate > 0 }
 
-// timeFor is how long the runners need for so many requests.
-func (l limitedRow) timeFor(requests int) time.Duration {
-	return time.Duration(float64(requests) / l.pace * float64(time.Second))
+// timeFor returns the time that the runners need for the given number of requests.
+func (l rowLimit) timeFor(requests int) time.Duration {
+	return time.Duration(float64(requests) / l.rate * float64(time.Second))
 }
 
-// leastWait is how long a request has at least to wait that so many of this router go before, if other routers sent
-// nothing and all tokens that may have gathered were there.
-func (l limitedRow) leastWait(ahead int) time.Duration {
+// minWait returns the least wait of a request with the given number of this router's requests
+// ahead, assuming full token buckets and no other traffic.
+func (l rowLimit) minWait(ahead int) time.Duration {
 	return l.timeFor(max(0, ahead+1-l.runners*ratelimit.Burst))
 }
--- a/request/relay/runnerlimits_fleet_test.go
+++ b/request/relay/runnerlimits_fleet_test.go
@@ -15,23 +15,22 @@
 	"github.com/lotusferry/lotusferry/request/relay"
 )
 
-// A runner in need said in its answers that it takes one request a second from all routers together. Nine routers
-// handed these answers on to callers and went on to choose it by its slots: 14 requests in 4 s. Nothing read what
-// the answers said of the runner, and what one router hears the others don't know. That was shown by arrivals that were
-// the same before and after the runner named its limit, from all routers, as first attempts.
+// These tests guard against routers that forward a runner's rate limit to callers without applying
+// it, or apply it only at the router that received it.
 
 const (
-	// limitLearnTime is how long after a runner first named its limit the routers must keep within it.
+	// limitLearnTime is how long after a runner first announced its limit the routers must keep to
+	// it.
 	limitLearnTime = 3 * time.Second
-	// limitWindow is the time in which the requests of a runner are counted that names a limit.
+	// limitWindow is the window in which the requests of a rate-limited runner are counted.
 	limitWindow = 4 * time.Second
 )
 
-// mostAllowed is how many requests a runner that names a limit may get in limitWindow: half as many again as it says,
-// and five more.
-func mostAllowed(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
+// maxLimitedArrivals returns how many requests a rate-limited runner may get in limitWindow: one
+// and a half times its limit, plus five.
+func maxLimitedArrivals(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
 
-// limitAt is what the answers of the runner at the address say of its limit.
+// limitAt returns the limit announced by the runner at the address.
 func (s *testSite) limitAt(address string) ratelimit.Notice {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,8 +38,8 @@
 	return ratelimit.Notice{IsNamed: isNamed, PerSecond: perSecond}
 }
 
-// nameLimit has runners name a limit from now on.
-func (s *testSite) nameLimit(perSecond float64, runners ...*testRunner) {
+// setLimit makes runners announce a limit.
+func (s *testSite) setLimit(perSecond float64, runners ...*testRunner) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, runner := range runners {
@@ -48,14 +47,14 @@
 	}
 }
 
-// nameNoLimit has a runner name none from now on.
-func (s *testSite) nameNoLimit(runner *testRunner) {
+// clearLimit makes a runner announce no limit.
+func (s *testSite) clearLimit(runner *testRunner) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.limits, runner.address)
 }
 
-// arrivalsAt lists when requests came to a runner between two times.
+// arrivalsAt returns when requests arrived at a runner in [from, to).
 func (s *testSite) arrivalsAt(runner *testRunner, from, to time.Time) []time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -68,7 +67,7 @@
 	return counted
 }
 
-// assertWithinLimit checks what a runner that names a limit got between two times.
+// assertWithinLimit checks the arrivals at a rate-limited runner in [from, to).
 func (s *testSite) assertWithinLimit(runner *testRunner, perSecond float64, from, to time.Time) {
 	s.c.Helper()
 	most, first := 0, 0
@@ -79,12 +78,12 @@
 		}
 		most = max(most, i-first+1)
 	}
-	s.c.Assert(float64(most) <= mostAllowed(perSecond), qt.IsTrue,
-		qt.Commentf("%d in %v from all routers; the runner says %v a second, which allows %v", most, limitWindow, perSecond, mostAllowed(perSecond)))
+	s.c.Assert(float64(most) <= maxLimitedArrivals(perSecond), qt.IsTrue,
+		qt.Commentf("%d in %v from all routers; the runner says %v a second, which allows %v", most, limitWindow, perSecond, maxLimitedArrivals(perSecond)))
 }
 
-// loseLeader ends the leader of the controllers, which starts again.
-func (s *testSite) loseLeader() {
+// restartLeader stops the leader of the controllers and starts it again.
+func (s *testSite) restartLeader() {
 	for index := range testControllers {
 		if s.controllers[index].node.Leads() {
 			s.stopController(index)
@@ -94,18 +93,18 @@
 	}
 }
 
-// One of six runners names a limit in the middle of the traffic: it gets no more from all routers together, whoever
-// is lost meanwhile, and callers are served by the others.
-func TestRunnerGetsNoMoreThanTheLimitThatItNames(t *testing.T) {
-	for name, strike := range map[string]func(s *testSite){
-		"nothing else": func(*testSite) {},
+// The limit of one of six runners must hold over all routers despite failures, while the others
+// serve the callers.
+func TestRunnerRateLimitIsKept(t *testing.T) {
+	for name, fault := range map[string]func(s *testSite){
+		"no fault": func(*testSite) {},
 		"the leader is lost": func(s *testSite) {
 			for range 2 {
 				pause.For(s.ctx, 5*time.Second)
-				s.loseLeader()
+				s.restartLeader()
 			}
 		},
-		"routers start again": func(s *testSite) {
+		"routers restart": func(s *testSite) {
 			for index := range testRouters {
 				pause.For(s.ctx, 2*time.Second)
 				s.startRouter(index)
@@ -117,10 +116,10 @@
 				inSite(t, func(s *testSite) {
 					const during = 16 * time.Second
 					limited := s.allRunners()[0]
-					s.nameLimit(perSecond, limited)
+					s.setLimit(perSecond, limited)
 					named := time.Now()
-					go strike(s)
-					served := s.rush(60, during)
+					go fault(s)
+					served := s.sendLoad(60, during)
 					s.assertWithinLimit(limited, perSecond, named.Add(limitLearnTime), named.Add(during))
 					s.c.Assert(served >= 950, qt.IsTrue, qt.Commentf("%d served", served))
 				})
@@ -129,13 +128,13 @@
 	}
 }
 
-// All runners name a limit, in a rush of some times what they take together: what they take is used, and no more.
-func TestRunnersThatAllNameALimitGetWhatTheyTake(t *testing.T) {
+// Under overload, runners that all have a limit must be used up to it and no further.
+func TestLimitedRunnersAreFullyUsed(t *testing.T) {
 	inSite(t, func(s *testSite) {
 		const perSecond, during = 3, 16 * time.Second
-		s.nameLimit(perSecond, s.allRunners()...)
+		s.setLimit(perSecond, s.allRunners()...)
 		named := time.Now()
-		s.rush(60, during)
+		s.sendLoad(60, during)
 		from, to := named.Add(limitLearnTime), named.Add(during)
 		for _, limited := range s.allRunners() {
 			s.assertWithinLimit(limited, perSecond, from, to)
@@ -145,79 +144,79 @@
 	})
 }
 
-// A runner says that it takes less than it did, and then that it takes what its slots bear.
-func TestLimitThatIsLoweredAndNamedNoMore(t *testing.T) {
+// A limit must follow the runner when it is lowered and when it is removed.
+func TestLimitIsLoweredAndRemoved(t *testing.T) {
 	inSite(t, func(s *testSite) {
 		const step = 10 * time.Second
 		limited := s.allRunners()[0]
 		began := time.Now()
 		go func() {
-			s.nameLimit(6, limited)
+			s.setLimit(6, limited)
 			pause.For(s.ctx, step)
-			s.nameLimit(0.5, limited)
+			s.setLimit(0.5, limited)
 			pause.For(s.ctx, step)
-			s.nameNoLimit(limited)
+			s.clearLimit(limited)
 		}()
-		s.rush(60, 3*step)
+		s.sendLoad(60, 3*step)
 		s.assertWithinLimit(limited, 6, began.Add(limitLearnTime), began.Add(step))
 		s.assertWithinLimit(limited, 0.5, began.Add(step+limitLearnTime), began.Add(2*step))
-		// It is found out soon, and then the runner gets its part of the traffic, a sixth of 60 a second.
+		// The removal is detected soon, and the runner then gets its share of the traffic, a sixth
+		// of 60 requests per second.
 		got := len(s.arrivalsAt(limited, began.Add(2*step+limitLearnTime), began.Add(3*step)))
 		s.c.Assert(got >= 40, qt.IsTrue, qt.Commentf("%d arrivals in 7 s without a limit", got))
 	})
 }
 
-// A runner names a limit again that it had named before and then did not: what it allows holds from then on, as the
-// routers know such runners.
-func TestLimitThatIsNamedAgainHoldsAtOnce(t *testing.T) {
+// A limit that is announced again after its removal must apply at once.
+func TestReannouncedLimitAppliesAtOnce(t *testing.T) {
 	inSite(t, func(s *testSite) {
 		const perSecond, step = 1, 8 * time.Second
 		limited := s.allRunners()[0]
 		began := time.Now()
 		go func() {
-			s.nameLimit(perSecond, limited)
+			s.setLimit(perSecond, limited)
 			pause.For(s.ctx, step)
-			s.nameNoLimit(limited)
+			s.clearLimit(limited)
 			pause.For(s.ctx, step)
-			s.nameLimit(perSecond, limited)
+			s.setLimit(perSecond, limited)
 		}()
-		s.rush(60, 3*step)
+		s.sendLoad(60, 3*step)
 		s.assertWithinLimit(limited, perSecond, began.Add(2*step), began.Add(3*step))
 	})
 }
 
-// A runner in need rejects and fails some of what it gets, and such answers don't name its limit: it goes on to hold.
-func TestRejectionsAndFailuresEndNoLimit(t *testing.T) {
+// Rejections and errors without a limit must not remove it.
+func TestRejectionsAndFailuresKeepLimit(t *testing.T) {
 	inSite(t, func(s *testSite) {
 		const perSecond, during = 2, 16 * time.Second
 		limited := s.allRunners()[0]
-		s.nameLimit(perSecond, limited)
+		s.setLimit(perSecond, limited)
 		s.mutex.Lock()
-		s.fails[limited.address] = []relay.Answer{
+		s.failures[limited.address] = []relay.Answer{
 			{Status: http.StatusServiceUnavailable, NotRun: true}, {Status: http.StatusInternalServerError, Signed: true}, {Status: http.StatusOK},
 		}
 		s.mutex.Unlock()
 		named := time.Now()
-		s.rush(60, during)
+		s.sendLoad(60, during)
 		s.assertWithinLimit(limited, perSecond, named.Add(limitLearnTime), named.Add(during))
 	})
 }
 
-// All runners name a limit, far below what is asked for: who can't be served by the runners even if nobody else asks is
-// told at once when to come back.
-func TestWhoCannotBeServedWithinTheLimitsIsToldAtOnce(t *testing.T) {
+// If all runners have limits far below the demand, requests that cannot be served in time must be
+// rejected at once with a Retry-After.
+func TestRequestsBeyondLimitsAreRejectedAtOnce(t *testing.T) {
 	inSite(t, func(s *testSite) {
 		const perSecond, callers = 0.1, 40
-		s.nameLimit(perSecond, s.allRunners()...)
-		// All runners have said so, and what gathered for them is used up.
-		s.rush(60, 2*time.Second)
+		s.setLimit(perSecond, s.allRunners()...)
+		// This lets all runners announce their limits and uses up the stored tokens.
+		s.sendLoad(60, 2*time.Second)
 		answers := make(chan *httptest.ResponseRecorder, callers)
 		for range callers {
 			go func() { answers <- s.ask(0, "rush") }()
 		}
 		pause.For(s.ctx, 100*time.Millisecond)
-		// The router can't know that others have used what gathered, two for each of six runners; one more comes in 1.7 s,
-		// within the time that a request waits at most, 2.25 s.
+		// The router does not know that others have used the stored tokens, two for each of six
+		// runners. One more is issued in 1.7 s, within the longest wait of a request of 2.25 s.
 		c := s.c
 		c.Assert(len(answers) >= callers-6*2-2, qt.IsTrue, qt.Commentf("%d answers", len(answers)))
 		for range len(answers) {
--- a/request/relay/runnerrests_fleet_test.go
+++ b/request/relay/runnerrests_fleet_test.go
@@ -14,33 +14,27 @@
 	"github.com/lotusferry/lotusferry/request/relay"
 )
 
-// Two runners, the only ones with the model asked for most, turned everything away for 8.5 s, and asked each router that
-// they turned away for 3 s of rest. Routers went on to send them requests, eight in that time by one router, in pairs
-// and threes: first attempts, second and third ones. Callers were refused after three sendings and told to come back at once,
-// and the leader loaded the model nowhere else, as it was held. Nothing read for how long a runner wants to rest:
-// a rest of the router's own stood for it, 100 to 800 ms, kept for each model of the runner by itself, and ended by the
-// answer to any request that was sent before. That was shown by requests at the ends of these own rests, whatever the
-// runners asked for, and by pauses of 100 ms again after longer ones.
-// The same held of a runner that says in its answers that it is leaving: nothing read it.
+// These tests guard against routers that ignore the rest periods that runners ask for, or the
+// announcement that a runner is leaving, and go on sending requests to it.
 
 const (
-	// restGrace is how long after a runner asked a router for rest requests may still come that were under way, and
-	// restAllowed how many may come from then to the end of the rest.
+	// restGrace is how long after a runner asked for a rest period requests in transit may still
+	// arrive, and restAllowed how many may arrive from then until its end.
 	restGrace   = 500 * time.Millisecond
 	restAllowed = 2
-	// leavingGrace is for how long after a router passed on an answer that says that its runner is leaving callers'
-	// requests may still come there.
+	// leavingGrace is how long after a router forwarded the announcement that a runner is leaving
+	// requests may still arrive there.
 	leavingGrace = 2 * time.Second
 )
 
-// askedRest is a rest that a runner asked a router for.
-type askedRest struct {
+// restRequest is a rest period that a runner asked a router for.
+type restRequest struct {
 	router int
 	at     time.Time
 	length time.Duration
 }
 
-// routerArrival is a request that came to a runner by a router.
+// routerArrival is the arrival of a request at a runner.
 type routerArrival struct {
 	router int
 	at     time.Time
@@ -48,15 +42,15 @@
 	asked time.Time
 }
 
-// visits are what a runner got from each router, and what it told them.
-type visits struct {
+// runnerLog records what a runner received from and announced to each router.
+type runnerLog struct {
 	arrivals []routerArrival
-	rests    []askedRest
-	// toldLeaving is when each router was first told that the runner is leaving.
+	rests    []restRequest
+	// toldLeaving is when each router first received the announcement that the runner is leaving.
 	toldLeaving map[int]time.Time
 }
 
-// routerBackend is how one router reaches the runners of its site.
+// routerBackend is the Backend of one router.
 type routerBackend struct {
 	site  *testSite
 	index int
@@ -67,66 +61,67 @@
 	if !attempt.MaySend() {
 		return nil, relay.ErrNotSent
 	}
-	seen := b.site.visitsOf(attempt.Instance)
+	seen := b.site.runnerLogOf(attempt.Instance)
 	b.site.mutex.Lock()
 	seen.arrivals = append(seen.arrivals, routerArrival{b.index, time.Now(), attempt.Request.Arrived})
 	b.site.mutex.Unlock()
 	answer, err := b.site.Send(ctx, attempt)
 	if answer != nil {
-		b.site.noteTold(seen, b.index, answer.Notice)
+		b.site.recordNotice(seen, b.index, answer.Notice)
 	}
 	return answer, err
 }
 
-// visitsOf is what is known of the visits of a runner.
-func (s *testSite) visitsOf(instance string) *visits {
+// runnerLogOf returns the log of a runner.
+func (s *testSite) runnerLogOf(instance string) *runnerLog {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.visits[instance] == nil {
-		s.visits[instance] = &visits{toldLeaving: make(map[int]time.Time)}
+	if s.runnerLogs[instance] == nil {
+		s.runnerLogs[instance] = &runnerLog{toldLeaving: make(map[int]time.Time)}
 	}
-	return s.visits[instance]
+	return s.runnerLogs[instance]
 }
 
-// noteTold notes what a runner told a router.
-func (s *testSite) noteTold(seen *visits, router int, told notice.Notice) {
+// recordNotice records what a runner announced to a router.
+func (s *testSite) recordNotice(seen *runnerLog, router int, told notice.Notice) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if told.Rest > 0 {
-		seen.rests = append(seen.rests, askedRest{router, time.Now(), told.Rest})
+		seen.rests = append(seen.rests, restRequest{router, time.Now(), told.Rest})
 	}
 	if _, isTold := seen.toldLeaving[router]; told.IsLeaving && !isTold {
 		seen.toldLeaving[router] = time.Now()
 	}
 }
 
-// turnAway has the runners turn all requests away from now on, with the answer; the zero answer ends that.
-func (s *testSite) turnAway(answer relay.Answer, runners ...*testRunner) {
+// setRejection makes the runners reject all requests with the given response. The zero response
+// ends that.
+func (s *testSite) setRejection(answer relay.Answer, runners ...*testRunner) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, runner := range runners {
 		if answer.Status == 0 {
-			delete(s.turnsAway, runner.address)
+			delete(s.rejections, runner.address)
 		} else {
-			s.turnsAway[runner.address] = answer
+			s.rejections[runner.address] = answer
 		}
 	}
 }
 
-// sayLeaving has the answers of a runner say that it is leaving.
-func (s *testSite) sayLeaving(runner *testRunner) {
+// announceLeaving makes a runner announce in its responses that it is leaving.
+func (s *testSite) announceLeaving(runner *testRunner) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.sayingLeaving[runner.address] = true
+	s.leavingAddresses[runner.address] = true
 }
 
-// assertRests checks that no router sent more than a few requests to a runner while that had asked it for rest. A
-// router that started again meanwhile knows nothing of the rest.
+// assertRests checks that no router sent more than restAllowed requests to a runner in its rest
+// period. Routers that restarted meanwhile do not know of the rest.
 func (s *testSite) assertRests() {
 	s.c.Helper()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for runner, seen := range s.visits {
+	for runner, seen := range s.runnerLogs {
 		for _, rest := range seen.rests {
 			end := rest.at.Add(rest.length)
 			if started := s.routerStarted[rest.router]; started.After(rest.at) && started.Before(end) {
@@ -144,12 +139,13 @@
 	}
 }
 
-// assertLeavingGotNothing checks that no router sent callers' requests to a runner of which it knew that it is leaving.
+// assertLeavingGotNothing checks that no router sent requests to a runner that it knew to be
+// leaving.
 func (s *testSite) assertLeavingGotNothing(runner *testRunner) {
 	s.c.Helper()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	seen := s.visits[runner.id]
+	seen := s.runnerLogs[runner.id]
 	s.c.Assert(len(seen.toldLeaving) > 0, qt.IsTrue)
 	for _, arrival := range seen.arrivals {
 		told, isTold := seen.toldLeaving[arrival.router]
@@ -161,34 +157,36 @@
 	}
 }
 
-// shedFor is the answer of a runner that turns a request away and asks for rest.
-func shedFor(rest time.Duration) relay.Answer {
+// rejectionWithRest returns the response of a runner that rejects a request and asks for a rest
+// period.
+func rejectionWithRest(rest time.Duration) relay.Answer {
 	return relay.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Notice: notice.Notice{Rest: rest}}
 }
 
-// Some runners turn everything away for some seconds, and ask for rest; others serve.
-func TestRunnerThatAsksForRestGetsNothingMeanwhile(t *testing.T) {
+// Runners that reject all requests and ask for rest periods must get almost none in those, while
+// others serve.
+func TestRestingRunnerGetsNoRequests(t *testing.T) {
 	const during, shedding, rest = 14 * time.Second, 8500 * time.Millisecond, 3 * time.Second
-	promises := shedFor(rest)
+	promises := rejectionWithRest(rest)
 	promisesNothing := promises
 	promisesNothing.NotRun = false
 	for name, test := range map[string]struct {
 		answer  relay.Answer
 		resting int
-		strike  func(s *testSite)
+		fault   func(s *testSite)
 		// least is how many of the 840 requests must be served.
 		least int
 	}{
-		"two of six":                       {promises, 2, func(*testSite) {}, 800},
-		"all":                              {promises, testRunners, func(*testSite) {}, 150},
-		"two that don't say that none run": {promisesNothing, 2, func(*testSite) {}, 800},
+		"two of six":                 {promises, 2, func(*testSite) {}, 800},
+		"all":                        {promises, testRunners, func(*testSite) {}, 150},
+		"two, not marked as not run": {promisesNothing, 2, func(*testSite) {}, 800},
 		"two, and the leader is lost": {promises, 2, func(s *testSite) {
 			for range 2 {
 				pause.For(s.ctx, 3*time.Second)
-				s.loseLeader()
+				s.restartLeader()
 			}
 		}, 800},
-		"two, and routers start again": {promises, 2, func(s *testSite) {
+		"two, and routers restart": {promises, 2, func(s *testSite) {
 			for index := range testRouters {
 				pause.For(s.ctx, 2*time.Second)
 				s.startRouter(index)
@@ -200,12 +198,12 @@
 				resting := s.allRunners()[:test.resting]
 				served := 0
 				var rushed sync.WaitGroup
-				rushed.Go(func() { served = s.rush(60, during) })
+				rushed.Go(func() { served = s.sendLoad(60, during) })
 				pause.For(s.ctx, time.Second)
-				s.turnAway(test.answer, resting...)
-				go test.strike(s)
+				s.setRejection(test.answer, resting...)
+				go test.fault(s)
 				pause.For(s.ctx, shedding)
-				s.turnAway(relay.Answer{}, resting...)
+				s.setRejection(relay.Answer{}, resting...)
 				rushed.Wait()
 				s.assertRests()
 				s.c.Assert(served >= test.least, qt.IsTrue, qt.Commentf("%d served", served))
@@ -214,15 +212,15 @@
 	}
 }
 
-// A runner says in its answers that it is leaving, and in no heartbeat. Routers that are told so keep to it by
-// themselves, also while no controller can be reached.
-func TestRunnerThatSaysThatItIsLeavingGetsNoMore(t *testing.T) {
+// A runner that announces in its responses, but in no heartbeat, that it is leaving must get no
+// more requests, even while no controller is reachable.
+func TestLeavingRunnerGetsNoRequests(t *testing.T) {
 	const during = 12 * time.Second
-	for name, strike := range map[string]func(s *testSite){
-		"nothing else": func(*testSite) {},
+	for name, fault := range map[string]func(s *testSite){
+		"no fault": func(*testSite) {},
 		"the leader is lost": func(s *testSite) {
 			pause.For(s.ctx, time.Second)
-			s.loseLeader()
+			s.restartLeader()
 		},
 		"all controllers are lost": func(s *testSite) {
 			for index := range testControllers {
@@ -233,14 +231,14 @@
 		t.Run(name, func(t *testing.T) {
 			inSite(t, func(s *testSite) {
 				leaving := s.allRunners()[0]
-				s.sayLeaving(leaving)
+				s.announceLeaving(leaving)
 				told := time.Now()
-				go strike(s)
-				served := s.rush(60, during)
+				go fault(s)
+				served := s.sendLoad(60, during)
 				s.assertLeavingGotNothing(leaving)
 				s.c.Assert(served >= 700, qt.IsTrue, qt.Commentf("%d served", served))
-				if name == "nothing else" {
-					// The first router that hears it tells the leader, and that all others.
+				if name == "no fault" {
+					// The first router that learns it informs the leader, which informs all others.
 					s.c.Assert(len(s.arrivalsAt(leaving, told.Add(leavingGrace), told.Add(during))), qt.Equals, 0)
 				}
 			})
--- a/request/relay/stop.go
+++ b/request/relay/stop.go
@@ -2,12 +2,12 @@
 
 import "context"
 
-// stops are the two steps of a planned stop.
+// stops holds the contexts of the two phases of a graceful shutdown.
 type stops struct {
-	// waiting ends when requests that no runner has got yet are to be refused.
+	// waiting ends when requests without a runner are to be rejected.
 	waiting       context.Context
 	refuseWaiting context.CancelFunc
-	// cut ends when whatever is left is to be answered at once.
+	// cut ends when all remaining requests are to be ended.
 	cut    context.Context
 	cutAll context.CancelFunc
 }
@@ -19,10 +19,10 @@
 	return made
 }
 
-// RefuseWaiting refuses the requests that wait for a runner, now and from now on, so
-// that their callers find another router in time.
+// RefuseWaiting rejects the requests that wait for a runner, now and in the future, so that their
+// callers can use another router in time.
 func (r *Router) RefuseWaiting() { r.stop.refuseWaiting() }
 
-// CutAll ends all requests in progress: those whose answers have not begun are
-// answered, the others are broken off.
+// CutAll ends all requests in progress: those whose response has not started get an error response,
+// the others are aborted.
 func (r *Router) CutAll() { r.stop.cutAll() }
--- a/request/relay/stream.go
+++ b/request/relay/stream.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// relayStream passes on whole events, each as it comes.
+// relayStream forwards complete events as they arrive.
 func (x *exchange) relayStream(ctx context.Context, answer *Answer, watchdog *watchdog) result {
 	if !answer.Signed {
 		return result{outcome: routing.OutcomeBroken, reason: reasonNotSigned}
@@ -22,7 +22,7 @@
 	for {
 		count, err := answer.Body.Read(buffer)
 		if count > 0 {
-			watchdog.heard()
+			watchdog.noteActivity()
 			events.add(buffer[:count])
 			if failure := x.passEvents(answer, &events, controller); failure != nil {
 				return result{outcome: routing.OutcomeNeutral, isDone: true, reason: "caller_left", err: failure}
@@ -33,21 +33,21 @@
 			continue
 		case errors.Is(err, io.EOF) && events.isEmpty():
 			if !x.isStarted {
-				x.start(answer)
+				x.sendHeader(answer)
 			}
 			return result{outcome: routing.OutcomeSuccess, isDone: true}
 		case ctx.Err() != nil:
-			return x.ended(ctx, result{outcome: routing.OutcomeBroken, err: err})
+			return x.contextResult(ctx, result{outcome: routing.OutcomeBroken, err: err})
 		}
 		return result{outcome: routing.OutcomeBroken, reason: reasonCutShort, err: err}
 	}
 }
 
-// streamBuffer is read at once from a stream.
+// streamBuffer is the size of the read buffer in bytes.
 const streamBuffer = 8 << 10
 
-// passEvents passes on the whole events that have come. Events that the caller has
-// already are dropped.
+// passEvents forwards the complete events received so far, except those that the caller already
+// has.
 func (x *exchange) passEvents(answer *Answer, events *eventSplitter, controller *http.ResponseController) error {
 	written := 0
 	for event := events.next(); event != nil; event = events.next() {
@@ -58,9 +58,9 @@
 			x.lastEvent = number
 		}
 		if !x.isStarted {
-			// The length is that of one runner's answer only.
+			// A resumed stream has another length than any single response.
 			answer.Length = -1
-			x.start(answer)
+			x.sendHeader(answer)
 		}
 		if _, err := x.writer.Write(event); err != nil {
 			return err
@@ -70,15 +70,15 @@
 	if written == 0 {
 		return nil
 	}
-	x.seen.passed(time.Now(), written)
-	if x.seen.tellsGap() {
-		x.noteGap()
+	x.timing.notePassed(time.Now(), written)
+	if x.timing.shouldReportGap() {
+		x.reportGap()
 	}
 	return controller.Flush()
 }
 
-// sent notes that the request is sent to a runner now.
-func (s *streamTiming) sent(runner structs.RunnerID) {
+// noteSent records that the request is sent to a runner.
+func (s *streamTiming) noteSent(runner structs.RunnerID) {
 	s.runner = runner
 	s.sentAt = time.Now()
 }
--- a/request/relay/streamtiming.go
+++ b/request/relay/streamtiming.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// toldGaps is after how many gaps, and toldAfter after how long, a router tells the leader of
-	// a stream that goes on: streams may last for many seconds, and a runner that has turned slow
-	// should be known before they end. Of shorter ones it tells once.
-	toldGaps  = 8
-	toldAfter = 500 * time.Millisecond
-	// minGaps is the least number that tells the pace of a stream that has ended.
+	// earlyReportGaps and earlyReportAfter are the number of gaps and the time after which the
+	// timing of a running stream is reported, so that the leader learns of a slow runner before
+	// long streams end.
+	earlyReportGaps  = 8
+	earlyReportAfter = 500 * time.Millisecond
+	// minGaps is the least number of gaps for a meaningful median.
 	minGaps = 4
-	// maxGaps is how many are kept of a stream.
+	// maxGaps bounds the gaps kept of a stream.
 	maxGaps = 48
 )
 
-// streamTiming is what a router sees of the time that a stream takes.
+// streamTiming records the timing of a stream.
 type streamTiming struct {
 	runner structs.RunnerID
-	// sentAt is when the request was last sent, firstAt when its first event was passed on, and
-	// passedAt the last.
+	// sentAt is when the request was last sent, firstAt when the first event was forwarded, and
+	// passedAt when the latest one was.
 	sentAt   time.Time
 	firstAt  time.Time
 	passedAt time.Time
 	// pause is the longest time between two events.
 	pause  time.Duration
 	events int
-	// gaps are the first times between events that came one by one.
+	// gaps are the first times between events that arrived one by one.
 	gaps []time.Duration
-	// isGapTold is set once the leader is told of the gaps.
-	isGapTold bool
+	// isGapReported is set once the gaps were reported.
+	isGapReported bool
 }
 
-// passed notes that events were passed on.
-func (s *streamTiming) passed(at time.Time, events int) {
+// notePassed records that events were forwarded.
+func (s *streamTiming) notePassed(at time.Time, events int) {
 	s.events += events
 	if s.firstAt.IsZero() {
 		s.firstAt = at
@@ -47,14 +47,14 @@
 	if !s.passedAt.IsZero() {
 		gap := at.Sub(s.passedAt)
 		s.pause = max(s.pause, gap)
-		if events == 1 && !s.isGapTold && len(s.gaps) < maxGaps {
+		if events == 1 && !s.isGapReported && len(s.gaps) < maxGaps {
 			s.gaps = append(s.gaps, gap)
 		}
 	}
 	s.passedAt = at
 }
 
-// first is how long the first event took.
+// first returns the time to the first event, or 0 if there was none.
 func (s *streamTiming) first() time.Duration {
 	if s.firstAt.IsZero() {
 		return 0
@@ -62,66 +62,67 @@
 	return s.firstAt.Sub(s.sentAt)
 }
 
-// tellsGap reports whether there are enough gaps to tell of them while the stream goes on.
-func (s *streamTiming) tellsGap() bool {
-	return !s.isGapTold && len(s.gaps) >= toldGaps && s.passedAt.Sub(s.firstAt) >= toldAfter
+// shouldReportGap reports whether there are enough gaps to report them before the stream ends.
+func (s *streamTiming) shouldReportGap() bool {
+	return !s.isGapReported && len(s.gaps) >= earlyReportGaps && s.passedAt.Sub(s.firstAt) >= earlyReportAfter
 }
 
-// gap is the median of the gaps, or 0 if they were told or are too few. Prompts that the runner
-// reads stretch some gaps; after what holds the router up, and where an event holds fewer tokens than
-// most, as the first and the last may, others are short.
+// gap returns the median of the gaps, or 0 if they are too few or were reported. The median ignores
+// gaps stretched by prompt processing of other requests, and short ones after a delay of the router
+// or before events with few tokens.
 func (s *streamTiming) gap() time.Duration {
 	gaps := s.gaps
-	if s.isGapTold || len(gaps) < minGaps {
+	if s.isGapReported || len(gaps) < minGaps {
 		return 0
 	}
-	s.isGapTold = true
+	s.isGapReported = true
 	slices.Sort(gaps)
 	return gaps[(len(gaps)-1)/2]
 }
 
-// dropLast drops the gap before the last event of a whole stream, which may hold fewer tokens.
+// dropLast drops the gap before the final event of a stream, which may hold fewer tokens.
 func (s *streamTiming) dropLast() {
-	if len(s.gaps) > 0 && !s.isGapTold {
+	if len(s.gaps) > 0 && !s.isGapReported {
 		s.gaps = s.gaps[:len(s.gaps)-1]
 	}
 }
 
-// pace is what is told of the stream of an exchange that only one runner has run.
-func (x *exchange) pace() (residency.Pace, bool) {
+// newPace returns the report of the stream of an exchange that only one runner has run, and false
+// for others.
+func (x *exchange) newPace() (residency.Pace, bool) {
 	if x.route.Kind != site.KindStream || x.attempts != 1 || x.row.Model == "" {
 		return residency.Pace{}, false
 	}
-	return residency.Pace{Service: x.row.Service, Model: x.row.Model, Instance: string(x.seen.runner)}, true
+	return residency.Pace{Service: x.row.Service, Model: x.row.Model, Instance: string(x.timing.runner)}, true
 }
 
-// noteGap tells the router the pace of a stream that goes on.
-func (x *exchange) noteGap() {
-	told, isTold := x.pace()
-	if !isTold {
+// reportGap queues the timing of a running stream for the next report.
+func (x *exchange) reportGap() {
+	pace, isReportable := x.newPace()
+	if !isReportable {
 		return
 	}
-	told.IsUnderWay = true
-	told.Gap = x.seen.gap()
-	x.router.notePace(told)
+	pace.IsUnderWay = true
+	pace.Gap = x.timing.gap()
+	x.router.addPace(pace)
 }
 
-// notePace tells the router the pace of a stream that has ended.
-func (x *exchange) notePace(ended result) {
-	told, isTold := x.pace()
-	if !isTold {
+// reportPace queues the timing of a finished stream for the next report.
+func (x *exchange) reportPace(ended result) {
+	pace, isReportable := x.newPace()
+	if !isReportable {
 		return
 	}
-	told.Paused = x.route.MaxPause > 0 && x.seen.pause > x.route.MaxPause
-	told.First = x.seen.first()
-	told.IsLate = x.route.Objective > 0 && told.First > x.route.Objective
-	if x.waiting != nil {
-		told.Prompt = x.request.Size.Uncached(x.waiting.cachedParts)
+	pace.Paused = x.route.MaxPause > 0 && x.timing.pause > x.route.MaxPause
+	pace.First = x.timing.first()
+	pace.IsLate = x.route.Objective > 0 && pace.First > x.route.Objective
+	if x.waiter != nil {
+		pace.Prompt = x.request.Size.Uncached(x.waiter.cachedParts)
 	}
 	if ended.isServed() {
-		told.Events = x.seen.events
-		x.seen.dropLast()
+		pace.Events = x.timing.events
+		x.timing.dropLast()
 	}
-	told.Gap = x.seen.gap()
-	x.router.notePace(told)
+	pace.Gap = x.timing.gap()
+	x.router.addPace(pace)
 }
--- a/request/relay/suspects.go
+++ b/request/relay/suspects.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// maxSeenLosses and maxSeenDigests bound the losses that a router remembers for a new leader:
-	// as many as a leader keeps at all, which is some MiB.
-	maxSeenLosses  = 256
-	maxSeenDigests = 512
-	// seenLife is how long a router remembers a loss for a new leader: some times as long as the
-	// group takes to elect one after the loss of all its processes.
-	seenLife = 2 * time.Minute
-	// permitTimeout bounds the question whether a suspected request may be sent: an answer takes
-	// some milliseconds, another leader after a lost one 0.4 to 0.9 s.
+	// maxLosses and maxLossDigests bound the runner losses remembered for a new leader.
+	maxLosses      = 256
+	maxLossDigests = 512
+	// lossTTL is how long a loss is remembered for a new leader: several times the duration of an
+	// election after the loss of all controllers.
+	lossTTL = 2 * time.Minute
+	// permitTimeout bounds a permission request: a response takes milliseconds, a change of leader
+	// 0.4 to 0.9 s.
 	permitTimeout = time.Second
-	// unknownPermitReturn is when a caller is asked to come back whose request may be sent by a
-	// leader's permission only, while there is no leader: elections take about half a second.
-	unknownPermitReturn = 500 * time.Millisecond
+	// noLeaderRetryAfter is the Retry-After of a request that needs the leader's permission while
+	// there is no leader: about the duration of an election.
+	noLeaderRetryAfter = 500 * time.Millisecond
 )
 
-// suspects is what a router knows of requests that may crash runners. The router's mutex guards it.
+// suspects tracks the requests that may crash runners. It is guarded by Router.mutex.
 type suspects struct {
-	// refusedUntil has the requests that the leader listed, each with the end of its refusal; zero
-	// for one that may be sent by the leader's permission.
+	// refusedUntil maps the requests listed by the leader to the end of their refusal; zero for
+	// those that need the leader's permission.
 	refusedUntil map[poison.Digest]time.Time
-	// seen are the losses that this router saw, by instance.
-	seen map[string]*seenLoss
-	// unreported are the requests of losses that are to be reported, endings the same of runs.
+	// losses are the runner losses that this router observed, by instance.
+	losses map[string]*runnerLoss
+	// unreported are the requests in progress at lost runners, and endings the outcomes of runs,
+	// that are still to be reported.
 	unreported map[string][]poison.Digest
 	endings    []poison.Ending
 }
 
-type seenLoss struct {
+type runnerLoss struct {
 	at      time.Time
 	digests map[poison.Digest]bool
 }
@@ -49,12 +49,12 @@
 func newSuspects() suspects {
 	return suspects{
 		refusedUntil: make(map[poison.Digest]time.Time),
-		seen:         make(map[string]*seenLoss),
+		losses:       make(map[string]*runnerLoss),
 		unreported:   make(map[string][]poison.Digest),
 	}
 }
 
-// adopt takes the leader's list.
+// adopt replaces the leader's list.
 func (s *suspects) adopt(now time.Time, list *poison.List) {
 	if list == nil {
 		return
@@ -69,18 +69,18 @@
 	}
 }
 
-// lost notes that a request was under way at a runner when its connection broke.
-func (s *suspects) lost(now time.Time, instance string, digest poison.Digest) {
+// addLoss records that a request was in progress at a runner when its connection broke.
+func (s *suspects) addLoss(now time.Time, instance string, digest poison.Digest) {
 	s.forgetOld(now)
-	known := s.seen[instance]
+	known := s.losses[instance]
 	if known == nil {
-		if len(s.seen) >= maxSeenLosses {
+		if len(s.losses) >= maxLosses {
 			return
 		}
-		known = &seenLoss{at: now, digests: make(map[poison.Digest]bool)}
-		s.seen[instance] = known
+		known = &runnerLoss{at: now, digests: make(map[poison.Digest]bool)}
+		s.losses[instance] = known
 	}
-	if known.digests[digest] || len(known.digests) >= maxSeenDigests {
+	if known.digests[digest] || len(known.digests) >= maxLossDigests {
 		return
 	}
 	known.digests[digest] = true
@@ -88,30 +88,30 @@
 }
 
 func (s *suspects) forgetOld(now time.Time) {
-	for instance, each := range s.seen {
-		if now.Sub(each.at) > seenLife {
-			delete(s.seen, instance)
+	for instance, each := range s.losses {
+		if now.Sub(each.at) > lossTTL {
+			delete(s.losses, instance)
 		}
 	}
 }
 
-// reportAnew lets a new leader know of all losses that this router saw.
-func (s *suspects) reportAnew(now time.Time) {
+// reportAgain schedules all remembered losses to be reported to a new leader.
+func (s *suspects) reportAgain(now time.Time) {
 	s.forgetOld(now)
 	clear(s.unreported)
-	for instance, each := range s.seen {
+	for instance, each := range s.losses {
 		for digest := range each.digests {
 			s.unreported[instance] = append(s.unreported[instance], digest)
 		}
 	}
 }
 
-// isKnown reports whether anything speaks against a request.
-func (s *suspects) isKnown(digest poison.Digest) bool {
+// isSuspected reports whether a request is listed or was in progress at a lost runner.
+func (s *suspects) isSuspected(digest poison.Digest) bool {
 	if _, isListed := s.refusedUntil[digest]; isListed {
 		return true
 	}
-	for _, each := range s.seen {
+	for _, each := range s.losses {
 		if each.digests[digest] {
 			return true
 		}
@@ -119,17 +119,17 @@
 	return false
 }
 
-// clear forgets what speaks against a request that has ended well.
+// clear forgets the losses of a request that has completed.
 func (s *suspects) clear(digest poison.Digest) {
-	for instance, each := range s.seen {
+	for instance, each := range s.losses {
 		delete(each.digests, digest)
 		if len(each.digests) == 0 {
-			delete(s.seen, instance)
+			delete(s.losses, instance)
 		}
 	}
 }
 
-// take hands out what is to be reported.
+// take returns what is to be reported and resets it.
 func (s *suspects) take() (losses []poison.Report, endings []poison.Ending) {
 	for instance, digests := range s.unreported {
 		losses = append(losses, poison.Report{Instance: instance, Digests: digests})
@@ -139,8 +139,8 @@
 	return losses, endings
 }
 
-// giveBack takes back what could not be reported.
-func (s *suspects) giveBack(losses []poison.Report, endings []poison.Ending) {
+// requeue restores what could not be reported.
+func (s *suspects) requeue(losses []poison.Report, endings []poison.Ending) {
 	for _, each := range losses {
 		s.unreported[each.Instance] = append(each.Digests, s.unreported[each.Instance]...)
 	}
@@ -150,12 +150,12 @@
 	}
 }
 
-// maxEndings bounds the endings that wait for a leader; the oldest are dropped first, as leaders
-// end trials by themselves after a time.
+// maxEndings bounds the endings that wait for a leader. The oldest are dropped first, as leaders
+// end trials after a timeout.
 const maxEndings = 1024
 
-// standing is what a router may do with a request by itself.
-func (r *Router) standing(digest poison.Digest) (permission poison.Permission, refusedFor time.Duration) {
+// localPermission returns what the router may do with a request without asking the leader.
+func (r *Router) localPermission(digest poison.Digest) (permission poison.Permission, refusedFor time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	until, isListed := r.suspects.refusedUntil[digest]
@@ -168,61 +168,61 @@
 	return poison.Trial, 0
 }
 
-// permit is whether an exchange's request may be sent now.
+// permit is the answer to a request for permission to send.
 type permit struct {
 	permission poison.Permission
-	comeBackIn time.Duration
-	// err is why the leader could not be asked.
+	retryAfter time.Duration
+	// err is the failure to ask the leader.
 	err error
 }
 
 // isGranted reports whether the request may be sent.
 func (p permit) isGranted() bool { return p.permission == poison.Free || p.isTrial() }
 
-// isTrial reports whether the leader must be told how the run ends.
+// isTrial reports whether the outcome of the run must be reported to the leader.
 func (p permit) isTrial() bool { return p.permission == poison.Trial }
 
-// askPermit says whether the request may be sent to the chosen runner. For a suspected one the
-// leader decides, as other routers may have the same at hand.
-func (x *exchange) askPermit(ctx context.Context, instance structs.RunnerID) permit {
-	permission, refusedFor := x.router.standing(x.digest)
+// requestPermit returns whether the request may be sent to the chosen runner. The leader decides on
+// suspected requests, since other routers may hold the same request.
+func (x *exchange) requestPermit(ctx context.Context, instance structs.RunnerID) permit {
+	permission, refusedFor := x.router.localPermission(x.digest)
 	if permission != poison.Trial {
-		return permit{permission: permission, comeBackIn: refusedFor}
+		return permit{permission: permission, retryAfter: refusedFor}
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	if x.asker == "" {
-		x.asker = fmt.Sprintf("%s/%d", x.router.options.Name, x.router.askers.Add(1))
+	if x.trialID == "" {
+		x.trialID = fmt.Sprintf("%s/%d", x.router.options.Name, x.router.trialIDs.Add(1))
 	}
 	arguments := domainapi.TryArguments{
-		Router: x.router.options.Name, Digest: x.digest, Asker: x.asker, Instance: string(instance),
+		Router: x.router.options.Name, Digest: x.digest, Asker: x.trialID, Instance: string(instance),
 	}
 	reply, err := leadercall.Call(ctx, x.router.caller, domainapi.MethodTry, arguments,
 		func() *domainapi.TryReply { return &domainapi.TryReply{} })
 	if err != nil {
-		return permit{permission: poison.Later, comeBackIn: unknownPermitReturn, err: err}
+		return permit{permission: poison.Later, retryAfter: noLeaderRetryAfter, err: err}
 	}
-	return permit{permission: reply.Permission, comeBackIn: reply.ComeBackIn}
+	return permit{permission: reply.Permission, retryAfter: reply.ComeBackIn}
 }
 
-// noteEnd tells the leader what an attempt says about the request.
-func (x *exchange) noteEnd(instance structs.RunnerID, isTrial bool, ended result) {
+// reportEnd queues for the leader what an attempt reveals about the request.
+func (x *exchange) reportEnd(instance structs.RunnerID, isTrial bool, ended result) {
 	r := x.router
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	ending := poison.Ending{Digest: x.digest, How: poison.EndedOpen}
 	switch {
 	case ended.isBroken() && r.zones.watch.IsLost(r.zones.watch.ZoneOf(instance)):
-		// The connection broke with all others to the zone, not with the runner.
+		// The zone was lost, not the runner.
 		if !isTrial {
 			return
 		}
 	case ended.isBroken():
-		r.suspects.lost(r.now(), string(instance), x.digest)
+		r.suspects.addLoss(r.now(), string(instance), x.digest)
 		r.wakeReport()
 		return
 	case ended.isServed():
-		if !isTrial && !r.suspects.isKnown(x.digest) {
+		if !isTrial && !r.suspects.isSuspected(x.digest) {
 			return
 		}
 		r.suspects.clear(x.digest)
@@ -239,14 +239,14 @@
 }
 
 const (
-	// reasonCrashes is that of a request that is refused as it crashes runners, and
-	// reasonTrial that of one that has to wait for a trial.
+	// reasonCrashes means that the request is refused because it crashes runners, reasonTrial that
+	// it has to wait for a trial.
 	reasonCrashes = "crashes_runners"
 	reasonTrial   = "trial_later"
 )
 
-// refuseSuspect answers a request that may not be sent, clearly enough for its caller to see that
-// the trouble is the request. What a runner answered before is passed on.
+// refuseSuspect answers a request that may not be sent. An error response received earlier is
+// forwarded.
 func (x *exchange) refuseSuspect(why permit, last result) {
 	reason, message := reasonCrashes, "runners that ran this request have crashed: change the request, or ask the operators of the site"
 	if why.permission == poison.Later {
@@ -257,13 +257,13 @@
 		return
 	}
 	x.count(reason)
-	if suppressed, allowed := x.router.refusedSuspects.Allow(time.Now()); allowed {
+	if suppressed, allowed := x.router.suspectLog.Allow(time.Now()); allowed {
 		level.Info(x.router.logger).Log("msg", "A request that may crash runners was not sent.", "request", x.request.ID,
-			"content", x.digest, "route", x.route.Name, "outcome", reason, "attempts", x.attempts, "come_back_in", why.comeBackIn,
+			"content", x.digest, "route", x.route.Name, "outcome", reason, "attempts", x.attempts, "come_back_in", why.retryAfter,
 			"age", x.router.age(x.request), "not_logged", suppressed, "err", why.err)
 	}
-	x.answerUnserved(why.comeBackIn, message)
+	x.answerUnserved(why.retryAfter, message)
 }
 
-// maxSuspectLines is how many lines a second tell of requests that may crash runners.
-const maxSuspectLines = 20
+// maxSuspectLogRate bounds the log lines per second about requests that may crash runners.
+const maxSuspectLogRate = 20
--- a/request/relay/suspension_test.go
+++ b/request/relay/suspension_test.go
@@ -13,45 +13,45 @@
 	"github.com/lotusferry/lotusferry/placement/quota"
 )
 
-// machineClock is that of a machine that a test suspends: its timers stand still meanwhile, so that
+// suspendableClock is the clock of a machine that a test suspends: timers stop meanwhile, so that
 // only the clock shows it.
-type machineClock struct{ suspended atomic.Int64 }
+type suspendableClock struct{ suspended atomic.Int64 }
 
-func (m *machineClock) Now() time.Time { return time.Now().Add(time.Duration(m.suspended.Load())) }
+func (m *suspendableClock) Now() time.Time { return time.Now().Add(time.Duration(m.suspended.Load())) }
 
-func (m *machineClock) suspend(length time.Duration) { m.suspended.Add(int64(length)) }
+func (m *suspendableClock) suspend(length time.Duration) { m.suspended.Add(int64(length)) }
 
-// onMachine gives a test a router on a machine of its own.
-func onMachine(t *testing.T, answer func(ctx context.Context, attempt *Attempt) (*Answer, error),
-	test func(c *qt.C, machine *machineClock, router *Router, backend *scriptedBackend)) {
+// withSuspendableClock runs a test with a router that uses a suspendableClock.
+func withSuspendableClock(t *testing.T, answer func(ctx context.Context, attempt *Attempt) (*Answer, error),
+	test func(c *qt.C, machine *suspendableClock, router *Router, backend *scriptedBackend)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		machine := &machineClock{}
+		machine := &suspendableClock{}
 		router, backend := newTenantRouter(answer)
 		router.options.Now = machine.Now
 		test(qt.New(t), machine, router, backend)
 	})
 }
 
-func TestKeysAreNotGoodAfterASuspension(t *testing.T) {
-	onMachine(t, always(fine), func(c *qt.C, machine *machineClock, router *Router, _ *scriptedBackend) {
+func TestKeysExpireDuringSuspension(t *testing.T) {
+	withSuspendableClock(t, always(fine), func(c *qt.C, machine *suspendableClock, router *Router, _ *scriptedBackend) {
 		c.Assert(askAs(router, "/again/x", Credential{Key: "key-2"}, Size{Tokens: NoSize}).Code, qt.Equals, http.StatusOK)
-		machine.suspend(testLife)
+		machine.suspend(testConfirmationLife)
 		c.Assert(askAs(router, "/again/x", Credential{Key: "key-2"}, Size{Tokens: NoSize}).Code, qt.Equals, http.StatusServiceUnavailable)
 	})
 }
 
-func TestRepeatsAreNotGrantedAfterASuspension(t *testing.T) {
-	onMachine(t, always(fine), func(c *qt.C, machine *machineClock, router *Router, _ *scriptedBackend) {
+func TestRetryBudgetExpiresDuringSuspension(t *testing.T) {
+	withSuspendableClock(t, always(fine), func(c *qt.C, machine *suspendableClock, router *Router, _ *scriptedBackend) {
 		c.Assert(router.mayRepeat("plain"), qt.IsTrue)
-		machine.suspend(grantLife + time.Second)
+		machine.suspend(routerCountTTL + time.Second)
 		c.Assert(router.mayRepeat("plain"), qt.IsFalse)
 	})
 }
 
-// What a router holds of a limit may have been granted to others meanwhile.
-func TestReservesAreOverAfterASuspension(t *testing.T) {
-	onMachine(t, always(fine), func(c *qt.C, machine *machineClock, router *Router, _ *scriptedBackend) {
+// A reserve may have been granted to others during the suspension.
+func TestReservesExpireDuringSuspension(t *testing.T) {
+	withSuspendableClock(t, always(fine), func(c *qt.C, machine *suspendableClock, router *Router, _ *scriptedBackend) {
 		held := func() float64 {
 			router.limits.mutex.Lock()
 			defer router.limits.mutex.Unlock()
@@ -66,15 +66,15 @@
 	})
 }
 
-// A request that was taken before a suspension has less time left than timers tell.
-func TestTimeOfARequestGoesOnInASuspension(t *testing.T) {
-	var machine *machineClock
+// A request received before a suspension must not get more time than its deadline allows.
+func TestSuspensionCountsAgainstDeadline(t *testing.T) {
+	var machine *suspendableClock
 	suspendThenFail := func(context.Context, *Attempt) (*Answer, error) {
 		machine.suspend(3 * time.Second)
 		return failed()
 	}
-	onMachine(t, func(ctx context.Context, attempt *Attempt) (*Answer, error) { return suspendThenFail(ctx, attempt) },
-		func(c *qt.C, own *machineClock, router *Router, backend *scriptedBackend) {
+	withSuspendableClock(t, func(ctx context.Context, attempt *Attempt) (*Answer, error) { return suspendThenFail(ctx, attempt) },
+		func(c *qt.C, own *suspendableClock, router *Router, backend *scriptedBackend) {
 			machine = own
 			c.Assert(askAs(router, "/again/x", Credential{Key: "key-2"}, Size{Tokens: NoSize}).Code, qt.Equals, http.StatusInternalServerError)
 			c.Assert(backend.attempts, qt.HasLen, 2)
@@ -83,13 +83,13 @@
 		})
 }
 
-// A request whose time is over is sent to nobody.
-func TestRequestIsNotSentAfterItsTime(t *testing.T) {
-	var machine *machineClock
-	onMachine(t, func(context.Context, *Attempt) (*Answer, error) {
+// A request must not be sent after its deadline.
+func TestRequestIsNotSentAfterDeadline(t *testing.T) {
+	var machine *suspendableClock
+	withSuspendableClock(t, func(context.Context, *Attempt) (*Answer, error) {
 		machine.suspend(6 * time.Second)
 		return notSent()
-	}, func(c *qt.C, own *machineClock, router *Router, backend *scriptedBackend) {
+	}, func(c *qt.C, own *suspendableClock, router *Router, backend *scriptedBackend) {
 		machine = own
 		c.Assert(askAs(router, "/again/x", Credential{Key: "key-2"}, Size{Tokens: NoSize}).Code, qt.Equals, http.StatusServiceUnavailable)
 		c.Assert(backend.attempts, qt.HasLen, 1)
--- a/request/relay/tenancy.go
+++ b/request/relay/tenancy.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// unconfirmedReturn is when a caller is asked to come back to a router that cannot tell
-	// whether keys are still good: elections take about half a second.
-	unconfirmedReturn = 500 * time.Millisecond
-	// limitWait is how long a request waits for the leader's word on its tenant's limit, at most:
-	// a word takes some milliseconds, another leader after a lost one 0.4 to 0.9 s. A request
-	// with little time waits for maxWaitShare of it.
+	// unconfirmedRetryAfter is the Retry-After while API keys cannot be verified: about the
+	// duration of an election.
+	unconfirmedRetryAfter = 500 * time.Millisecond
+	// limitWait bounds the wait for the leader's decision on a tenant's limit: a decision takes
+	// milliseconds, a change of leader 0.4 to 0.9 s. Requests with short deadlines wait for
+	// maxWaitShare of their time.
 	limitWait = time.Second
-	// maxTenantLines is how many lines a second tell of requests that were refused for their
-	// key or limit.
-	maxTenantLines = 20
+	// maxTenantLogRate bounds the log lines per second about requests refused for their key or
+	// limit.
+	maxTenantLogRate = 20
 )
 
-// refusal is an answer in the router's own name to a request that no runner has seen.
+// refusal is a response of the router itself to a request that was sent to no runner.
 type refusal struct {
 	status     int
 	retryAfter time.Duration
-	// outcome names the refusal in metrics and logs; message tells the caller the remedy.
+	// outcome is the label in metrics and logs; message is the text for the caller.
 	outcome string
 	message string
 }
 
-// isConfirmed reports whether the document in force was the newest so short ago that all keys
-// that it lists may be taken as good.
+// isConfirmed reports whether the current document was confirmed as the newest recently enough to
+// accept its API keys.
 func (r *Router) isConfirmed(at time.Time) bool {
 	life := r.options.ConfirmationLife
 	if life <= 0 {
@@ -47,7 +47,7 @@
 	return confirmed != nil && at.Sub(*confirmed) < life
 }
 
-// confirmedAgo is how long ago the document in force was the newest; below 0 for never.
+// confirmedAgo returns the time since the last confirmation; negative if there was none.
 func (r *Router) confirmedAgo() time.Duration {
 	confirmed := r.confirmed.Load()
 	if confirmed == nil {
@@ -56,22 +56,21 @@
 	return r.now().Sub(*confirmed)
 }
 
-// confirm notes that the document in force was the newest at a time.
+// confirm records that the current document was the newest at the given time.
 func (r *Router) confirm(at time.Time) {
 	if known := r.confirmed.Load(); known == nil || at.After(*known) {
 		r.confirmed.Store(&at)
 	}
 }
 
-// identify finds the tenant of a request, or says why the request is refused. The tenant is nil
-// where none is needed.
+// identify returns the tenant of a request, or a refusal. The tenant is nil where none is required.
 func (r *Router) identify(index *site.Index, route *site.Route, request *Request) (*site.Tenant, *refusal) {
 	if !index.Document.RequiresKeys || route.Public && request.Credential.Key == "" {
 		return nil, nil
 	}
 	if !r.isConfirmed(r.now()) {
 		return nil, &refusal{
-			status: http.StatusServiceUnavailable, retryAfter: unconfirmedReturn, outcome: "unconfirmed",
+			status: http.StatusServiceUnavailable, retryAfter: unconfirmedRetryAfter, outcome: "unconfirmed",
 			message: "this router cannot tell whether the key is still good, as it reaches no controller: try again soon",
 		}
 	}
@@ -91,7 +90,7 @@
 	return tenant, nil
 }
 
-// priorityOf is the rank of a tenant's requests on a route.
+// priorityOf returns the priority of a tenant's requests on a route.
 func priorityOf(tenant *site.Tenant, route *site.Route) int {
 	if tenant == nil || tenant.Priority == nil {
 		return route.Priority
@@ -99,15 +98,15 @@
 	return *tenant.Priority
 }
 
-// admission is a request that was counted against its tenant's limit.
+// admission is what was charged to a tenant's limit for a request.
 type admission struct {
 	tenant *site.Tenant
 	cost   float64
 	fresh  limiter.Fresh
 }
 
-// admit counts a request against its tenant's limit, or says why it is refused. It waits for the
-// leader's word if the router holds too little of the limit.
+// admit charges a request to its tenant's limit, or returns a refusal. It waits for the leader's
+// decision if the router's share of the limit is too small.
 func (r *Router) admit(ctx context.Context, tenant *site.Tenant, request *Request, ticket waiting.Ticket, digest poison.Digest) (admission, *refusal) {
 	if tenant == nil || !tenant.Limit.IsLimited() {
 		return admission{}, nil
@@ -119,8 +118,8 @@
 		Settle: func(verdict limiter.Verdict) { settled <- verdict },
 	}
 	waiter.Ask = quota.Ask{
-		Class: ticket.Class, Digest: request.returnDigest(digest), Due: ticket.Due.Sub(waiter.Asked),
-		Away: share(ticket.Deadline.Sub(waiter.Asked), returnShare) - returnSlack,
+		Class: ticket.Class, Digest: request.retryDigest(digest), Due: ticket.Due.Sub(waiter.Asked),
+		Away: fraction(ticket.Deadline.Sub(waiter.Asked), maxRetryShare) - retrySlack,
 	}
 	r.limits.mutex.Lock()
 	verdict, isDecided := r.limits.limiter.Admit(r.now(), waiter)
@@ -131,12 +130,12 @@
 	}
 	if !isDecided {
 		var isSettled bool
-		if verdict, isSettled = r.limits.await(ctx, waiter, settled, min(limitWait, share(ticket.Deadline.Sub(r.now()), maxWaitShare))); !isSettled {
+		if verdict, isSettled = r.limits.await(ctx, waiter, settled, min(limitWait, fraction(ticket.Deadline.Sub(r.now()), maxWaitShare))); !isSettled {
 			if ctx.Err() != nil {
 				return admission{}, &refusal{status: http.StatusServiceUnavailable, outcome: "caller_left", message: "the caller has left"}
 			}
 			return admission{}, &refusal{
-				status: http.StatusServiceUnavailable, retryAfter: unconfirmedReturn, outcome: "limit_unknown",
+				status: http.StatusServiceUnavailable, retryAfter: unconfirmedRetryAfter, outcome: "limit_unknown",
 				message: "no controller could tell whether the tenant's limit has room: try again soon",
 			}
 		}
@@ -152,7 +151,7 @@
 	return counted, nil
 }
 
-// refund gives back what was counted for a request that no runner has run.
+// refund returns the charge of a request that no runner has run.
 func (r *Router) refund(counted admission) {
 	if counted.tenant == nil {
 		return
@@ -166,7 +165,7 @@
 	}
 }
 
-// refuseTenant answers a request that its key or its limit does not allow.
+// refuseTenant answers a request refused for its key or limit.
 func (r *Router) refuseTenant(writer http.ResponseWriter, request *Request, route *site.Route, tenant *site.Tenant, version uint64, why *refusal) {
 	name := ""
 	if tenant != nil {
@@ -174,7 +173,7 @@
 	}
 	r.metrics.requests.WithLabelValues(kindName(route.Kind), why.outcome).Inc()
 	r.metrics.tenant(name, why.outcome)
-	if suppressed, allowed := r.refused.Allow(time.Now()); allowed {
+	if suppressed, allowed := r.refusalLog.Allow(time.Now()); allowed {
 		r.limits.mutex.Lock()
 		held := r.limits.limiter.Held(r.now(), name)
 		r.limits.mutex.Unlock()
--- a/request/relay/tenancy_test.go
+++ b/request/relay/tenancy_test.go
@@ -19,7 +19,7 @@
 	"github.com/lotusferry/lotusferry/request/waiting"
 )
 
-// tenantDocument has a tenant with a limit, one without, and a public route.
+// tenantDocument returns a document with a limited tenant, an unlimited one, and a public route.
 func tenantDocument(version uint64) *site.Document {
 	rank := 3
 	document := testDocument()
@@ -35,11 +35,11 @@
 	return document
 }
 
-const testLife = 4 * time.Second
+const testConfirmationLife = 4 * time.Second
 
 func newTenantRouter(answer func(ctx context.Context, attempt *Attempt) (*Answer, error)) (*Router, *scriptedBackend) {
 	router, backend := newTestRouter(answer)
-	router.options.ConfirmationLife = testLife
+	router.options.ConfirmationLife = testConfirmationLife
 	router.adoptDocument(tenantDocument(2))
 	router.confirm(time.Now())
 	return router, backend
@@ -59,7 +59,7 @@
 	return func(context.Context, *Attempt) (*Answer, error) { return answer() }
 }
 
-func TestKeysDecideWhoIsServed(t *testing.T) {
+func TestAPIKeysDetermineTenant(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		path       string
@@ -75,8 +75,8 @@
 		{name: "no key on a public route", path: "/again/", credential: Credential{Problem: "send a key"}, status: 200},
 		{name: "unknown key on a public route", path: "/again/", credential: Credential{Key: "key-3"}, status: 200},
 		{name: "key on a public route", path: "/again/", credential: Credential{Key: "key-2"}, status: 200, tenant: "free", priority: 3},
-		{name: "size that cannot be read, where tokens are counted", path: "/once/", credential: Credential{Key: "key-1"}, size: Size{Tokens: NoSize, Problem: "send two numbers"}, status: 400},
-		{name: "size that cannot be read, where nothing is counted", path: "/once/", credential: Credential{Key: "key-2"}, size: Size{Tokens: NoSize, Problem: "send two numbers"}, status: 200, tenant: "free", priority: 3},
+		{name: "invalid size, limit in tokens", path: "/once/", credential: Credential{Key: "key-1"}, size: Size{Tokens: NoSize, Problem: "send two numbers"}, status: 400},
+		{name: "invalid size, no limit", path: "/once/", credential: Credential{Key: "key-2"}, size: Size{Tokens: NoSize, Problem: "send two numbers"}, status: 200, tenant: "free", priority: 3},
 		{name: "no route", path: "/nowhere/", credential: Credential{Key: "key-2"}, status: 404},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,18 +97,18 @@
 	}
 }
 
-func TestKeysCountAsGoodOnlyForATimeAfterTheLeaderWasAsked(t *testing.T) {
+func TestKeysExpireWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTenantRouter(always(fine))
 		key := Credential{Key: "key-2"}
-		pause.For(t.Context(), testLife-time.Millisecond)
+		pause.For(t.Context(), testConfirmationLife-time.Millisecond)
 		c.Assert(askAs(router, "/once/", key, Size{}).Code, qt.Equals, http.StatusOK)
 		pause.For(t.Context(), time.Millisecond)
 		refused := askAs(router, "/once/", key, Size{})
 		c.Assert(refused.Code, qt.Equals, http.StatusServiceUnavailable)
 		c.Assert(refused.Header().Get("Retry-After"), qt.Equals, "0.5")
-		// An unknown key may have become known.
+		// An unknown key may be valid in a newer document.
 		c.Assert(askAs(router, "/once/", Credential{Key: "key-3"}, Size{}).Code, qt.Equals, http.StatusServiceUnavailable)
 		c.Assert(askAs(router, "/again/", Credential{}, Size{}).Code, qt.Equals, http.StatusOK)
 		c.Assert(backend.attempts, qt.HasLen, 2)
@@ -117,36 +117,36 @@
 	})
 }
 
-// A confirmation counts from the asking, for the document that the router has, and never from
-// a leader of an earlier term.
-func TestWhatConfirmsADocument(t *testing.T) {
+// A confirmation counts from the time of the request, for the router's document only, and never
+// from a leader of an earlier term.
+func TestDocumentConfirmation(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		reply       domainapi.WatchReply
 		isConfirmed bool
 	}{
-		{name: "its version is the newest", reply: domainapi.WatchReply{Term: 5, Confirmed: 2}, isConfirmed: true},
-		{name: "a leader that does not say", reply: domainapi.WatchReply{Term: 5}},
-		{name: "another version is the newest", reply: domainapi.WatchReply{Term: 5, Confirmed: 3}},
-		{name: "a deposed leader", reply: domainapi.WatchReply{Term: 4, Confirmed: 2}},
+		{name: "same version", reply: domainapi.WatchReply{Term: 5, Confirmed: 2}, isConfirmed: true},
+		{name: "no confirmation", reply: domainapi.WatchReply{Term: 5}},
+		{name: "newer version", reply: domainapi.WatchReply{Term: 5, Confirmed: 3}},
+		{name: "deposed leader", reply: domainapi.WatchReply{Term: 4, Confirmed: 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				router, _ := newTenantRouter(always(fine))
-				pause.For(t.Context(), testLife)
+				pause.For(t.Context(), testConfirmationLife)
 				asked := time.Now()
 				pause.For(t.Context(), time.Second)
 				router.adopt(&test.reply, &domainapi.WatchArguments{Term: 5}, asked)
 				c.Assert(router.isConfirmed(time.Now()), qt.Equals, test.isConfirmed)
-				pause.For(t.Context(), testLife-time.Second)
+				pause.For(t.Context(), testConfirmationLife-time.Second)
 				c.Assert(router.isConfirmed(time.Now()), qt.IsFalse)
 			})
 		})
 	}
 }
 
-func TestKeyThatWasTakenAwayIsRefused(t *testing.T) {
+func TestRevokedKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTenantRouter(always(fine))
@@ -158,22 +158,22 @@
 	})
 }
 
-// lend gives the router a part of the limit, as a leader would.
-func lend(router *Router, amount float64) {
+// grantLimit gives the router a share of the limit, as a leader would.
+func grantLimit(router *Router, amount float64) {
 	router.limits.limiter.Adopt(time.Now(), time.Now(), []quota.Grant{{Tenant: "limited", Amount: amount, Keep: amount}})
 }
 
-func TestRequestsWithinWhatIsHeldAreAdmittedAtOnce(t *testing.T) {
+func TestRequestsWithinReserveAreAdmittedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTenantRouter(always(fine))
-		lend(router, 500)
+		grantLimit(router, 500)
 		key := Credential{Key: "key-1"}
 		c.Assert(askAs(router, "/once/", key, Size{Tokens: 400}).Code, qt.Equals, http.StatusOK)
-		// A request that tells no size counts as a plain one.
+		// A request of unknown size costs PlainTokens.
 		c.Assert(askAs(router, "/once/", key, Size{Tokens: NoSize}).Code, qt.Equals, http.StatusOK)
 		c.Assert(backend.attempts, qt.HasLen, 2)
-		// Without a leader, nobody can tell whether there is room for more.
+		// Without a leader, the router cannot tell whether the limit allows more.
 		began := time.Now()
 		refused := askAs(router, "/once/", key, Size{Tokens: 100})
 		c.Assert(refused.Code, qt.Equals, http.StatusServiceUnavailable)
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestRequestBeyondTheLimitIsToldWhenThereIsRoom(t *testing.T) {
+func TestRequestBeyondLimitGetsRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTenantRouter(always(fine))
@@ -199,7 +199,7 @@
 	})
 }
 
-func TestRequestThatNoRunnerRanIsGivenBack(t *testing.T) {
+func TestChargeIsRefundedIfNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer func() (*Answer, error)
 		left   float64
@@ -210,7 +210,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				router, _ := newTenantRouter(always(test.answer))
-				lend(router, 500)
+				grantLimit(router, 500)
 				askAs(router, "/once/", Credential{Key: "key-1"}, Size{Tokens: 400})
 				c.Assert(held(router), qt.Equals, test.left)
 			})
@@ -218,12 +218,12 @@
 	}
 }
 
-// held is what the router holds of the limit of the test's tenant.
+// held returns the router's share of the limit of the limited tenant.
 func held(router *Router) float64 {
 	return router.limits.limiter.Held(time.Now(), "limited")
 }
 
-func TestCallerThatLeavesBeforeTheLimitIsKnownCountsAsLeft(t *testing.T) {
+func TestCallerMayLeaveBeforeLimitDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTenantRouter(always(fine))
--- a/request/relay/ticket.go
+++ b/request/relay/ticket.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/request/waiting"
 )
 
-// ticketOf is what is known of a request that may have to wait.
+// ticketOf returns the queueing attributes of a request.
 func ticketOf(request *Request, route *site.Route, tenant *site.Tenant) waiting.Ticket {
 	ticket := waiting.Ticket{
 		Class: route.Name, Rank: priorityOf(tenant, route), Arrived: request.Arrived,
@@ -26,9 +26,9 @@
 	return ticket
 }
 
-// presentTicket is the ticket of the request now. The next event of a stream that has begun is
-// due within the longest pause.
-func (x *exchange) presentTicket() waiting.Ticket {
+// currentTicket returns the ticket as of now. The next event of a stream that has started is due
+// within MaxPause.
+func (x *exchange) currentTicket() waiting.Ticket {
 	ticket := x.ticket
 	if x.isStarted {
 		ticket.Due = x.router.now().Add(x.route.MaxPause)
@@ -36,9 +36,9 @@
 	return ticket
 }
 
-// returnDigest names the request to the leader, so that it is known when its caller comes back: by
-// what it asks for, the headers that choose a model and a prompt included. It is never 0.
-func (r *Request) returnDigest(content poison.Digest) uint64 {
+// retryDigest identifies a request to the leader across retries by its content, including the
+// model, adapter and prompt parts. It is never 0.
+func (r *Request) retryDigest(content poison.Digest) uint64 {
 	hash := fnv.New64a()
 	hash.Write(content[:])
 	for _, part := range append([]string{r.Model, r.Adapter}, r.Parts...) {
--- a/request/relay/tokens.go
+++ b/request/relay/tokens.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	// tokenPause separates two questions for requests to paced runners: a part of what a first event takes,
-	// in which others that come together share a question.
-	tokenPause = 10 * time.Millisecond
-	// tokenRetry is the pause after a question that nobody answered.
-	tokenRetry = 100 * time.Millisecond
-	// tokenTimeout bounds a question: later, its tokens could not be used any more.
+	// tokenInterval is the interval between token requests. Requests that arrive in between share
+	// the next one.
+	tokenInterval = 10 * time.Millisecond
+	// tokenRetryDelay is the delay after a failed token request.
+	tokenRetryDelay = 100 * time.Millisecond
+	// tokenTimeout bounds a token request; tokens of a later response would have expired.
 	tokenTimeout = ratelimit.TokenLife
-	// tokenReserve is kept of the life of tokens, for the way of the request to its runner.
+	// tokenReserve is subtracted from the lifetime of tokens for the transit of the request to the
+	// runner.
 	tokenReserve = 50 * time.Millisecond
 )
 
-// tokenLoop asks the leader for requests that may be sent to paced runners, while requests wait that have no
-// other runner, until ctx ends.
+// tokenLoop requests tokens for paced runners, that is, cold or rate-limited ones, while requests
+// wait that no other runner can serve, until ctx ends.
 func (r *Router) tokenLoop(ctx context.Context) {
 	for {
 		select {
@@ -36,7 +37,7 @@
 		case <-ctx.Done():
 			return
 		}
-		for again := r.askTokens(ctx); again > 0; again = r.askTokens(ctx) {
+		for again := r.requestTokens(ctx); again > 0; again = r.requestTokens(ctx) {
 			if !pause.For(ctx, again) {
 				return
 			}
@@ -44,14 +45,14 @@
 	}
 }
 
-// wakeTokens has the leader be asked if requests wait that only paced runners can take.
+// wakeTokens wakes the token loop.
 func (r *Router) wakeTokens() {
 	wake.Up(r.wantsTokens)
 }
 
-// askTokens asks once, if requests wait that only paced runners can take, or tokens are wanted ahead. It returns after
-// how long to ask again for requests that wait; 0 for not at all.
-func (r *Router) askTokens(ctx context.Context) time.Duration {
+// requestTokens sends one token request, if any tokens are wanted. It returns the delay before the
+// next one for waiting requests; 0 for none.
+func (r *Router) requestTokens(ctx context.Context) time.Duration {
 	wants := r.tokenWants()
 	if len(wants) == 0 || ctx.Err() != nil {
 		return 0
@@ -62,22 +63,22 @@
 	reply, err := leadercall.Call(call, r.caller, domainapi.MethodWarmUp, domainapi.WarmUpArguments{Router: r.options.Name, Wants: wants},
 		func() *domainapi.WarmUpReply { return &domainapi.WarmUpReply{} })
 	if err != nil {
-		level.Debug(r.logger).Log("msg", "The leader could not be asked for requests to paced runners.", "runners", len(wants), "err", err)
-		return tokenRetry
+		level.Debug(r.logger).Log("msg", "The token request to the leader failed.", "runners", len(wants), "err", err)
+		return tokenRetryDelay
 	}
 	again := r.takeTokens(reply.Grants, asked.Add(ratelimit.TokenLife-tokenReserve))
-	if !slices.ContainsFunc(wants, isWaitedFor) {
-		// Requests that begin to wait meanwhile ask at once.
+	if !slices.ContainsFunc(wants, hasWaiters) {
+		// Requests that start to wait wake the loop.
 		return 0
 	}
 	return again
 }
 
-// isWaitedFor reports whether requests wait for the tokens.
-func isWaitedFor(want ratelimit.Want) bool { return !want.IsAhead }
+// hasWaiters reports whether requests wait for the tokens.
+func hasWaiters(want ratelimit.Want) bool { return !want.IsAhead }
 
-// tokenWants spreads the requests that wait over the paced runners that hold what they need, and adds those that are
-// to be asked for ahead.
+// tokenWants distributes the waiting requests over the paced runners that can serve them, and adds
+// prefetched tokens.
 func (r *Router) tokenWants() []ratelimit.Want {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -97,7 +98,7 @@
 	for id, requests := range counts {
 		wants = append(wants, ratelimit.Want{Instance: string(id), Requests: requests})
 	}
-	for _, id := range r.runnerLimits.takeAhead() {
+	for _, id := range r.runnerLimits.takePrefetch() {
 		if counts[id] == 0 {
 			wants = append(wants, ratelimit.Want{Instance: string(id), Requests: 1, IsAhead: true})
 		}
@@ -105,12 +106,12 @@
 	return wants
 }
 
-// takeTokens lets requests that wait have the paced runners for which there are tokens until a time. It returns
-// after how long to ask again.
+// takeTokens applies tokens that are valid until the given time and serves the queue. It returns
+// the delay before the next token request.
 func (r *Router) takeTokens(grants []ratelimit.Grant, until time.Time) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	again := tokenPause
+	again := tokenInterval
 	granted := 0
 	r.balancer.DropTokens()
 	r.tokensUntil = until
@@ -124,12 +125,12 @@
 		return again
 	}
 	for _, grant := range grants {
-		again = max(again, min(grant.MoreIn, tokenRetry))
+		again = max(again, min(grant.MoreIn, tokenRetryDelay))
 	}
 	return again
 }
 
-// expireTokens gives up the tokens whose time is over. It runs under the mutex.
+// expireTokens drops expired tokens. The caller must hold r.mutex.
 func (r *Router) expireTokens() {
 	if !r.tokensUntil.IsZero() && r.now().After(r.tokensUntil) {
 		r.balancer.DropTokens()
--- a/request/relay/tokens_fleet_test.go
+++ b/request/relay/tokens_fleet_test.go
@@ -11,21 +11,21 @@
 	"github.com/lotusferry/lotusferry/internal/pause"
 )
 
-// coldFor is how much longer the runner at the address is cold.
+// coldFor returns how much longer the runner at the address is cold.
 func (s *testSite) coldFor(address string) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return max(0, time.Until(s.coldUntil[address]))
 }
 
-// cool has the runners be cold until a time, which they tell at once.
-func (s *testSite) cool(until time.Time, runners ...*testRunner) {
+// makeCold makes the runners cold until the given time and waits until the routers know.
+func (s *testSite) makeCold(until time.Time, runners ...*testRunner) {
 	s.mutex.Lock()
 	for _, runner := range runners {
 		s.coldUntil[runner.address] = until
 	}
 	s.mutex.Unlock()
-	// By then the routers know.
+	// Heartbeats have reached the routers by then.
 	pause.For(s.ctx, heartbeatPause+500*time.Millisecond)
 }
 
@@ -39,9 +39,9 @@
 	return listed
 }
 
-// mostArrivals is the most requests that any runner got in a second between two times, the second of them excluded:
-// at that instant cold runners are warm.
-func (s *testSite) mostArrivals(from, to time.Time) (most, all int) {
+// maxArrivalRate returns the most requests that any runner got in a second in [from, to), and the
+// total of all runners. At to, cold runners become warm.
+func (s *testSite) maxArrivalRate(from, to time.Time) (most, all int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, arrivals := range s.arrivals {
@@ -61,8 +61,8 @@
 	return most, all
 }
 
-// rush sends requests by all routers, so many a second, for a time, and returns how many were served.
-func (s *testSite) rush(perSecond int, during time.Duration) int {
+// sendLoad sends requests through all routers at the given rate and returns how many were served.
+func (s *testSite) sendLoad(perSecond int, during time.Duration) int {
 	var mutex sync.Mutex
 	var callers sync.WaitGroup
 	served := 0
@@ -81,14 +81,15 @@
 	return served
 }
 
-// mostBorne is what a cold runner gets in a second at most: what it bears, half as much again, and five more.
-const mostBorne = testColdRate*1.5 + 5
+// maxColdArrivals bounds the requests that a cold runner may get in a second: one and a half times
+// its rate, plus five.
+const maxColdArrivals = testColdRate*1.5 + 5
 
-// All runners are cold at once, in a rush of several times what they bear together: they are used as far as they
-// bear it, and no further, also over the loss of the leader.
-func TestRushFindsAllRunnersCold(t *testing.T) {
+// If all runners are cold under overload, they must be used up to their rate and no further, even
+// if the leader is lost or routers restart.
+func TestLoadOnColdRunnersIsBounded(t *testing.T) {
 	for name, during := range map[string]func(s *testSite){
-		"nothing else": func(*testSite) {},
+		"no fault": func(*testSite) {},
 		"the leader is lost": func(s *testSite) {
 			pause.For(s.ctx, 2*time.Second)
 			for index, each := range s.controllers {
@@ -99,7 +100,7 @@
 				}
 			}
 		},
-		"routers start again": func(s *testSite) {
+		"routers restart": func(s *testSite) {
 			for index := range testRouters {
 				pause.For(s.ctx, 700*time.Millisecond)
 				s.startRouter(index)
@@ -109,12 +110,12 @@
 		t.Run(name, func(t *testing.T) {
 			inSite(t, func(s *testSite) {
 				until := time.Now().Add(6 * time.Second)
-				s.cool(until, s.allRunners()...)
+				s.makeCold(until, s.allRunners()...)
 				from := time.Now()
 				go during(s)
-				s.rush(300, 4*time.Second)
-				most, all := s.mostArrivals(from, until)
-				s.c.Assert(float64(most) <= mostBorne, qt.IsTrue, qt.Commentf("%d in a second", most))
+				s.sendLoad(300, 4*time.Second)
+				most, all := s.maxArrivalRate(from, until)
+				s.c.Assert(float64(most) <= maxColdArrivals, qt.IsTrue, qt.Commentf("%d in a second", most))
 				least := testRunners * testColdRate * 2
 				s.c.Assert(all >= least, qt.IsTrue, qt.Commentf("%d arrivals", all))
 			})
@@ -122,14 +123,14 @@
 	}
 }
 
-// Half of the runners are cold: the others serve what they can, and nobody is refused.
-func TestWarmRunnersServeInPlaceOfColdOnes(t *testing.T) {
+// If half of the runners are cold, the others must serve the load without rejections.
+func TestWarmRunnersRelieveColdOnes(t *testing.T) {
 	inSite(t, func(s *testSite) {
 		until := time.Now().Add(6 * time.Second)
-		s.cool(until, s.allRunners()[:testRunners/2]...)
+		s.makeCold(until, s.allRunners()[:testRunners/2]...)
 		from := time.Now()
-		served := s.rush(100, 3*time.Second)
-		_, all := s.mostArrivals(from, until)
+		served := s.sendLoad(100, 3*time.Second)
+		_, all := s.maxArrivalRate(from, until)
 		s.c.Assert(served, qt.Equals, all)
 		s.c.Assert(served >= 300, qt.IsTrue, qt.Commentf("%d", served))
 	})
--- a/request/relay/watchdog.go
+++ b/request/relay/watchdog.go
@@ -12,12 +12,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// errSilent is the cause of ending an attempt at a runner that says nothing.
-var errSilent = errors.New("the runner was silent for too long")
+// errSilent is the cancellation cause of an attempt at a silent runner.
+var errSilent = errors.New("the runner sent nothing for too long")
 
-// watchdog ends an attempt of a request that may be sent elsewhere if its runner is
-// silent for too long. A runner that meanwhile sends something else, or has as many
-// requests as it can run, is busy rather than lost, and gets more time.
+// watchdog cancels an attempt of a repeatable request whose runner is silent for too long. A runner
+// that sends data for other requests or has no free slot is considered busy and gets more time.
 type watchdog struct {
 	exchange *exchange
 	runner   structs.RunnerID
@@ -25,28 +24,29 @@
 	timer    *time.Timer
 	// isRepeated is set if the request was sent before.
 	isRepeated bool
-	// progress is how far the sending is.
+	// progress is one of sendPending, sendStarted and sendRecalled.
 	progress atomic.Int32
 
 	mutex sync.Mutex
 	since time.Time
 }
 
-// How far the sending of an attempt is.
+// States of sending an attempt.
 const (
-	sendingNot int32 = iota
-	sendingBegun
-	sendingRecalled
+	sendPending int32 = iota
+	sendStarted
+	sendRecalled
 )
 
-// begin reports whether the request may be sent, and has it not be recalled from then on.
+// begin reports whether the request may be sent. Once it returns true the attempt cannot be
+// recalled.
 func (w *watchdog) begin() bool {
-	return w.progress.CompareAndSwap(sendingNot, sendingBegun) || w.progress.Load() == sendingBegun
+	return w.progress.CompareAndSwap(sendPending, sendStarted) || w.progress.Load() == sendStarted
 }
 
-// recall ends the attempt if nothing has been sent yet: it may wait for a connection for seconds.
+// recall cancels the attempt if nothing has been sent yet, as it may wait long for a connection.
 func (w *watchdog) recall() {
-	if w.progress.CompareAndSwap(sendingNot, sendingRecalled) {
+	if w.progress.CompareAndSwap(sendPending, sendRecalled) {
 		w.cancel(errUnwanted)
 	}
 }
@@ -54,20 +54,20 @@
 func (x *exchange) watch(choice routing.Choice, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{exchange: x, runner: choice.Runner(), cancel: cancel, isRepeated: x.sent > 0, since: time.Now()}
 	if x.route.MayRepeat() && x.attempts+1 < x.route.MaxAttempts {
-		w.timer = time.AfterFunc(x.silence(), w.look)
+		w.timer = time.AfterFunc(x.silenceLimit(), w.check)
 	}
 	return w
 }
 
-// look ends the attempt, or looks again later.
-func (w *watchdog) look() {
+// check cancels the attempt or schedules the next check.
+func (w *watchdog) check() {
 	w.mutex.Lock()
 	since := w.since
 	w.mutex.Unlock()
 	silent := time.Since(since)
-	limit := w.exchange.silence()
+	limit := w.exchange.silenceLimit()
 	if w.exchange.router.isBusy(w.runner, since) {
-		limit = w.exchange.busySilence()
+		limit = w.exchange.busySilenceLimit()
 	}
 	if silent >= limit {
 		w.cancel(errSilent)
@@ -76,21 +76,21 @@
 	w.timer.Reset(max(time.Millisecond, limit-silent))
 }
 
-// leaveZone ends the attempt, if the request may be sent elsewhere: its zone is out of reach.
-func (w *watchdog) leaveZone() {
+// cancelZoneLost cancels a repeatable attempt because its zone is out of reach.
+func (w *watchdog) cancelZoneLost() {
 	if w.timer != nil {
 		w.cancel(errZoneLost)
 	}
 }
 
-// heard notes that the attempt's runner sent something for it.
-func (w *watchdog) heard() {
+// noteActivity records that the runner sent data for the attempt.
+func (w *watchdog) noteActivity() {
 	w.exchange.router.heardFrom(w.runner)
-	w.heardNow()
+	w.resetSilence()
 }
 
-// heardNow notes the same where the router knows it already.
-func (w *watchdog) heardNow() {
+// resetSilence restarts the silence timeout.
+func (w *watchdog) resetSilence() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.since = time.Now()
@@ -102,18 +102,18 @@
 	}
 }
 
-// silence is how long a runner that sends nothing at all may be silent.
-func (x *exchange) silence() time.Duration {
+// silenceLimit returns how long a runner that sends nothing at all may be silent.
+func (x *exchange) silenceLimit() time.Duration {
 	if x.route.Kind == site.KindStream {
 		return max(streamSilenceFloor, streamSilencePauses*x.route.MaxPause)
 	}
 	return max(minSilence, silenceFactor*x.route.Objective)
 }
 
-// busySilence is how long a runner that sends other answers may be silent.
-func (x *exchange) busySilence() time.Duration {
+// busySilenceLimit returns how long a runner that sends data for other requests may be silent.
+func (x *exchange) busySilenceLimit() time.Duration {
 	if x.route.Kind == site.KindStream {
 		return x.router.options.Patience.of(x.route) * 3 / 4
 	}
-	return x.silence()
+	return x.silenceLimit()
 }
--- a/request/relay/zones.go
+++ b/request/relay/zones.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	// zonePause separates two looks at which zones are reached: a quarter of how long one may be
-	// silent.
-	zonePause = 50 * time.Millisecond
-	// quietPause is the same while nothing is expected of any zone. With a thousand routers each has no request
-	// most of the time, and twenty looks a second would be most of what its machine does.
-	quietPause = 500 * time.Millisecond
-	// wayPause separates two looks at how long the ways to the zones are, which change rarely. Zones to which
-	// too few connects were made are connected to at each look: three times after the start, so that the
-	// first lost connect is noticed as soon as later ones.
-	wayPause = time.Second
-	// leaderAnswer is what an answer of the leader takes at most, with what comes between two watches.
-	leaderAnswer = 200 * time.Millisecond
+	// zoneCheckInterval is the interval between checks of zone reachability: a quarter of the
+	// silence limit of a zone.
+	zoneCheckInterval = 50 * time.Millisecond
+	// quietCheckInterval is the interval while no response is expected from any zone. It limits the
+	// idle load of sites with many routers.
+	quietCheckInterval = 500 * time.Millisecond
+	// latencyInterval is the interval between updates of zone latencies. Each also connects to
+	// zones with too few measurements, so that timeouts are known soon after the start.
+	latencyInterval = time.Second
+	// leaderAnswerTime bounds the response time of the leader plus the time between two watches.
+	leaderAnswerTime = 200 * time.Millisecond
 )
 
-// reasonZoneLost is that of an attempt at a runner of a zone that got out of reach.
+// reasonZoneLost means that the runner's zone became unreachable.
 const reasonZoneLost = "zone_out_of_reach"
 
-// errZoneLost is the cause of ending such an attempt, if the request may be sent elsewhere.
-var errZoneLost = errors.New("the runner's zone is out of reach")
+// errZoneLost is the cancellation cause of such an attempt if it is repeatable.
+var errZoneLost = errors.New("the runner's zone is unreachable")
 
-// zones is what a router knows of the zones of its site. The router's mutex guards it.
+// zones tracks the reachability of the site's zones. It is guarded by Router.mutex.
 type zones struct {
 	watch *zonewatch.Watch
-	// attempts are those under way, by the zone of their runner, which is empty if it is not known.
+	// attempts are the attempts in progress by the zone of their runner, which is empty if unknown.
 	attempts map[structs.ZoneID]map[*watchdog]struct{}
-	// probing is nil unless zoneLoop runs, and ends with it; probes are the connects under way.
+	// probing is the context of probes; nil unless zoneLoop runs. probes waits for probes in
+	// progress.
 	probing context.Context
-	// wake has room for one.
+	// wake has capacity 1.
 	wake chan struct{}
-	// sent counts the requests that were sent, and sampled the connects that were made for no request.
+	// sent counts the requests sent, sampled the probes made without a request.
 	sent    int
 	sampled int
 	probes  sync.WaitGroup
@@ -60,23 +60,23 @@
 	}
 }
 
-// noteSent notes an attempt at a runner; what it returns ends the note.
-func (r *Router) noteSent(choice routing.Choice, w *watchdog) (ended func()) {
+// beginAttempt registers an attempt in progress. The returned function unregisters it.
+func (r *Router) beginAttempt(choice routing.Choice, w *watchdog) (ended func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.isWanted(choice) {
-		// Its runner said so since it was chosen.
+		// The runner asked for a rest period or announced that it is leaving since it was chosen.
 		w.recall()
 		return func() {}
 	}
-	r.noteSending(r.now(), w)
+	r.countSending(r.now(), w)
 	zone := r.zones.watch.ZoneOf(choice.Runner())
 	if r.zones.attempts[zone] == nil {
 		r.zones.attempts[zone] = make(map[*watchdog]struct{})
 	}
 	r.zones.attempts[zone][w] = struct{}{}
 	if zone == "" {
-		return func() { r.noteEnded(zone, w) }
+		return func() { r.endAttempt(zone, w) }
 	}
 	if r.zones.watch.IsQuiet() {
 		r.zones.wakeUp()
@@ -84,14 +84,14 @@
 	r.zones.watch.Sent(r.now(), zone)
 	r.zones.sent++
 	if r.zones.watch.IsLost(zone) {
-		// The runner was chosen before the zone was given up.
-		w.leaveZone()
+		// The runner was chosen before the zone was found unreachable.
+		w.cancelZoneLost()
 	}
-	return func() { r.noteEnded(zone, w) }
+	return func() { r.endAttempt(zone, w) }
 }
 
-// noteEnded notes the end of an attempt at a runner of a zone; empty if that is not known.
-func (r *Router) noteEnded(zone structs.ZoneID, w *watchdog) {
+// endAttempt unregisters an attempt at a runner of the zone, which is empty if unknown.
+func (r *Router) endAttempt(zone structs.ZoneID, w *watchdog) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.zones.attempts[zone], w)
@@ -100,14 +100,14 @@
 	}
 }
 
-// connectFailed notes that a runner could not be connected to.
+// connectFailed records a failed connect to a runner.
 func (r *Router) connectFailed(id structs.RunnerID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.probe(r.zones.watch.ConnectFailed(r.now(), id))
 }
 
-// zoneLoop watches which zones are reached until ctx ends.
+// zoneLoop monitors zone reachability until ctx ends.
 func (r *Router) zoneLoop(ctx context.Context) {
 	if r.options.Connects == nil {
 		return
@@ -115,42 +115,42 @@
 	r.mutex.Lock()
 	r.zones.probing = ctx
 	r.mutex.Unlock()
-	defer r.endProbing()
+	defer r.awaitProbes()
 	var lookedAt, askedAt time.Time
-	for r.awaitLook(ctx) {
+	for r.awaitCheck(ctx) {
 		now := r.now()
 		r.mutex.Lock()
 		r.probe(r.zones.watch.Step(now))
-		if now.Sub(r.granted.at) >= r.leaderQuiet() && now.Sub(askedAt) >= r.leaderSilence() && r.IsReady() {
+		if now.Sub(r.routerCount.at) >= r.leaderQuiet() && now.Sub(askedAt) >= r.leaderSilence() && r.IsReady() {
 			askedAt = now
-			r.askZones(now)
+			r.probeZones(now)
 		}
-		if now.Sub(lookedAt) >= wayPause {
+		if now.Sub(lookedAt) >= latencyInterval {
 			lookedAt = now
-			r.balancer.SetWays(r.options.Connects.ways(r.options.Zone))
-			r.sampleWays()
+			r.balancer.SetWays(r.options.Connects.extraLatencies(r.options.Zone))
+			r.sampleLatencies()
 		}
 		r.mutex.Unlock()
 	}
 }
 
-// leaderSilence is after how long without a leader nobody is expected to load what no runner in reach holds: twice
-// as long as a leader holds a watch. It runs under the mutex.
+// leaderSilence returns the time without a leader after which no model load can be expected: twice
+// the hold time of a watch. The caller must hold r.mutex.
 func (r *Router) leaderSilence() time.Duration { return 2 * max(r.leaderHold, domainapi.LeastHold) }
 
-// leaderQuiet is after how long without a leader all zones are asked, once in leaderSilence: a little longer than a
-// leader holds a watch and its answer takes. It runs under the mutex.
+// leaderQuiet returns the time without a leader after which all zones are probed, once per
+// leaderSilence: the hold time of a watch plus leaderAnswerTime. The caller must hold r.mutex.
 func (r *Router) leaderQuiet() time.Duration {
-	return max(r.leaderHold, domainapi.LeastHold) + leaderAnswer
+	return max(r.leaderHold, domainapi.LeastHold) + leaderAnswerTime
 }
 
-// awaitLook waits until it is time for the next look at the zones, or ctx ends; then it returns false.
-func (r *Router) awaitLook(ctx context.Context) bool {
-	wait := zonePause
+// awaitCheck waits until the next check is due. It returns false if ctx ends first.
+func (r *Router) awaitCheck(ctx context.Context) bool {
+	wait := zoneCheckInterval
 	r.mutex.Lock()
-	if r.zones.watch.IsQuiet() && !r.isPressed() {
-		untilQuiet := r.leaderQuiet() - r.now().Sub(r.granted.at)
-		wait = min(quietPause, max(zonePause, untilQuiet))
+	if r.zones.watch.IsQuiet() && !r.isOverloaded() {
+		untilQuiet := r.leaderQuiet() - r.now().Sub(r.routerCount.at)
+		wait = min(quietCheckInterval, max(zoneCheckInterval, untilQuiet))
 	}
 	r.mutex.Unlock()
 	due := r.now().Add(wait)
@@ -167,28 +167,27 @@
 	return true
 }
 
-// wakeUp ends the pause of a router that expects nothing of any zone.
+// wakeUp ends the quiet interval.
 func (z *zones) wakeUp() {
 	wake.Up(z.wake)
 }
 
-// earned is how many connects a router may make to learn something that no request has asked for yet: one for each
-// request that it has sent. A thousand routers that each have a request once in seconds would else connect to runners
-// for nothing but that.
-func (z *zones) earned() int { return max(0, z.sent-z.sampled) }
+// probeBudget returns how many probes may be made without a request that needs them: one for each
+// request sent. This bounds the connects of sites with many idle routers.
+func (z *zones) probeBudget() int { return max(0, z.sent-z.sampled) }
 
-// sampleWays connects to zones of which it is not known how long the way is. It runs under the mutex.
-func (r *Router) sampleWays() {
+// sampleLatencies probes zones whose latency is unknown. The caller must hold r.mutex.
+func (r *Router) sampleLatencies() {
 	wanted := r.zones.watch.Sample(r.options.Connects.isUnmeasured)
 	r.random.Shuffle(len(wanted), func(i, j int) { wanted[i], wanted[j] = wanted[j], wanted[i] })
-	wanted = wanted[:min(len(wanted), r.zones.earned())]
+	wanted = wanted[:min(len(wanted), r.zones.probeBudget())]
 	r.zones.sampled += len(wanted)
 	r.probe(wanted)
 }
 
-// askZones asks whether the zones are reached, as the leader is silent. It runs under the mutex.
-func (r *Router) askZones(now time.Time) {
-	if r.zones.earned() < r.zones.watch.Len() {
+// probeZones probes the zones because the leader is silent. The caller must hold r.mutex.
+func (r *Router) probeZones(now time.Time) {
+	if r.zones.probeBudget() < r.zones.watch.Len() {
 		return
 	}
 	asked := r.zones.watch.LeaderSilent(now)
@@ -196,16 +195,16 @@
 	r.probe(asked)
 }
 
-// endProbing waits for the connects under way.
-func (r *Router) endProbing() {
+// awaitProbes disables probing and waits for the probes in progress.
+func (r *Router) awaitProbes() {
 	r.mutex.Lock()
 	r.zones.probing = nil
 	r.mutex.Unlock()
 	r.zones.probes.Wait()
 }
 
-// probe connects to runners to learn whether their zones are reached. It runs under the mutex and
-// does not wait.
+// probe connects to runners in the background to check whether their zones are reachable. The
+// caller must hold r.mutex.
 func (r *Router) probe(probes []zonewatch.Probe) {
 	ctx := r.zones.probing
 	if ctx == nil {
@@ -224,18 +223,19 @@
 			defer r.mutex.Unlock()
 			changes, more := r.zones.watch.Probed(r.now(), each, outcome)
 			for _, change := range changes {
-				r.adoptChange(change)
+				r.applyZoneChange(change)
 			}
 			r.probe(more)
 		})
 	}
 }
 
-// adoptChange takes a zone out of the choice of runners, or in again. It runs under the mutex.
-func (r *Router) adoptChange(change zonewatch.Change) {
+// applyZoneChange excludes a zone from selection or includes it again. The caller must hold
+// r.mutex.
+func (r *Router) applyZoneChange(change zonewatch.Change) {
 	r.balancer.SetOutOfReach(change.Zone, change.IsLost)
 	r.metrics.zonesLost.Set(float64(r.zones.watch.Lost()))
-	sinceLeader := r.now().Sub(r.granted.at)
+	sinceLeader := r.now().Sub(r.routerCount.at)
 	if !change.IsLost {
 		level.Info(r.logger).Log("msg", "A zone is reached again.", "zone", change.Zone, "answered", change.Runners,
 			"leader_heard_before", sinceLeader)
@@ -246,7 +246,7 @@
 	level.Warn(r.logger).Log("msg", "A zone is out of reach.", "zone", change.Zone, "cause", change.Cause, "after", change.After,
 		"runners_asked", change.Runners, "requests", change.Open, "leader_heard_before", sinceLeader)
 	for w := range r.zones.attempts[change.Zone] {
-		w.leaveZone()
+		w.cancelZoneLost()
 	}
 	for _, id := range r.zones.watch.RunnersOf(change.Zone) {
 		r.unreachable[string(id)] = true
@@ -255,11 +255,9 @@
 	r.serveWaiters()
 }
 
-// isCutOff reports whether nobody in reach holds the row and nobody is heard who could order a load: the
-// router is in a part of the site that is cut off. Requests for the row wait as for any other, since a cut
-// may end at any moment and whoever waits is served then; to tell their callers at once to come back later
-// was measured, and served fewer of them. One that has waited in vain is told to stay away for longer than
-// usual. It runs under the mutex.
-func (r *Router) isCutOff(now time.Time, row structs.RowName) bool {
-	return r.zones.watch.Lost() > 0 && now.Sub(r.granted.at) > r.leaderSilence() && r.balancer.Reached(row) == 0
+// isPartitioned reports whether no reachable runner holds the row and no leader can order a load,
+// as after a network partition. Requests for the row still wait, since the partition may heal at
+// any moment; if they wait in vain they get a longer Retry-After. The caller must hold r.mutex.
+func (r *Router) isPartitioned(now time.Time, row structs.RowName) bool {
+	return r.zones.watch.Lost() > 0 && now.Sub(r.routerCount.at) > r.leaderSilence() && r.balancer.Reached(row) == 0
 }
--- a/request/relay/zones_test.go
+++ b/request/relay/zones_test.go
@@ -27,43 +27,44 @@
 )
 
 const (
-	// zoneRunners is how many runners each zone has, zoneAnswer how long an answer takes.
+	// zoneRunners is the number of runners of each service per zone, zoneAnswer their response
+	// time.
 	zoneRunners = 4
 	zoneAnswer  = 60 * time.Millisecond
-	// leftWithin is how long after a cut requests may still suffer: until the silence of some is
-	// noticed, and three connects have failed.
-	leftWithin = 500 * time.Millisecond
-	// insideWithin is the same within a zone that is cut off: its routers send little to others, and learn
-	// of the cut from the leader's silence.
-	insideWithin = domainapi.LeastHold + leaderAnswer + 3*zoneAnswer
-	// watchPause separates two words of the leader.
-	watchPause = 500 * time.Millisecond
+	// detectTime is how long after a partition requests may still be affected: until silence is
+	// detected and three connects have failed.
+	detectTime = 500 * time.Millisecond
+	// isolatedDetectTime is the same within an isolated zone, whose routers detect the partition
+	// from the silence of the leader.
+	isolatedDetectTime = domainapi.LeastHold + leaderAnswerTime + 3*zoneAnswer
+	// leaderInterval is the interval between messages of the leader.
+	leaderInterval = 500 * time.Millisecond
 )
 
-// cutNetwork is a network of which zones can be cut off.
-type cutNetwork struct {
+// partitionedNetwork is a network of which zones can be disconnected.
+type partitionedNetwork struct {
 	mutex   sync.Mutex
 	cut     map[string]bool
 	refuses bool
 }
 
-func (n *cutNetwork) set(zone string, isCut, refuses bool) {
+func (n *partitionedNetwork) set(zone string, isCut, refuses bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.cut[zone], n.refuses = isCut, refuses
 }
 
-func (n *cutNetwork) isCut(address string) (isCut, refuses bool) {
+func (n *partitionedNetwork) isCut(address string) (isCut, refuses bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.cut[address[:1]], n.refuses
 }
 
-func (n *cutNetwork) Listen(context.Context, string) (net.Listener, error) {
-	return nil, errors.New("nobody listens here")
+func (n *partitionedNetwork) Listen(context.Context, string) (net.Listener, error) {
+	return nil, errors.New("listening is not supported")
 }
 
-func (n *cutNetwork) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
+func (n *partitionedNetwork) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	isCut, refuses := n.isCut(address)
 	switch {
 	case isCut && refuses:
@@ -77,12 +78,12 @@
 	return conn, other.Close()
 }
 
-var _ network.Network = (*cutNetwork)(nil)
+var _ network.Network = (*partitionedNetwork)(nil)
 
-// zoneSite is a router in zone a of three, before runners that are stand-ins.
+// zoneSite is a router in zone a of three zones with simulated runners.
 type zoneSite struct {
 	c       *qt.C
-	network *cutNetwork
+	network *partitionedNetwork
 	router  *Router
 	backend *scriptedBackend
 	// isOpen are the runners to which a connection is open.
@@ -90,12 +91,12 @@
 	isOpen map[string]bool
 }
 
-// inZones runs a test in virtual time. Model m is held in all zones, and model far in c alone.
+// inZones runs a test in virtual time. Model m is held in all zones, model far in zone c only.
 func inZones(t *testing.T, test func(s *zoneSite)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &zoneSite{c: qt.New(t), network: &cutNetwork{cut: make(map[string]bool)}, isOpen: make(map[string]bool)}
+		s := &zoneSite{c: qt.New(t), network: &partitionedNetwork{cut: make(map[string]bool)}, isOpen: make(map[string]bool)}
 		connects := NewConnects(s.network)
 		s.backend = &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt) (*Answer, error) {
 			return s.answer(ctx, connects, attempt)
@@ -123,7 +124,7 @@
 		s.hearLeader()
 		var leader sync.WaitGroup
 		leader.Go(func() {
-			for pause.For(ctx, watchPause) {
+			for pause.For(ctx, leaderInterval) {
 				if isCut, _ := s.network.isCut("c"); !isCut {
 					s.hearLeader()
 				}
@@ -144,10 +145,10 @@
 func (s *zoneSite) hearLeader() {
 	s.router.mutex.Lock()
 	defer s.router.mutex.Unlock()
-	s.router.granted = grant{routers: 1, at: s.router.now()}
+	s.router.routerCount = routerCount{routers: 1, at: s.router.now()}
 }
 
-// answer is what the runners do: whatever reaches a zone that is cut off is not answered.
+// answer simulates the runners. Requests that reach a disconnected zone are not answered.
 func (s *zoneSite) answer(ctx context.Context, connects *Connects, attempt *Attempt) (*Answer, error) {
 	s.mutex.Lock()
 	isOpen := s.isOpen[attempt.Instance]
@@ -183,23 +184,23 @@
 	return fine()
 }
 
-// served is how one request ended.
-type served struct {
+// requestResult is the result of one request.
+type requestResult struct {
 	sent    time.Time
 	took    time.Duration
 	status  int
 	aborted bool
 }
 
-// run sends requests to a path, one each pause, and returns how they ended.
-func (s *zoneSite) run(path, model string, length, pause time.Duration) []served {
+// run sends one request per pause to a path and returns the results.
+func (s *zoneSite) run(path, model string, length, pause time.Duration) []requestResult {
 	var group sync.WaitGroup
-	results := make([]served, int(length/pause))
+	results := make([]requestResult, int(length/pause))
 	for index := range results {
 		group.Go(func() {
 			began := time.Now()
 			recorder, aborted := ask(s.router, context.Background(), path, model)
-			results[index] = served{began, time.Since(began), recorder.Code, aborted}
+			results[index] = requestResult{began, time.Since(began), recorder.Code, aborted}
 		})
 		time.Sleep(pause)
 	}
@@ -207,25 +208,25 @@
 	return results
 }
 
-// A zone is cut off in full flow, seen from outside it, from inside it, where the leader is out of reach as
-// well, and with packets dropped or connections refused. Half a second later, or as soon as the leader is missed, all requests are answered as before, also those that may
-// run once only; those before get their answer elsewhere, unless they may have run.
-func TestZoneIsCutOffInFullFlow(t *testing.T) {
+// After a zone is disconnected under load, with packets dropped or connections refused, seen from
+// outside or from an isolated zone, all requests must succeed again within the detection time.
+// Earlier ones must be served elsewhere unless they may have run.
+func TestZoneIsDisconnectedUnderLoad(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		cut     []string
 		refuses bool
 		path    string
-		// kept is the part of the requests until then that must be served.
+		// kept is the fraction of earlier requests that must be served.
 		kept float64
 	}{
-		{"another zone, dropped", []string{"b"}, false, "/again/x", 1},
-		{"another zone, refused", []string{"b"}, true, "/again/x", 1},
-		{"another zone, requests that run once", []string{"b"}, false, "/once/x", 0.6},
-		{"inside, dropped", []string{"b", "c"}, false, "/again/x", 1},
-		{"inside, refused", []string{"b", "c"}, true, "/again/x", 1},
-		{"inside, requests that run once", []string{"b", "c"}, false, "/once/x", 0.6},
-		{"the own zone, streams", []string{"a"}, false, "/stream/x", 1},
+		{"remote zone, dropped", []string{"b"}, false, "/again/x", 1},
+		{"remote zone, refused", []string{"b"}, true, "/again/x", 1},
+		{"remote zone, non-repeatable", []string{"b"}, false, "/once/x", 0.6},
+		{"isolated zone, dropped", []string{"b", "c"}, false, "/again/x", 1},
+		{"isolated zone, refused", []string{"b", "c"}, true, "/again/x", 1},
+		{"isolated zone, non-repeatable", []string{"b", "c"}, false, "/once/x", 0.6},
+		{"own zone, streams", []string{"a"}, false, "/stream/x", 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			inZones(t, func(s *zoneSite) {
@@ -235,9 +236,9 @@
 					s.network.set(zone, true, test.refuses)
 				}
 				early, kept := 0, 0
-				within := leftWithin
+				within := detectTime
 				if len(test.cut) > 1 {
-					within = insideWithin
+					within = isolatedDetectTime
 				}
 				for _, each := range s.run(test.path, "m", 3*time.Second, 20*time.Millisecond) {
 					isServed := each.status == http.StatusOK && !each.aborted
@@ -250,7 +251,7 @@
 						kept++
 						continue
 					}
-					s.c.Log("not kept:", each.sent.Sub(from), each.took, each.status, each.aborted)
+					s.c.Log("not served:", each.sent.Sub(from), each.took, each.status, each.aborted)
 				}
 				s.c.Assert(float64(kept) >= test.kept*float64(early), qt.IsTrue, qt.Commentf("%d of %d", kept, early))
 			})
@@ -258,20 +259,20 @@
 	}
 }
 
-// Nobody in reach holds the model and no leader is heard. A request that waits is served as soon as the zone is
-// back; one that has waited in vain is told to stay away for a third of the time that it has left.
-func TestModelBehindTheCutIsAwaited(t *testing.T) {
+// Without a reachable holder of the model or a leader, a waiting request must be served as soon as
+// the zone is back, and an abandoned one get a Retry-After of a third of its remaining time.
+func TestRequestWaitsForUnreachableModel(t *testing.T) {
 	inZones(t, func(s *zoneSite) {
 		s.run("/stream/x", "far", time.Second, 50*time.Millisecond)
 		s.network.set("c", true, false)
 		s.network.set("b", true, false)
 		s.run("/stream/x", "m", 2*time.Second, 20*time.Millisecond)
-		var waiting, inVain *httptest.ResponseRecorder
-		inVain, _ = ask(s.router, context.Background(), "/stream/x", "far")
-		s.c.Assert(inVain.Code, qt.Equals, http.StatusServiceUnavailable)
-		after, err := strconv.ParseFloat(inVain.Header().Get("Retry-After"), 64)
+		var waiting, abandoned *httptest.ResponseRecorder
+		abandoned, _ = ask(s.router, context.Background(), "/stream/x", "far")
+		s.c.Assert(abandoned.Code, qt.Equals, http.StatusServiceUnavailable)
+		after, err := strconv.ParseFloat(abandoned.Header().Get("Retry-After"), 64)
 		s.c.Assert(err, qt.IsNil)
-		// Of the 5 s of the request 2.25 s have passed, or less where callers of streams wait for less.
+		// At most 2.25 s of the 5 s of the request have passed.
 		s.c.Assert(after >= 0.9 && after <= 1.1, qt.IsTrue, qt.Commentf("%.2f s", after))
 		var group sync.WaitGroup
 		group.Go(func() { waiting, _ = ask(s.router, context.Background(), "/stream/x", "far") })
@@ -284,9 +285,8 @@
 	})
 }
 
-// Once the zone is back, it is used again within a second and a half, and its runners get no more than
-// the others.
-func TestReturnedZoneIsUsedWithoutAHerd(t *testing.T) {
+// A recovered zone must be used again within 1.5 s without being flooded.
+func TestRecoveredZoneIsNotOverloaded(t *testing.T) {
 	inZones(t, func(s *zoneSite) {
 		s.run("/again/x", "", time.Second, 20*time.Millisecond)
 		s.network.set("b", true, false)
@@ -304,16 +304,16 @@
 	})
 }
 
-// Near runners are preferred while that costs nothing, and spill over when they have more to do.
-func TestNearRunnersComeFirst(t *testing.T) {
+// Runners of the own zone must be preferred, and overflow to other zones under load.
+func TestLocalZoneIsPreferred(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		pause time.Duration
-		// near is the least part of the requests for the own zone, most the most.
+		// near and most bound the fraction of requests to the own zone.
 		near, most float64
 	}{
-		{"few requests", 50 * time.Millisecond, 0.9, 1},
-		{"more than the own zone has places for", time.Millisecond, 0.3, 0.7},
+		{"light load", 50 * time.Millisecond, 0.9, 1},
+		{"more requests than slots in the own zone", time.Millisecond, 0.3, 0.7},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			inZones(t, func(s *zoneSite) {
@@ -332,9 +332,9 @@
 	}
 }
 
-// A request that got its runner just before the zone was found to be out of reach, and is sent just after
-// it, goes elsewhere like those that were under way.
-func TestRequestThatIsSentAsItsZoneIsLostLeavesIt(t *testing.T) {
+// A request sent right after its zone was found to be unreachable must be canceled like those in
+// progress.
+func TestRequestSentDuringZoneLossIsCanceled(t *testing.T) {
 	inZones(t, func(s *zoneSite) {
 		s.run("/stream/x", "far", time.Second, 100*time.Millisecond)
 		s.router.mutex.Lock()
@@ -349,20 +349,19 @@
 		defer cancel(nil)
 		attempt := &watchdog{runner: choice.Runner(), cancel: cancel, timer: time.NewTimer(time.Hour)}
 		defer attempt.stop()
-		defer s.router.noteSent(choice, attempt)()
+		defer s.router.beginAttempt(choice, attempt)()
 		s.c.Assert(errors.Is(context.Cause(ctx), errZoneLost), qt.IsTrue)
 	})
 }
 
-// A router that has sent nothing connects to no runner, however long the leader is silent; with requests it may make
-// as many connects that none of them asked for.
-func TestRoutersWithoutRequestsConnectToNobody(t *testing.T) {
+// A router without requests must not probe; otherwise it may make one probe per request.
+func TestIdleRouterMakesNoProbes(t *testing.T) {
 	c := qt.New(t)
 	z := newZones(1)
-	c.Assert(z.earned(), qt.Equals, 0)
+	c.Assert(z.probeBudget(), qt.Equals, 0)
 	z.sent = 7
 	z.sampled = 5
-	c.Assert(z.earned(), qt.Equals, 2)
+	c.Assert(z.probeBudget(), qt.Equals, 2)
 	z.sampled = 9
-	c.Assert(z.earned(), qt.Equals, 0)
+	c.Assert(z.probeBudget(), qt.Equals, 0)
 }
