--- a/placement/residency/adapters.go
+++ b/placement/residency/adapters.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// serveAdapter finds the order that loads a waited-for adapter where its model is.
+// serveAdapter returns the order that loads a requested adapter at a runner that holds its model.
 func (p *Planner) serveAdapter(now time.Time, wanted waiting) (Order, bool) {
 	row := wanted.row
 	if row.Adapter == "" {
@@ -14,35 +14,36 @@
 	}
 	holders := p.holders(row)
 	if wanted.zones != nil {
-		isElsewhere := func(known *runner) bool { return !known.isIn(wanted.zones) }
+		isElsewhere := func(r *runner) bool { return !r.isIn(wanted.zones) }
 		holders = slices.DeleteFunc(slices.Clone(holders), isElsewhere)
 	}
-	for _, known := range holders {
-		if known.holdings[row.Model].adapters[row.Adapter] != nil {
+	for _, r := range holders {
+		if r.holdings[row.Model].adapters[row.Adapter] != nil {
 			return Order{}, false
 		}
 	}
 	return p.loadAdapter(now, row, holders)
 }
 
-// loadAdapter finds the runner on which an adapter costs least.
+// loadAdapter returns the order that loads the adapter at the runner with the lowest cost, or
+// unloads an idle adapter there first.
 func (p *Planner) loadAdapter(now time.Time, row Row, holders []*runner) (Order, bool) {
 	var best *runner
 	var bestVictim adapterName
 	lowest := math.Inf(1)
-	for _, known := range holders {
-		engine := p.engineOf(known)
-		if engine == nil || !p.mayOrder(known) || known.incoming() >= maxIncoming {
+	for _, r := range holders {
+		engine := p.engineOf(r)
+		if engine == nil || !p.mayOrder(r) || r.incoming() >= maxIncoming {
 			continue
 		}
 		model := engine.ModelByName(row.Model)
 		if model == nil {
 			continue
 		}
-		cost := float64(known.adapters())
+		cost := float64(r.adapters())
 		var victim adapterName
-		if known.adapters() >= engine.MaxAdapters || known.usedMB(engine)+model.AdapterMB > engine.WeightsMB {
-			found, age := p.idleAdapter(now, known)
+		if r.adapters() >= engine.MaxAdapters || r.usedMB(engine)+model.AdapterMB > engine.WeightsMB {
+			found, age := p.idleAdapter(now, r)
 			if found.adapter == "" {
 				continue
 			}
@@ -50,7 +51,7 @@
 			cost = 100 + 1/(1+age.Seconds())
 		}
 		if cost < lowest {
-			best, bestVictim, lowest = known, victim, cost
+			best, bestVictim, lowest = r, victim, cost
 		}
 	}
 	switch {
@@ -64,19 +65,19 @@
 
 type adapterName struct{ model, adapter string }
 
-// idleAdapter returns the adapter of the runner that has been unused the longest.
-func (p *Planner) idleAdapter(now time.Time, known *runner) (adapterName, time.Duration) {
+// idleAdapter returns the adapter of the runner that has been idle the longest.
+func (p *Planner) idleAdapter(now time.Time, r *runner) (adapterName, time.Duration) {
 	var found adapterName
 	longest := p.options.IdleTime
-	for model, held := range known.holdings {
+	for model, held := range r.holdings {
 		for name, adapter := range held.adapters {
 			age := now.Sub(adapter.usedAt)
 			isOlder := age > longest || age == longest && found.adapter != "" && model+name < found.model+found.adapter
 			if adapter.phase != phaseReady || !isOlder {
 				continue
 			}
-			row := Row{Service: known.status.Heartbeat.Service, Model: model, Adapter: name}
-			if p.tally.rowActive[activeKey{row, known.status.Heartbeat.Instance}] > 0 {
+			row := Row{Service: r.status.Heartbeat.Service, Model: model, Adapter: name}
+			if p.snapshot.rowActive[activeKey{row, r.status.Heartbeat.Instance}] > 0 {
 				continue
 			}
 			found, longest = adapterName{model, name}, age
--- a/placement/residency/homes_test.go
+++ b/placement/residency/allowedzones_test.go
@@ -9,7 +9,8 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// newTwoZonesPlanner has a runner in each of two zones; the one in the north holds model a.
+// newTwoZonesPlanner returns a planner with a runner in each of two zones; the one in zone n holds
+// model a.
 func newTwoZonesPlanner() *Planner {
 	p := NewPlanner(Options{}, start)
 	p.SetDocument(twoModels())
@@ -26,8 +27,9 @@
 	p.Observe(at, "router", []Demand{{Row: row, Waiting: 1, Arrived: 1, Zones: zones}})
 }
 
-// Requests that may be served in the south alone get their model there, though a runner of the north holds it.
-func TestModelIsLoadedWhereItsRequestsMayBeServed(t *testing.T) {
+// Requests that may only be served in zone s get their model there, though a runner of zone n holds
+// it.
+func TestModelIsLoadedInAllowedZone(t *testing.T) {
 	c := qt.New(t)
 	p := newTwoZonesPlanner()
 	waitIn(p, start, Row{Model: "a"}, []string{"s"})
@@ -41,14 +43,14 @@
 	c.Assert(p.IsAnyHeld(demands), qt.IsTrue)
 }
 
-func TestModelIsLoadedNowhereElseForThem(t *testing.T) {
+func TestModelIsNotLoadedOutsideAllowedZones(t *testing.T) {
 	for name, test := range map[string]struct {
 		row   Row
 		zones []string
 	}{
-		"held where it may be":            {Row{Model: "a"}, []string{"n"}},
-		"no runner where it may be":       {Row{Model: "b"}, []string{"x"}},
-		"adapter, its model is elsewhere": {Row{Model: "a", Adapter: "a1"}, []string{"x"}},
+		"held in an allowed zone":               {Row{Model: "a"}, []string{"n"}},
+		"no runner in an allowed zone":          {Row{Model: "b"}, []string{"x"}},
+		"adapter, its model is in another zone": {Row{Model: "a", Adapter: "a1"}, []string{"x"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTwoZonesPlanner()
--- a/placement/residency/answers.go
+++ b/placement/residency/answers.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Answered takes the outcome of an order.
+// Answered applies the outcome of an order.
 func (p *Planner) Answered(now time.Time, order Order, outcome Outcome) {
-	known := p.runners[order.Instance]
-	if known == nil {
+	r := p.runners[order.Instance]
+	if r == nil {
 		return
 	}
-	before := known.loaded()
-	known.sent = false
-	known.changedAt = now
+	before := r.loaded()
+	r.sent = false
+	r.changedAt = now
 	switch outcome {
 	case OutcomeAccepted:
-		known.taken = order.Expected + 1
-		p.accepted(now, known, order)
+		r.taken = order.Expected + 1
+		p.accepted(now, r, order)
 	case OutcomeHeld:
-		p.accepted(now, known, order)
-		p.settle(now, known, order)
-		known.isTakenKnown = order.Operation == Unload && order.Adapter != ""
-		known.taken = order.Expected + 1
+		p.accepted(now, r, order)
+		p.recordDone(now, r, order)
+		r.isTakenKnown = order.Operation == Unload && order.Adapter != ""
+		r.taken = order.Expected + 1
 	case OutcomeConflict, OutcomeRefused, OutcomeGone:
-		known.isTakenKnown = false
-		known.isGone = outcome == OutcomeGone
-		p.takeBack(known, order)
+		r.isTakenKnown = false
+		r.isGone = outcome == OutcomeGone
+		p.rollBack(r, order)
 	default:
-		known.isTakenKnown = false
+		r.isTakenKnown = false
 	}
-	p.noteChange(before, known)
+	p.noteChange(before, r)
 }
 
-// accepted notes that the runner executes the order.
-func (p *Planner) accepted(now time.Time, known *runner, order Order) {
-	held := known.holdings[order.Model]
+// accepted records that the runner executes the order.
+func (p *Planner) accepted(now time.Time, r *runner, order Order) {
+	held := r.holdings[order.Model]
 	switch {
 	case held == nil:
 	case order.Adapter == "" && order.Operation == Load:
@@ -47,28 +47,28 @@
 	}
 }
 
-// settle notes that what the order asks for is so.
-func (p *Planner) settle(now time.Time, known *runner, order Order) {
-	held := known.holdings[order.Model]
+// recordDone records that the runner is already in the state that the order asks for.
+func (p *Planner) recordDone(now time.Time, r *runner, order Order) {
+	held := r.holdings[order.Model]
 	switch {
 	case held == nil:
 	case order.Adapter == "" && order.Operation == Load:
 		held.phase, held.since = phaseReady, now
 	case order.Adapter == "":
-		delete(known.holdings, order.Model)
+		delete(r.holdings, order.Model)
 	case held.adapters[order.Adapter] == nil:
 	case order.Operation == Load:
 		held.adapters[order.Adapter].phase = phaseReady
 	}
 }
 
-// takeBack undoes what the planner noted when it sent an order that was refused.
-func (p *Planner) takeBack(known *runner, order Order) {
-	held := known.holdings[order.Model]
+// rollBack reverts the state recorded when the order was sent, after the runner refused it.
+func (p *Planner) rollBack(r *runner, order Order) {
+	held := r.holdings[order.Model]
 	switch {
 	case held == nil:
 	case order.Adapter == "" && order.Operation == Load && held.phase == phaseUncertain:
-		delete(known.holdings, order.Model)
+		delete(r.holdings, order.Model)
 	case order.Adapter == "" && order.Operation == Unload:
 		held.phase = phaseReady
 	case order.Adapter != "" && held.adapters[order.Adapter] != nil:
@@ -80,15 +80,15 @@
 	}
 }
 
-// advance moves adapters on that have had the time to arrive.
-func (p *Planner) advance(now time.Time) {
-	for _, known := range p.runners {
-		for model, held := range known.holdings {
+// completeAdapters marks adapters as ready once AdapterTime has passed since their order.
+func (p *Planner) completeAdapters(now time.Time) {
+	for _, r := range p.runners {
+		for model, held := range r.holdings {
 			for name, adapter := range held.adapters {
 				if adapter.phase == phaseLoading && now.Sub(adapter.since) >= p.options.AdapterTime {
 					adapter.phase = phaseReady
-					known.isListed = false
-					p.noteArrival(known.rowOfAdapter(model, name))
+					r.isListed = false
+					p.noteArrival(r.rowOfAdapter(model, name))
 				}
 			}
 		}
--- a/placement/residency/arrivals.go
+++ b/placement/residency/arrivals.go
@@ -7,18 +7,18 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// noteChange notes what has become ready at a runner.
-func (p *Planner) noteChange(before []fleet.LoadedModel, known *runner) {
-	known.isListed = false
-	after := known.loaded()
+// noteChange records the models and adapters that have become ready at a runner.
+func (p *Planner) noteChange(before []fleet.LoadedModel, r *runner) {
+	r.isListed = false
+	after := r.loaded()
 	for _, model := range after {
 		former := slices.IndexFunc(before, func(other fleet.LoadedModel) bool { return other.Name == model.Name })
 		if former < 0 {
-			p.noteArrival(known.rowOf(model.Name))
+			p.noteArrival(r.rowOf(model.Name))
 		}
 		for _, adapter := range model.Adapters {
 			if former < 0 || !slices.Contains(before[former].Adapters, adapter) {
-				p.noteArrival(known.rowOfAdapter(model.Name, adapter))
+				p.noteArrival(r.rowOfAdapter(model.Name, adapter))
 			}
 		}
 	}
@@ -26,7 +26,7 @@
 
 func (p *Planner) noteArrival(row Row) { p.arrived[row] = true }
 
-// TakeArrived lists the rows that have become ready at one more runner since the last call.
+// TakeArrived returns the rows that have become ready at a further runner since the last call.
 func (p *Planner) TakeArrived() []Row {
 	var arrived []Row
 	for row := range p.arrived {
@@ -36,7 +36,8 @@
 	return arrived
 }
 
-// WaitingRouters names the routers that have requests waiting for one of the rows, sorted.
+// WaitingRouters returns the names of the routers with requests waiting for one of the rows,
+// sorted.
 func (p *Planner) WaitingRouters(now time.Time, rows []Row) []string {
 	waiting := make(map[string]bool)
 	for _, row := range rows {
@@ -58,23 +59,24 @@
 	return names
 }
 
-// IsAnyHeld reports whether some runner holds what requests of the report wait for.
+// IsAnyHeld reports whether some runner holds what waiting requests of the demands need.
 func (p *Planner) IsAnyHeld(demands []Demand) bool {
 	return slices.ContainsFunc(demands, func(demand Demand) bool {
 		return demand.Waiting > 0 && p.isHeld(demand.Row, demand.Zones)
 	})
 }
 
-// isHeld reports whether requests for the row may be sent to some runner of the zones; nil stands for all zones.
+// isHeld reports whether requests for the row may be sent to a runner of the zones; nil stands for
+// all zones.
 func (p *Planner) isHeld(row Row, zones []string) bool {
-	if p.tally == nil {
+	if p.snapshot == nil {
 		return false
 	}
-	return slices.ContainsFunc(p.holders(row), func(known *runner) bool {
-		if !known.isIn(zones) {
+	return slices.ContainsFunc(p.holders(row), func(r *runner) bool {
+		if !r.isIn(zones) {
 			return false
 		}
-		held := known.holdings[row.Model]
+		held := r.holdings[row.Model]
 		if held == nil || held.phase != phaseReady || row.Adapter == "" {
 			return held != nil && held.phase == phaseReady
 		}
@@ -83,12 +85,12 @@
 	})
 }
 
-// NextArrival is after how long the next adapter on its way should be ready.
+// NextArrival returns the time until the next adapter load is expected to complete.
 func (p *Planner) NextArrival(now time.Time) (time.Duration, bool) {
 	var next time.Duration
 	isKnown := false
-	for _, known := range p.runners {
-		for _, held := range known.holdings {
+	for _, r := range p.runners {
+		for _, held := range r.holdings {
 			for _, adapter := range held.adapters {
 				if adapter.phase != phaseLoading {
 					continue
--- a/placement/residency/rests_test.go
+++ b/placement/residency/backoff_test.go
@@ -9,20 +9,20 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// Requests wait for a model whose only replica asked their router for rest: it is loaded elsewhere if the rest lasts longer than
-// that takes, six seconds here, and not at a runner that rests as well.
-func TestModelWhoseRunnerRestsForLongIsLoadedElsewhere(t *testing.T) {
+// A model whose only replica is backing off is loaded elsewhere if the backoff exceeds the time of
+// a load, here six seconds, and not at a runner that is backing off as well.
+func TestModelOfBackingOffRunnerIsLoadedElsewhere(t *testing.T) {
 	const loadTime = 6 * time.Second
 	for _, test := range []struct {
 		name    string
-		rests   time.Duration
+		backoff time.Duration
 		waiting int
 		loaded  []string
 	}{
-		{"no rest", 0, 1, nil},
-		{"a rest shorter than a load", loadTime, 1, nil},
-		{"a rest longer than a load", loadTime + time.Second, 1, []string{"r2"}},
-		{"nobody waits", time.Hour, 0, nil},
+		{"no backoff", 0, 1, nil},
+		{"a backoff as long as a load", loadTime, 1, nil},
+		{"a backoff longer than a load", loadTime + time.Second, 1, []string{"r2"}},
+		{"no waiting request", time.Hour, 0, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -32,9 +32,9 @@
 				}
 			})
 			c.Assert(p.document.Service("s").Engine.ModelByName("m0").LoadTime, qt.Equals, loadTime)
-			p.ObserveRest(start, "r0", test.rests)
-			p.ObserveRest(start, "r1", test.rests)
-			p.ObserveRest(start, "nobody", test.rests)
+			p.ObserveRest(start, "r0", test.backoff)
+			p.ObserveRest(start, "r1", test.backoff)
+			p.ObserveRest(start, "nobody", test.backoff)
 			row := Row{Service: "s", Model: "m0"}
 			demands := []Demand{{Row: row, Waiting: test.waiting}}
 			p.Observe(start, "router", demands)
@@ -45,19 +45,19 @@
 				}
 			}
 			c.Assert(loaded, qt.DeepEquals, test.loaded)
-			// Routers are told when it will be there.
+			// Routers get a forecast.
 			c.Assert(len(p.Forecasts(start, demands)) > 0, qt.Equals, test.loaded != nil)
-			// The rest ends, and nothing is wanted any more.
-			at := start.Add(test.rests)
-			p.takeTally(at)
+			// After the backoff, no load is needed.
+			at := start.Add(test.backoff)
+			p.takeSnapshot(at)
 			c.Assert(p.isServed(at, row, nil), qt.IsTrue)
 		})
 	}
 }
 
-// A runner that turned an order or a question of a controller away, and asked for rest, is asked again after it, and ordered
-// nothing before it has answered.
-func TestRunnerThatWantsNoOrdersGetsNeitherOrdersNorQuestions(t *testing.T) {
+// A runner that rejected an order or a poll and asked for a pause is polled after the pause, and
+// gets no order before it has reported.
+func TestPausedRunnerGetsNoOrdersOrPolls(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(1, func(int, *fleet.Heartbeat) {})
 	at := start.Add(time.Minute)
--- a/placement/residency/benchmark_test.go
+++ b/placement/residency/benchmark_test.go
@@ -10,8 +10,8 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// benchmarkPlanner is a planner of so many runners, each with three of the models and
-// copies of sixteen, and of as many rows in demand; one model in twenty is waited for.
+// benchmarkPlanner returns a planner of runners that each hold three models and have copies of
+// sixteen, and of the given number of rows in demand. Requests wait for one model in twenty.
 func benchmarkPlanner(runners, rows int) *Planner {
 	random := rand.New(rand.NewPCG(1, 1))
 	engine := &site.Engine{WeightsMB: 300, MaxAdapters: 8, LoadsPerSecond: 36}
@@ -55,7 +55,6 @@
 	return p
 }
 
-// BenchmarkPlan measures one plan, by the number of runners and of rows in demand.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ runners, rows int }{{9, 100}, {90, 500}, {90, 700}, {90, 5000}, {240, 1200}, {300, 5000}, {1000, 58000}} {
 		b.Run(fmt.Sprintf("%d-runners-%d-rows", size.runners, size.rows), func(b *testing.B) {
@@ -69,7 +68,7 @@
 	}
 }
 
-// BenchmarkSetRunners measures what a look at runners costs of which one has sent a heartbeat since the last.
+// BenchmarkSetRunners measures an update in which one runner has sent a heartbeat.
 func BenchmarkSetRunners(b *testing.B) {
 	for _, runners := range []int{300, 1000, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(runners), func(b *testing.B) {
--- a/placement/residency/copytime.go
+++ b/placement/residency/copytime.go
@@ -8,41 +8,39 @@
 )
 
 const (
-	// copySmoothing is the weight of a load in what is believed of the time of loads from copies
-	// at its machine: two thirds of a change are believed after three loads, a few seconds in a
-	// rush.
+	// copySmoothing is the weight of a load in the slowness of loads from copies. Two thirds of a
+	// change are learned after three loads.
 	copySmoothing = 0.3
-	// mostCopySlowness bounds it: a load that takes longer waited for something else.
-	mostCopySlowness = 10
-	// copyBelievedFor is how long it is believed without another load. What is left of it then fades
-	// by copyFade in each second, to a third in a minute: a machine whose disk was slow for a while, or
-	// that was frozen, gets no load that others can do, and would never be seen to have recovered.
-	copyBelievedFor = time.Minute
-	copyFade        = 0.98
+	// maxCopySlowness bounds the slowness: a longer load was waiting for something else.
+	maxCopySlowness = 10
+	// copyRetention is how long the slowness is kept without another load. It then decays by
+	// copyDecay each second, so that a machine whose disk was slow for a while is tried again.
+	copyRetention = time.Minute
+	copyDecay     = 0.98
 )
 
-// learnCopyTime takes how many times as long as expected a load from a copy took.
+// learnCopyTime records how long a load from a copy took, relative to the expected time.
 func (r *runner) learnCopyTime(now time.Time, ofExpected float64) {
 	r.copySeenAt = now
-	found := min(mostCopySlowness, ofExpected*r.copyFactor())
+	found := min(maxCopySlowness, ofExpected*r.copyFactor())
 	r.copySlowness = r.copyFactor() + copySmoothing*(found-r.copyFactor())
 }
 
-// fadeCopyTime forgets a part of what was learned of a machine that has loaded from no copy for long.
-func (r *runner) fadeCopyTime(now time.Time, passed time.Duration) {
-	if now.Sub(r.copySeenAt) > copyBelievedFor {
-		r.copySlowness = 1 + (r.copyFactor()-1)*math.Pow(copyFade, passed.Seconds())
+// decayCopyTime decays the slowness of a machine that has not loaded from a copy for copyRetention.
+func (r *runner) decayCopyTime(now time.Time, passed time.Duration) {
+	if now.Sub(r.copySeenAt) > copyRetention {
+		r.copySlowness = 1 + (r.copyFactor()-1)*math.Pow(copyDecay, passed.Seconds())
 	}
 }
 
-// copyFactor is how many times as long as listed a load from a copy at the machine takes.
+// copyFactor returns the ratio of the time of a load from a copy at the machine to the listed time.
 func (r *runner) copyFactor() float64 { return max(1, r.copySlowness) }
 
-// loadTime is how long a load of the model at the runner takes, from where its machine has
-// a copy or from the weight store.
-func loadTime(known *runner, model *site.Model) time.Duration {
+// loadTime returns the expected time of a load of the model at the runner, from its machine's copy
+// or else from the weight store.
+func loadTime(r *runner, model *site.Model) time.Duration {
 	listed := model.LoadTime
-	switch known.copies[model.Name] {
+	switch r.copies[model.Name] {
 	case copyInMemory:
 		listed = model.MemoryLoadTime
 	case copyOnDisk:
@@ -50,5 +48,5 @@
 	default:
 		return listed
 	}
-	return time.Duration(float64(listed) * known.copyFactor())
+	return time.Duration(float64(listed) * r.copyFactor())
 }
--- a/placement/residency/cost.go
+++ b/placement/residency/cost.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// loadWeight is how many late requests a second of loading counts for, as the runner
-	// takes no other order meanwhile. arrivalWeight is the share of the requests that
-	// come in that second and are late, if nobody else holds the model.
+	// loadWeight is the cost of a second of loading in late requests, as the runner takes no other
+	// order meanwhile. arrivalWeight is the share of the requests that arrive in that second and
+	// are late, if no other runner holds the model.
 	loadWeight    = 0.05
 	arrivalWeight = 0.3
 )
 
-// costOf weighs a load of the model on the runner: the requests that will be late
-// because of what must make way, and the time of the load. victim is the first model
-// to unload, or "". It is not possible if more is lost than gained.
-func (p *Planner) costOf(now time.Time, known *runner, engine *site.Engine, model *site.Model, wanted *need) (cost float64, victim string, isPossible bool) {
-	cost = p.placeCost(now, known, engine, model, wanted)
-	found := p.weigh(now, known, engine)
-	free := found.freeMB - float64(min(keptAdapters, engine.MaxAdapters))*model.AdapterMB
+// costOf returns the cost of a load of the model at the runner, in late requests: those for evicted
+// models, and the time of the load. victim is the first model to unload, or "". The load is not
+// possible if it costs more than it gains.
+func (p *Planner) costOf(now time.Time, r *runner, engine *site.Engine, model *site.Model, wanted *need) (cost float64, victim string, isPossible bool) {
+	cost = p.placementCost(now, r, engine, model, wanted)
+	found := p.evictionsAt(now, r, engine)
+	free := found.freeMB - float64(min(reservedAdapters, engine.MaxAdapters))*model.AdapterMB
 	if free >= model.SizeMB {
 		return cost, "", true
 	}
 	for _, leaving := range found.candidates {
-		if leaving.isInUse && !wanted.isDue || wanted.isAhead && !p.isElsewhere(known, leaving.name) {
+		if leaving.isInUse && !wanted.isDue || wanted.isPreload && !p.hasOtherSource(r, leaving.name) {
 			continue
 		}
 		if victim == "" {
@@ -47,187 +47,183 @@
 	return 0, "", false
 }
 
-// weighed is what loads at a runner are weighed by in one plan. It does not change with the
-// model, so that it is worked out once for all models that a plan looks for places for.
-type weighed struct {
+// evictions holds what the cost of a load at a runner depends on but for the model. It is computed
+// once in each plan.
+type evictions struct {
 	freeMB float64
-	// candidates may make way, the least valuable first.
+	// candidates are the models that may be evicted, the least valuable first.
 	candidates []candidate
-	// adapterHarm is how many requests a second must wait for an adapter while the runner
-	// takes no order because it loads a model.
-	adapterHarm float64
+	// adapterWaitRate is the rate of requests that would wait for an adapter while the runner loads
+	// a model and takes no order.
+	adapterWaitRate float64
 }
 
-// candidate is a model that may make way.
+// candidate is a model that may be evicted.
 type candidate struct {
 	name   string
 	sizeMB float64
 	value  float64
-	// isInUse is set if requests use the model, and no other replica serves them.
+	// isInUse is set if requests use the model and no other replica can serve them.
 	isInUse bool
 }
 
-// weigh weighs a runner, once in a plan.
-func (p *Planner) weigh(now time.Time, known *runner, engine *site.Engine) *weighed {
-	if known.weighed != nil {
-		return known.weighed
+// evictionsAt returns the evictions of a runner, computed once in each plan.
+func (p *Planner) evictionsAt(now time.Time, r *runner, engine *site.Engine) *evictions {
+	if r.evictions != nil {
+		return r.evictions
 	}
-	found := &weighed{freeMB: engine.WeightsMB - known.usedMB(engine)}
-	unobserved := p.unobserved(now)
-	for name, held := range known.holdings {
-		row := known.rowOf(name)
+	found := &evictions{freeMB: engine.WeightsMB - r.usedMB(engine)}
+	warmUp := p.warmUpFactor(now)
+	for name, held := range r.holdings {
+		row := r.rowOf(name)
 		if replicas := len(p.holders(row)); replicas > 0 {
-			found.adapterHarm += p.tally.adapterRates[row] / float64(replicas) * adapterMiss
+			found.adapterWaitRate += p.snapshot.adapterRates[row] / float64(replicas) * adapterMissShare
 		}
 		listed := engine.ModelByName(name)
 		switch {
 		case listed == nil:
 			found.candidates = append(found.candidates, candidate{name: name, sizeMB: engine.WeightsMB})
 		case held.phase != phaseReady:
-		case p.isIdle(now, known, name, held):
-			found.candidates = append(found.candidates, candidate{name: name, sizeMB: listed.SizeMB, value: p.value(known, listed) * unobserved})
-		case p.isSpare(known, row):
-			found.candidates = append(found.candidates, candidate{name: name, sizeMB: listed.SizeMB, value: p.value(known, listed)*unobserved + drainCost})
-		case p.hadItsTurn(now, row, held):
-			found.candidates = append(found.candidates, candidate{name, listed.SizeMB, p.value(known, listed)*unobserved + drainCost, true})
+		case p.isIdle(now, r, name, held):
+			found.candidates = append(found.candidates, candidate{name: name, sizeMB: listed.SizeMB, value: p.value(r, listed) * warmUp})
+		case p.isRedundant(r, row):
+			found.candidates = append(found.candidates, candidate{name: name, sizeMB: listed.SizeMB, value: p.value(r, listed)*warmUp + drainCost})
+		case p.isPreemptible(now, row, held):
+			found.candidates = append(found.candidates, candidate{name, listed.SizeMB, p.value(r, listed)*warmUp + drainCost, true})
 		}
 	}
 	slices.SortFunc(found.candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.value, b.value), strings.Compare(a.name, b.name))
 	})
-	known.weighed = found
+	r.evictions = found
 	return found
 }
 
-// adapterMiss is the part of the requests for adapters that need one which the runner
-// does not hold yet.
-const adapterMiss = 0.5
+// adapterMissShare is the share of the requests with an adapter whose adapter is not loaded yet.
+const adapterMissShare = 0.5
 
-// placeCost weighs a load of the model on the runner by the time that it takes and by how
-// well the runner can serve the model beside what it holds.
-func (p *Planner) placeCost(now time.Time, known *runner, engine *site.Engine, model *site.Model, wanted *need) float64 {
-	found := p.weigh(now, known, engine)
+// placementCost returns the cost of a load of the model at the runner that is due to its duration,
+// its zone and the capacity of the runner.
+func (p *Planner) placementCost(now time.Time, r *runner, engine *site.Engine, model *site.Model, wanted *need) float64 {
+	found := p.evictionsAt(now, r, engine)
 	spread := p.spreadOf(wanted)
-	rate := wanted.shareOf(known, spread.rate)
-	seconds := loadTime(known, model).Seconds()
+	rate := wanted.newReplicaRate(r, spread.rate)
+	seconds := loadTime(r, model).Seconds()
 	horizon := p.options.Horizon.Seconds()
-	cost := seconds*loadWeight + spread.zoneCost(known, wanted.row.Model)
-	cost += seconds * found.adapterHarm
+	cost := seconds*loadWeight + spread.zoneCost(r, wanted.row.Model)
+	cost += seconds * found.adapterWaitRate
 	if wanted.isWaitedFor {
 		cost += seconds * arrivalWeight * rate
 	}
 	switch {
-	case wanted.borne > 0:
+	case wanted.capacity > 0:
 		lacking := wanted.gain / horizon
-		cost += (known.harmToOthers(rate) + max(0, lacking-known.room())) * horizon
+		cost += (r.addedLateOthers(rate) + max(0, lacking-r.spareCapacity())) * horizon
 	case wanted.isWaitedFor:
-		cost += known.addedLate(rate) * horizon
+		cost += r.addedLate(rate) * horizon
 	}
-	return cost + slowPlaceHarm*rate*horizon*(known.usual/known.borne-1)
+	return cost + slowRunnerWeight*rate*horizon*(r.typicalCapacity/r.capacity-1)
 }
 
-// slowPlaceHarm is how much of a late request one is that is in time, but takes twice as long as
-// at a usual runner: little, so that it decides between places that are alike otherwise, and so that
-// models in demand go to the quick ones.
-const slowPlaceHarm = 0.01
+// slowRunnerWeight is the cost, in late requests, of a request in time that takes twice as long as
+// at a typical runner. It breaks ties between runners in favor of the fast ones.
+const slowRunnerWeight = 0.01
 
-// room is how many more requests a second the runner bears.
-func (r *runner) room() float64 { return max(0, r.borne-r.load) }
+// spareCapacity returns the unused capacity of the runner in requests per second.
+func (r *runner) spareCapacity() float64 { return max(0, r.capacity-r.load) }
 
-// harmToOthers is how many requests a second for what the runner has are late that were not, if it
-// gets so many more for a model whose other replicas get fewer.
-func (r *runner) harmToOthers(rate float64) float64 {
-	return r.load * (r.lateAt(r.load+rate) - r.lateAt(r.load))
+// addedLateOthers returns the increase in late requests per second for the models of the runner if
+// it gets the additional rate for a model whose other replicas get less.
+func (r *runner) addedLateOthers(rate float64) float64 {
+	return r.load * (r.lateShare(r.load+rate) - r.lateShare(r.load))
 }
 
-// shareOf is how many requests a second of the demand for the model a new replica at a runner
-// gets beside those that there are: at first all that a usual runner bears.
-func (n *need) shareOf(known *runner, demand float64) float64 {
-	if n.borne <= 0 {
-		return min(demand, known.usual)
+// newReplicaRate returns the part of the demand for the model that a new replica at the runner
+// gets; for a first replica, up to the capacity of a typical runner.
+func (n *need) newReplicaRate(r *runner, demand float64) float64 {
+	if n.capacity <= 0 {
+		return min(demand, r.typicalCapacity)
 	}
-	return demand * known.borne / (n.borne + known.borne)
+	return demand * r.capacity / (n.capacity + r.capacity)
 }
 
-// addedLate is how many requests a second are late at a runner that were not, if it gets so many
-// more: those for all of its models share its time.
+// addedLate returns the increase in late requests per second at the runner, over all of its models,
+// if it gets the additional rate.
 func (r *runner) addedLate(rate float64) float64 {
 	both := r.load + rate
-	return both*r.lateAt(both) - r.load*r.lateAt(r.load)
+	return both*r.lateShare(both) - r.load*r.lateShare(r.load)
 }
 
-// isIdle reports whether no request uses the model at the runner, nor waits for it.
-func (p *Planner) isIdle(now time.Time, known *runner, name string, held *holding) bool {
+// isIdle reports whether no request uses or waits for the model at the runner.
+func (p *Planner) isIdle(now time.Time, r *runner, name string, held *holding) bool {
 	if now.Sub(held.usedAt) < p.options.IdleTime {
 		return false
 	}
-	row := known.rowOf(name)
-	if p.tally.active[activeKey{row, known.status.Heartbeat.Instance}] > 0 {
+	row := r.rowOf(name)
+	if p.snapshot.active[activeKey{row, r.status.Heartbeat.Instance}] > 0 {
 		return false
 	}
-	return p.tally.waiting[row] == 0 || len(p.holders(row)) > 1
+	return p.snapshot.waiting[row] == 0 || len(p.holders(row)) > 1
 }
 
-// isSpare reports whether the other replicas of the model can serve the demand for it. Then
-// this one may make way though requests use it: the runner ends these first, and new ones
-// go to the others.
-func (p *Planner) isSpare(known *runner, row Row) bool {
-	others := p.holdersBut(known, row)
-	return len(others) > 0 && p.modelDemand(row).rate <= spareShare*p.capacityFor(row, others)
+// isRedundant reports whether the other replicas of the model can serve its demand. Then this one
+// may be evicted while in use: the runner ends its requests first, and new ones go to the others.
+func (p *Planner) isRedundant(r *runner, row Row) bool {
+	others := p.holdersExcept(r, row)
+	return len(others) > 0 && p.modelDemand(row).rate <= redundantUtilization*p.replicaCapacity(row, others)
 }
 
-// capacityFor is what some of a model's replicas bear of the demand for it.
-func (p *Planner) capacityFor(row Row, runners []*runner) float64 {
-	return p.capacity(runners, p.modelDemand(row).rate, totalBorne(p.replicas(row)))
+// replicaCapacity returns the part of the demand for the model that the runners can serve.
+func (p *Planner) replicaCapacity(row Row, runners []*runner) float64 {
+	return p.availableCapacity(runners, p.modelDemand(row).rate, totalCapacity(p.replicas(row)))
 }
 
-// holdersBut lists the runners but one on which requests may use the model.
-func (p *Planner) holdersBut(known *runner, row Row) []*runner {
-	return runnersBut(p.holders(row), known)
+// holdersExcept returns the other runners on which requests may use the model.
+func (p *Planner) holdersExcept(r *runner, row Row) []*runner {
+	return runnersExcept(p.holders(row), r)
 }
 
 const (
-	// spareShare is how much of what the other replicas bear the demand may be for a replica
-	// in use to make way: less than all of it, since demand comes in bursts.
-	spareShare = 0.7
-	// drainCost is what it costs to take a model away that requests use: the runner ends
-	// them first and takes no other order for the two seconds of a usual stream, at the
-	// weight of a load and of the requests that arrive at it in vain.
+	// redundantUtilization is the largest utilization of the other replicas at which a replica in
+	// use may be evicted. It leaves a margin for bursts.
+	redundantUtilization = 0.7
+	// drainCost is the cost of evicting a model in use: the runner ends its requests first and
+	// takes no other order for the two seconds of a typical stream.
 	drainCost = 0.3
-	// evictionCost makes a runner with room preferable to one without.
+	// evictionCost makes a runner with free memory preferable to one without.
 	evictionCost = 0.05
-	// patientHarm is how much of a late request it is to let a request wait for a load
-	// that its objective leaves time for.
-	patientHarm = 0.2
-	// spareValue keeps replicas of models with some demand a little longer than others.
+	// inTimeLoadWeight is the cost, in late requests, of a request that waits for a load within its
+	// objective.
+	inTimeLoadWeight = 0.2
+	// spareValue keeps replicas of models with some demand longer than others.
 	spareValue = 0.02
 )
 
-// leastObserved bounds how much is made of the first requests of all.
-const leastObserved = time.Second
+// minObserved bounds warmUpFactor.
+const minObserved = time.Second
 
-// unobserved is by how much the averages of the demand are too low because the planner
-// has not observed it for long: a new leader must not take every replica for idle.
-func (p *Planner) unobserved(now time.Time) float64 {
-	observed := max(leastObserved, now.Sub(p.observedFrom))
+// warmUpFactor returns the factor by which the averaged demand is too low because the planner has
+// not observed it for long. Without it, a new leader would take every replica for idle.
+func (p *Planner) warmUpFactor(now time.Time) float64 {
+	observed := max(minObserved, now.Sub(p.observedFrom))
 	return 1 / (1 - math.Exp(-observed.Seconds()/(p.options.RateTime.Seconds()*recentShare)))
 }
 
-// value is how many requests of the horizon are expected to be late without the
-// runner's replica of the model. The last replica of an idle model has a value as
-// well: any of them may be asked for next.
-func (p *Planner) value(known *runner, model *site.Model) float64 {
-	row := known.rowOf(model.Name)
+// value returns the number of requests within the horizon that are expected to be late without the
+// runner's replica of the model. The last replica of an idle model has a value as well, since any
+// model may be requested next.
+func (p *Planner) value(r *runner, model *site.Model) float64 {
+	row := r.rowOf(model.Name)
 	demand := p.modelDemand(row)
 	horizon := p.options.Horizon.Seconds()
-	others := p.holdersBut(known, row)
+	others := p.holdersExcept(r, row)
 	if len(others) == 0 {
-		harm := 1.0
-		if demand.objective > loadTime(known, model) {
-			harm = patientHarm
+		weight := 1.0
+		if demand.objective > loadTime(r, model) {
+			weight = inTimeLoadWeight
 		}
-		return (demand.rate + p.tally.idleRates[row.Service]) * horizon * harm
+		return (demand.rate + p.snapshot.idleRates[row.Service]) * horizon * weight
 	}
-	excess := demand.rate - p.capacityFor(row, others)
-	return min(max(0, excess), known.most)*horizon + demand.rate*spareValue + p.zoneValue(known, row)
+	excess := demand.rate - p.replicaCapacity(row, others)
+	return min(max(0, excess), r.maxRate)*horizon + demand.rate*spareValue + p.zoneValue(r, row)
 }
--- a/placement/residency/coverage.go
+++ b/placement/residency/coverage.go
@@ -5,27 +5,27 @@
 	"strings"
 )
 
-// Coverage tells how many of a service's models can be served how soon. Each model counts
-// in one of Loaded, Coming, Copied and Absent.
+// Coverage describes how fast the models of a service can be served. Each model counts in one of
+// Loaded, Coming, Copied and Absent.
 type Coverage struct {
 	Service string
-	// Loaded models are ready at one runner at least.
+	// Loaded models are ready at one runner or more.
 	Loaded int
-	// Coming models are loaded by a runner, but ready at none.
+	// Coming models are being loaded, but ready at no runner.
 	Coming int
-	// Copied models are at no runner, but some runner's machine has a copy.
+	// Copied models are at no runner, but the machine of one has a copy.
 	Copied int
-	// Absent models must come from the weight store.
+	// Absent models must be loaded from the weight store.
 	Absent int
-	// Replicas counts the loaded replicas of all models.
+	// Replicas is the number of loaded replicas of all models.
 	Replicas int
-	// ZoneBound counts models in demand that are ready in one zone alone, of several.
+	// ZoneBound is the number of models in demand that are ready in only one of several zones.
 	ZoneBound int
 }
 
-// Coverages lists the coverage of each service with models, as of the last tally.
+// Coverages returns the coverage of each service with models, as of the last snapshot.
 func (p *Planner) Coverages() []Coverage {
-	if p.document == nil || p.tally == nil {
+	if p.document == nil || p.snapshot == nil {
 		return nil
 	}
 	var listed []Coverage
@@ -37,7 +37,7 @@
 		found := Coverage{Service: service.Name}
 		for _, model := range service.Engine.Models {
 			row := Row{Service: service.Name, Model: model.Name}
-			found.add(p.tally, row)
+			found.add(p.snapshot, row)
 			if p.isZoneBound(row) {
 				found.ZoneBound++
 			}
@@ -48,7 +48,7 @@
 	return listed
 }
 
-func (c *Coverage) add(t *tally, row Row) {
+func (c *Coverage) add(t *snapshot, row Row) {
 	c.Replicas += len(t.holders[row])
 	switch {
 	case len(t.holders[row]) > 0:
--- a/placement/residency/demand.go
+++ b/placement/residency/demand.go
@@ -7,16 +7,16 @@
 
 // rowDemand is the demand for a row over all routers.
 type rowDemand struct {
-	// rate is the average number of requests a second, as of ratedAt, and recent the
-	// same over a shorter time.
+	// rate is the average number of requests per second as of ratedAt, and recent the same over a
+	// shorter time.
 	rate    float64
 	recent  float64
 	ratedAt time.Time
 	// byZone is the rate by the zone of the routers.
 	byZone zoneRates
-	// objective is the shortest of the requests that came lately.
+	// objective is the shortest objective among recent requests.
 	objective time.Duration
-	// reports holds the newest report of each router.
+	// reports holds the latest report of each router.
 	reports map[string]routerDemand
 }
 
@@ -25,25 +25,23 @@
 	at     time.Time
 }
 
-// waiting is what waits for a row.
+// waiting summarizes the waiting requests for a row.
 type waiting struct {
 	row      Row
 	count    int
 	oldest   time.Duration
 	priority int
-	// zones are those of the runners that some of them may have; nil for any.
+	// zones lists the zones of the runners that some of the requests may use; nil for any.
 	zones []string
 }
 
-// recentShare is the part of the rate time over which the recent rate is averaged.
+// recentShare is the ratio of the averaging time of the recent rate to RateTime.
 const recentShare = 0.35
 
-// recentWeight is the weight of the short average when demand rises. To extrapolate the rise
-// instead was measured and cost 0.06 of worth on a site with few places
-// (docs/design/large.md).
+// recentWeight is the weight of the recent rate when demand rises.
 const recentWeight = 0.75
 
-// expectedRate is the demand to plan for: the long average, or more if the short one is above.
+// expectedRate returns the rate to plan for: the long average, or more if the short one is higher.
 func expectedRate(long, short float64) float64 {
 	return max(long, recentWeight*short+(1-recentWeight)*long)
 }
@@ -68,7 +66,7 @@
 	d.ratedAt = now
 }
 
-// waits sums up the reports that still count.
+// waits summarizes the reports that are not older than life.
 func (d *rowDemand) waits(now time.Time, row Row, life time.Duration) waiting {
 	total := waiting{row: row, priority: math.MaxInt}
 	for _, report := range d.reports {
@@ -86,7 +84,7 @@
 	return total
 }
 
-// prune forgets reports that no longer count.
+// prune deletes reports older than life.
 func (d *rowDemand) prune(now time.Time, life time.Duration) {
 	for router, report := range d.reports {
 		if now.Sub(report.at) > life {
--- a/placement/residency/turns_test.go
+++ b/placement/residency/due_test.go
@@ -11,17 +11,16 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// A store that serves one load at a time has a place. A model that nobody has goes before a further
-// replica of one that has just one, since its callers are all refused; a model with
-// one replica for sixty requests a second goes before one that is asked for once in seconds.
-func TestAbsentModelAtASmallStore(t *testing.T) {
+// The store has one slot. An absent model takes precedence over a second replica of a model, but
+// not over an overloaded model with one replica.
+func TestAbsentModelWithOneStoreSlot(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		arrived int
 		first   string
 	}{
-		{"beside one that would be lost with its runner", 16, "m1"},
-		{"beside one that is far too small", 500, "m0"},
+		{"beside a model with a single replica", 16, "m1"},
+		{"beside an overloaded model", 500, "m0"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -39,14 +38,14 @@
 			c.Assert(orders, qt.HasLen, 1)
 			c.Assert(orders[0].Model, qt.Equals, test.first)
 			p.Answered(start, orders[0], OutcomeAccepted)
-			c.Assert(p.Plan(start.Add(time.Second)), qt.HasLen, 0, qt.Commentf("a second load at once would slow down the first"))
+			c.Assert(p.Plan(start.Add(time.Second)), qt.HasLen, 0, qt.Commentf("a concurrent load would slow down the first"))
 		})
 	}
 }
 
-// A load from the weight store holds its runner up for long. It goes to one whose copies are
-// also elsewhere, though the others are as free.
-func TestStoreLoadLeavesTheOnlyCopiesReachable(t *testing.T) {
+// A load from the weight store occupies its runner for long. It goes to a runner whose copies exist
+// elsewhere too.
+func TestStoreLoadAvoidsRunnersWithOnlyCopies(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(4, func(i int, heartbeat *fleet.Heartbeat) {
 		heartbeat.OnDisk = []string{fmt.Sprint("m", 10+i)}
@@ -65,14 +64,14 @@
 	c.Assert(orders[0].Instance == "r0" || orders[0].Instance == "r2", qt.IsTrue, qt.Commentf("%v", orders[0]))
 }
 
-// dueWorld is a planner of a runner with model m0 in use, and copies of it and of m1, for which a request
-// has waited for a time.
-func dueWorld(waited time.Duration) *Planner {
+// duePlanner returns a planner of a runner with model m0 in use and copies of m0 and m1, with a
+// request that has waited for m1.
+func duePlanner(waited time.Duration) *Planner {
 	p := newStorePlanner(1, func(_ int, heartbeat *fleet.Heartbeat) {
 		heartbeat.Models = []fleet.LoadedModel{{Name: "m0"}}
 		heartbeat.OnDisk = []string{"m0", "m1"}
 	})
-	at := start.Add(leastTurn)
+	at := start.Add(minResidency)
 	p.Observe(at, "router", []Demand{
 		{Row: Row{Service: "s", Model: "m0"}, Arrived: 1, Objective: 4 * time.Second, Active: []ActiveCount{{Instance: "r0", Count: 1}}},
 		{Row: Row{Service: "s", Model: "m1"}, Arrived: 1, Objective: 4 * time.Second, Waiting: 1, Oldest: waited},
@@ -80,54 +79,54 @@
 	return p
 }
 
-// A model in use keeps its place until another one is due, and then makes way: its requests end
-// first. The wait for a copy at a runner is bounded so however busy its models are.
-func TestModelInUseMakesWayForOneThatIsDue(t *testing.T) {
+// A model in use is only evicted for one that is due, so that the wait for a copy at a busy runner
+// is bounded.
+func TestModelInUseIsEvictedForDueModel(t *testing.T) {
 	c := qt.New(t)
-	at := start.Add(leastTurn)
-	p := dueWorld(time.Second)
+	at := start.Add(minResidency)
+	p := duePlanner(time.Second)
 	c.Assert(p.Plan(at), qt.HasLen, 0)
 	c.Assert(p.Turns(), qt.Equals, Turns{Gathering: 1, Oldest: time.Second})
-	orders := dueWorld(2500 * time.Millisecond).Plan(at)
+	orders := duePlanner(2500 * time.Millisecond).Plan(at)
 	c.Assert(orders, qt.HasLen, 1)
 	c.Assert(orders[0].Operation, qt.Equals, Unload)
 	c.Assert(orders[0].Model, qt.Equals, "m0")
 }
 
-// What is waited for stays until what was gathered has been sent.
-func TestModelWithGatheredRequestsStays(t *testing.T) {
+// Guards against evicting a model before its queued requests have been sent.
+func TestModelWithWaitingRequestsIsKept(t *testing.T) {
 	c := qt.New(t)
-	p := dueWorld(2500 * time.Millisecond)
-	at := start.Add(leastTurn)
+	p := duePlanner(2500 * time.Millisecond)
+	at := start.Add(minResidency)
 	p.Observe(at, "other", []Demand{{Row: Row{Service: "s", Model: "m0"}, Waiting: 1, Objective: 4 * time.Second}})
 	c.Assert(p.Plan(at), qt.HasLen, 0)
 }
 
-// A request that is late in any case takes no place of a model in use before it has aged.
-func TestHopelessRequestIsDueOnceItHasAged(t *testing.T) {
+// A request that can't be in time preempts no model in use before agingTime.
+func TestLateRequestIsDueAfterAgingTime(t *testing.T) {
 	c := qt.New(t)
 	for waited, isDue := range map[time.Duration]bool{time.Second: false, agingTime: true} {
-		p := dueWorld(waited)
-		p.Plan(start.Add(leastTurn))
+		p := duePlanner(waited)
+		p.Plan(start.Add(minResidency))
 		p.demands[Row{Service: "s", Model: "m1"}].objective = 400 * time.Millisecond
-		p.takeTally(start.Add(leastTurn))
+		p.takeSnapshot(start.Add(minResidency))
 		wanted := need{row: Row{Service: "s", Model: "m1"}, oldest: waited}
 		c.Check(p.isDue(&wanted), qt.Equals, isDue, qt.Commentf("%v", waited))
 	}
 }
 
-// Requests may still wait for what a newer document no longer lists.
-func TestNothingIsDueOfAServiceThatIsGone(t *testing.T) {
+// Requests may still wait for a model that is missing from a newer document.
+func TestNothingIsDueForRemovedService(t *testing.T) {
 	c := qt.New(t)
-	p := dueWorld(10 * time.Second)
+	p := duePlanner(10 * time.Second)
 	p.SetDocument(site.NewIndex(&site.Document{Version: 2}))
-	c.Assert(p.Plan(start.Add(leastTurn)), qt.HasLen, 0)
+	c.Assert(p.Plan(start.Add(minResidency)), qt.HasLen, 0)
 	c.Assert(p.Turns().Due, qt.Equals, 0)
 }
 
-// The place at a store of two for a model that nobody has is kept once while room is made for it: a
-// further replica of a model in demand takes the other.
-func TestAbsentModelThatRoomIsMadeForKeepsOnePlace(t *testing.T) {
+// The store has two slots. One is reserved for an absent model while memory is freed, and the other
+// is used for a further replica of a model in demand.
+func TestAbsentModelReservesOneStoreSlot(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(3, func(i int, heartbeat *fleet.Heartbeat) {
 		heartbeat.Models = []fleet.LoadedModel{{Name: fmt.Sprint("m", i)}}
@@ -140,12 +139,12 @@
 	})
 	orders := p.Plan(at)
 	c.Assert(orders, qt.HasLen, 2)
-	c.Assert(p.tally.kept["s"], qt.Equals, 2)
-	// Nor is it kept twice by the plans that follow, while the runners unload.
+	c.Assert(p.snapshot.reservedSlots["s"], qt.Equals, 2)
+	// Later plans, made while the runners unload, must not reserve the slot twice.
 	for _, order := range orders {
 		c.Assert(order.Operation, qt.Equals, Unload)
 		p.Answered(at, order, OutcomeAccepted)
 	}
 	p.Plan(at.Add(100 * time.Millisecond))
-	c.Assert(p.tally.unreachable, qt.HasLen, 0)
+	c.Assert(p.snapshot.unreachable, qt.HasLen, 0)
 }
--- a/placement/residency/forecast.go
+++ b/placement/residency/forecast.go
@@ -7,25 +7,25 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// unloadTime is what it takes until an unused model has made way: an order, its answer
-// and the runner's next heartbeat.
+// unloadTime is the time until an unused model is unloaded: an order, its answer and the next
+// heartbeat of the runner.
 const unloadTime = 100 * time.Millisecond
 
-// roomTime is what it takes until one of the models in use at a runner is not, as a rule:
-// the rest of a stream of some seconds, and Options.IdleTime.
-const roomTime = 1500 * time.Millisecond
+// useTime is the typical time until one of the models in use at a runner becomes idle: the rest of
+// a stream of some seconds, and Options.IdleTime.
+const useTime = 1500 * time.Millisecond
 
-// forecast works out when the models that requests wait for should be ready, after the
-// needs have been gone through.
+// forecast computes when the models that requests wait for should be ready, after the plan has
+// handled the needs.
 func (p *Planner) forecast(now time.Time, needs []need) {
 	p.readyAt = make(map[Row]time.Time)
 	p.unmet = p.unmet[:0]
-	for row := range p.tally.coming {
+	for row := range p.snapshot.coming {
 		if !p.isServed(now, row, nil) {
-			p.readyAt[row] = now.Add(p.comingIn(now, row))
+			p.readyAt[row] = now.Add(p.loadingLeft(now, row))
 		}
 	}
-	before := &queues{store: make(map[string]int), turns: make(map[*runner]time.Duration)}
+	before := &backlog{store: make(map[string]int), copies: make(map[*runner]time.Duration)}
 	free := p.storesFree(now)
 	for _, wanted := range needs {
 		if wanted.obstacle != ObstacleNone {
@@ -42,12 +42,12 @@
 	}
 }
 
-// comingIn is how long the quickest load of a model under way still takes.
-func (p *Planner) comingIn(now time.Time, row Row) time.Duration {
+// loadingLeft returns the remaining time of the load of the model that ends first.
+func (p *Planner) loadingLeft(now time.Time, row Row) time.Duration {
 	var quickest time.Duration = -1
-	for _, known := range p.coming(row) {
-		if held := known.holdings[row.Model]; held != nil {
-			if left := p.remaining(now, known, row.Model, held); quickest < 0 || left < quickest {
+	for _, r := range p.coming(row) {
+		if held := r.holdings[row.Model]; held != nil {
+			if left := p.remaining(now, r, row.Model, held); quickest < 0 || left < quickest {
 				quickest = left
 			}
 		}
@@ -55,18 +55,17 @@
 	return max(0, quickest)
 }
 
-// queues are the needs that were gone through before one.
-type queues struct {
-	// store counts the models of each service that wait for the weight store.
+// backlog holds the needs that precede another one.
+type backlog struct {
+	// store is the number of models of each service that wait for the weight store.
 	store map[string]int
-	// turns is how long the loads from copies take that each runner should begin before.
-	turns map[*runner]time.Duration
+	// copies is the time of the preceding loads from copies at each runner.
+	copies map[*runner]time.Duration
 }
 
-// readyIn is how long it takes until a model is ready that is not being loaded yet. free says
-// how long the loads from its weight store under way still take. The model is added to what
-// later ones wait for.
-func (p *Planner) readyIn(now time.Time, wanted need, before *queues, free []time.Duration) (time.Duration, bool) {
+// readyIn returns the time until a model that is not being loaded yet is ready, and adds the model
+// to the backlog. free lists the remaining times of the loads under way from its weight store.
+func (p *Planner) readyIn(now time.Time, wanted need, before *backlog, free []time.Duration) (time.Duration, bool) {
 	service := wanted.row.Service
 	store := p.store(service)
 	if store == nil {
@@ -79,7 +78,7 @@
 	fromCopy := p.copyReadyIn(now, wanted, model, before)
 	orderedIn := max(0, p.ordersFrom.Sub(now))
 	if wanted.obstacle == ObstacleRoom {
-		orderedIn += roomTime
+		orderedIn += useTime
 	}
 	if fromCopy >= 0 {
 		return orderedIn + fromCopy, true
@@ -97,31 +96,31 @@
 	return max(orderedIn, free[place%len(free)]) + rounds*model.LoadTime + unloadTime + model.LoadTime, true
 }
 
-// copyReadyIn is how long a load from a copy takes at the runner where it ends first, the turns
-// of others there included; negative if there is none.
-func (p *Planner) copyReadyIn(now time.Time, wanted need, model *site.Model, before *queues) time.Duration {
+// copyReadyIn returns the time until the model is ready by the load from a copy that ends first,
+// preceding loads at that runner included; negative if there is no copy.
+func (p *Planner) copyReadyIn(now time.Time, wanted need, model *site.Model, before *backlog) time.Duration {
 	var first *runner
 	var readyIn time.Duration = -1
-	for _, known := range p.tally.copies[wanted.row] {
-		in := p.occupiedFor(now, known) + before.turns[known] + unloadTime + loadTime(known, model)
+	for _, r := range p.snapshot.copies[wanted.row] {
+		in := p.occupiedFor(now, r) + before.copies[r] + unloadTime + loadTime(r, model)
 		if first == nil || in < readyIn {
-			first, readyIn = known, in
+			first, readyIn = r, in
 		}
 	}
 	if first != nil && wanted.obstacle != ObstacleNone {
-		before.turns[first] += unloadTime + loadTime(first, model)
+		before.copies[first] += unloadTime + loadTime(first, model)
 	}
 	return readyIn
 }
 
-// storesFree lists for each service how long the loads under way from its weight store still
-// take, the one that ends first at the beginning.
+// storesFree returns the remaining times of the loads under way from the weight store of each
+// service, in ascending order.
 func (p *Planner) storesFree(now time.Time) map[string][]time.Duration {
 	free := make(map[string][]time.Duration)
-	for row, runners := range p.tally.coming {
-		for _, known := range runners {
-			if held := known.holdings[row.Model]; held != nil && held.fromStore {
-				free[row.Service] = append(free[row.Service], p.remaining(now, known, row.Model, held))
+	for row, runners := range p.snapshot.coming {
+		for _, r := range runners {
+			if held := r.holdings[row.Model]; held != nil && held.fromStore {
+				free[row.Service] = append(free[row.Service], p.remaining(now, r, row.Model, held))
 			}
 		}
 	}
@@ -131,14 +130,14 @@
 	return free
 }
 
-// Forecast is how long it should take until the model of a row is ready.
+// Forecast is the expected time until the model of a row is ready.
 type Forecast struct {
 	Row Row
 	In  time.Duration
 }
 
-// Forecasts lists what the last plan expects for those of the rows that are waited for
-// and not ready.
+// Forecasts returns the forecasts of the last plan for those of the rows that have waiting requests
+// and are not ready.
 func (p *Planner) Forecasts(now time.Time, demands []Demand) []Forecast {
 	var found []Forecast
 	for _, demand := range demands {
@@ -157,11 +156,11 @@
 	Row      Row
 	Gain     float64
 	Obstacle Obstacle
-	// IsWaitedFor is set if requests wait for it.
+	// IsWaitedFor is set if requests wait for the model.
 	IsWaitedFor bool
 }
 
-// Unmet lists what the last plan could not bring about, the largest gain first.
+// Unmet returns the needs that the last plan could not meet, the largest gain first.
 func (p *Planner) Unmet() []UnmetNeed {
 	listed := make([]UnmetNeed, len(p.unmet))
 	for i, wanted := range p.unmet {
--- a/placement/residency/forecast_test.go
+++ b/placement/residency/forecast_test.go
@@ -12,7 +12,7 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// forecastOf is what the planner expects for the model m with the number.
+// forecastOf returns the forecast for the model with the number.
 func forecastOf(c *qt.C, p *Planner, at time.Time, number int) time.Duration {
 	c.Helper()
 	found := p.Forecasts(at, []Demand{{Row: Row{Service: "s", Model: fmt.Sprint("m", number)}, Waiting: 1}})
@@ -20,7 +20,7 @@
 	return found[0].In
 }
 
-func TestForecastsFollowThePlaceInTheQueueOfTheStore(t *testing.T) {
+func TestForecastIncludesQueueOfStore(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(9, func(int, *fleet.Heartbeat) {})
 	waitForModels(p, start, 10, 9)
@@ -33,7 +33,7 @@
 	c.Assert(rounds, qt.DeepEquals, map[time.Duration]int{6 * time.Second: limit, 12 * time.Second: limit, 18 * time.Second: 1})
 }
 
-func TestForecastOfACopyIsThatOfItsRunner(t *testing.T) {
+func TestForecastOfLoadFromCopy(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(1, func(_ int, heartbeat *fleet.Heartbeat) { heartbeat.OnDisk = []string{"m10"} })
 	waitForModels(p, start, 10, 1)
@@ -41,8 +41,8 @@
 	c.Assert(forecastOf(c, p, start, 10), qt.Equals, time.Second)
 }
 
-// A new leader may not send orders yet, but knows when it may.
-func TestForecastsBeforeTheFirstOrderCountTheWaitForIt(t *testing.T) {
+// A new leader may not send orders yet, but knows from when it may.
+func TestForecastIncludesTimeUntilOrdersMayBeSent(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(1, func(int, *fleet.Heartbeat) {})
 	p.ordersFrom = start.Add(3 * time.Second)
@@ -52,7 +52,7 @@
 	c.Assert(p.Unmet()[0].Obstacle, qt.Equals, ObstacleLease)
 }
 
-func TestReadyModelsHaveNoForecast(t *testing.T) {
+func TestReadyModelHasNoForecast(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(1, func(_ int, heartbeat *fleet.Heartbeat) { heartbeat.Models = []fleet.LoadedModel{{Name: "m10"}} })
 	waitForModels(p, start, 10, 1)
@@ -60,9 +60,8 @@
 	c.Assert(p.Forecasts(start, []Demand{{Row: Row{Service: "s", Model: "m10"}, Waiting: 1}}), qt.HasLen, 0)
 }
 
-// Room is made at one runner for a model, not at another one with each plan until the
-// first has unloaded.
-func TestRoomIsMadeAtOneRunner(t *testing.T) {
+// Guards against evicting models at a further runner in each plan until the first has unloaded.
+func TestModelsAreEvictedAtOneRunner(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(3, func(i int, heartbeat *fleet.Heartbeat) {
 		heartbeat.Models = []fleet.LoadedModel{{Name: fmt.Sprint("m", i)}}
@@ -76,14 +75,14 @@
 	soon := at.Add(50 * time.Millisecond)
 	waitForModels(p, soon, 10, 1)
 	c.Assert(p.Plan(soon), qt.HasLen, 0)
-	// An unload that takes too long does not hold the model up.
-	late := at.Add(roomMadeIn + time.Millisecond)
+	// After a slow unload, another runner is tried.
+	late := at.Add(idleUnloadTimeout + time.Millisecond)
 	waitForModels(p, late, 10, 1)
 	c.Assert(p.Plan(late), qt.HasLen, 1)
 }
 
-// The requests for which room was being made have left: the room serves others at once.
-func TestRoomThatNobodyNeedsIsGivenUp(t *testing.T) {
+// Requests for the model have left, so that the freed memory is used for others at once.
+func TestUnneededReservationIsReleased(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(1, func(_ int, heartbeat *fleet.Heartbeat) { heartbeat.Models = []fleet.LoadedModel{{Name: "m0"}} })
 	at := start.Add(2 * time.Second)
@@ -99,9 +98,9 @@
 	c.Assert(orders[0].Model, qt.Equals, "m11")
 }
 
-// Four models wait for the runner that has the copies of all. Each is told of the turns before its
-// own.
-func TestForecastsCountTheTurnsBefore(t *testing.T) {
+// Four models wait for the runner with the copies of all of them. Each forecast includes the loads
+// before it.
+func TestForecastIncludesPrecedingLoadsFromCopies(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(1, func(_ int, heartbeat *fleet.Heartbeat) {
 		heartbeat.OnDisk = []string{"m0", "m1", "m2", "m3"}
--- a/placement/residency/idledemand.go
+++ b/placement/residency/idledemand.go
@@ -6,29 +6,27 @@
 )
 
 const (
-	// idleAfter is how long nobody must have asked for a model for it to count as idle: two of
-	// Options.RateTime, after which the average of a single request is lost among others.
+	// idleAfter is the time without a request after which a model is idle.
 	idleAfter = 16 * time.Second
-	// idleRateTime is over how long requests for idle models are averaged.
+	// idleRateTime is the averaging time of the requests for idle models.
 	idleRateTime = 16 * time.Second
 )
 
-// idleDemand follows how often requests come for idle models of a service. Nothing tells
-// which of them is next, but how often one of them is: so each is expected to be asked for at
-// their common rate, divided by their number when the requests came. Their number now would
-// not do: in a rush at all models few are idle any more, and each of them would be expected to
-// get what all of them got.
+// idleDemand estimates how often a request arrives for an idle model of a service. Which idle model
+// is next is unknown, so each is expected to be requested at their common rate, divided by their
+// number at the time of the requests. The current number would overestimate the rate of each after
+// a burst over all models, when few are left idle.
 type idleDemand struct {
-	// askedAt is when each model was asked for last; idle ones are not listed.
+	// askedAt is the time of the last request for each model; idle models are not listed.
 	askedAt map[string]time.Time
-	// rate is the average number of requests for each idle model a second, as of ratedAt.
+	// rate is the average number of requests per second for each idle model, as of ratedAt.
 	rate    float64
 	ratedAt time.Time
 }
 
 func newIdleDemand() *idleDemand { return &idleDemand{askedAt: make(map[string]time.Time)} }
 
-// observe notes that one of so many listed models is asked for.
+// observe counts a request for a model, one of the given number of models.
 func (d *idleDemand) observe(now time.Time, model string, listed int) {
 	last, isAsked := d.askedAt[model]
 	if !isAsked || now.Sub(last) > idleAfter {
@@ -46,14 +44,13 @@
 	d.ratedAt = now
 }
 
-// ratePerModel is the rate in requests a second at which each idle model is expected to be
-// asked for.
+// ratePerModel returns the expected rate of each idle model in requests per second.
 func (d *idleDemand) ratePerModel(now time.Time) float64 {
 	d.decay(now)
 	return d.rate
 }
 
-// prune forgets models that have become idle.
+// prune deletes models that have become idle.
 func (d *idleDemand) prune(now time.Time) {
 	for model, last := range d.askedAt {
 		if now.Sub(last) > idleAfter {
--- a/placement/residency/idledemand_test.go
+++ b/placement/residency/idledemand_test.go
@@ -11,15 +11,15 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-func TestIdleModelsShareTheirDemand(t *testing.T) {
+func TestIdleModelsShareDemand(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		models int
 		asked  func(second int) string
 		each   float64
 	}{
-		{"a different one each second", 200, func(second int) string { return fmt.Sprint("m", second%150) }, 1.0 / 184},
-		{"always the same one", 200, func(int) string { return "m0" }, 0},
+		{"a different model each second", 200, func(second int) string { return fmt.Sprint("m", second%150) }, 1.0 / 184},
+		{"always the same model", 200, func(int) string { return "m0" }, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -35,20 +35,20 @@
 	}
 }
 
-// All models are asked for in turn until hardly one is idle. Each is worth what one of them is
-// asked for, not what all are: otherwise none would make way for another.
-func TestRushAtAllModelsLeavesNoneOfGreatWorth(t *testing.T) {
+// Guards against attributing the rate of all models to the few idle ones that are left after a
+// burst, which would prevent any eviction.
+func TestBurstOverAllModelsKeepsIdleRateLow(t *testing.T) {
 	n := newIdleDemand()
 	for i := range 199 {
 		n.observe(start.Add(time.Duration(i)*10*time.Millisecond), fmt.Sprint("m", i), 200)
 	}
 	got := n.ratePerModel(start.Add(2 * time.Second))
-	qt.Assert(t, got < 0.5, qt.IsTrue, qt.Commentf("%v requests a second, where each was asked for once in two", got))
+	qt.Assert(t, got < 0.5, qt.IsTrue, qt.Commentf("%v requests per second, where each model was requested once in two seconds", got))
 }
 
-// Rare models are asked for one after the other. The only replica of one that nobody asked
-// for yet is worth more than one of many replicas of a model in little demand.
-func TestSpareReplicaMakesWayBeforeTheLastOne(t *testing.T) {
+// The only replica of a model without requests is worth more than one of many replicas of a model
+// in little demand.
+func TestRedundantReplicaIsEvictedBeforeOnlyReplica(t *testing.T) {
 	c := qt.New(t)
 	index := manyModels()
 	index.Document.Services[0].Engine.WeightsMB = 200
--- a/placement/residency/judge.go
+++ b/placement/residency/judge.go
@@ -8,41 +8,42 @@
 	"github.com/lotusferry/lotusferry/placement/pace"
 )
 
-// Judgement is what the planner believes of a runner's speed.
+// Judgement is the assessment of a runner's speed.
 type Judgement struct {
 	Instance string
-	// Slowness is how many times as long as the usual runner it takes; 0 if it was not
-	// compared with another one.
+	// Slowness is the time that the runner takes relative to the typical one; 0 if it could not be
+	// compared.
 	Slowness float64
-	// IsSlow is set if that is much, by its streams or, if they do not tell, as a runner in the
-	// same place was.
+	// IsSlow is set if Slowness is high. It is taken from the previous runner at the same address
+	// while there are no streams to compare.
 	IsSlow bool
-	// Pauses is set if too many of its streams paused for too long lately.
+	// Pauses is set if too many recent streams of the runner paused for too long.
 	Pauses bool
-	// Pace is what work takes there, and Borne how many requests a second it bears.
+	// Pace is the speed of the runner, and Borne its capacity in requests per second.
 	Pace  pace.Runner
 	Borne float64
 }
 
 const (
-	// slowFrom is the slowness from which a runner counts as slow, and slowUntil that below
-	// which it no longer does: what load and noise leave of a gap's error stays below.
-	slowFrom  = 1.5
-	slowUntil = 1.3
+	// slowThreshold is the slowness from which a runner counts as slow, and slowClearThreshold the
+	// one below which it no longer does. The errors caused by load and noise stay below.
+	slowThreshold      = 1.5
+	slowClearThreshold = 1.3
 )
 
-// place is where a runner is. The next one there is on the same machine.
-type place struct{ service, address string }
+// endpoint identifies the machine of a runner by service and address. A later runner at the same
+// endpoint is on the same machine.
+type endpoint struct{ service, address string }
 
-func (r *runner) place() place {
-	return place{r.status.Heartbeat.Service, r.status.Heartbeat.Address}
+func (r *runner) endpoint() endpoint {
+	return endpoint{r.status.Heartbeat.Service, r.status.Heartbeat.Address}
 }
 
-// ObservePace takes the pace of streams that routers saw.
+// ObservePace records streams observed by routers.
 func (p *Planner) ObservePace(now time.Time, seen []Pace) {
 	for _, each := range seen {
-		known := p.runners[each.Instance]
-		if known == nil {
+		r := p.runners[each.Instance]
+		if r == nil {
 			continue
 		}
 		p.paces.Add(now, pace.Sample{
@@ -51,23 +52,23 @@
 		})
 		if !each.IsUnderWay {
 			p.pauses.add(now, each)
-			p.observeBearing(known, each)
+			p.observeStream(r, each)
 		}
 	}
 }
 
-// RecallSpeed takes what the leader before believed of the runner in a place. How slow it was
-// is not recorded: the least is taken that counts as slow.
+// RecallSpeed restores the assessment of a previous leader. Only the flag is recorded, so the
+// lowest slowness that counts as slow is assumed.
 func (p *Planner) RecallSpeed(service, address string, isSlow bool) {
 	if isSlow {
-		p.slowness[place{service, address}] = slowFrom
+		p.slowness[endpoint{service, address}] = slowThreshold
 	}
 }
 
-// judgeInterval is the pause between two comparisons of the runners.
+// judgeInterval is the interval between two assessments of the runners.
 const judgeInterval = time.Second
 
-// judge compares the runners from time to time.
+// judge assesses the runners if judgeInterval has passed.
 func (p *Planner) judge(now time.Time) {
 	if !p.judgedAt.IsZero() && now.Sub(p.judgedAt) < judgeInterval {
 		return
@@ -75,22 +76,22 @@
 	passed := now.Sub(p.judgedAt)
 	p.judgedAt = now
 	p.paces.Judge(now)
-	for instance, known := range p.runners {
-		found := Judgement{Instance: instance, Slowness: p.paces.Slowness(instance), Pauses: p.hasPaused(now, known)}
+	for instance, r := range p.runners {
+		found := Judgement{Instance: instance, Slowness: p.paces.Slowness(instance), Pauses: p.pausesOften(now, r)}
 		if found.Slowness > 0 {
-			p.slowness[known.place()] = found.Slowness
+			p.slowness[r.endpoint()] = found.Slowness
 		}
 		former := p.judgements[instance]
-		found.IsSlow = found.Slowness >= slowFrom || former.IsSlow && found.Slowness > slowUntil
-		found.Pace, found.Borne = p.Pace(instance), known.borne
+		found.IsSlow = found.Slowness >= slowThreshold || former.IsSlow && found.Slowness > slowClearThreshold
+		found.Pace, found.Borne = p.Pace(instance), r.capacity
 		if former.IsSlow != found.IsSlow || former.Pauses != found.Pauses {
 			p.judged = append(p.judged, found)
 		}
 		p.judgements[instance] = found
-		known.countServed(passed)
-		known.fadeCopyTime(now, passed)
+		r.countServed(passed)
+		r.decayCopyTime(now, passed)
 	}
-	p.judgeBearing()
+	p.updateCapacity()
 	for instance := range p.judgements {
 		if p.runners[instance] == nil {
 			delete(p.judgements, instance)
@@ -98,7 +99,7 @@
 	}
 }
 
-// TakeJudgements lists the judgements that have changed since the last call.
+// TakeJudgements returns the assessments that have changed since the last call.
 func (p *Planner) TakeJudgements() []Judgement {
 	changed := p.judged
 	p.judged = nil
@@ -106,17 +107,18 @@
 	return changed
 }
 
-// hasPaused reports whether too many streams of one of the models that the runner holds paused.
-func (p *Planner) hasPaused(now time.Time, known *runner) bool {
-	for model := range known.holdings {
-		if p.pauses.isHigh(now, known.rowOf(model), known.status.Heartbeat.Instance) {
+// pausesOften reports whether too many streams of one of the models at the runner paused.
+func (p *Planner) pausesOften(now time.Time, r *runner) bool {
+	for model := range r.holdings {
+		if p.pauses.isHigh(now, r.rowOf(model), r.status.Heartbeat.Instance) {
 			return true
 		}
 	}
 	return false
 }
 
-// paceClass is the class of a model; one that the document does not list is alone.
+// paceClass returns the class of a model. A model that the document doesn't list is a class of its
+// own.
 func (p *Planner) paceClass(row Row) pace.Class {
 	alone := pace.Class{Service: row.Service, Model: row.Model}
 	if p.document == nil {
@@ -133,54 +135,53 @@
 	return pace.Class{Service: row.Service, SizeMB: model.SizeMB}
 }
 
-// IsSlow reports whether a runner is believed to be slower than others, or too slow for
-// one of the models that it holds.
+// IsSlow reports whether the runner is slow, or pauses too often with one of its models.
 func (p *Planner) IsSlow(instance string) bool {
 	found := p.judgements[instance]
 	return found.IsSlow || found.Pauses
 }
 
-// IsSlowPlace reports whether a runner is believed to be slower than others.
+// IsSlowPlace reports whether the runner is slower than others.
 func (p *Planner) IsSlowPlace(instance string) bool { return p.judgements[instance].IsSlow }
 
-// Pace is what work takes at a runner; nothing is known of those that are not listed.
+// Pace returns the speed of a runner; the zero value if it is unknown.
 func (p *Planner) Pace(instance string) pace.Runner {
-	known := p.runners[instance]
-	if known == nil {
+	r := p.runners[instance]
+	if r == nil {
 		return pace.Runner{}
 	}
-	return p.paces.Runner(known.status.Heartbeat.Service, instance)
+	return p.paces.Runner(r.status.Heartbeat.Service, instance)
 }
 
-// PaceState is what is believed of the runners of a service together.
+// PaceState summarizes the speed of the runners of a service.
 type PaceState struct {
 	Service string
-	// Usual is what work takes at its usual runner.
+	// Usual is the speed of a typical runner.
 	Usual pace.Runner
-	// Error is the mean part by which forecasts of the time between two events were wrong.
+	// Error is the mean relative error of the forecast time between two events.
 	Error float64
-	// Borne is how many requests a second a usual runner bears, and Scale by how much late
-	// streams have corrected that.
+	// Borne is the capacity of a typical runner in requests per second, and Scale the correction by
+	// late streams that it includes.
 	Borne float64
 	Scale float64
-	// Slow counts the runners that are slow, and Unknown those of which nothing tells.
+	// Slow is the number of slow runners, and Unknown that of runners without an assessment.
 	Slow    int
 	Unknown int
 }
 
-// PaceStates lists what is believed of the services whose runners run models, by name.
+// PaceStates returns the states of the services with models, by name.
 func (p *Planner) PaceStates() []PaceState {
 	states := make(map[string]*PaceState)
-	for instance, known := range p.runners {
-		name := known.status.Heartbeat.Service
-		if p.engineOf(known) == nil {
+	for instance, r := range p.runners {
+		name := r.status.Heartbeat.Service
+		if p.engineOf(r) == nil {
 			continue
 		}
 		state := states[name]
 		if state == nil {
 			state = &PaceState{
 				Service: name, Usual: p.paces.Runner(name, ""), Error: p.paces.Error(name),
-				Borne: p.borneAt(name, 1), Scale: p.bearing(name).scale,
+				Borne: p.capacityAt(name, 1), Scale: p.capacityModel(name).scale,
 			}
 			states[name] = state
 		}
--- a/placement/residency/limited_test.go
+++ b/placement/residency/limited_test.go
@@ -9,9 +9,9 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// The only replica of a model in demand is at a runner that names a rate limit: others get the model, as that one
-// gets no more than it says, and nothing is loaded at a runner in need while another can take it.
-func TestModelOfARunnerThatNamesALimitIsLoadedElsewhere(t *testing.T) {
+// A model whose only replica is at a runner with a rate limit below its demand is loaded at another
+// runner, but not at one that is limited as well.
+func TestModelOfRateLimitedRunnerIsLoadedElsewhere(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		limit  float64
@@ -43,7 +43,7 @@
 			}
 			var loaded []string
 			for _, order := range orders {
-				// The others are loaded ahead, where there is room.
+				// Other models may be preloaded.
 				if order.Model == "m0" {
 					loaded = append(loaded, order.Instance)
 				}
--- a/placement/residency/listed_test.go
+++ b/placement/residency/listed_test.go
@@ -7,12 +7,12 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// checkLists panics unless what routers are told of each runner is what the planner knows of it now. The worlds of
-// the load tests call it after each plan.
+// checkLists panics unless the cached lists of loaded models match the holdings. The simulations
+// call it after each plan.
 func (p *Planner) checkLists() {
-	for instance, known := range p.runners {
-		if !slices.EqualFunc(known.loaded(), known.listLoaded(), fleet.LoadedModel.Equal) {
-			panic(fmt.Sprintf("what %s holds is listed as %v and is %v", instance, known.loaded(), known.listLoaded()))
+	for instance, r := range p.runners {
+		if !slices.EqualFunc(r.loaded(), r.listLoaded(), fleet.LoadedModel.Equal) {
+			panic(fmt.Sprintf("runner %s is listed with %v, but holds %v", instance, r.loaded(), r.listLoaded()))
 		}
 	}
 }
--- a/placement/residency/loads.go
+++ b/placement/residency/loads.go
@@ -11,26 +11,25 @@
 )
 
 const (
-	// maxListedLoads bounds the runners whose loads are listed for the routers. An entry takes some
-	// 25 bytes, and a router asks twice a second, so that they cost it about 3 of the 4 KB a
-	// second that control may. Those with least to do are left out.
+	// maxListedLoads bounds the number of runners in a reply to routers, to those with the most
+	// load. An entry takes about 25 bytes; at two polls per second this uses about 3 of the 4 KB/s
+	// that a router may receive.
 	maxListedLoads = 64
-	// readingTime is the time over which the tokens that a runner reads are averaged: a long prompt
-	// is read in a quarter of a second or more, and the news of it is half a second old.
+	// readingTime is the averaging time of the prompt tokens that a runner reads.
 	readingTime = time.Second
-	// readingSteps is how many steps there are to the whole in a listed share; such a number takes
-	// three bytes instead of nine.
+	// readingSteps is the number of steps in which shares are reported, so that each takes three
+	// bytes instead of nine.
 	readingSteps = 64
 )
 
-// readTokens is how many tokens of prompts routers have sent to a runner, averaged.
+// readTokens is the average rate of prompt tokens that routers have sent to a runner.
 type readTokens struct {
-	// rate is in tokens a second, as of at.
+	// rate is in tokens per second, as of at.
 	rate float64
 	at   time.Time
 }
 
-// add counts tokens that were sent since the last report of a router.
+// add counts the tokens sent since the last report of a router.
 func (r *readTokens) add(now time.Time, tokens int64) {
 	r.rate = r.rateAt(now) + float64(tokens)/readingTime.Seconds()
 	r.at = now
@@ -40,19 +39,19 @@
 	return r.rate * math.Exp(-max(0, now.Sub(r.at).Seconds())/readingTime.Seconds())
 }
 
-// Loads lists the runners with the most to do, as of the last plan: each router knows its own
-// requests only, which on a site with many routers are few.
+// Loads returns the runners with the most load as of the last plan. Each router knows only the load
+// of its own requests.
 func (p *Planner) Loads(now time.Time) []fleet.Load {
-	if p.tally == nil {
+	if p.snapshot == nil {
 		return nil
 	}
 	var listed []fleet.Load
 	used := make(map[string]float64)
-	for _, known := range p.tally.sorted {
-		heartbeat := known.status.Heartbeat
-		load := fleet.Load{Instance: heartbeat.Instance, Requests: p.tally.loads[heartbeat.Instance]}
+	for _, r := range p.snapshot.sorted {
+		heartbeat := r.status.Heartbeat
+		load := fleet.Load{Instance: heartbeat.Instance, Requests: p.snapshot.loads[heartbeat.Instance]}
 		if pace := p.Pace(heartbeat.Instance); pace.IsKnown() {
-			load.Reading = math.Round(known.read.rateAt(now)/pace.PromptRate*readingSteps) / readingSteps
+			load.Reading = math.Round(r.read.rateAt(now)/pace.PromptRate*readingSteps) / readingSteps
 		}
 		if load.Requests == 0 && load.Reading == 0 {
 			continue
--- a/placement/residency/loads_test.go
+++ b/placement/residency/loads_test.go
@@ -12,7 +12,7 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// busyPlanner has told a planner of so many runners with 1, 2 and so on requests.
+// busyPlanner returns a planner of runners with 1, 2 and so on requests.
 func busyPlanner(runners int) *Planner {
 	p := NewPlanner(Options{}, start)
 	var statuses []fleet.Status
@@ -24,11 +24,11 @@
 	}
 	p.SetRunners(start, statuses)
 	p.Observe(start, "router", []Demand{demand})
-	p.takeTally(start)
+	p.takeSnapshot(start)
 	return p
 }
 
-func TestLoadsListsTheBusiestWithinWhatARouterMayReceive(t *testing.T) {
+func TestLoadsListsBusiestRunnersWithinSizeLimit(t *testing.T) {
 	c := qt.New(t)
 	listed := busyPlanner(500).Loads(start)
 	c.Assert(listed, qt.HasLen, maxListedLoads)
@@ -37,7 +37,8 @@
 	for i := range listed {
 		listed[i].Reading = 41.0 / readingSteps
 	}
-	// The first value of a stream also describes the types; the second is what each reply costs.
+	// The first value of a stream includes the type descriptions; the second shows the cost of each
+	// reply.
 	var buf bytes.Buffer
 	encoder := gob.NewEncoder(&buf)
 	c.Assert(encoder.Encode(listed), qt.IsNil)
@@ -46,7 +47,7 @@
 	c.Assert(buf.Len()-first <= 1600, qt.IsTrue, qt.Commentf("%d bytes", buf.Len()-first))
 }
 
-func TestTokensThatARunnerReadsAreAveragedAndForgotten(t *testing.T) {
+func TestReadTokensAreAveragedAndDecay(t *testing.T) {
 	c := qt.New(t)
 	read := &readTokens{}
 	for step := range 100 {
@@ -57,7 +58,7 @@
 	c.Assert(read.rateAt(end.Add(5*time.Second)) < 100, qt.IsTrue)
 }
 
-func TestRequestsThatHaveEndedAreNoUse(t *testing.T) {
+func TestEndedRequestsDoNotCountAsUse(t *testing.T) {
 	p := busyPlanner(1)
 	p.runners["i-0000000000"].holdings["m"] = &holding{}
 	p.Observe(start.Add(time.Second), "router", []Demand{{
--- a/placement/residency/options.go
+++ b/placement/residency/options.go
@@ -8,31 +8,30 @@
 
 // Options are the settings of a Planner; zero values mean the defaults.
 type Options struct {
-	// AskAgain is the pause between two questions to a runner about its orders.
+	// AskAgain is the minimum time between two polls of a runner for its report.
 	AskAgain time.Duration
-	// QuestionRate and QuestionBurst bound the questions to all runners: so many a
-	// second, and so many at once.
+	// QuestionRate and QuestionBurst bound the polls of all runners: their number per second, and
+	// at once.
 	QuestionRate  float64
 	QuestionBurst float64
-	// ReportLag is how old the state in a report may be.
+	// ReportLag is the maximum age of the state in a report.
 	ReportLag time.Duration
-	// AdapterTime is how long an accepted adapter takes until it is usable.
+	// AdapterTime is the time from the acceptance of an adapter until it is usable.
 	AdapterTime time.Duration
-	// IdleTime is how long a model must be unused before it may be unloaded for
-	// another one: a little more than the pause between two reports of routers, as they
-	// tell of its use.
+	// IdleTime is the time without use after which a model may be evicted. It must exceed the
+	// interval between two reports of a router, which tell of the use.
 	IdleTime time.Duration
-	// RateTime is over how long demand is averaged.
+	// RateTime is the averaging time of demand.
 	RateTime time.Duration
-	// DemandLife is how long a router's report counts.
+	// DemandLife is how long the report of a router is valid.
 	DemandLife time.Duration
-	// ReplicaRate is how many requests a second a usual runner is taken to bear until the
-	// streams tell.
+	// ReplicaRate is the assumed capacity of a typical runner in requests per second until enough
+	// streams have been observed.
 	ReplicaRate float64
-	// Horizon is how far ahead gains and losses are weighed.
+	// Horizon is the time over which gains and costs are computed.
 	Horizon time.Duration
-	// StoreWindow and StoreShare bound loads from the weight store: in each window
-	// no more than the share of what the store allows.
+	// StoreWindow and StoreShare bound loads from the weight store: in each window, to the share of
+	// what the store allows.
 	StoreWindow time.Duration
 	StoreShare  float64
 }
--- a/placement/residency/pace.go
+++ b/placement/residency/pace.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// pausedShare is the share of streams with too long a pause from which routers are told
-	// that a runner is slow, and pausedLife how long that is believed without news.
+	// pausedShare is the share of paused streams from which routers are told that a runner is slow,
+	// and pausedLife how long that is valid without a further stream.
 	pausedShare = 0.12
 	pausedLife  = 20 * time.Second
-	// pausedSmoothing is the weight of a new stream in the share of paused ones.
+	// pausedSmoothing is the weight of a stream in the share of paused ones.
 	pausedSmoothing = 0.08
-	// minPausedStreams is how many streams must have been seen before the share counts.
+	// minPausedStreams is the number of streams from which the share is used.
 	minPausedStreams = 4
 )
 
-// pausedStreams is the share of a runner's streams of a model with too long a pause.
+// pausedStreams is the share of a runner's streams of a model with a pause that is too long.
 type pausedStreams struct {
 	share  float64
 	seen   int
 	seenAt time.Time
 }
 
-// pauses holds the paused streams of the runners for each model; the rows name no adapter.
+// pauses holds the paused streams of the runners for each model; its rows have no adapter.
 type pauses map[Row]map[string]*pausedStreams
 
 // add counts a stream that has ended.
@@ -29,29 +29,29 @@
 	if p[row] == nil {
 		p[row] = make(map[string]*pausedStreams)
 	}
-	known := p[row][seen.Instance]
-	if known == nil {
-		known = &pausedStreams{}
-		p[row][seen.Instance] = known
+	streams := p[row][seen.Instance]
+	if streams == nil {
+		streams = &pausedStreams{}
+		p[row][seen.Instance] = streams
 	}
 	share := 0.0
 	if seen.Paused {
 		share = 1
 	}
-	known.seen++
-	// The first streams count evenly.
-	weight := max(pausedSmoothing, 1/float64(known.seen))
-	known.share += weight * (share - known.share)
-	known.seenAt = now
+	streams.seen++
+	// The first streams have equal weight.
+	weight := max(pausedSmoothing, 1/float64(streams.seen))
+	streams.share += weight * (share - streams.share)
+	streams.seenAt = now
 }
 
-// isHigh reports whether too many streams of the model at the runner had too long a pause.
+// isHigh reports whether too many streams of the model at the runner paused for too long.
 func (p pauses) isHigh(now time.Time, row Row, instance string) bool {
-	known := p[row][instance]
-	return known != nil && known.seen >= minPausedStreams && known.share > pausedShare && now.Sub(known.seenAt) < pausedLife
+	streams := p[row][instance]
+	return streams != nil && streams.seen >= minPausedStreams && streams.share > pausedShare && now.Sub(streams.seenAt) < pausedLife
 }
 
-// forget drops the runners that are listed no more.
+// forget deletes the runners that are no longer listed.
 func (p pauses) forget(isListed func(instance string) bool) {
 	for row, runners := range p {
 		for instance := range runners {
--- a/placement/residency/pace_test.go
+++ b/placement/residency/pace_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/placement/pace"
 )
 
-// seeGaps lets two streams end at each of the runners.
+// seeGaps ends two streams at each of the runners.
 func seeGaps(p *Planner, at time.Time, model string, gaps map[string]time.Duration) {
 	for instance, gap := range gaps {
 		for range 2 {
@@ -20,7 +20,7 @@
 }
 
 // A runner with the only replica of a model is compared by models of the same size.
-func TestSlowRunnerOfTheOnlyReplicaIsFound(t *testing.T) {
+func TestSlowRunnerWithOnlyReplicaIsDetected(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner(Options{}, start)
 	p.SetDocument(twoModels())
@@ -30,26 +30,25 @@
 	p.judge(start)
 	c.Assert(p.IsSlow("quick"), qt.IsFalse)
 	c.Assert(p.IsSlow("slow"), qt.IsTrue)
-	c.Assert(p.TakeJudgements(), qt.HasLen, 1, qt.Commentf("that the other is as usual is no news"))
+	c.Assert(p.TakeJudgements(), qt.HasLen, 1, qt.Commentf("the other assessment has not changed"))
 }
 
-// twoRunners lists two runners without models.
+// twoRunners returns two runners without models.
 func twoRunners(first, second string) []fleet.Status {
 	statuses := append(status(1), status(1)...)
 	statuses[0].Heartbeat.Instance, statuses[1].Heartbeat.Instance = first, second
 	return statuses
 }
 
-// A model in more demand than the slow runner that holds it bears gets a replica at a quick one,
-// and none if its demand is one that a slow runner bears: nobody is late for being served there.
-func TestModelOnSlowRunnersGetsAQuickReplica(t *testing.T) {
+// A slow runner gets help from a fast one only if the demand exceeds its capacity.
+func TestOverloadedSlowRunnerGetsFastReplica(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		arrived int
 		orders  int
 	}{
-		{"more than it bears", 10, 1},
-		{"less than it bears", 3, 0},
+		{"above the capacity", 10, 1},
+		{"below the capacity", 3, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -76,7 +75,7 @@
 	}
 }
 
-func TestModelsInDemandAreLoadedOnQuickRunners(t *testing.T) {
+func TestModelInDemandIsLoadedOnFastRunner(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner(Options{}, start)
 	p.SetDocument(twoModels())
@@ -97,32 +96,32 @@
 	c.Assert(orders[0].Instance, qt.Equals, "b-quick")
 }
 
-func TestRunnerWhoseStreamsPauseIsSlowForAWhile(t *testing.T) {
+func TestPausedStreamsMakeRunnerSlowForPausedLife(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPlanner("a")
-	see := func(isPaused bool) {
+	observe := func(isPaused bool) {
 		p.ObservePace(start, []Pace{{Service: "s", Model: "a", Instance: "r", Gap: 20 * time.Millisecond, Paused: isPaused}})
 	}
-	see(true)
+	observe(true)
 	isSlow := func(at time.Time) bool {
 		p.judgedAt = time.Time{}
 		p.judge(at)
 		return p.IsSlow("r")
 	}
-	c.Assert(isSlow(start), qt.IsFalse, qt.Commentf("one stream proves nothing"))
+	c.Assert(isSlow(start), qt.IsFalse, qt.Commentf("too few streams"))
 	for range 5 {
-		see(false)
+		observe(false)
 	}
 	c.Assert(isSlow(start), qt.IsTrue, qt.Commentf("one of six"))
 	c.Assert(isSlow(start.Add(pausedLife)), qt.IsFalse)
 	for range 12 {
-		see(false)
+		observe(false)
 	}
 	c.Assert(isSlow(start), qt.IsFalse)
 }
 
-// What was found of a runner outlives the leader, and the runner too.
-func TestSpeedIsRememberedByPlace(t *testing.T) {
+// The assessment survives a change of the leader and a restart of the runner.
+func TestSlownessIsKeptByEndpoint(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner(Options{}, start)
 	p.SetDocument(twoModels())
@@ -130,7 +129,7 @@
 	p.SetRunners(start, status(1))
 	p.judge(start)
 	c.Assert(p.IsSlow("r"), qt.IsTrue)
-	c.Assert(p.TakeJudgements(), qt.DeepEquals, []Judgement{{Instance: "r", Slowness: slowFrom, IsSlow: true, Pace: pace.Runner{Slowness: slowFrom}}})
+	c.Assert(p.TakeJudgements(), qt.DeepEquals, []Judgement{{Instance: "r", Slowness: slowThreshold, IsSlow: true, Pace: pace.Runner{Slowness: slowThreshold}}})
 	c.Assert(p.TakeJudgements(), qt.HasLen, 0)
 	next := status(1)
 	next[0].Heartbeat.Instance = "next"
@@ -138,12 +137,11 @@
 	p.SetRunners(at, next)
 	p.judge(at)
 	c.Assert(p.IsSlowPlace("next"), qt.IsTrue)
-	c.Assert(p.IsSlow("r"), qt.IsFalse, qt.Commentf("gone"))
+	c.Assert(p.IsSlow("r"), qt.IsFalse, qt.Commentf("the runner has been removed"))
 }
 
-// The streams of a busy runner are slower than those of an idle one. That is its load, not
-// its speed.
-func TestLoadIsNotTakenForSlowness(t *testing.T) {
+// Streams at a busy runner are slower because of its load, not its speed.
+func TestLoadIsNotSlowness(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(2, func(_ int, heartbeat *fleet.Heartbeat) { heartbeat.Models = []fleet.LoadedModel{{Name: "m0"}} })
 	for i := range 40 {
--- a/placement/residency/plan.go
+++ b/placement/residency/plan.go
@@ -5,33 +5,33 @@
 )
 
 const (
-	// maxIncoming is how many adapters may be on their way to a runner at once.
+	// maxIncoming is the maximum number of adapters being loaded at a runner.
 	maxIncoming = 4
-	// roomMadeIn is how long an unload that makes room is waited for before another runner
-	// is tried: several times what it takes for an unused model. roomDrainedIn is the same
-	// for a model in use: twice the two seconds that a usual stream takes.
-	roomMadeIn    = time.Second
-	roomDrainedIn = 4 * time.Second
-	// reservationTime is how long room is kept for a model while others make way.
+	// idleUnloadTimeout is how long the unload of an unused model is awaited before another runner
+	// is tried, and drainTimeout the same for a model in use: twice the duration of a typical
+	// stream.
+	idleUnloadTimeout = time.Second
+	drainTimeout      = 4 * time.Second
+	// reservationTime is how long memory is reserved for a model while others are unloaded.
 	reservationTime = 10 * time.Second
-	// loadTimeout is after how long a load that does not end is looked into.
+	// loadTimeout is the time after which a load that has not ended is checked by a poll.
 	loadTimeout = 20 * time.Second
-	// keptAdapters is for how many adapters every runner keeps room.
-	keptAdapters = 8
+	// reservedAdapters is the number of adapters for which each runner reserves memory.
+	reservedAdapters = 8
 )
 
-// Plan returns the orders to send now, at most one for each runner. Each must be
-// followed by Answered.
+// Plan returns the orders to send now, at most one for each runner. Each must be followed by a call
+// of Answered.
 func (p *Planner) Plan(now time.Time) []Order {
-	p.advance(now)
+	p.completeAdapters(now)
 	if p.document == nil {
 		return nil
 	}
-	p.repair(now)
-	p.takeTally(now)
+	p.recheckStalled(now)
+	p.takeSnapshot(now)
 	p.followStores(now)
 	if now.Before(p.ordersFrom) {
-		p.foresee(now)
+		p.forecastOnly(now)
 		return nil
 	}
 	p.judge(now)
@@ -43,7 +43,7 @@
 	}
 	needs := p.needs(now)
 	p.dropUnneeded(needs)
-	p.tally.addReservations(now)
+	p.snapshot.addReservations(now)
 	for i := range needs {
 		if order, found := p.loadModel(now, &needs[i]); found {
 			orders = append(orders, order)
@@ -53,23 +53,23 @@
 	return orders
 }
 
-// dropUnneeded gives up what was kept for models which need no further replica.
+// dropUnneeded releases the reservations for models that need no further replica.
 func (p *Planner) dropUnneeded(needs []need) {
 	wanted := make(map[Row]bool, len(needs))
 	for _, each := range needs {
 		wanted[each.row] = true
 	}
 	p.forgetAwaited(wanted)
-	for _, known := range p.runners {
-		if known.reserved != "" && !wanted[known.rowOf(known.reserved)] {
-			known.reserved, known.storeKeptUntil = "", time.Time{}
+	for _, r := range p.runners {
+		if r.reserved != "" && !wanted[r.rowOf(r.reserved)] {
+			r.reserved, r.storeSlotUntil = "", time.Time{}
 		}
 	}
 }
 
-// foresee forecasts loads that may not be ordered yet, since orders of the leader before
-// may still be on their way.
-func (p *Planner) foresee(now time.Time) {
+// forecastOnly forecasts loads without ordering them, while orders of the previous leader may still
+// be executed.
+func (p *Planner) forecastOnly(now time.Time) {
 	needs := p.needs(now)
 	for i := range needs {
 		needs[i].obstacle = ObstacleLease
@@ -77,38 +77,38 @@
 	p.forecast(now, needs)
 }
 
-// repair asks again about loads and unloads that do not end.
-func (p *Planner) repair(now time.Time) {
-	for _, known := range p.runners {
-		for _, held := range known.holdings {
+// recheckStalled has runners polled whose loads or unloads don't end.
+func (p *Planner) recheckStalled(now time.Time) {
+	for _, r := range p.runners {
+		for _, held := range r.holdings {
 			isMoving := held.phase == phaseLoading || held.phase == phaseUnloading
-			if isMoving && now.Sub(held.since) > loadTimeout && now.Sub(known.askedAt) > loadTimeout {
-				known.isTakenKnown = false
+			if isMoving && now.Sub(held.since) > loadTimeout && now.Sub(r.askedAt) > loadTimeout {
+				r.isTakenKnown = false
 			}
 		}
 	}
 }
 
-// holders lists the runners on which requests may use the model.
-func (p *Planner) holders(row Row) []*runner { return p.tally.holders[modelOf(row)] }
+// holders returns the runners on which requests may use the model.
+func (p *Planner) holders(row Row) []*runner { return p.snapshot.holders[modelOf(row)] }
 
-// coming lists the runners that load the model.
-func (p *Planner) coming(row Row) []*runner { return p.tally.coming[modelOf(row)] }
+// coming returns the runners that load the model.
+func (p *Planner) coming(row Row) []*runner { return p.snapshot.coming[modelOf(row)] }
 
-// mayOrder reports whether the runner can be given an order about a model.
-func (p *Planner) mayOrder(known *runner) bool {
-	return known.status.MayServe() && !known.isGone && known.isTakenKnown && !known.sent && !known.isOccupied()
+// mayOrder reports whether the runner may be sent an order about a model.
+func (p *Planner) mayOrder(r *runner) bool {
+	return r.status.MayServe() && !r.isGone && r.isTakenKnown && !r.sent && !r.isOccupied()
 }
 
-// send notes an order as sent: what it loads is counted from now on, and what it
-// unloads is no longer offered to requests.
-func (p *Planner) send(now time.Time, known *runner, operation Operation, model, adapter string) Order {
-	before := known.loaded()
-	known.sent = true
-	held := known.holdings[model]
+// send records an order as sent: what it loads counts as held from now on, and what it unloads is
+// no longer offered to requests.
+func (p *Planner) send(now time.Time, r *runner, operation Operation, model, adapter string) Order {
+	before := r.loaded()
+	r.sent = true
+	held := r.holdings[model]
 	switch {
 	case operation == Load && adapter == "":
-		known.holdings[model] = newHolding(now, phaseUncertain)
+		r.holdings[model] = newHolding(now, phaseUncertain)
 	case operation == Load:
 		held.adapters[adapter] = newHolding(now, phaseUncertain)
 	case adapter == "":
@@ -116,17 +116,17 @@
 	default:
 		held.adapters[adapter].phase = phaseUnloading
 	}
-	p.noteChange(before, known)
-	p.tally.noteSent(known)
+	p.noteChange(before, r)
+	p.snapshot.noteSent(r)
 	if adapter == "" {
-		p.tally.noteOrder(known, operation, model)
+		p.snapshot.noteOrder(r, operation, model)
 	}
 	return Order{
-		Instance:  known.status.Heartbeat.Instance,
-		Address:   known.status.Heartbeat.Address,
+		Instance:  r.status.Heartbeat.Instance,
+		Address:   r.status.Heartbeat.Address,
 		Operation: operation,
 		Model:     model,
 		Adapter:   adapter,
-		Expected:  known.taken,
+		Expected:  r.taken,
 	}
 }
--- a/placement/residency/planner.go
+++ b/placement/residency/planner.go
@@ -12,61 +12,61 @@
 	"github.com/lotusferry/lotusferry/placement/weightstore"
 )
 
-// Planner decides on loads and unloads. Its methods must not run at the same time.
+// Planner decides on loads and unloads. It is not safe for concurrent use.
 type Planner struct {
 	options Options
-	// ordersFrom is when orders may begin; see NewPlanner.
+	// ordersFrom is the time from which orders may be sent; see NewPlanner.
 	ordersFrom time.Time
 	document   *site.Index
 	runners    map[string]*runner
-	// order is that of the runners by instance, as long as isOrdered is set: they come and go seldom.
+	// order lists the runners sorted by instance; valid while isOrdered is set.
 	order     []*runner
 	isOrdered bool
 	demands   map[Row]*rowDemand
-	// idleDemand are by service.
+	// idleDemand is keyed by service.
 	idleDemand map[string]*idleDemand
-	// routerZones are by router.
+	// routerZones is keyed by router.
 	routerZones map[string]string
-	// runnersAt is when a runner was last added.
+	// runnersAt is the time at which a runner was last added.
 	runnersAt time.Time
-	// aheadAt is when models were last loaded ahead of need.
-	aheadAt map[Row]time.Time
-	// observedFrom is when the first demand was reported.
+	// preloadedAt is the time of the last preload of each model.
+	preloadedAt map[Row]time.Time
+	// observedFrom is the time of the first report of demand.
 	observedFrom time.Time
-	// stores bound the loads from the weight store, by service.
+	// stores limit the loads from the weight stores, by service.
 	stores map[string]*weightstore.Limiter
-	// recalledStores are by service; see RecallStore.
+	// recalledStores is keyed by service; see RecallStore.
 	recalledStores map[string]recalledStore
-	// awaitedCopies is since when a copy of a model has been waited for.
+	// awaitedCopies is the time since which a copy of a model has been awaited.
 	awaitedCopies map[Row]time.Time
-	// paces learns what work takes at the runners.
+	// paces learns the speed of the runners.
 	paces  *pace.Learner
 	pauses pauses
-	// bearings are by service.
-	bearings map[string]*bearing
-	// judgements is by instance, as of judgedAt; judged are those that have changed.
+	// capacityModels is keyed by service.
+	capacityModels map[string]*capacityModel
+	// judgements is keyed by instance, as of judgedAt; judged lists those that have changed.
 	judgements map[string]Judgement
 	judgedAt   time.Time
 	judged     []Judgement
-	// slowness is what was last believed of the runner in each place.
-	slowness map[place]float64
-	// questions may be asked, as of questionsAt.
+	// slowness is the last known slowness at each endpoint.
+	slowness map[endpoint]float64
+	// questions is the number of polls allowed, as of questionsAt.
 	questions   float64
 	questionsAt time.Time
-	// tally is that of the plan under way.
-	tally *tally
-	// unmet are the needs that the last plan could not bring about.
+	// snapshot is the state that the current plan is based on.
+	snapshot *snapshot
+	// unmet lists the needs that the last plan could not meet.
 	unmet []need
-	// listing numbers the calls of SetRunners.
+	// listing is the number of calls of SetRunners.
 	listing uint64
-	// readyAt is when models that requests wait for should be ready.
+	// readyAt is the expected time at which each model with waiting requests is ready.
 	readyAt map[Row]time.Time
-	// arrived are the rows that have become ready since they were last taken.
+	// arrived holds the rows that have become ready since the last call of TakeArrived.
 	arrived map[Row]bool
 }
 
-// NewPlanner makes the planner of a leadership. No order is planned before
-// ordersFrom, by when orders of the leader before are out of the way.
+// NewPlanner returns a planner for a new leader. It plans no orders before ordersFrom, by which
+// time the orders of the previous leader have been executed or have expired.
 func NewPlanner(options Options, ordersFrom time.Time) *Planner {
 	return &Planner{
 		options:    options.withDefaults(),
@@ -81,32 +81,32 @@
 
 		recalledStores: make(map[string]recalledStore),
 		awaitedCopies:  make(map[Row]time.Time),
-		aheadAt:        make(map[Row]time.Time),
-
-		paces:      pace.NewLearner(),
-		pauses:     make(pauses),
-		bearings:   make(map[string]*bearing),
-		judgements: make(map[string]Judgement),
-		slowness:   make(map[place]float64),
-		arrived:    make(map[Row]bool),
+		preloadedAt:    make(map[Row]time.Time),
+
+		paces:          pace.NewLearner(),
+		pauses:         make(pauses),
+		capacityModels: make(map[string]*capacityModel),
+		judgements:     make(map[string]Judgement),
+		slowness:       make(map[endpoint]float64),
+		arrived:        make(map[Row]bool),
 	}
 }
 
-// SetOrdersFrom changes the time from which orders are planned.
+// SetOrdersFrom sets the time from which orders are planned.
 func (p *Planner) SetOrdersFrom(ordersFrom time.Time) { p.ordersFrom = ordersFrom }
 
-// SetDocument adopts a site document.
+// SetDocument sets the site document.
 func (p *Planner) SetDocument(document *site.Index) { p.document = document }
 
-// Loaded lists the models that requests may use at the runner.
+// Loaded returns the models that requests may use at the runner.
 func (p *Planner) Loaded(instance string) []fleet.LoadedModel {
-	if known := p.runners[instance]; known != nil {
-		return known.loaded()
+	if r := p.runners[instance]; r != nil {
+		return r.loaded()
 	}
 	return nil
 }
 
-// SetRunners adopts the runners that live, each listed once.
+// SetRunners sets the live runners, each listed once.
 func (p *Planner) SetRunners(now time.Time, statuses []fleet.Status) {
 	p.listing++
 	for i := range statuses {
@@ -119,33 +119,33 @@
 
 func (p *Planner) setRunner(now time.Time, status *fleet.Status) {
 	instance := status.Heartbeat.Instance
-	known := p.runners[instance]
-	isAdded := known == nil
+	r := p.runners[instance]
+	isAdded := r == nil
 	if isAdded {
-		known = &runner{holdings: make(map[string]*holding)}
-		p.runners[instance] = known
+		r = &runner{holdings: make(map[string]*holding)}
+		p.runners[instance] = r
 		p.runnersAt = now
 		p.isOrdered = false
 	}
-	wasHeard := !isAdded && !known.status.Recalled
-	isNew := !status.Recalled && (!wasHeard || status.Heartbeat.Sequence > known.status.Heartbeat.Sequence)
-	known.status, known.listing = *status, p.listing
+	hadHeartbeat := !isAdded && !r.status.Recalled
+	isNew := !status.Recalled && (!hadHeartbeat || status.Heartbeat.Sequence > r.status.Heartbeat.Sequence)
+	r.status, r.listing = *status, p.listing
 	if isAdded {
-		p.paces.Expect(now, instance, p.slowness[known.place()])
+		p.paces.Expect(now, instance, p.slowness[r.endpoint()])
 	}
 	if isNew {
-		known.isGone = false
-		known.noteCopies()
-		before := known.loaded()
-		known.hear(now, status.Heartbeat.Models, p.options.ReportLag)
-		p.noteChange(before, known)
+		r.isGone = false
+		r.noteCopies()
+		before := r.loaded()
+		r.applyHeartbeat(now, status.Heartbeat.Models, p.options.ReportLag)
+		p.noteChange(before, r)
 	}
 }
 
-// forgetUnlisted drops the runners that the last listing lacks.
+// forgetUnlisted deletes the runners that are missing from the last call of SetRunners.
 func (p *Planner) forgetUnlisted() {
-	for instance, known := range p.runners {
-		if known.listing != p.listing {
+	for instance, r := range p.runners {
+		if r.listing != p.listing {
 			delete(p.runners, instance)
 		}
 	}
@@ -155,19 +155,19 @@
 	p.pauses.forget(isListed)
 }
 
-// Observe takes a router's report of demand.
+// Observe records a router's report of demand.
 func (p *Planner) Observe(now time.Time, router string, demands []Demand) {
 	if p.observedFrom.IsZero() {
 		p.observedFrom = now
 	}
 	for _, demand := range demands {
-		known := p.demands[demand.Row]
-		if known == nil {
-			known = &rowDemand{reports: make(map[string]routerDemand)}
-			p.demands[demand.Row] = known
+		total := p.demands[demand.Row]
+		if total == nil {
+			total = &rowDemand{reports: make(map[string]routerDemand)}
+			p.demands[demand.Row] = total
 		}
-		known.add(now, router, demand, p.options.RateTime)
-		known.addZone(p.routerZones[router], demand.Arrived, p.options.RateTime)
+		total.add(now, router, demand, p.options.RateTime)
+		total.addZone(p.routerZones[router], demand.Arrived, p.options.RateTime)
 		if demand.Arrived > 0 {
 			p.idleDemandOf(demand.Row.Service).observe(now, demand.Row.Model, p.listedModels(demand.Row.Service))
 		}
@@ -175,14 +175,14 @@
 			if active.Count > 0 {
 				p.noteUse(now, active.Instance, demand.Row)
 			}
-			if known := p.runners[active.Instance]; known != nil && active.Prompt > 0 {
-				known.read.add(now, active.Prompt)
+			if r := p.runners[active.Instance]; r != nil && active.Prompt > 0 {
+				r.read.add(now, active.Prompt)
 			}
 		}
 	}
 }
 
-// listedModels counts the models that the document lists for a service.
+// listedModels returns the number of models that the document lists for a service.
 func (p *Planner) listedModels(service string) int {
 	if p.document == nil || p.document.Service(service) == nil || p.document.Service(service).Engine == nil {
 		return 0
@@ -191,35 +191,34 @@
 }
 
 func (p *Planner) idleDemandOf(service string) *idleDemand {
-	known := p.idleDemand[service]
-	if known == nil {
-		known = newIdleDemand()
-		p.idleDemand[service] = known
+	demand := p.idleDemand[service]
+	if demand == nil {
+		demand = newIdleDemand()
+		p.idleDemand[service] = demand
 	}
-	return known
+	return demand
 }
 
 func (p *Planner) noteUse(now time.Time, instance string, row Row) {
-	known := p.runners[instance]
-	if known == nil || known.holdings[row.Model] == nil {
+	r := p.runners[instance]
+	if r == nil || r.holdings[row.Model] == nil {
 		return
 	}
-	held := known.holdings[row.Model]
+	held := r.holdings[row.Model]
 	held.usedAt = now
 	if adapter := held.adapters[row.Adapter]; adapter != nil {
 		adapter.usedAt = now
 	}
 }
 
-// Questions lists the runners that should be asked for a report now. Those that have
-// waited the longest come first.
+// Questions returns the runners to poll for a report now, those polled the longest ago first.
 func (p *Planner) Questions(now time.Time) []fleet.Status {
 	p.refillQuestions(now)
 	isEarly := now.Before(p.ordersFrom.Add(-p.options.AskAgain))
 	candidates := slices.Clone(p.sorted())
 	slices.SortStableFunc(candidates, func(a, b *runner) int { return a.askedAt.Compare(b.askedAt) })
-	known := p.knownRunners(candidates)
-	var asked []fleet.Status
+	orderable := p.countOrderable(candidates)
+	var polled []fleet.Status
 	for _, each := range candidates {
 		if p.questions < 1 {
 			break
@@ -233,59 +232,59 @@
 		if now.Before(each.pausedUntil) || now.Sub(each.changedAt) < p.options.ReportLag || now.Sub(each.askedAt) < p.options.AskAgain {
 			continue
 		}
-		if known.areEnough(each) && !p.isWaitedFor(each) {
+		if orderable.isEnough(each) && !p.isWaitedFor(each) {
 			continue
 		}
 		each.askedAt = now
 		p.questions--
-		asked = append(asked, each.status)
+		polled = append(polled, each.status)
 	}
-	return asked
+	return polled
 }
 
-// enoughKnown is of how many runners of a service it must be known how many orders they have taken, besides those
-// that hold what requests wait for: more than any plan orders at once. To ask ten thousand takes a leader a
-// minute, a fifth of its time and a question to each.
-const enoughKnown = 512
+// minOrderable is the number of runners of a service with a known number of taken orders from which
+// others are only polled if requests wait for one of their models. It exceeds the orders of any
+// plan. A new leader would need about a minute to poll ten thousand runners.
+const minOrderable = 512
 
-// knownRunners counts, by service, the runners that could be given an order.
-type knownRunners map[string]int
+// orderableCounts holds the number of runners that may be sent an order, by service.
+type orderableCounts map[string]int
 
-func (p *Planner) knownRunners(candidates []*runner) knownRunners {
-	known := make(knownRunners)
+func (p *Planner) countOrderable(candidates []*runner) orderableCounts {
+	counts := make(orderableCounts)
 	for _, each := range candidates {
 		if each.isTakenKnown && each.status.MayServe() {
-			known[each.status.Heartbeat.Service]++
+			counts[each.status.Heartbeat.Service]++
 		}
 	}
-	return known
+	return counts
 }
 
-// areEnough reports whether a runner need not be asked only so that there are some to order loads from.
-func (k knownRunners) areEnough(asked *runner) bool {
-	return k[asked.status.Heartbeat.Service] >= enoughKnown
+// isEnough reports whether the runner need not be polled just to make it available for orders.
+func (k orderableCounts) isEnough(polled *runner) bool {
+	return k[polled.status.Heartbeat.Service] >= minOrderable
 }
 
 // isWaitedFor reports whether requests wait for a model that the runner holds or has a copy of.
-func (p *Planner) isWaitedFor(known *runner) bool {
-	if p.tally == nil {
+func (p *Planner) isWaitedFor(r *runner) bool {
+	if p.snapshot == nil {
 		return false
 	}
-	for model := range known.holdings {
-		if p.tally.waiting[known.rowOf(model)] > 0 {
+	for model := range r.holdings {
+		if p.snapshot.waiting[r.rowOf(model)] > 0 {
 			return true
 		}
 	}
-	for model := range known.copies {
-		if p.tally.waiting[known.rowOf(model)] > 0 {
+	for model := range r.copies {
+		if p.snapshot.waiting[r.rowOf(model)] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// refillQuestions allows what the time since the last call allows: a new leader of a
-// large site must not ask thousands of runners at once.
+// refillQuestions refills the allowance of polls, which prevents a new leader of a large site from
+// polling thousands of runners at once.
 func (p *Planner) refillQuestions(now time.Time) {
 	if p.questionsAt.IsZero() {
 		p.questions = p.options.QuestionBurst
@@ -296,36 +295,36 @@
 	p.questionsAt = now
 }
 
-// Reported takes the answer to a question that was asked at askedAt.
+// Reported applies the report of a runner that was polled at askedAt.
 func (p *Planner) Reported(now, askedAt time.Time, instance string, report Report) {
-	known := p.runners[instance]
-	if known == nil || known.sent || askedAt.Sub(known.changedAt) < p.options.ReportLag {
+	r := p.runners[instance]
+	if r == nil || r.sent || askedAt.Sub(r.changedAt) < p.options.ReportLag {
 		return
 	}
-	before := known.loaded()
-	known.reconcile(now, report)
-	p.noteChange(before, known)
+	before := r.loaded()
+	r.applyReport(now, report)
+	p.noteChange(before, r)
 }
 
-func (p *Planner) engineOf(known *runner) *site.Engine {
+func (p *Planner) engineOf(r *runner) *site.Engine {
 	if p.document == nil {
 		return nil
 	}
-	service := p.document.Service(known.status.Heartbeat.Service)
+	service := p.document.Service(r.status.Heartbeat.Service)
 	if service == nil {
 		return nil
 	}
 	return service.Engine
 }
 
-// sorted lists the runners by instance. The list must not be changed.
+// sorted returns the runners by instance. The list must not be modified.
 func (p *Planner) sorted() []*runner {
 	if p.isOrdered {
 		return p.order
 	}
 	p.order = make([]*runner, 0, len(p.runners))
-	for _, known := range p.runners {
-		p.order = append(p.order, known)
+	for _, r := range p.runners {
+		p.order = append(p.order, r)
 	}
 	slices.SortFunc(p.order, func(a, b *runner) int {
 		return strings.Compare(a.status.Heartbeat.Instance, b.status.Heartbeat.Instance)
@@ -334,7 +333,7 @@
 	return p.order
 }
 
-// waits lists the rows that wait, the most urgent first.
+// waits returns the rows with waiting requests, the most urgent first.
 func (p *Planner) waits(now time.Time) []waiting {
 	var rows []waiting
 	for row, demand := range p.demands {
@@ -352,23 +351,22 @@
 	return rows
 }
 
-// modelDemand is the demand for a model with all of its adapters.
+// modelDemand is the demand for a model including all of its adapters.
 type modelDemand struct {
-	// rate is the larger of the long and the short average, in requests a second.
+	// rate is the larger of the long and the short average, in requests per second.
 	rate float64
-	// objective is the shortest of its rows; 0 if none is known.
+	// objective is the shortest objective of its rows; 0 if none is known.
 	objective time.Duration
 }
 
-// modelDemand is the demand for a model.
-func (p *Planner) modelDemand(row Row) modelDemand { return p.tally.demands[modelOf(row)] }
+// modelDemand returns the demand for the model of a row.
+func (p *Planner) modelDemand(row Row) modelDemand { return p.snapshot.demands[modelOf(row)] }
 
-// Doubt notes runners that refused requests for what they were thought to hold. They
-// are asked for a report.
+// Doubt has runners polled that refused requests for models they were listed with.
 func (p *Planner) Doubt(now time.Time, instances []string) {
 	for _, instance := range instances {
-		if known := p.runners[instance]; known != nil && now.Sub(known.askedAt) >= p.options.AskAgain {
-			known.isTakenKnown = false
+		if r := p.runners[instance]; r != nil && now.Sub(r.askedAt) >= p.options.AskAgain {
+			r.isTakenKnown = false
 		}
 	}
 }
--- a/placement/residency/planner_test.go
+++ b/placement/residency/planner_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(5000, 0)
 
-// twoModels is a service whose runners hold one of its two models at a time.
+// twoModels returns a service whose runners hold one of its two models at a time.
 func twoModels() *site.Index {
 	engine := &site.Engine{WeightsMB: 100, MaxAdapters: 2, LoadsPerSecond: 2, Models: []site.Model{
 		{Name: "a", SizeMB: 80, AdapterMB: 1, LoadTime: 3 * time.Second},
@@ -42,7 +42,7 @@
 	p.Observe(at, "router", []Demand{{Row: row, Waiting: 1, Arrived: 1}})
 }
 
-func TestNoOrderBeforeTheFormerLeadersAreOutOfTheWay(t *testing.T) {
+func TestNoOrderBeforeOrdersFrom(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner(Options{}, start.Add(3*time.Second))
 	p.SetDocument(twoModels())
@@ -53,21 +53,21 @@
 	c.Assert(p.Plan(start.Add(3*time.Second)), qt.HasLen, 1)
 }
 
-func TestOrdersExpectTheNumberThatTheRunnerTold(t *testing.T) {
+func TestOrderExpectsReportedNumber(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPlanner()
 	waitFor(p, start, Row{Model: "a"})
-	c.Assert(p.Plan(start), qt.HasLen, 0, qt.Commentf("nobody knows yet how many orders were taken"))
+	c.Assert(p.Plan(start), qt.HasLen, 0, qt.Commentf("the number of taken orders is unknown"))
 	c.Assert(p.Questions(start), qt.HasLen, 1)
-	c.Assert(p.Questions(start), qt.HasLen, 0, qt.Commentf("asked already"))
+	c.Assert(p.Questions(start), qt.HasLen, 0, qt.Commentf("already polled"))
 	p.Reported(start, start, "r", Report{Taken: 7})
 	orders := p.Plan(start)
 	c.Assert(orders, qt.DeepEquals, []Order{{Instance: "r", Address: "r:1", Operation: Load, Model: "a", Expected: 7}})
 	c.Assert(p.Plan(start), qt.HasLen, 0, qt.Commentf("one order at a time"))
 }
 
-// A new leader asks a runner that loads what the former leader ordered.
-func TestBusyRunnerIsAskedAgain(t *testing.T) {
+// A new leader polls a runner that executes an order of the previous leader.
+func TestBusyRunnerIsPolledAgain(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPlanner()
 	waitFor(p, start, Row{Model: "a"})
@@ -85,7 +85,7 @@
 	c.Assert(orders[0].Model, qt.Equals, "b")
 }
 
-func TestIdleModelMakesWayForAWaitedForOne(t *testing.T) {
+func TestIdleModelIsEvictedForWaitingRequests(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPlanner("b")
 	p.Reported(start, start, "r", Report{Taken: 1, Models: []fleet.LoadedModel{{Name: "b"}}})
@@ -94,10 +94,10 @@
 	orders := p.Plan(at)
 	c.Assert(orders, qt.HasLen, 1)
 	c.Assert(orders[0].Operation, qt.Equals, Unload)
-	c.Assert(p.Loaded("r"), qt.HasLen, 0, qt.Commentf("no request may begin to use it"))
+	c.Assert(p.Loaded("r"), qt.HasLen, 0, qt.Commentf("no new request may use it"))
 	p.Answered(at, orders[0], OutcomeAccepted)
 	waitFor(p, at, Row{Model: "a"})
-	c.Assert(p.Plan(at), qt.HasLen, 0, qt.Commentf("the runner has not said that the model is gone"))
+	c.Assert(p.Plan(at), qt.HasLen, 0, qt.Commentf("no heartbeat has confirmed the unload"))
 	p.SetRunners(at, status(2))
 	orders = p.Plan(at)
 	c.Assert(orders, qt.HasLen, 1)
@@ -105,7 +105,7 @@
 	c.Assert(orders[0].Expected, qt.Equals, uint64(2))
 }
 
-func TestModelInUseDoesNotMakeWay(t *testing.T) {
+func TestModelInUseIsNotEvicted(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPlanner("b")
 	p.Reported(start, start, "r", Report{Taken: 1, Models: []fleet.LoadedModel{{Name: "b"}}})
@@ -115,7 +115,7 @@
 	c.Assert(p.Plan(at), qt.HasLen, 0)
 }
 
-func TestUnansweredOrderIsSettledByAReport(t *testing.T) {
+func TestUnansweredOrderIsSettledByReport(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPlanner()
 	p.Reported(start, start, "r", Report{Taken: 1})
@@ -128,8 +128,8 @@
 	c.Assert(p.Plan(at), qt.HasLen, 0)
 	at = at.Add(time.Second)
 	c.Assert(p.Questions(at), qt.HasLen, 1)
-	// The runner has not taken it, but may later. The next order expects the same
-	// number, so that only one of the two is executed.
+	// The runner has not taken the order, but may later. The next order expects the same number, so
+	// that only one of the two is executed.
 	p.Reported(at, at, "r", Report{Taken: 1})
 	waitFor(p, at, Row{Model: "a"})
 	second := p.Plan(at)
@@ -137,7 +137,7 @@
 	c.Assert(second[0].Expected, qt.Equals, first[0].Expected)
 }
 
-func TestRunnerInWhosePlaceAnotherAnswersGetsNoOrders(t *testing.T) {
+func TestReplacedRunnerGetsNoOrders(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPlanner()
 	p.Reported(start, start, "r", Report{Taken: 1})
@@ -151,7 +151,7 @@
 	c.Assert(p.Questions(at), qt.HasLen, 1)
 }
 
-func TestAdapterWaitsForItsModelAndForRoom(t *testing.T) {
+func TestAdapterWaitsForEvictionAndLoad(t *testing.T) {
 	c := qt.New(t)
 	p := newTestPlanner("a")
 	p.Reported(start, start, "r", Report{Taken: 1, Models: []fleet.LoadedModel{{Name: "a", Adapters: []string{"x", "y"}}}})
@@ -173,8 +173,8 @@
 	c.Assert(p.Loaded("r")[0].Adapters, qt.Contains, "z")
 }
 
-// Where a model stands in the document's list says nothing about the demand to come.
-func TestNoModelIsLoadedForItsPlaceInTheList(t *testing.T) {
+// The position of a model in the document is no reason to load it.
+func TestPositionInDocumentCausesNoLoad(t *testing.T) {
 	for _, busy := range []string{"a", "b"} {
 		t.Run(busy, func(t *testing.T) {
 			c := qt.New(t)
@@ -192,9 +192,9 @@
 	}
 }
 
-// A heartbeat that comes seconds late shows a state from before what a report told, as
-// after a change of the leader. It must not make room that there is not.
-func TestLateHeartbeatDoesNotTakeAwayWhatAReportTold(t *testing.T) {
+// A late heartbeat, as after a change of the leader, may be older than the last report. Guards
+// against a load without free memory.
+func TestLateHeartbeatDoesNotOverrideReport(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner(Options{}, start)
 	p.SetDocument(twoModels())
@@ -206,9 +206,9 @@
 	p.SetRunners(at, status(7))
 	waitFor(p, at, Row{Model: "a"})
 	for _, order := range p.Plan(at) {
-		c.Assert(order.Operation, qt.Equals, Unload, qt.Commentf("there is no room for a load"))
+		c.Assert(order.Operation, qt.Equals, Unload, qt.Commentf("the memory is in use"))
 	}
-	c.Assert(p.Questions(at), qt.HasLen, 1, qt.Commentf("the runner is asked what holds"))
+	c.Assert(p.Questions(at), qt.HasLen, 1, qt.Commentf("the runner is polled"))
 	p.Reported(at, at, "r", Report{Taken: 84})
 	waitFor(p, at, Row{Model: "a"})
 	orders := p.Plan(at)
@@ -216,8 +216,8 @@
 	c.Assert(orders[0].Operation, qt.Equals, Load)
 }
 
-// A new leader of a large site asks its runners one after the other.
-func TestQuestionsAreBounded(t *testing.T) {
+// Guards against a new leader that polls all runners of a large site at once.
+func TestPollsAreRateLimited(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner(Options{QuestionRate: 10, QuestionBurst: 4}, start)
 	p.SetDocument(twoModels())
@@ -242,11 +242,11 @@
 	for second := range 4 {
 		ask(start.Add(time.Duration(second+1) * time.Second))
 	}
-	c.Assert(asked, qt.HasLen, 20, qt.Commentf("nobody is asked again before all were asked"))
+	c.Assert(asked, qt.HasLen, 20, qt.Commentf("no runner is polled twice before all have been polled"))
 }
 
-// All models of a runner share its batch, so that two in demand are kept apart; and
-// while a runner loads a model, requests for its adapters wait.
+// The models of a runner share its batch, so that two models in demand are kept apart. Requests for
+// adapters wait while their runner loads a model.
 func TestLoadsAvoidRunnersInDemand(t *testing.T) {
 	engine := &site.Engine{WeightsMB: 200, MaxAdapters: 2, LoadsPerSecond: 2, Models: []site.Model{
 		{Name: "a", SizeMB: 80, AdapterMB: 1, LoadTime: 3 * time.Second},
@@ -282,15 +282,15 @@
 	}
 }
 
-// A new leader knows little of the demand: it must not take a replica away from a model
-// that it has seen asked for since it began.
-func TestNewLeaderKeepsWhatIsAskedFor(t *testing.T) {
+// A new leader has observed little demand. Guards against evicting a model that has been requested
+// since it started.
+func TestNewLeaderKeepsRequestedModel(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		observed time.Duration
 		orders   int
 	}{
-		{"just begun", time.Second, 0},
+		{"new leader", time.Second, 0},
 		{"demand known", time.Minute, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -307,9 +307,8 @@
 	}
 }
 
-// The only runner with a model is lost. Those who wait get it from another one, without
-// waiting until the lost one has been silent for long.
-func TestModelOfALostRunnerIsLoadedElsewhere(t *testing.T) {
+// Guards against waiting for the heartbeat timeout of a lost runner.
+func TestModelOfLostRunnerIsLoadedElsewhere(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(2, func(i int, heartbeat *fleet.Heartbeat) {
 		if i == 0 {
@@ -327,16 +326,16 @@
 	c.Assert(orders[0].Instance, qt.Equals, "r1")
 }
 
-// Many replicas of a model that is little asked for share its requests, so that none of them
-// is ever unused. One of them makes way all the same.
-func TestSpareReplicaInUseMakesWay(t *testing.T) {
+// Requests spread over many replicas of a model in little demand, so that none of them is ever
+// idle. One is evicted all the same.
+func TestRedundantReplicaInUseIsEvicted(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		rate      int
 		isOrdered bool
 	}{
-		{"little demand", 2, true},
-		{"as much as the others can serve", 12, false},
+		{"low demand", 2, true},
+		{"as much as the other replicas can serve", 12, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/placement/residency/ahead_test.go
+++ b/placement/residency/preload_test.go
@@ -10,9 +10,9 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// aheadPlanner is a planner of two runners that hold and have copies of all models but m19; m0
-// is nowhere but at r0, and m18 nowhere but at r1.
-func aheadPlanner() *Planner {
+// newPreloadPlanner returns a planner of two runners that hold one model each and have copies of
+// all models but m19. Runner r0 has the only copy of m0, and r1 that of m18.
+func newPreloadPlanner() *Planner {
 	return newStorePlanner(2, func(i int, heartbeat *fleet.Heartbeat) {
 		heartbeat.Models = []fleet.LoadedModel{{Name: fmt.Sprint("m", i)}}
 		for model := range 19 {
@@ -23,24 +23,22 @@
 	})
 }
 
-// Nobody has a model, and nothing else is wanted: it is loaded before the first request for it,
-// which would wait for longer than it can. The replica that makes way is not the last of a model
-// without another copy.
-func TestAbsentModelIsLoadedAheadOfNeed(t *testing.T) {
+// Guards against evicting the last replica of a model without another copy for a preload.
+func TestAbsentModelIsPreloaded(t *testing.T) {
 	c := qt.New(t)
-	p := aheadPlanner()
-	c.Assert(p.Plan(start.Add(aheadAfter-time.Millisecond)), qt.HasLen, 0, qt.Commentf("a runner may still come"))
-	at := start.Add(aheadAfter)
+	p := newPreloadPlanner()
+	c.Assert(p.Plan(start.Add(preloadDelay-time.Millisecond)), qt.HasLen, 0, qt.Commentf("further runners may still be added"))
+	at := start.Add(preloadDelay)
 	orders := p.Plan(at)
 	c.Assert(orders, qt.HasLen, 1)
 	c.Assert(orders[0].Operation, qt.Equals, Unload)
 	c.Assert(orders[0].Model, qt.Equals, "m1")
 }
 
-func TestNothingIsLoadedAheadBesideANeed(t *testing.T) {
+func TestNoPreloadBesideOtherNeeds(t *testing.T) {
 	c := qt.New(t)
-	p := aheadPlanner()
-	at := start.Add(aheadAfter)
+	p := newPreloadPlanner()
+	at := start.Add(preloadDelay)
 	waitForModels(p, at, 18, 1)
 	orders := p.Plan(at)
 	c.Assert(orders, qt.HasLen, 1)
@@ -49,14 +47,14 @@
 	c.Assert(p.Plan(at.Add(50*time.Millisecond)), qt.HasLen, 0)
 }
 
-// A new leader knows some runners only from the one before, and not which copies they have.
-func TestNewLeaderLoadsNothingAhead(t *testing.T) {
+// The copies of runners recalled from the previous leader are unknown.
+func TestNoPreloadByNewLeader(t *testing.T) {
 	c := qt.New(t)
-	p := aheadPlanner()
+	p := newPreloadPlanner()
 	heartbeat := fleet.Heartbeat{Instance: "r2", Service: "s", Address: "r2"}
 	statuses := []fleet.Status{{Heartbeat: heartbeat, Recalled: true}}
-	for _, known := range p.sorted() {
-		statuses = append(statuses, known.status)
+	for _, r := range p.sorted() {
+		statuses = append(statuses, r.status)
 	}
 	p.SetRunners(start, statuses)
 	c.Assert(p.Plan(start.Add(time.Minute)), qt.HasLen, 0)
--- a/placement/residency/runner.go
+++ b/placement/residency/runner.go
@@ -9,34 +9,33 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// phase is how far a model or adapter is.
+// phase is the state of a model or adapter at a runner.
 type phase uint8
 
 const (
 	// phaseReady: requests may use it.
 	phaseReady phase = iota + 1
-	// phaseLoading: an accepted order loads it.
+	// phaseLoading: an accepted order is loading it.
 	phaseLoading
-	// phaseUnloading: an order to unload it was sent and may have been taken.
+	// phaseUnloading: an order to unload it was sent and may have been accepted.
 	phaseUnloading
-	// phaseUncertain: an order to load it was sent, and nobody knows whether it was
-	// taken.
+	// phaseUncertain: an order to load it was sent, and the outcome is unknown.
 	phaseUncertain
 )
 
-// holding is a model or adapter on a runner, or on its way to or from there.
+// holding is a model or adapter that a runner holds, loads or unloads.
 type holding struct {
 	phase phase
 	since time.Time
-	// usedAt is when a request last needed it.
+	// usedAt is the time at which a request was last seen using it.
 	usedAt   time.Time
 	adapters map[string]*holding
-	// fromStore is set if the model comes or came from the weight store, and expected is
-	// how long its load was expected to take; 0 for one that this planner did not order.
+	// fromStore is set if the model comes or came from the weight store. expected is the expected
+	// time of its load; 0 if this planner didn't order it.
 	fromStore bool
 	expected  time.Duration
-	// isListed is set once a heartbeat that was heard has listed the model: only then
-	// is a heartbeat that does not list it certainly a newer one.
+	// isListed is set once a heartbeat has listed the model. Only then does a heartbeat without the
+	// model imply that it was unloaded.
 	isListed bool
 }
 
@@ -44,80 +43,77 @@
 	return &holding{phase: phase, since: now, usedAt: now, adapters: make(map[string]*holding)}
 }
 
-// runner is one life of a runner as the planner sees it.
+// runner is the planner's state of one run of a runner process.
 type runner struct {
 	status fleet.Status
 	// listing is the number of the last call of Planner.SetRunners that listed the runner.
 	listing  uint64
 	holdings map[string]*holding
-	// listed is what loaded returns, as long as isListed is set: at ten thousand runners nearly all hold what
-	// they held at the step before.
+	// listed caches the result of loaded; valid while isListed is set.
 	listed   []fleet.LoadedModel
 	isListed bool
-	// read is what routers let it read.
+	// read is the rate of prompt tokens that routers send to it.
 	read readTokens
-	// restsUntil is until when the runner probably takes no requests, as it asked a router for rest.
-	restsUntil time.Time
-	// pausedUntil is until when the runner wants no orders or questions.
+	// backoffUntil is the time until which the runner probably refuses requests.
+	backoffUntil time.Time
+	// pausedUntil is the time until which the runner gets no orders or polls.
 	pausedUntil time.Time
-	// copies says of which models the runner's machine has a copy, and where.
-	copies map[string]copyPlace
-	// weighed is what a load at the runner is weighed by in the plan under way; nil before
-	// it is needed.
-	weighed *weighed
-	// capability is what the runner bears, and load how many requests a second of the demand
-	// it should get, as of the last tally; see Planner.spreadDemand.
+	// copies lists the models of which the runner's machine has a copy.
+	copies map[string]copyLocation
+	// evictions caches the result of Planner.evictionsAt for one plan; nil before it is needed.
+	evictions *evictions
+	// capability is what the runner can serve, and load the rate of requests that it is expected to
+	// get, in requests per second, as of the last snapshot; see Planner.assignDemand.
 	capability
 	load float64
-	// served counts the streams that have ended there since the last judgement, and servedRate
-	// is their rate, in streams a second.
+	// served is the number of streams that have ended since the last judgement, and servedRate
+	// their rate in streams per second.
 	served     int
 	servedRate float64
-	// taken is the number of orders that the runner has taken, if isTakenKnown.
+	// taken is the number of orders that the runner has taken; valid if isTakenKnown is set.
 	taken        uint64
 	isTakenKnown bool
 	askedAt      time.Time
-	// sent is set while an order waits for its answer.
+	// sent is set while an order is unanswered.
 	sent bool
-	// changedAt is when the last order was answered or given up.
+	// changedAt is the time at which the last order was answered or given up.
 	changedAt time.Time
-	// isBusy is set while the runner executes an order that this planner did not send,
-	// so that what it loads is not known.
+	// isBusy is set while the runner executes an order of a previous leader, so that the model it
+	// loads is unknown.
 	isBusy bool
-	// isGone is set once another runner answered in this one's place; a heartbeat
-	// clears it.
+	// isGone is set once another runner answered at the address; a heartbeat clears it.
 	isGone bool
-	// reserved is the model for which room is being made, until reservedUntil.
+	// reserved is the model for which others are being unloaded, until reservedUntil.
 	reserved      string
 	reservedUntil time.Time
-	// roomBy is by when the room should have been made.
-	roomBy time.Time
-	// ended are the loads that have ended since they were last taken; see
-	// Planner.TakeEndedLoads.
+	// unloadBy is the time by which the memory for reserved should be free.
+	unloadBy time.Time
+	// ended lists the loads that have ended since the last call of Planner.TakeEndedLoads.
 	ended []EndedLoad
-	// copySlowness is how many times as long as listed a load from a copy takes at the machine,
-	// as its last loads show; 0 before the first. copySeenAt is when the last of them ended.
+	// copySlowness is the ratio of the measured time of loads from copies at the machine to the
+	// listed time; 0 before the first. copySeenAt is the time at which the last of them ended.
 	copySlowness float64
 	copySeenAt   time.Time
-	// storeKeptUntil is until when a place at the weight store is kept for that model.
-	storeKeptUntil time.Time
+	// storeSlotUntil is the time until which a slot of the weight store is reserved for the
+	// reserved model.
+	storeSlotUntil time.Time
 }
 
-// copyPlace is where a machine has a copy of a model.
-type copyPlace uint8
+// copyLocation is where a machine stores its copy of a model.
+type copyLocation uint8
 
 const (
-	copyOnDisk copyPlace = iota + 1
+	copyOnDisk copyLocation = iota + 1
 	copyInMemory
 )
 
-// hasCopy reports whether the runner's machine has a copy of the model, so that a load
-// does not come from the weight store.
+// hasCopy reports whether the runner's machine has a copy of the model, so that a load doesn't use
+// the weight store.
 func (r *runner) hasCopy(model string) bool { return r.copies[model] != 0 }
 
-// noteCopies takes the copies of which a heartbeat tells.
+// noteCopies records the copies listed in the last heartbeat.
 func (r *runner) noteCopies() {
-	r.copies = make(map[string]copyPlace)
+	r.copies = make(map[string]copyLocation)
 	for _, name := range r.status.Heartbeat.OnDisk {
 		r.copies[name] = copyOnDisk
 	}
@@ -126,8 +122,8 @@
 	}
 }
 
-// isOccupied reports whether an order about a model is under way: the runner takes
-// no other until it is done.
+// isOccupied reports whether an order about a model is under way. The runner takes no other order
+// until it has ended.
 func (r *runner) isOccupied() bool {
 	for _, held := range r.holdings {
 		if held.phase == phaseLoading || held.phase == phaseUnloading {
@@ -137,17 +133,17 @@
 	return false
 }
 
-// rowOf is the row of a model at the runner.
+// rowOf returns the row of a model at the runner.
 func (r *runner) rowOf(model string) Row {
 	return Row{Service: r.status.Heartbeat.Service, Model: model}
 }
 
-// rowOfAdapter is the row of an adapter of a model at the runner.
+// rowOfAdapter returns the row of an adapter of a model at the runner.
 func (r *runner) rowOfAdapter(model, adapter string) Row {
 	return Row{Service: r.status.Heartbeat.Service, Model: model, Adapter: adapter}
 }
 
-// isUncertain reports whether an order to load a model may or may not have been taken.
+// isUncertain reports whether the outcome of an order to load a model is unknown.
 func (r *runner) isUncertain() bool {
 	for _, held := range r.holdings {
 		if held.phase == phaseUncertain {
@@ -157,13 +153,13 @@
 	return false
 }
 
-// usedMB is the memory of all that the runner holds or may hold.
+// usedMB returns the memory of all models and adapters that the runner holds or may hold.
 func (r *runner) usedMB(engine *site.Engine) float64 {
 	used := 0.0
 	for name, held := range r.holdings {
 		model := engine.ModelByName(name)
 		if model == nil {
-			// A model that the document no longer lists has an unknown size.
+			// The document no longer lists the model, so its size is unknown.
 			return engine.WeightsMB
 		}
 		used += model.SizeMB + float64(len(held.adapters))*model.AdapterMB
@@ -171,7 +167,7 @@
 	return used
 }
 
-// adapters counts the adapters that the runner holds or may hold.
+// adapters returns the number of adapters that the runner holds or may hold.
 func (r *runner) adapters() int {
 	count := 0
 	for _, held := range r.holdings {
@@ -180,7 +176,7 @@
 	return count
 }
 
-// incoming counts the adapters on their way to the runner.
+// incoming returns the number of adapters being loaded at the runner.
 func (r *runner) incoming() int {
 	count := 0
 	for _, held := range r.holdings {
@@ -193,7 +189,8 @@
 	return count
 }
 
-// loaded lists what requests may use, sorted. The list must not be changed.
+// loaded returns the models and adapters that requests may use, sorted. The list must not be
+// modified.
 func (r *runner) loaded() []fleet.LoadedModel {
 	if !r.isListed {
 		r.listed, r.isListed = r.listLoaded(), true
@@ -220,34 +217,34 @@
 	return models
 }
 
-// hear takes what the runner says it holds in a heartbeat. Heartbeats carry the
-// state of models at the time they were made; adapters change without one.
-func (r *runner) hear(now time.Time, models []fleet.LoadedModel, guard time.Duration) {
-	for _, said := range models {
-		held := r.holdings[said.Name]
+// applyHeartbeat updates the holdings from a heartbeat. Heartbeats carry the state of the models at
+// the time they were made; no heartbeat is sent when adapters change.
+func (r *runner) applyHeartbeat(now time.Time, models []fleet.LoadedModel, guard time.Duration) {
+	for _, listed := range models {
+		held := r.holdings[listed.Name]
 		switch {
 		case held == nil:
 			held = newHolding(now, phaseReady)
 			held.usedAt = time.Time{}
-			r.holdings[said.Name] = held
+			r.holdings[listed.Name] = held
 		case held.phase == phaseLoading || held.phase == phaseUncertain:
-			r.noteEnded(now, said.Name, held)
+			r.noteEnded(now, listed.Name, held)
 			held.phase, held.since = phaseReady, now
 		}
 		held.isListed = true
-		for _, name := range said.Adapters {
+		for _, name := range listed.Adapters {
 			if held.adapters[name] == nil && now.Sub(r.changedAt) > guard {
 				held.adapters[name] = newHolding(now, phaseReady)
 			}
 		}
 	}
 	for name, held := range r.holdings {
-		isSaid := slices.ContainsFunc(models, func(said fleet.LoadedModel) bool { return said.Name == name })
-		if isSaid || held.phase == phaseLoading || held.phase == phaseUncertain {
+		isListed := slices.ContainsFunc(models, func(listed fleet.LoadedModel) bool { return listed.Name == name })
+		if isListed || held.phase == phaseLoading || held.phase == phaseUncertain {
 			continue
 		}
 		if !held.isListed {
-			// The heartbeat may be from before a report that told of the model.
+			// The heartbeat may be older than the report that listed the model.
 			r.isTakenKnown = false
 			continue
 		}
@@ -255,7 +252,7 @@
 	}
 }
 
-// noteEnded notes the end of a load that this planner ordered.
+// noteEnded records the end of a load that this planner ordered.
 func (r *runner) noteEnded(now time.Time, model string, held *holding) {
 	if held.expected <= 0 {
 		return
@@ -269,41 +266,40 @@
 	})
 }
 
-// reconcile takes a whole report that was made after the last order was settled. A
-// runner that is busy with an order of which the planner does not know, as after a
-// change of the leader, must be asked again: what it loads counts for its memory but
-// is not reported before it is loaded.
-func (r *runner) reconcile(now time.Time, report Report) {
-	known := r.holdings
+// applyReport replaces the holdings by a report that was made after the last order was settled. A
+// runner that executes an order of a previous leader has to be polled again: the model it loads is
+// not in the report.
+func (r *runner) applyReport(now time.Time, report Report) {
+	previous := r.holdings
 	r.isBusy = report.Busy && !r.isOccupied() && !r.isUncertain()
 	r.taken, r.isTakenKnown = report.Taken, !r.isBusy
 	r.holdings = make(map[string]*holding, len(report.Models))
-	for _, said := range report.Models {
+	for _, listed := range report.Models {
 		held := newHolding(now, phaseReady)
-		if former := known[said.Name]; former != nil {
+		if former := previous[listed.Name]; former != nil {
 			if former.phase == phaseLoading || former.phase == phaseUncertain {
-				r.noteEnded(now, said.Name, former)
+				r.noteEnded(now, listed.Name, former)
 			}
 			held.usedAt, held.since, held.isListed = former.usedAt, former.since, former.isListed
 			if report.Busy && former.phase == phaseUnloading {
 				held.phase = phaseUnloading
 			}
 		}
-		for _, name := range said.Adapters {
+		for _, name := range listed.Adapters {
 			held.adapters[name] = newHolding(now, phaseReady)
 		}
-		r.holdings[said.Name] = held
+		r.holdings[listed.Name] = held
 	}
-	for _, said := range report.Pending {
-		held := r.holdings[said.Name]
+	for _, listed := range report.Pending {
+		held := r.holdings[listed.Name]
 		if held == nil {
 			continue
 		}
-		for _, name := range said.Adapters {
+		for _, name := range listed.Adapters {
 			held.adapters[name] = newHolding(now, phaseLoading)
 		}
 	}
-	for name, held := range known {
+	for name, held := range previous {
 		if r.holdings[name] == nil && report.Busy && (held.phase == phaseLoading || held.phase == phaseUncertain) {
 			held.phase = phaseLoading
 			r.holdings[name] = held
--- a/placement/residency/simulated_test.go
+++ b/placement/residency/simulated_test.go
@@ -11,8 +11,8 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// simulatedRunner executes orders as a runner of the platform does: one order about a
-// model at a time, each only if the number that it expects holds.
+// simulatedRunner executes orders like a runner: one order about a model at a time, and only if its
+// expected number matches.
 type simulatedRunner struct {
 	id       string
 	beats    uint64
@@ -21,7 +21,7 @@
 	loading  string
 	loadedAt time.Time
 	late     []lateOrder
-	// seen are former states, for reports that lag.
+	// seen holds former states, for reports that lag.
 	seen []seenState
 }
 
@@ -35,8 +35,8 @@
 	report Report
 }
 
-// world is a site of simulated runners with one planner, which is replaced now and
-// then as by a change of the leader.
+// world is a site of simulated runners with one planner, which is replaced to simulate a change of
+// the leader.
 type world struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -45,7 +45,7 @@
 	index   *site.Index
 	engine  *site.Engine
 	runners []*simulatedRunner
-	// calls are events of the future: heartbeats and answers on their way.
+	// calls holds future events: heartbeats and answers in transit.
 	calls  []call
 	loads  []time.Time
 	orders int
@@ -102,7 +102,7 @@
 	return report
 }
 
-// execute takes an order at the runner and returns how it is answered.
+// execute executes an order at the runner and returns the outcome.
 func (w *world) execute(r *simulatedRunner, order Order) Outcome {
 	if order.Expected != r.taken || r.loading != "" {
 		return OutcomeConflict
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// answerQuestion answers with the state of up to 200 ms before.
+// answerQuestion answers with a state that is up to 200 ms old.
 func (w *world) answerQuestion(id string) {
 	r, askedAt, planner := w.runner(id), w.now, w.planner
 	old := r.seen[max(0, len(r.seen)-1-w.random.IntN(20))]
@@ -242,7 +242,7 @@
 	w.planner.Observe(w.now, "router", []Demand{{Row: row, Waiting: 1, Arrived: 1}})
 }
 
-func TestRunnersAreNeverOverfilled(t *testing.T) {
+func TestRunnersNeverExceedMemory(t *testing.T) {
 	for seed := range uint64(6) {
 		w := newWorld(t, seed)
 		w.lossRate = float64(seed%4) * 0.2
@@ -259,7 +259,7 @@
 	}
 }
 
-// checkLoads checks what the weight store allows, with the slack for orders that are
+// checkLoads checks the rate of loads from the weight store, with a margin for orders that are
 // executed late.
 func (w *world) checkLoads(seed uint64) {
 	const window = 5 * time.Second
--- a/placement/residency/store.go
+++ b/placement/residency/store.go
@@ -9,53 +9,52 @@
 	"github.com/lotusferry/lotusferry/placement/weightstore"
 )
 
-// storeKeptTime is how long a place at the weight store is kept while the model that
-// must make way is unloaded: several times what an unload of an unused model takes.
-const storeKeptTime = 2 * time.Second
+// storeSlotTime is how long a slot of the weight store is reserved while a model is unloaded,
+// several times the duration for an unused model.
+const storeSlotTime = 2 * time.Second
 
 const (
-	// reservedShare is the part of the loads at once that is kept for models with an
-	// urgentGain: one of them would have to wait for the seconds that a load of a cold model
-	// takes otherwise.
+	// reservedShare is the share of the slots reserved for needs with urgentGain, which would
+	// otherwise wait for seconds until the load of a cold model ends.
 	reservedShare = 0.2
-	// urgentGain is from how many late requests of the horizon a load is urgent. On the large
-	// deployments, a cold model that somebody waits for counts for 3 to 17, a model with far
-	// too few replicas for 70 to 450.
+	// urgentGain is the gain, in late requests within the horizon, from which a need is urgent. It
+	// separates models with far too few replicas from cold ones with a few waiting requests.
 	urgentGain = 25
 )
 
-// runnersPerLoad is for how many runners one load from an unknown weight store is tried at
-// once: should it bear fewer, a twentieth of the runners is held up for longer, no more.
+// runnersPerLoad is the number of runners for each initial load from a weight store with unknown
+// throughput. If the store is slower, only a twentieth of the runners is blocked.
 const runnersPerLoad = 20
 
 const (
-	// usualFirstLoads are tried at once on a small site, and leastFirstLoads where loads take long
-	// but callers wait for them: one alone would tell nothing of a second.
-	leastFirstLoads = 2
-	usualFirstLoads = 4
+	// defaultFirstLoads is the number of initial loads at a small site, and minFirstLoads that for
+	// long loads within the request timeout: a single one would not show whether the store can
+	// serve two.
+	minFirstLoads     = 2
+	defaultFirstLoads = 4
 )
 
-// firstLoads is how many loads at once to try of a store of which nothing is known. Should it
-// serve one at a time, the last of them is there when the most patient callers still wait: where
-// loads take long, loads tried too many hold up their runners for minutes.
+// firstLoads returns the initial limit of concurrent loads from a store with unknown throughput.
+// Even if the store serves one load at a time, the last load ends within the longest request
+// timeout.
 func (p *Planner) firstLoads(service string, runners int) int {
 	engine := p.document.Service(service).Engine
-	var longest, patience time.Duration
+	var longest, timeout time.Duration
 	for i := range engine.Models {
 		longest = max(longest, engine.Models[i].LoadTime)
 	}
 	for i := range p.document.Document.Routes {
 		route := &p.document.Document.Routes[i]
 		if slices.ContainsFunc(route.Split, func(share site.Share) bool { return share.Service == service }) {
-			patience = max(patience, route.Timeout)
+			timeout = max(timeout, route.Timeout)
 		}
 	}
-	first := max(usualFirstLoads, runners/runnersPerLoad)
-	if longest > 0 && patience > 0 {
-		first = min(first, max(leastFirstLoads, int(patience/longest)))
+	first := max(defaultFirstLoads, runners/runnersPerLoad)
+	if longest > 0 && timeout > 0 {
+		first = min(first, max(minFirstLoads, int(timeout/longest)))
 	}
-	if longest > patience && patience > 0 {
-		// Nobody waits for the end of a load: one after the other ends sooner on average.
+	if longest > timeout && timeout > 0 {
+		// No request waits until a load ends. Sequential loads end sooner on average.
 		first = 1
 	}
 	return first
@@ -68,34 +67,34 @@
 		return nil
 	}
 	allowed := listed.Engine.LoadsPerSecond * p.options.StoreWindow.Seconds() * p.options.StoreShare
-	known := p.stores[service]
-	if known == nil {
-		known = weightstore.New(p.options.StoreWindow, allowed)
+	limiter := p.stores[service]
+	if limiter == nil {
+		limiter = weightstore.New(p.options.StoreWindow, allowed)
 		if recalled, isRecalled := p.recalledStores[service]; isRecalled {
-			known.Recall(recalled.at, recalled.limit, recalled.isCrowded)
+			limiter.Recall(recalled.at, recalled.limit, recalled.isCrowded)
 		}
-		p.stores[service] = known
+		p.stores[service] = limiter
 	}
-	known.SetRate(allowed)
-	return known
+	limiter.SetRate(allowed)
+	return limiter
 }
 
-// followStores tells the limiters which loads are under way. Runners that execute an
-// order of a former leader may be loading something, which counts as well.
+// followStores updates the limiters with the loads under way. A runner that executes an order of a
+// previous leader may be loading a model and counts as well.
 func (p *Planner) followStores(now time.Time) {
 	underWay := make(map[string][]weightstore.Load)
 	runners := make(map[string]int)
-	for _, known := range p.tally.sorted {
-		engine := p.engineOf(known)
+	for _, r := range p.snapshot.sorted {
+		engine := p.engineOf(r)
 		if engine == nil {
 			continue
 		}
-		runners[known.status.Heartbeat.Service]++
-		service, instance := known.status.Heartbeat.Service, known.status.Heartbeat.Instance
-		if known.isBusy {
+		runners[r.status.Heartbeat.Service]++
+		service, instance := r.status.Heartbeat.Service, r.status.Heartbeat.Instance
+		if r.isBusy {
 			underWay[service] = append(underWay[service], weightstore.Load{Key: weightstore.Key{Instance: instance}})
 		}
-		for name, held := range known.holdings {
+		for name, held := range r.holdings {
 			model := engine.ModelByName(name)
 			if model == nil || !held.fromStore || held.phase != phaseLoading && held.phase != phaseUncertain {
 				continue
@@ -120,24 +119,24 @@
 
 // isLoaded reports whether a load has ended with the model ready.
 func (p *Planner) isLoaded(key weightstore.Key) bool {
-	known := p.runners[key.Instance]
-	if known == nil || known.holdings[key.Model] == nil {
+	r := p.runners[key.Instance]
+	if r == nil || r.holdings[key.Model] == nil {
 		return false
 	}
-	return known.holdings[key.Model].phase == phaseReady
+	return r.holdings[key.Model].phase == phaseReady
 }
 
-// mayUseStore reports whether the model may be loaded from the weight store now. A copy
-// at a runner that only finishes another order first, or uses all of its places for the
-// moment, is waited for if that is quicker. Neither is certain: another model may get the
-// runner, so that the wait in all is bounded by what the load from the store would take.
+// mayUseStore reports whether the model may be loaded from the weight store now. It returns false
+// while a load from a copy would end sooner, even though the runner with the copy executes another
+// order or all of its models are in use. As another model may get that runner, the total wait is
+// bounded by the expected time of the load from the store.
 func (p *Planner) mayUseStore(now time.Time, wanted need) bool {
 	store := p.store(wanted.row.Service)
 	if store == nil {
 		return false
 	}
-	kept := p.tally.kept[wanted.row.Service] + p.keptForUnreachable(wanted, store.Limit())
-	if !hasPlace(now, store, wanted, kept) {
+	reserved := p.snapshot.reservedSlots[wanted.row.Service] + p.slotsForUnreachable(wanted, store.Limit())
+	if !hasFreeSlot(now, store, wanted, reserved) {
 		return false
 	}
 	model := p.document.Service(wanted.row.Service).Engine.ModelByName(wanted.row.Model)
@@ -145,8 +144,8 @@
 		return false
 	}
 	left := store.Expected(model.LoadTime) - p.awaitedFor(now, wanted.row)
-	for _, known := range p.tally.copies[wanted.row] {
-		if p.isSoonThere(now, known, model, wanted, left) {
+	for _, r := range p.snapshot.copies[wanted.row] {
+		if p.loadsWithin(now, r, model, wanted, left) {
 			p.noteAwaited(now, wanted.row)
 			return false
 		}
@@ -154,18 +153,18 @@
 	return true
 }
 
-// hasPlace reports whether the store has a place for the need beside those under way and as
-// many as are kept. Some places are kept from needs that are not urgent, and urgent ones may
-// exceed the learned limit.
-func hasPlace(now time.Time, store *weightstore.Limiter, wanted need, kept int) bool {
+// hasFreeSlot reports whether the store has a slot for the need beside the loads under way and the
+// reserved slots. Some slots are reserved for urgent needs, which may also exceed the learned
+// limit.
+func hasFreeSlot(now time.Time, store *weightstore.Limiter, wanted need, reserved int) bool {
 	if wanted.gain >= urgentGain {
-		return store.MayBeginUrgent(now, kept)
+		return store.MayBeginUrgent(now, reserved)
 	}
-	return store.MayBegin(now, kept+int(reservedShare*float64(store.Limit())))
+	return store.MayBegin(now, reserved+int(reservedShare*float64(store.Limit())))
 }
 
-// awaitedFor is how long a copy of the model has been waited for in place of a load from
-// the weight store.
+// awaitedFor returns how long a copy of the model has been awaited in place of a load from the
+// weight store.
 func (p *Planner) awaitedFor(now time.Time, row Row) time.Duration {
 	if since, isAwaited := p.awaitedCopies[row]; isAwaited {
 		return now.Sub(since)
@@ -173,15 +172,14 @@
 	return 0
 }
 
-// noteAwaited notes that a copy of the model is waited for from now on, or still.
+// noteAwaited records that a copy of the model is awaited.
 func (p *Planner) noteAwaited(now time.Time, row Row) {
 	if _, isAwaited := p.awaitedCopies[row]; !isAwaited {
 		p.awaitedCopies[row] = now
 	}
 }
 
-// forgetAwaited forgets since when copies of models have been waited for that need no
-// further replica.
+// forgetAwaited deletes the awaited copies of models that need no further replica.
 func (p *Planner) forgetAwaited(wanted map[Row]bool) {
 	for row := range p.awaitedCopies {
 		if !wanted[row] {
@@ -190,33 +188,33 @@
 	}
 }
 
-// isSoonThere reports whether a runner with a copy of the model should have loaded it within
-// a time, though it cannot begin to now.
-func (p *Planner) isSoonThere(now time.Time, known *runner, model *site.Model, wanted need, within time.Duration) bool {
-	if known.isOccupied() || known.sent {
-		return p.occupiedFor(now, known)+loadTime(known, model) < within
+// loadsWithin reports whether a runner with a copy of the model, which can't begin now, is expected
+// to have loaded it within the given time.
+func (p *Planner) loadsWithin(now time.Time, r *runner, model *site.Model, wanted need, within time.Duration) bool {
+	if r.isOccupied() || r.sent {
+		return p.occupiedFor(now, r)+loadTime(r, model) < within
 	}
-	return wanted.isWaitedFor && !wanted.isUnreachable && !known.isGone && roomTime+loadTime(known, model) < within
+	return wanted.isWaitedFor && !wanted.isUnreachable && !r.isGone && useTime+loadTime(r, model) < within
 }
 
-// occupiedFor is how long a runner is still expected to execute its order.
-func (p *Planner) occupiedFor(now time.Time, known *runner) time.Duration {
-	engine := p.engineOf(known)
+// occupiedFor returns the expected remaining time of the runner's current order.
+func (p *Planner) occupiedFor(now time.Time, r *runner) time.Duration {
+	engine := p.engineOf(r)
 	var longest time.Duration
-	for name, held := range known.holdings {
+	for name, held := range r.holdings {
 		model := engine.ModelByName(name)
 		if model != nil && (held.phase == phaseLoading || held.phase == phaseUncertain) {
-			longest = max(longest, p.remaining(now, known, name, held))
+			longest = max(longest, p.remaining(now, r, name, held))
 		}
 	}
 	return longest
 }
 
-// remaining is how long a load is still expected to take.
-func (p *Planner) remaining(now time.Time, known *runner, name string, held *holding) time.Duration {
-	engine := p.engineOf(known)
+// remaining returns the expected remaining time of a load.
+func (p *Planner) remaining(now time.Time, r *runner, name string, held *holding) time.Duration {
+	engine := p.engineOf(r)
 	if engine == nil {
-		// A newer document has taken the service away.
+		// The service is missing from a newer document.
 		return 0
 	}
 	model := engine.ModelByName(name)
@@ -224,69 +222,68 @@
 		return 0
 	}
 	if held.fromStore {
-		store := p.store(known.status.Heartbeat.Service)
-		return store.Remaining(now, weightstore.Key{Instance: known.status.Heartbeat.Instance, Model: name})
+		store := p.store(r.status.Heartbeat.Service)
+		return store.Remaining(now, weightstore.Key{Instance: r.status.Heartbeat.Instance, Model: name})
 	}
-	return max(0, loadTime(known, model)-now.Sub(held.since))
+	return max(0, loadTime(r, model)-now.Sub(held.since))
 }
 
-// isStoreKept reports whether a place at the weight store is kept for the model at the
-// runner.
-func (p *Planner) isStoreKept(now time.Time, known *runner, model string) bool {
-	return known.reserved == model && now.Before(known.storeKeptUntil)
+// hasStoreSlot reports whether a slot of the weight store is reserved for the model at the runner.
+func (p *Planner) hasStoreSlot(now time.Time, r *runner, model string) bool {
+	return r.reserved == model && now.Before(r.storeSlotUntil)
 }
 
-// beginLoad notes that a load that was just ordered begins.
-func (p *Planner) beginLoad(now time.Time, known *runner, row Row, fromStore bool) {
-	model := p.engineOf(known).ModelByName(row.Model)
-	held := known.holdings[row.Model]
+// beginLoad records the start of a load that was just ordered.
+func (p *Planner) beginLoad(now time.Time, r *runner, row Row, fromStore bool) {
+	model := p.engineOf(r).ModelByName(row.Model)
+	held := r.holdings[row.Model]
 	if !fromStore {
-		held.expected = loadTime(known, model)
+		held.expected = loadTime(r, model)
 		return
 	}
 	store := p.store(row.Service)
 	held.fromStore, held.expected = true, store.Expected(model.LoadTime)
-	known.storeKeptUntil = time.Time{}
-	key := weightstore.Key{Instance: known.status.Heartbeat.Instance, Model: row.Model}
+	r.storeSlotUntil = time.Time{}
+	key := weightstore.Key{Instance: r.status.Heartbeat.Instance, Model: row.Model}
 	store.Begin(now, weightstore.Load{Key: key, Nominal: model.LoadTime})
 }
 
-// TakeEndedLoads lists the loads that have ended since the last call.
+// TakeEndedLoads returns the loads that have ended since the last call.
 func (p *Planner) TakeEndedLoads() []EndedLoad {
 	var ended []EndedLoad
-	for _, known := range p.sorted() {
-		ended = append(ended, known.ended...)
-		known.ended = nil
+	for _, r := range p.sorted() {
+		ended = append(ended, r.ended...)
+		r.ended = nil
 	}
 	return ended
 }
 
-// recalledStore is what a leader before had learned of a weight store.
+// recalledStore is the state of a weight store as learned by a previous leader.
 type recalledStore struct {
 	at        time.Time
 	limit     int
 	isCrowded bool
 }
 
-// RecallStore takes what the leader before had learned of a service's weight store.
+// RecallStore restores the state of a service's weight store as learned by the previous leader.
 func (p *Planner) RecallStore(now time.Time, service string, limit int, isCrowded bool) {
 	p.recalledStores[service] = recalledStore{now, limit, isCrowded}
 }
 
-// StoreState is how a service's weight store is used.
+// StoreState is the state of a service's weight store.
 type StoreState struct {
 	Service string
-	// UnderWay counts the loads under way, and Limit how many at once the store is believed
-	// to serve at full speed.
+	// UnderWay is the number of loads under way, and Limit the number of concurrent loads that the
+	// store is assumed to serve at full speed.
 	UnderWay int
 	Limit    int
-	// Learned is the limit as far as loads have shown it, 0 if they have not yet, and
-	// IsCrowded is set if loads were found to be slow.
+	// Learned is the limit as learned from loads, 0 if it is unknown, and IsCrowded is set if loads
+	// were found to be slow.
 	Learned   int
 	IsCrowded bool
 }
 
-// Stores lists the states of the weight stores by service.
+// Stores returns the states of the weight stores by service.
 func (p *Planner) Stores() []StoreState {
 	var states []StoreState
 	for service, store := range p.stores {
--- a/placement/residency/store_test.go
+++ b/placement/residency/store_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// manyModels is a service with 20 models of which a runner holds one at a time.
+// manyModels returns a service with 20 models of which a runner holds one at a time.
 func manyModels() *site.Index {
 	engine := &site.Engine{WeightsMB: 100, MaxAdapters: 2, LoadsPerSecond: 10}
 	for i := range 20 {
@@ -23,8 +23,7 @@
 	return site.NewIndex(&site.Document{Version: 1, Services: []site.Service{{Name: "s", Engine: engine}}})
 }
 
-// newStorePlanner is a planner of so many runners, each of which has its state given by
-// set and has been asked what it holds.
+// newStorePlanner returns a planner of count runners that have reported the state given by set.
 func newStorePlanner(count int, set func(i int, heartbeat *fleet.Heartbeat)) *Planner {
 	p := NewPlanner(Options{}, start)
 	p.SetDocument(manyModels())
@@ -51,9 +50,8 @@
 	p.Observe(at, "router", demands)
 }
 
-// Many models that nobody has a copy of are asked for at once. What is unloaded for one
-// whose load may not begin yet would serve nobody meanwhile.
-func TestNothingMakesWayForALoadThatMayNotBegin(t *testing.T) {
+// Guards against unloading models for loads that the store has no slot for.
+func TestNoEvictionForLoadWithoutSlot(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(9, func(i int, heartbeat *fleet.Heartbeat) {
 		heartbeat.Models = []fleet.LoadedModel{{Name: fmt.Sprint("m", i)}}
@@ -69,7 +67,7 @@
 	c.Assert(unloads, qt.Equals, p.store("s").Limit())
 }
 
-func TestLoadsAtOnceAreBounded(t *testing.T) {
+func TestConcurrentLoadsAreLimited(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(9, func(int, *fleet.Heartbeat) {})
 	waitForModels(p, start, 10, 9)
@@ -83,8 +81,7 @@
 	c.Assert(p.Plan(later), qt.HasLen, 0)
 }
 
-// A load from a copy does not wait for the weight store.
-func TestCopiesNeedNoPlaceAtTheStore(t *testing.T) {
+func TestLoadFromCopyNeedsNoStoreSlot(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(9, func(i int, heartbeat *fleet.Heartbeat) {
 		if i >= 4 {
@@ -95,8 +92,9 @@
 	c.Assert(p.Plan(start), qt.HasLen, 9)
 }
 
-// A runner with a copy that only finishes another load first is quicker than the store.
-func TestCopyAtABusyRunnerIsWaitedFor(t *testing.T) {
+// A load at a runner with a copy that finishes another load first may be quicker than one from the
+// store.
+func TestCopyAtBusyRunnerIsAwaited(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		isOnDisk  bool
@@ -127,9 +125,9 @@
 	}
 }
 
-// Of two unused models the one makes way that the runner has a copy of: its callers wait
-// for a short load only.
-func TestModelWithACopyMakesWayFirst(t *testing.T) {
+// Of two unused models, the one with a copy on the runner's disk is evicted, as it can be loaded
+// again quickly.
+func TestModelWithCopyIsEvictedFirst(t *testing.T) {
 	for _, copied := range []string{"m0", "m1"} {
 		t.Run(copied, func(t *testing.T) {
 			c := qt.New(t)
@@ -155,8 +153,8 @@
 	}
 }
 
-// A new leader begins with what the one before had learned of the store.
-func TestLimitOfTheStoreIsRecalled(t *testing.T) {
+// A new leader starts with the limit that the previous one had learned.
+func TestStoreLimitIsRecalled(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(9, func(int, *fleet.Heartbeat) {})
 	p.RecallStore(start, "s", 3, true)
@@ -165,8 +163,8 @@
 	c.Assert(p.Stores(), qt.DeepEquals, []StoreState{{Service: "s", UnderWay: 3, Limit: 3, Learned: 3, IsCrowded: true}})
 }
 
-// A document may take a service away while a runner of it loads a model.
-func TestServiceMayGoWhileItsRunnersLoad(t *testing.T) {
+// A new document may lack a service whose runner is loading a model.
+func TestServiceIsRemovedDuringLoad(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(2, func(int, *fleet.Heartbeat) {})
 	waitForModels(p, start, 10, 1)
@@ -179,9 +177,9 @@
 	c.Assert(p.Stores(), qt.HasLen, 0)
 }
 
-// The only runner with a copy never has room, and those who wait for the model are told to
-// come back and replaced by others, so that no single one has waited for long.
-func TestCopyWithoutRoomIsNotWaitedForForEver(t *testing.T) {
+// The only runner with a copy never has free memory, and waiting requests are refused and replaced
+// by others, so that none of them has waited for long.
+func TestWaitForCopyWithoutFreeMemoryIsBounded(t *testing.T) {
 	c := qt.New(t)
 	inUse := []fleet.LoadedModel{{Name: "m0"}}
 	p := newStorePlanner(2, func(i int, heartbeat *fleet.Heartbeat) {
@@ -205,9 +203,8 @@
 	c.Assert(waited < 6*time.Second, qt.IsTrue, qt.Commentf("longer than a load from the store: %v", waited))
 }
 
-// A new leader recalls the runners of the one before. Of which models their machines have
-// copies it knows only from their heartbeats, which come soon.
-func TestNoLoadBeforeTheCopiesAreKnown(t *testing.T) {
+// The copies of recalled runners are unknown until their first heartbeat.
+func TestNoLoadBeforeCopiesAreKnown(t *testing.T) {
 	c := qt.New(t)
 	p := NewPlanner(Options{}, start)
 	p.SetDocument(manyModels())
@@ -222,9 +219,8 @@
 	c.Assert(p.Stores()[0].UnderWay, qt.Equals, 0)
 }
 
-// Loads of cold models take seconds each. A model whose replicas are overrun must not wait
-// until one of them ends.
-func TestStoreKeepsPlacesForOverrunModels(t *testing.T) {
+// Guards against overloaded models that wait until a load of a cold model ends.
+func TestStoreReservesSlotsForOverloadedModels(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(15, func(i int, heartbeat *fleet.Heartbeat) {
 		if i == 0 {
@@ -247,12 +243,12 @@
 		c.Assert(orders[0].Model, qt.Equals, "m0")
 		p.Answered(at, orders[0], OutcomeAccepted)
 	}
-	c.Assert(loads, qt.Equals, 6, qt.Commentf("two places were kept, and four loads exceed the limit"))
+	c.Assert(loads, qt.Equals, 6, qt.Commentf("two slots were reserved, and four loads exceed the limit"))
 }
 
-// A model is being loaded from the weight store, which takes long. A runner with a copy that has
-// become free is quicker.
-func TestCopyIsLoadedBesideASlowLoadFromTheStore(t *testing.T) {
+// A model is being loaded from the weight store, which takes long. A load from a copy at a runner
+// that has become free is quicker.
+func TestCopyIsLoadedDuringSlowLoadFromStore(t *testing.T) {
 	c := qt.New(t)
 	p := newStorePlanner(2, func(i int, heartbeat *fleet.Heartbeat) {})
 	waitForModels(p, start, 3, 1)
@@ -260,7 +256,7 @@
 	c.Assert(orders, qt.HasLen, 1)
 	p.Answered(start, orders[0], OutcomeAccepted)
 	at := start.Add(time.Second)
-	// The other runner comes to have a copy.
+	// The other runner gets a copy.
 	var statuses []fleet.Status
 	for i := range 2 {
 		name := fmt.Sprint("r", i)
@@ -281,7 +277,7 @@
 	c.Assert(again[0].Operation, qt.Equals, Load)
 }
 
-func TestFirstLoadsAreFewerWhereALoadTakesLong(t *testing.T) {
+func TestFirstLoadsByLoadTime(t *testing.T) {
 	for _, test := range []struct {
 		loadTime time.Duration
 		runners  int
--- a/placement/residency/summary.go
+++ b/placement/residency/summary.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// ModelSummary is what the planner knows of a model.
+// ModelSummary is the state of a model.
 type ModelSummary struct {
 	Service string
 	Model   string
-	// Rate is the demand in requests a second.
+	// Rate is the demand in requests per second.
 	Rate     float64
 	Waiting  int
 	Active   int
 	Replicas int
-	// Coming counts the runners that load it.
+	// Coming is the number of runners that load the model.
 	Coming int
 }
 
-// Summary lists the models with demand, the most demanded first.
+// Summary returns the models with demand, by descending rate.
 func (p *Planner) Summary(now time.Time) []ModelSummary {
-	p.takeTally(now)
-	summaries := make([]ModelSummary, 0, len(p.tally.demands))
-	for row, demand := range p.tally.demands {
+	p.takeSnapshot(now)
+	summaries := make([]ModelSummary, 0, len(p.snapshot.demands))
+	for row, demand := range p.snapshot.demands {
 		summary := ModelSummary{
-			Service: row.Service, Model: row.Model, Rate: demand.rate, Waiting: p.tally.waiting[row],
+			Service: row.Service, Model: row.Model, Rate: demand.rate, Waiting: p.snapshot.waiting[row],
 			Replicas: len(p.holders(row)), Coming: len(p.coming(row)),
 		}
-		for key, count := range p.tally.active {
+		for key, count := range p.snapshot.active {
 			if key.row == row {
 				summary.Active += count
 			}
--- a/placement/residency/types.go
+++ b/placement/residency/types.go
@@ -6,10 +6,9 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// Operation is what an order asks of a runner.
+// Operation is the action that an order asks for.
 type Operation uint8
 
-// The operations.
 const (
 	Load Operation = iota + 1
 	Unload
@@ -35,23 +34,22 @@
 	Expected uint64
 }
 
-// Outcome is how a runner answered an order.
+// Outcome is the result of an order.
 type Outcome uint8
 
-// The outcomes.
 const (
 	// OutcomeAccepted: the runner executes the order.
 	OutcomeAccepted Outcome = iota + 1
-	// OutcomeHeld: what was asked for is so already.
+	// OutcomeHeld: the runner is already in the requested state.
 	OutcomeHeld
-	// OutcomeConflict: another order is under way, or Expected does not hold. This
-	// order is not executed.
+	// OutcomeConflict: another order is under way, or Expected doesn't match. This order is not
+	// executed.
 	OutcomeConflict
-	// OutcomeRefused: the runner does not take the order and never will.
+	// OutcomeRefused: the runner has refused the order for good.
 	OutcomeRefused
-	// OutcomeGone: another runner is at the address.
+	// OutcomeGone: another runner answered at the address.
 	OutcomeGone
-	// OutcomeUnknown: no answer came; the order may be executed later.
+	// OutcomeUnknown: no answer arrived; the order may still be executed.
 	OutcomeUnknown
 )
 
@@ -64,8 +62,7 @@
 	return "invalid"
 }
 
-// Report is what a runner says of itself when it is asked. It shows the state of
-// some hundred milliseconds before.
+// Report is the state that a runner reports when polled. It is some hundred milliseconds old.
 type Report struct {
 	Models []fleet.LoadedModel
 	// Pending lists adapters that are being loaded, by model.
@@ -78,30 +75,31 @@
 	Active int
 }
 
-// Row names what a request needs: a model of a service, and an adapter of it or "".
+// Row identifies what a request needs: a model of a service, and an adapter of the model or "".
 type Row struct {
 	Service string
 	Model   string
 	Adapter string
 }
 
-// Demand is what one router saw of a row since its last report.
+// Demand is the demand for a row at one router since its last report.
 type Demand struct {
 	Row Row
-	// Waiting requests have no runner that could execute them.
+	// Waiting is the number of requests for which no runner is available.
 	Waiting int
-	// Oldest is how long the oldest of them has waited.
+	// Oldest is the waiting time of the oldest of them.
 	Oldest time.Duration
-	// Priority is that of the most urgent waiting request; 0 is the most urgent.
+	// Priority is the priority of the most urgent waiting request; 0 is the most urgent.
 	Priority int
-	// Zones are those of the runners that one of the waiting requests may have; nil if all may have any.
+	// Zones lists the zones of the runners that one of the waiting requests may use; nil if all may
+	// use any.
 	Zones []string
-	// Objective is the shortest time to the first event that one of the requests that
-	// came or wait should see; 0 if none did.
+	// Objective is the shortest objective for the time to the first event among the requests that
+	// arrived or wait; 0 if there is none.
 	Objective time.Duration
-	// Arrived counts the requests that came.
+	// Arrived is the number of requests that arrived.
 	Arrived int
-	// Active counts the requests at runners.
+	// Active lists the requests at runners.
 	Active []ActiveCount
 }
 
@@ -109,8 +107,8 @@
 type ActiveCount struct {
 	Instance string
 	Count    int
-	// Prompt is how many prompt tokens, without those that the runner probably has in its
-	// cache, the router has sent there since its last report.
+	// Prompt is the number of prompt tokens that the router has sent there since its last report,
+	// except for those probably in the runner's cache.
 	Prompt int64
 }
 
@@ -121,32 +119,32 @@
 	Model    string
 	// FromStore is set if the model came from the weight store, not from a copy.
 	FromStore bool
-	// Took is the time from the order to the news that the model is ready, Expected what
-	// was expected when it was ordered.
+	// Took is the time from the order until the model was known to be ready, and Expected the time
+	// expected when it was ordered.
 	Took     time.Duration
 	Expected time.Duration
 }
 
-// Pace is what a router saw of a stream at a runner that it was sent to first.
+// Pace is what a router observed of a stream at the first runner that it was sent to.
 type Pace struct {
 	Service  string
 	Model    string
 	Instance string
-	// Gap is the median of the times between two events; 0 if there were too few to
-	// tell, or if an earlier Pace of the stream told it.
+	// Gap is the median time between two events; 0 if there were too few, or if an earlier Pace of
+	// the stream reported it.
 	Gap time.Duration
-	// Paused is set if one of them was longer than the route allows.
+	// Paused is set if a gap exceeded the maximum pause of the route.
 	Paused bool
-	// IsUnderWay is set if the stream goes on: Paused, IsLate and Events say nothing yet. A
-	// leader of a version before takes it for one that did not pause.
+	// IsUnderWay is set if the stream has not ended: Paused, IsLate and Events are not set yet.
+	// Leaders of earlier versions take it for a stream without pauses.
 	IsUnderWay bool
-	// First is the time from sending the request to the first event; 0 for none.
+	// First is the time from sending the request to the first event; 0 if there was none.
 	First time.Duration
-	// IsLate is set if that is longer than the objective.
+	// IsLate is set if First exceeds the objective.
 	IsLate bool
-	// Prompt is how many tokens of the prompt the runner had to read as far as the router
+	// Prompt is the number of prompt tokens that the runner had to read, as far as the router
 	// knows.
 	Prompt int64
-	// Events is how many events a stream had that came whole.
+	// Events is the number of events of a completed stream.
 	Events int
 }
--- a/placement/residency/zonecover.go
+++ b/placement/residency/zonecover.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// zoneWeight is the part of the requests that would be late without a zone that counts as late: it is
-	// lost far more rarely than a single runner, of which spareGain counts, and with its clients' own way
-	// to the others.
+	// zoneWeight is the cost of a request that would be late if a zone were lost, in late requests.
+	// Zones are lost far less often than runners, see redundantGain, and clients then reach the
+	// other zones by themselves.
 	zoneWeight = 0.05
-	// copySpread is what it costs to load from the weight store where a machine of the same zone has a copy
-	// of the model while other zones have none: it decides between runners that are alike otherwise.
-	copySpread = 0.05
+	// copySpreadCost is the cost of a load from the weight store at a runner whose zone has a copy
+	// of the model while other zones have none. It breaks ties between runners.
+	copySpreadCost = 0.05
 )
 
-// zoneRates is the demand in requests a second by the zone of the routers that reported it.
+// zoneRates is the demand in requests per second by the zone of the reporting routers.
 type zoneRates map[string]float64
 
 func (z zoneRates) decay(factor float64) {
@@ -25,22 +25,22 @@
 	}
 }
 
-// SetRouterZone takes the zone of a router, which its demand is counted for.
+// SetRouterZone sets the zone to which the demand of a router is attributed.
 func (p *Planner) SetRouterZone(router, zone string) {
 	if zone != "" {
 		p.routerZones[router] = zone
 	}
 }
 
-// ForgetRouter forgets the zone of a router that has ended.
+// ForgetRouter deletes the zone of a router that has ended.
 func (p *Planner) ForgetRouter(router string) { delete(p.routerZones, router) }
 
-// listZones lists the zones in which a service has runners that stay, sorted.
-func (t *tally) listZones() {
+// listZones computes the zones in which each service has runners that are not leaving, sorted.
+func (t *snapshot) listZones() {
 	found := make(map[string]map[string]bool)
-	for _, known := range t.sorted {
-		heartbeat := &known.status.Heartbeat
-		if heartbeat.Zone == "" || !known.status.MayServe() {
+	for _, r := range t.sorted {
+		heartbeat := &r.status.Heartbeat
+		if heartbeat.Zone == "" || !r.status.MayServe() {
 			continue
 		}
 		if found[heartbeat.Service] == nil {
@@ -55,7 +55,7 @@
 }
 
 // addZoneRates adds the demand for a row of the model.
-func (t *tally) addZoneRates(model Row, rates zoneRates) {
+func (t *snapshot) addZoneRates(model Row, rates zoneRates) {
 	if len(rates) == 0 {
 		return
 	}
@@ -67,69 +67,69 @@
 	}
 }
 
-// zoneCover is how a model's replicas and its demand are spread over the zones of its service.
+// zoneCover is the distribution of a model's demand and replicas over the zones of its service.
 type zoneCover struct {
 	zones []string
-	// rates and borne are the demand of each zone's clients, and what its replicas bear, in requests a
-	// second.
-	rates, borne []float64
-	// one is what one replica more would bear.
-	one float64
+	// rates and capacities are the demand of the clients and the capacity of the replicas in each
+	// zone, in requests per second.
+	rates, capacities []float64
+	// replicaCapacity is the capacity of a further replica.
+	replicaCapacity float64
 }
 
-// coverOf works out how the replicas are spread. Clients of which no zone is known are spread evenly. It
-// is empty for a service in one zone.
+// coverOf returns the distribution of the given replicas. Demand without a known zone is spread
+// evenly. The result is empty for a service in one zone.
 func (p *Planner) coverOf(row Row, replicas []*runner) zoneCover {
-	zones := p.tally.zones[row.Service]
+	zones := p.snapshot.zones[row.Service]
 	rate := p.modelDemand(row).rate
-	if len(zones) < 2 || rate <= spareRate {
+	if len(zones) < 2 || rate <= redundantRate {
 		return zoneCover{}
 	}
-	cover := zoneCover{zones: zones, rates: make([]float64, len(zones)), borne: make([]float64, len(zones)), one: p.borneAt(row.Service, 1)}
-	known, sum := p.tally.zoneRates[row], 0.0
+	cover := zoneCover{zones: zones, rates: make([]float64, len(zones)), capacities: make([]float64, len(zones)), replicaCapacity: p.capacityAt(row.Service, 1)}
+	demand, sum := p.snapshot.zoneRates[row], 0.0
 	for _, zone := range zones {
-		sum += known[zone]
+		sum += demand[zone]
 	}
 	for i, zone := range zones {
 		cover.rates[i] = rate / float64(len(zones))
 		if sum > 0 {
-			cover.rates[i] = rate * known[zone] / sum
+			cover.rates[i] = rate * demand[zone] / sum
 		}
 	}
 	for _, each := range replicas {
 		if i, isListed := slices.BinarySearch(zones, each.status.Heartbeat.Zone); isListed {
-			cover.borne[i] += each.borne
+			cover.capacities[i] += each.capacity
 		}
 	}
 	return cover
 }
 
-// exposed is how many requests a second nobody could serve if a zone were cut off, on average over the
-// zones: those outside it, and those of its own clients inside.
-func (c *zoneCover) exposed() float64 {
+// unserved returns the requests per second that could not be served if a zone were cut off, inside
+// and outside of it, averaged over the zones.
+func (c *zoneCover) unserved() float64 {
 	rate, borne := 0.0, 0.0
 	for i := range c.zones {
 		rate += c.rates[i]
-		borne += c.borne[i]
+		borne += c.capacities[i]
 	}
 	total := 0.0
 	for i := range c.zones {
-		total += max(0, c.rates[i]-c.borne[i])
-		total += max(0, rate-c.rates[i]-(borne-c.borne[i]))
+		total += max(0, c.rates[i]-c.capacities[i])
+		total += max(0, rate-c.rates[i]-(borne-c.capacities[i]))
 	}
 	return total / max(1, float64(len(c.zones)))
 }
 
-// relief is by how much one replica more in a zone lowers what is exposed.
+// relief returns the reduction of unserved by a further replica in a zone.
 func (c *zoneCover) relief(index int) float64 {
-	before := c.exposed()
-	c.borne[index] += c.one
-	after := c.exposed()
-	c.borne[index] -= c.one
+	before := c.unserved()
+	c.capacities[index] += c.replicaCapacity
+	after := c.unserved()
+	c.capacities[index] -= c.replicaCapacity
 	return before - after
 }
 
-// bestRelief is that of the zone in which a replica more helps most.
+// bestRelief returns the largest relief over all zones.
 func (c *zoneCover) bestRelief() float64 {
 	best := 0.0
 	for i := range c.zones {
@@ -138,8 +138,8 @@
 	return best
 }
 
-// zoneGain is how many requests of the horizon one replica more of the model is worth as it makes the
-// loss of a zone lighter.
+// zoneGain returns the gain of a further replica for the case that a zone is lost, in requests
+// within the horizon.
 func (p *Planner) zoneGain(row Row) float64 {
 	replicas := p.replicas(row)
 	if len(replicas) == 0 {
@@ -149,21 +149,21 @@
 	return zoneWeight * cover.bestRelief() * p.options.Horizon.Seconds()
 }
 
-// spread is how a model's demand, replicas and copies are spread, by which all runners are weighed that may get a
-// replica. It is worked out once for a need, as long as the tally stands.
+// spread is the distribution of a model's demand, replicas and copies. It is computed once for each
+// need and snapshot.
 type spread struct {
-	// rate is the demand for the model, in requests a second.
+	// rate is the demand for the model in requests per second.
 	rate float64
-	// zones are those of the service, sorted, and costs how much less than in the best of them a replica is worth in
-	// each for the loss of a zone; nil if that does not matter.
+	// zones lists the zones of the service, sorted, and costs the lower zone gain of a replica in
+	// each of them relative to the best one; nil if zones don't matter.
 	zones []string
 	costs []float64
-	// copyZones are those in which a machine has a copy; hasAllZones is set if these are all.
+	// copyZones lists the zones with a copy; hasAllZones is set if these are all zones.
 	copyZones   []string
 	hasAllZones bool
 }
 
-// spreadOf works out how the model of a need is spread, unless that is known.
+// spreadOf returns the spread of the model of a need.
 func (p *Planner) spreadOf(wanted *need) *spread {
 	if wanted.spread == nil {
 		wanted.spread = p.newSpread(wanted.row)
@@ -173,7 +173,7 @@
 
 func (p *Planner) newSpread(row Row) *spread {
 	found := &spread{rate: p.modelDemand(row).rate}
-	zones := p.tally.zones[row.Service]
+	zones := p.snapshot.zones[row.Service]
 	if len(zones) < 2 {
 		return found
 	}
@@ -184,7 +184,7 @@
 			found.costs = append(found.costs, zoneWeight*(best-cover.relief(i))*p.options.Horizon.Seconds())
 		}
 	}
-	for _, each := range p.tally.copies[row] {
+	for _, each := range p.snapshot.copies[row] {
 		if zone := each.status.Heartbeat.Zone; !slices.Contains(found.copyZones, zone) {
 			found.copyZones = append(found.copyZones, zone)
 		}
@@ -193,40 +193,41 @@
 	return found
 }
 
-// zoneCost is how much less than elsewhere a replica at the runner is worth for the loss of a zone: of replicas, and of
-// copies, where a machine of its zone has one and another zone has none.
-func (s *spread) zoneCost(known *runner, model string) float64 {
-	zone, cost := known.status.Heartbeat.Zone, 0.0
+// zoneCost returns the cost of a replica at the runner relative to the best zone: for the
+// distribution of replicas, and for that of copies if its zone already has a copy and another zone
+// has none.
+func (s *spread) zoneCost(r *runner, model string) float64 {
+	zone, cost := r.status.Heartbeat.Zone, 0.0
 	if i, isListed := slices.BinarySearch(s.zones, zone); isListed {
 		cost += s.costs[i]
 	}
-	if !s.hasAllZones && slices.Contains(s.copyZones, zone) && !known.hasCopy(model) {
-		cost += copySpread
+	if !s.hasAllZones && slices.Contains(s.copyZones, zone) && !r.hasCopy(model) {
+		cost += copySpreadCost
 	}
 	return cost
 }
 
-// zoneValue is how many requests of the horizon the runner's replica of the model is worth for the loss
-// of a zone.
-func (p *Planner) zoneValue(known *runner, row Row) float64 {
+// zoneValue returns the value of the runner's replica for the case that a zone is lost, in requests
+// within the horizon.
+func (p *Planner) zoneValue(r *runner, row Row) float64 {
 	with := p.coverOf(row, p.holders(row))
-	without := p.coverOf(row, p.holdersBut(known, row))
-	return zoneWeight * max(0, without.exposed()-with.exposed()) * p.options.Horizon.Seconds()
+	without := p.coverOf(row, p.holdersExcept(r, row))
+	return zoneWeight * max(0, without.unserved()-with.unserved()) * p.options.Horizon.Seconds()
 }
 
-// isZoneBound reports whether a model in demand is held in one zone alone though there are more.
+// isZoneBound reports whether a model in demand is held in only one of several zones.
 func (p *Planner) isZoneBound(row Row) bool {
-	if len(p.tally.zones[row.Service]) < 2 || p.modelDemand(row).rate <= spareRate {
+	if len(p.snapshot.zones[row.Service]) < 2 || p.modelDemand(row).rate <= redundantRate {
 		return false
 	}
 	zones := make(map[string]bool)
-	for _, known := range p.holders(row) {
-		zones[known.status.Heartbeat.Zone] = true
+	for _, r := range p.holders(row) {
+		zones[r.status.Heartbeat.Zone] = true
 	}
 	return len(zones) == 1
 }
 
-// addZone counts a router's requests for its zone.
+// addZone counts the requests of a router for its zone.
 func (d *rowDemand) addZone(zone string, arrived int, rateTime time.Duration) {
 	if zone == "" {
 		return
--- a/placement/residency/zonecover_test.go
+++ b/placement/residency/zonecover_test.go
@@ -9,11 +9,11 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// zoneRunner is a runner of a test with zones.
+// zoneRunner describes a runner in a zone.
 type zoneRunner struct {
 	zone   string
 	models []string
-	// onDisk are models of which the machine has a copy.
+	// onDisk lists the models of which the machine has a copy.
 	onDisk []string
 }
 
@@ -27,7 +27,7 @@
 	})
 }
 
-// ask reports requests a second for a model by the zone of the routers, for some seconds.
+// ask reports requests per second for a model by the zone of the routers, for a number of seconds.
 func ask(p *Planner, from time.Time, seconds int, model string, rates map[string]int) time.Time {
 	at := from
 	for range seconds {
@@ -40,7 +40,7 @@
 	return at
 }
 
-// loads lists where a model is ordered to be loaded.
+// loads returns the runners at which the model is ordered to be loaded.
 func loads(orders []Order, model string) []string {
 	var listed []string
 	for _, order := range orders {
@@ -51,9 +51,9 @@
 	return listed
 }
 
-// A model has more callers than its replica bears. The next one comes up in a zone that has none, so that
-// the loss of either leaves one.
-func TestFurtherReplicaGoesToAnotherZone(t *testing.T) {
+// A further replica of an overloaded model is loaded in a zone without one, so that the loss of
+// either zone leaves a replica.
+func TestFurtherReplicaIsLoadedInAnotherZone(t *testing.T) {
 	c := qt.New(t)
 	disk := []string{"m0"}
 	p := newZonePlanner(zoneRunner{"a", disk, nil}, zoneRunner{"a", nil, disk}, zoneRunner{"a", nil, disk}, zoneRunner{"b", nil, disk})
@@ -61,9 +61,9 @@
 	c.Assert(loads(p.Plan(at), "m0"), qt.DeepEquals, []string{"r3"})
 }
 
-// The replicas bear the demand, but all are in one zone, and half of the callers in another: a machine of another that has a copy loads it. The
-// weight store is left to those who wait for it.
-func TestReplicaAgainstTheLossOfAZoneComesFromACopy(t *testing.T) {
+// All replicas are in one zone, with enough capacity, and half of the clients in another. A runner
+// there loads the model only from a copy, as the weight store is left to waiting requests.
+func TestReplicaForZoneLossIsLoadedFromCopy(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		onDisk []string
@@ -71,8 +71,8 @@
 		loads  []string
 	}{
 		{"a copy in the other zone", []string{"m0"}, "b", []string{"r2"}},
-		{"no copy there", nil, "b", nil},
-		{"one zone alone", []string{"m0"}, "a", nil},
+		{"no copy in the other zone", nil, "b", nil},
+		{"a single zone", []string{"m0"}, "a", nil},
 		{"no zones", []string{"m0"}, "", nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Callers move from one zone to another. The next replica follows them within seconds.
-func TestReplicaFollowsItsCallers(t *testing.T) {
+// Clients move to another zone, and the next replica follows within seconds.
+func TestReplicaFollowsClients(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		rates map[string]int
@@ -113,8 +113,8 @@
 	}
 }
 
-// A zone is lost. What was only there is loaded in the zones that are left, from where there is a copy.
-func TestModelOfALostZoneIsLoadedInAnother(t *testing.T) {
+// A model that was only held in a lost zone is loaded elsewhere, from a copy.
+func TestModelOfLostZoneIsLoadedInAnother(t *testing.T) {
 	c := qt.New(t)
 	held := []string{"m0"}
 	p := newZonePlanner(zoneRunner{"a", held, nil}, zoneRunner{"a", nil, held}, zoneRunner{"b", nil, held})
@@ -129,8 +129,8 @@
 	c.Assert(loads(p.Plan(at), "m0"), qt.DeepEquals, []string{"r2"})
 }
 
-// Room is made at the cost of a zone's third replica, not of another zone's only one.
-func TestOnlyReplicaOfAZoneIsWorthMore(t *testing.T) {
+// The only replica of a zone is more valuable than one of three in another.
+func TestOnlyReplicaOfZoneIsMoreValuable(t *testing.T) {
 	c := qt.New(t)
 	held := []string{"m0"}
 	p := newZonePlanner(zoneRunner{"a", held, nil}, zoneRunner{"a", held, nil}, zoneRunner{"a", held, nil}, zoneRunner{"b", held, nil})
@@ -140,23 +140,23 @@
 	c.Assert(p.zoneValue(p.runners["r3"], row) > p.zoneValue(p.runners["r0"], row), qt.IsTrue)
 }
 
-// What is exposed is what nobody could serve, on average over the zones that may go.
-func TestExposedRequests(t *testing.T) {
+func TestUnservedRequests(t *testing.T) {
 	for _, test := range []struct {
-		name         string
-		rates, borne []float64
-		exposed      float64
+		name              string
+		rates, capacities []float64
+		unserved          float64
 	}{
-		{"covered twice over", []float64{2, 2}, []float64{5, 5}, 0},
-		// Without a nobody serves b's 2, within b nobody does either; without b a serves both.
+		{"each zone can serve all", []float64{2, 2}, []float64{5, 5}, 0},
+		// Without zone a, nobody serves the 2 of b, nor does anyone within b; without b, a serves
+		// both.
 		{"all in one zone", []float64{2, 2}, []float64{10, 0}, 2},
-		{"its own rate only", []float64{4, 4}, []float64{4, 4}, 0},
-		{"nothing", []float64{4, 4}, []float64{0, 0}, 8},
+		{"each zone can serve its own clients", []float64{4, 4}, []float64{4, 4}, 0},
+		{"no replicas", []float64{4, 4}, []float64{0, 0}, 8},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			cover := zoneCover{zones: []string{"a", "b"}, rates: test.rates, borne: test.borne}
-			c.Assert(cover.exposed(), qt.Equals, test.exposed)
+			cover := zoneCover{zones: []string{"a", "b"}, rates: test.rates, capacities: test.capacities}
+			c.Assert(cover.unserved(), qt.Equals, test.unserved)
 		})
 	}
 }
