--- a/placement/pace/doc.go
+++ b/placement/pace/doc.go
@@ -1,5 +1,4 @@
-// Package pace models how the time of a runner is spent: reading prompts, and making events of
-// the streams that it runs. It is the one place that says what "slow" and "full" mean; routers
-// choose by it and the planner of loads places by it. It is pure: no clock, no goroutine, no
-// socket.
+// Package pace models how a runner spends its time: reading prompts, and generating the events of
+// the streams that it runs. It defines when a runner counts as slow or overloaded, for routers as
+// well as for the planner of loads. The package has no clock, no goroutines and does no I/O.
 package pace
--- a/placement/pace/learner.go
+++ b/placement/pace/learner.go
@@ -6,59 +6,57 @@
 )
 
 const (
-	// believedFor is how long a slowness is believed without news: a runner that is left alone
-	// for it is worth another try. It then fades towards that of the usual one, to a third in
-	// fadeTime.
-	believedFor = time.Minute
-	fadeTime    = time.Minute
-	// tellFactor is by how much a figure must change to be told anew: each news goes to every
-	// router, and 15 in 100 change no choice.
-	tellFactor = 1.15
-	// errorSmoothing is the weight of a new stream in the error.
+	// slownessRetention is how long a slowness is kept without a sample. It then decays towards 1,
+	// to a third of its logarithm in decayTime, so that an unused runner is tried again.
+	slownessRetention = time.Minute
+	decayTime         = time.Minute
+	// publishFactor is the ratio by which a figure must change to be published, since each change
+	// is sent to all routers.
+	publishFactor = 1.15
+	// errorSmoothing is the weight of a stream in the error.
 	errorSmoothing = 0.02
-	// maxError bounds the error of a single stream: pauses are no matter of speed.
+	// maxError bounds the error of a stream, since pauses don't indicate the speed.
 	maxError = 1
 )
 
-// Learner learns from streams what work takes at runners. Its methods must not run at the same
-// time.
+// Learner learns the speed of runners from streams. It is not safe for concurrent use.
 type Learner struct {
-	runners  map[string]*speed
-	services map[string]*service
-	usual    map[Class]float64
+	runners     map[string]*speed
+	services    map[string]*service
+	typicalGaps map[Class]float64
 }
 
-// service is what is known of the runners of a service together.
+// service is the state of a service, over all of its runners.
 type service struct {
-	prompts *prompts
-	// rate and event are those of the usual runner as last told: prompt tokens a second, and
+	prompts *promptStats
+	// rate and event are the published figures of the typical runner: prompt tokens per second, and
 	// the time between two events.
 	rate  float64
 	event time.Duration
-	// tokens, squares and events are the means of requests as last told; see prompts.
+	// tokens, squares and events are the published means of requests; see promptStats.
 	tokens  float64
 	squares float64
 	events  float64
-	// err is the mean part by which forecasts of gaps were wrong.
+	// err is the mean relative error of the forecast gaps.
 	err float64
-	// heldRate is the prompt rate as far as it is held, after so many looks.
-	heldRate float64
-	looks    int
+	// smoothedRate is the smoothed prompt rate after the given number of updates.
+	smoothedRate float64
+	updates      int
 }
 
-// NewLearner makes a learner that knows nothing.
+// NewLearner returns a learner without samples.
 func NewLearner() *Learner {
-	return &Learner{runners: make(map[string]*speed), services: make(map[string]*service), usual: make(map[Class]float64)}
+	return &Learner{runners: make(map[string]*speed), services: make(map[string]*service), typicalGaps: make(map[Class]float64)}
 }
 
-// Expect makes a runner known. Its slowness is what was believed of one in its place, or 0.
+// Expect adds a runner. slowness is that of the previous runner at its endpoint, or 0.
 func (l *Learner) Expect(now time.Time, instance string, slowness float64) {
 	if l.runners[instance] == nil {
-		l.runners[instance] = &speed{slowness: slowness, told: slowness, seenAt: now}
+		l.runners[instance] = &speed{slowness: slowness, published: slowness, seenAt: now}
 	}
 }
 
-// Forget drops the runners that are listed no more.
+// Forget deletes the runners that are no longer listed.
 func (l *Learner) Forget(isListed func(instance string) bool) {
 	for instance := range l.runners {
 		if !isListed(instance) {
@@ -67,128 +65,127 @@
 	}
 }
 
-// Add takes what was seen of a stream. Those at runners that are not expected are passed over.
+// Add records a sample. Samples from runners that were not added by Expect are ignored.
 func (l *Learner) Add(now time.Time, seen Sample) {
-	known := l.runners[seen.Instance]
-	if known == nil {
+	runner := l.runners[seen.Instance]
+	if runner == nil {
 		return
 	}
-	slowness := l.believed(seen.Instance)
-	of := l.service(seen.Class.Service)
-	of.prompts.add(seen, slowness)
+	slowness := l.slownessOf(seen.Instance)
+	service := l.service(seen.Class.Service)
+	service.prompts.add(seen, slowness)
 	if seen.Gap <= 0 {
 		return
 	}
-	usual := l.usual[seen.Class]
-	if usual > 0 {
-		wrong := min(maxError, math.Abs(usual*slowness/seen.Gap.Seconds()-1))
-		of.err += errorSmoothing * (wrong - of.err)
+	typical := l.typicalGaps[seen.Class]
+	if typical > 0 {
+		wrong := min(maxError, math.Abs(typical*slowness/seen.Gap.Seconds()-1))
+		service.err += errorSmoothing * (wrong - service.err)
 	}
-	known.add(now, gap{seen.Class, seen.Gap.Seconds()}, usual)
+	runner.add(now, gap{seen.Class, seen.Gap.Seconds()}, typical)
 }
 
 func (l *Learner) service(name string) *service {
-	known := l.services[name]
-	if known == nil {
-		known = &service{prompts: newPrompts()}
-		l.services[name] = known
+	s := l.services[name]
+	if s == nil {
+		s = &service{prompts: newPromptStats()}
+		l.services[name] = s
 	}
-	return known
+	return s
 }
 
-// Judge compares the runners.
+// Judge estimates the slowness of the runners from the samples.
 func (l *Learner) Judge(now time.Time) {
 	gaps := make(map[string]map[Class]float64, len(l.runners))
-	for instance, known := range l.runners {
-		if now.Sub(known.seenAt) > believedFor {
-			known.gaps = nil
+	for instance, runner := range l.runners {
+		if now.Sub(runner.seenAt) > slownessRetention {
+			runner.gaps = nil
 		}
-		if found := known.quiet(); len(found) > 0 {
+		if found := runner.unloadedGaps(); len(found) > 0 {
 			gaps[instance] = found
 		}
 	}
-	found := newFitting(gaps, l.believed)
-	for class, usual := range found.usual {
-		l.usual[class] = usual
+	found := newFitting(gaps, l.slownessOf)
+	for class, typical := range found.typicalGaps {
+		l.typicalGaps[class] = typical
 	}
-	for instance, known := range l.runners {
+	for instance, runner := range l.runners {
 		if slowness := found.slowness[instance]; slowness > 0 {
-			known.slowness = slowness
+			runner.slowness = slowness
 		}
-		if slowness := known.fading(now); hasChanged(known.told, slowness) {
-			known.told = slowness
+		if slowness := runner.decayed(now); hasChanged(runner.published, slowness) {
+			runner.published = slowness
 		}
 	}
-	l.judgeServices(found)
+	l.updateServices(found)
 }
 
-// believed is the slowness of a runner, 1 if nothing tells.
-func (l *Learner) believed(instance string) float64 {
-	if known := l.runners[instance]; known != nil && known.slowness > 0 {
-		return known.slowness
+// slownessOf returns the estimated slowness of a runner, 1 if it is unknown.
+func (l *Learner) slownessOf(instance string) float64 {
+	if runner := l.runners[instance]; runner != nil && runner.slowness > 0 {
+		return runner.slowness
 	}
 	return 1
 }
 
-// fading is the slowness that is believed of a runner that was last seen a while ago.
-func (s *speed) fading(now time.Time) float64 {
-	over := now.Sub(s.seenAt) - believedFor
+// decayed returns the slowness of the runner, which decays without samples.
+func (s *speed) decayed(now time.Time) float64 {
+	over := now.Sub(s.seenAt) - slownessRetention
 	if s.slowness == 0 || over <= 0 {
 		return s.slowness
 	}
-	return math.Pow(s.slowness, math.Exp(-over.Seconds()/fadeTime.Seconds()))
+	return math.Pow(s.slowness, math.Exp(-over.Seconds()/decayTime.Seconds()))
 }
 
-// judgeServices tells figures of the services anew that have changed much.
-func (l *Learner) judgeServices(found *fitting) {
+// updateServices publishes the figures of the services that have changed by publishFactor.
+func (l *Learner) updateServices(found *fitting) {
 	events := make(map[string][]float64)
-	for class, usual := range found.usual {
-		events[class.Service] = append(events[class.Service], usual)
+	for class, typical := range found.typicalGaps {
+		events[class.Service] = append(events[class.Service], typical)
 	}
-	for name, known := range l.services {
+	for name, service := range l.services {
 		if len(events[name]) > 0 {
-			known.tellEvent(median(events[name]))
+			service.publishEvent(median(events[name]))
 		}
-		known.tellRate(known.prompts.rate(known.event))
-		known.tellMeans()
+		service.publishRate(service.prompts.rate(service.event))
+		service.publishMeans()
 	}
 }
 
-// tellRate takes what the first events of the last requests tell of the prompt rate.
-func (s *service) tellRate(rate float64) {
+// publishRate updates the smoothed prompt rate with an estimate from recent requests.
+func (s *service) publishRate(rate float64) {
 	if rate <= 0 {
 		return
 	}
-	s.looks++
+	s.updates++
 	weight := rateRise
-	if rate < s.heldRate {
-		weight = max(rateFall, 1/float64(s.looks))
+	if rate < s.smoothedRate {
+		weight = max(rateFall, 1/float64(s.updates))
 	}
-	if s.heldRate == 0 {
+	if s.smoothedRate == 0 {
 		weight = 1
 	}
-	s.heldRate += weight * (rate - s.heldRate)
-	if hasChanged(s.rate, s.heldRate) {
-		s.rate = s.heldRate
+	s.smoothedRate += weight * (rate - s.smoothedRate)
+	if hasChanged(s.rate, s.smoothedRate) {
+		s.rate = s.smoothedRate
 	}
 }
 
 const (
-	// rateRise and rateFall are the weights of a look, one a second, at a prompt rate above or below
-	// the one that is held. Prompts that wait for each other at full runners seem to be read more slowly,
-	// never more quickly: in an overload of twenty seconds 31,000 tokens a second became 12,000, and a
-	// planner that believed it put a model at 160 requests a second behind rare ones.
+	// rateRise and rateFall are the weights of an update, once a second, with a prompt rate above
+	// or below the smoothed one. Prompts that wait for each other at overloaded runners look slower
+	// than they are, never faster, and the planner must not take that for a lower capacity.
 	rateRise = 0.3
 	rateFall = 0.005
 )
 
-func (s *service) tellEvent(seconds float64) {
+func (s *service) publishEvent(seconds float64) {
 	if hasChanged(s.event.Seconds(), seconds) {
 		s.event = time.Duration(seconds * float64(time.Second))
 	}
 }
 
-func (s *service) tellMeans() {
+func (s *service) publishMeans() {
 	tokens, squares, events := s.prompts.tokens, s.prompts.squares, s.prompts.events
 	if tokens.count < minMeans || events.count < minMeans {
 		return
@@ -198,28 +195,28 @@
 	}
 }
 
-// hasChanged reports whether a figure is far enough from the one that was told.
-func hasChanged(told, now float64) bool {
-	if told <= 0 || now <= 0 {
-		return now > 0 && told <= 0
+// hasChanged reports whether a figure differs from the published one by publishFactor.
+func hasChanged(published, now float64) bool {
+	if published <= 0 || now <= 0 {
+		return now > 0 && published <= 0
 	}
-	return now > told*tellFactor || now < told/tellFactor
+	return now > published*publishFactor || now < published/publishFactor
 }
 
-// Slowness is how many times as long as the usual runner a runner takes, as of the last
-// judgement; 0 if nothing tells.
+// Slowness returns the time that a runner takes relative to the typical one, as of the last call of
+// Judge; 0 if it is unknown.
 func (l *Learner) Slowness(instance string) float64 {
-	if known := l.runners[instance]; known != nil {
-		return known.told
+	if runner := l.runners[instance]; runner != nil {
+		return runner.published
 	}
 	return 0
 }
 
-// Runner is what work takes at a runner of a service, as of the last judgement.
+// Runner returns the speed of a runner of a service as of the last call of Judge.
 func (l *Learner) Runner(name, instance string) Runner {
 	slowness := l.Slowness(instance)
-	known := l.services[name]
-	if known == nil || known.rate <= 0 {
+	service := l.services[name]
+	if service == nil || service.rate <= 0 {
 		return Runner{Slowness: rounded(slowness)}
 	}
 	relative := max(slowness, minSlowness)
@@ -227,37 +224,37 @@
 		relative = 1
 	}
 	return Runner{
-		PromptRate: math.Round(known.rate / relative),
-		Event:      time.Duration(float64(known.event) * relative).Round(100 * time.Microsecond),
+		PromptRate: math.Round(service.rate / relative),
+		Event:      time.Duration(float64(service.event) * relative).Round(100 * time.Microsecond),
 		Slowness:   rounded(slowness),
 	}
 }
 
-// minSlowness bounds what is made of a runner that seems quicker than the usual one.
+// minSlowness bounds the slowness of a runner that seems faster than the typical one.
 const minSlowness = 0.25
 
-// rounded leaves two digits, for the news to be short.
+// rounded rounds to two digits, to keep messages short.
 func rounded(value float64) float64 { return math.Round(value*100) / 100 }
 
-// Work is what the requests of a service take at its usual runner. The caller adds what the
-// learner does not see: patience and slots.
+// Work returns the work of the requests of a service at its typical runner. The caller sets Patience
+// and Slots, which the learner doesn't know.
 func (l *Learner) Work(name string) Work {
-	known := l.services[name]
-	if known == nil || known.rate <= 0 || known.tokens <= 0 {
+	service := l.services[name]
+	if service == nil || service.rate <= 0 || service.tokens <= 0 {
 		return Work{}
 	}
 	seconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 	return Work{
-		Reading:   seconds(known.tokens / known.rate),
-		Hindrance: seconds(known.squares / known.tokens / known.rate),
-		Stream:    seconds(known.events * known.event.Seconds()),
+		Reading:   seconds(service.tokens / service.rate),
+		Hindrance: seconds(service.squares / service.tokens / service.rate),
+		Stream:    seconds(service.events * service.event.Seconds()),
 	}
 }
 
-// Error is the mean part by which forecasts of the time between events were wrong.
+// Error returns the mean relative error of the forecast time between events.
 func (l *Learner) Error(name string) float64 {
-	if known := l.services[name]; known != nil {
-		return known.err
+	if service := l.services[name]; service != nil {
+		return service.err
 	}
 	return 0
 }
--- a/placement/pace/learner_test.go
+++ b/placement/pace/learner_test.go
@@ -10,28 +10,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// site plays the streams of some runners to a learner.
+// site simulates the streams of runners for a learner.
 type site struct {
 	learner *Learner
 	random  *rand.Rand
 	now     time.Time
-	// slowness is that of each runner.
+	// slowness is the true slowness of each runner.
 	slowness []float64
-	// stretch changes what a stream's gap would be at an idle runner.
+	// stretch returns the factor by which load or noise lengthens the gap of a stream.
 	stretch func(runner int) float64
 	class   func(runner int) Class
-	// judgedAt is when the runners were last compared, as they are each second.
+	// judgedAt is the time of the last call of Judge, once a second.
 	judgedAt time.Time
 }
 
-const usualGap = 0.021
+const typicalGap = 0.021
 
-var usualClass = Class{Service: "s", SizeMB: 70}
+var typicalClass = Class{Service: "s", SizeMB: 70}
 
 func newSite(slowness ...float64) *site {
 	s := &site{
 		learner: NewLearner(), random: rand.New(rand.NewPCG(5, 5)), now: time.Unix(5000, 0), slowness: slowness,
-		stretch: func(int) float64 { return 1 }, class: func(int) Class { return usualClass },
+		stretch: func(int) float64 { return 1 }, class: func(int) Class { return typicalClass },
 	}
 	for i := range slowness {
 		s.learner.Expect(s.now, name(i), 0)
@@ -41,7 +41,7 @@
 
 func name(runner int) string { return fmt.Sprint("r", runner) }
 
-// play lets time pass in which so many streams a second end at each runner.
+// play simulates the given number of seconds in which rate streams per second end at each runner.
 func (s *site) play(seconds float64, rate float64) {
 	const step = 50 * time.Millisecond
 	for range int(seconds / step.Seconds()) {
@@ -58,9 +58,9 @@
 	}
 }
 
-// end lets a stream end at a runner. Gaps vary by a few parts in a hundred.
+// end ends a stream at a runner. Gaps vary by up to five percent.
 func (s *site) end(runner int) {
-	gap := usualGap * s.slowness[runner] * s.stretch(runner) * (1 + 0.05*s.random.Float64())
+	gap := typicalGap * s.slowness[runner] * s.stretch(runner) * (1 + 0.05*s.random.Float64())
 	s.learner.Add(s.now, Sample{Instance: name(runner), Class: s.class(runner), Gap: time.Duration(gap * float64(time.Second)), Events: 10})
 }
 
@@ -70,21 +70,21 @@
 	c.Assert(math.Abs(found-want) <= tolerance*want, qt.IsTrue, qt.Commentf("runner %d: %.2f, not %.2f", runner, found, want))
 }
 
-// What is told may be as far off as tellFactor lets it, and as gaps vary.
-const told = tellFactor - 1 + 0.05
+// tolerance allows for publishFactor and for the variation of gaps.
+const tolerance = publishFactor - 1 + 0.05
 
-// A quarter of the runners takes twice as long: a caller's pause there is twice as long too.
-func TestSlownessIsThatBesideTheUsualRunner(t *testing.T) {
+// A quarter of the runners takes twice as long.
+func TestSlownessIsRelativeToTypicalRunner(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(1, 1, 1, 2.1, 1, 1, 1, 2.1, 1, 1, 1, 2.1)
 	s.play(6, 4)
 	for i, want := range s.slowness {
-		s.check(c, i, want, told)
+		s.check(c, i, want, tolerance)
 	}
 }
 
-// Load stretches most streams of some runners, and never all: one in three finds nothing read.
-func TestLoadIsNoSlowness(t *testing.T) {
+// Load stretches most streams of some runners, but not all.
+func TestLoadIsNotSlowness(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(1, 1, 1, 1, 1, 2)
 	s.stretch = func(runner int) float64 {
@@ -95,12 +95,12 @@
 	}
 	s.play(20, 8)
 	for i, want := range s.slowness {
-		s.check(c, i, want, told)
+		s.check(c, i, want, tolerance)
 	}
 }
 
-// Noise makes one in seven streams two and a half times as long, at all runners.
-func TestNoiseIsNoSlowness(t *testing.T) {
+// Noise stretches one in seven streams at all runners.
+func TestNoiseIsNotSlowness(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(1, 1, 1, 1, 1, 1, 1, 2)
 	s.stretch = func(int) float64 {
@@ -115,29 +115,27 @@
 			continue
 		}
 		for i, want := range s.slowness {
-			s.check(c, i, want, told)
+			s.check(c, i, want, tolerance)
 		}
 	}
 }
 
-// Four times as slow, a runner holds each event up for longer than most callers expect a whole
-// answer to begin in; two seconds are the streams that are lost meanwhile.
-func TestRunnerThatTurnsSlowIsKnownWithinTwoSeconds(t *testing.T) {
+// A runner that has become four times as slow delays every event beyond what callers accept.
+func TestSlowdownIsDetectedWithinTwoSeconds(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(1, 1, 1, 1, 1)
 	s.play(20, 6)
 	s.slowness[0] = 4
 	s.play(2, 6)
-	s.check(c, 0, 4, told)
-	s.check(c, 1, 1, told)
+	s.check(c, 0, 4, tolerance)
+	s.check(c, 1, 1, tolerance)
 	s.slowness[0] = 1
 	s.play(2, 6)
-	s.check(c, 0, 1, told)
+	s.check(c, 0, 1, tolerance)
 }
 
-// Half of the runners tell late: what they tell is older, and nobody else is taken for quicker
-// or slower because of it.
-func TestLateReportsOfHalfOfTheRunnersDoNoHarm(t *testing.T) {
+// Guards against taking runners for faster or slower because the samples of others are older.
+func TestLateSamplesOfHalfOfTheRunners(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(1, 1, 1, 1, 2, 2)
 	late := make(map[int][]time.Time)
@@ -162,25 +160,25 @@
 		}
 		s.play(0.05, 0)
 		for i, want := range s.slowness {
-			s.check(c, i, want, told)
+			s.check(c, i, want, tolerance)
 		}
 	}
 }
 
-// Models of other sizes take other times for an event. A runner that holds only large ones is
-// not slow, also where only slow runners hold them besides.
-func TestLargeModelsAreNoSlowness(t *testing.T) {
+// Events of larger models take longer. A runner that holds only large models is not slow, even if
+// only slow runners hold them too.
+func TestLargeModelsAreNotSlowness(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(1, 1, 1, 1, 1, 2, 2)
 	large := Class{Service: "s", SizeMB: 140}
 	isLarge := false
 	s.class = func(runner int) Class {
-		// Runner 4 holds both, 5 and 6 the large ones only.
+		// Runner 4 holds both classes, 5 and 6 only the large one.
 		isLarge = runner > 4 || runner == 4 && s.random.IntN(2) == 0
 		if isLarge {
 			return large
 		}
-		return usualClass
+		return typicalClass
 	}
 	s.stretch = func(int) float64 { return 1 }
 	s.play(2, 0)
@@ -188,7 +186,7 @@
 		s.now = s.now.Add(50 * time.Millisecond)
 		for i := range s.slowness {
 			class := s.class(i)
-			gap := usualGap * s.slowness[i]
+			gap := typicalGap * s.slowness[i]
 			if class == large {
 				gap *= 1.8
 			}
@@ -201,36 +199,35 @@
 	}
 }
 
-// The first stream of a cold model is slow for other reasons than the runner.
-func TestFewStreamsProveNothing(t *testing.T) {
+// The first stream of a cold model is slow for reasons other than the runner.
+func TestTooFewStreamsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(1, 1, 1)
 	s.play(5, 5)
 	s.learner.Expect(s.now, "new", 0)
-	s.learner.Add(s.now, Sample{Instance: "new", Class: usualClass, Gap: 300 * time.Millisecond})
+	s.learner.Add(s.now, Sample{Instance: "new", Class: typicalClass, Gap: 300 * time.Millisecond})
 	s.play(2, 5)
 	c.Assert(s.learner.Slowness("new"), qt.Equals, 0.0)
-	s.learner.Add(s.now, Sample{Instance: "unexpected", Class: usualClass, Gap: 300 * time.Millisecond})
+	s.learner.Add(s.now, Sample{Instance: "unexpected", Class: typicalClass, Gap: 300 * time.Millisecond})
 	c.Assert(s.learner.Slowness("unexpected"), qt.Equals, 0.0)
 }
 
-// A new runner in the place of a slow one is taken for slow until it shows what it is; nobody
-// sends it anything, the belief fades within minutes and it is tried again.
-func TestABeliefFadesWithoutNews(t *testing.T) {
+// A new runner inherits the slowness of the previous one at its endpoint. Guards against never
+// using it again.
+func TestSlownessDecaysWithoutSamples(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(1, 1, 1)
 	s.play(5, 5)
 	s.learner.Expect(s.now, "prior", 2)
 	c.Assert(s.learner.Slowness("prior"), qt.Equals, 2.0)
-	s.play(believedFor.Seconds()-1, 2)
+	s.play(slownessRetention.Seconds()-1, 2)
 	c.Assert(s.learner.Slowness("prior"), qt.Equals, 2.0)
-	s.play(3*fadeTime.Seconds(), 2)
+	s.play(3*decayTime.Seconds(), 2)
 	c.Assert(s.learner.Slowness("prior") < 1.2, qt.IsTrue, qt.Commentf("%v", s.learner.Slowness("prior")))
 }
 
-// What is told changes seldom while the runners stay as they are: each change goes to every
-// router.
-func TestNewsIsScarceWhileNothingChanges(t *testing.T) {
+// Guards against changes that are sent to every router while the runners stay as they are.
+func TestFewChangesArePublished(t *testing.T) {
 	c := qt.New(t)
 	slowness := make([]float64, 60)
 	for i := range slowness {
@@ -256,15 +253,15 @@
 	c.Assert(s.learner.Error("s") < 0.25, qt.IsTrue, qt.Commentf("%v", s.learner.Error("s")))
 }
 
-// Most prompts wait for others, and one in seven of those that were taken for unread is kept by the
-// runner, as another router sent them before.
-func TestRateOfPromptTokens(t *testing.T) {
+// Most prompts wait for others, and some of those that the router takes for uncached are in the
+// cache.
+func TestPromptRate(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		lengths []int64
 		cached  float64
 	}{
-		{"short and long prompts", []int64{491, 2890}, 0}, {"some are in caches", []int64{491, 2890}, 0.15},
+		{"short and long prompts", []int64{491, 2890}, 0}, {"some prompts are cached", []int64{491, 2890}, 0.15},
 		{"prompts of one length", []int64{1110}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -280,7 +277,7 @@
 					first = 0.021 + waits
 				}
 				s.learner.Add(s.now, Sample{
-					Instance: "r0", Class: usualClass, First: time.Duration(first * float64(time.Second)),
+					Instance: "r0", Class: typicalClass, First: time.Duration(first * float64(time.Second)),
 					Prompt: own, Events: 10,
 				})
 			}
@@ -298,7 +295,7 @@
 	i := 0
 	for b.Loop() {
 		i++
-		s.learner.Add(s.now, Sample{Instance: name(i % 100), Class: usualClass, Gap: 21 * time.Millisecond, First: 40 * time.Millisecond, Prompt: 640, Events: 10})
+		s.learner.Add(s.now, Sample{Instance: name(i % 100), Class: typicalClass, Gap: 21 * time.Millisecond, First: 40 * time.Millisecond, Prompt: 640, Events: 10})
 	}
 }
 
--- a/placement/pace/held_test.go
+++ b/placement/pace/promptrate_test.go
@@ -6,13 +6,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An overload makes prompts seem to be read more slowly. Twenty seconds of it must not make a
-// planner believe that runners bear a third of what they do.
-func TestPromptRateIsHeldThroughAnOverload(t *testing.T) {
+// Guards against a lower prompt rate, and thus capacity, after an overload of twenty seconds.
+func TestPromptRateIsKeptDuringOverload(t *testing.T) {
 	learn := func(rates ...float64) float64 {
 		var known service
 		for _, rate := range rates {
-			known.tellRate(rate)
+			known.publishRate(rate)
 		}
 		return known.rate
 	}
@@ -26,11 +25,11 @@
 	t.Run("an overload of twenty seconds", func(t *testing.T) {
 		qt.Assert(t, learn(append(calm, overload...)...) >= 26000, qt.IsTrue)
 	})
-	t.Run("a first look that was far too high", func(t *testing.T) {
+	t.Run("a first rate that is far too high", func(t *testing.T) {
 		qt.Assert(t, learn(append([]float64{150000}, calm...)...) <= 40000, qt.IsTrue)
 	})
 	t.Run("after an overload", func(t *testing.T) {
 		qt.Assert(t, learn(append(overload, calm[:10]...)...) >= 26000, qt.IsTrue)
 	})
-	t.Run("nothing is told", func(t *testing.T) { qt.Assert(t, learn(0, 0), qt.Equals, 0.0) })
+	t.Run("no rate", func(t *testing.T) { qt.Assert(t, learn(0, 0), qt.Equals, 0.0) })
 }
--- a/placement/pace/runner.go
+++ b/placement/pace/runner.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Runner is what work takes at one runner. The zero value says nothing of it.
+// Runner is the speed of a runner. The zero value means that it is unknown.
 //
-// A runner reads prompts in pieces between the events of its streams, so that a prompt
-// delays the first events of those that are read after it, and every event of those that run.
+// A runner reads prompts in pieces between the events of its streams, so that a prompt delays the
+// first events of the prompts after it and all events of running streams.
 type Runner struct {
-	// PromptRate is how many prompt tokens that no cache holds it reads a second.
+	// PromptRate is the number of uncached prompt tokens that it reads per second.
 	PromptRate float64
-	// Event is the time between two events of a stream while it reads no prompt. More
-	// streams at once change it little, up to the runner's batch.
+	// Event is the time between two events of a stream while no prompt is read. It depends little
+	// on the number of streams, up to the batch size of the runner.
 	Event time.Duration
-	// Slowness is how many times as long as the usual runner of its service it takes for the
-	// same work: 1 for the usual one, 0 if nothing tells.
+	// Slowness is the time that the runner takes relative to the typical runner of its service for
+	// the same work: 1 for the typical one, 0 if it is unknown.
 	Slowness float64
 }
 
-// IsKnown reports whether anything was learned of the runner.
+// IsKnown reports whether the speed of the runner is known.
 func (r Runner) IsKnown() bool { return r.PromptRate > 0 }
 
-// Reading is how long the runner reads so many tokens of prompts; 0 if it is not known.
+// Reading returns how long the runner reads the number of prompt tokens; 0 if its speed is unknown.
 func (r Runner) Reading(tokens int64) time.Duration {
 	if r.PromptRate <= 0 || tokens <= 0 {
 		return 0
@@ -28,8 +28,8 @@
 	return time.Duration(float64(tokens) / r.PromptRate * float64(time.Second))
 }
 
-// FirstEvent is how long a prompt with own tokens waits for its first event behind prompts
-// with ahead tokens, counted from when it is let into the batch.
+// FirstEvent returns the time to the first event of a prompt with own tokens behind prompts with
+// ahead tokens, from its admission to the batch.
 func (r Runner) FirstEvent(ahead, own int64) time.Duration {
 	return r.Reading(ahead+own) + r.Event
 }
--- a/placement/pace/runner_test.go
+++ b/placement/pace/runner_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestRunner(t *testing.T) {
-	known := Runner{PromptRate: 20000, Event: 50 * time.Millisecond, Slowness: 2}
+	runner := Runner{PromptRate: 20000, Event: 50 * time.Millisecond, Slowness: 2}
 	t.Run("a prompt waits for those before it", func(t *testing.T) {
-		qt.Assert(t, known.FirstEvent(1000, 500), qt.Equals, 125*time.Millisecond)
+		qt.Assert(t, runner.FirstEvent(1000, 500), qt.Equals, 125*time.Millisecond)
 	})
-	t.Run("nothing is said of an unknown runner", func(t *testing.T) {
+	t.Run("an unknown runner", func(t *testing.T) {
 		c := qt.New(t)
 		c.Assert(Runner{}.IsKnown(), qt.IsFalse)
 		c.Assert(Runner{}.FirstEvent(1000, 500), qt.Equals, time.Duration(0))
--- a/placement/pace/speeds.go
+++ b/placement/pace/speeds.go
@@ -8,22 +8,20 @@
 )
 
 const (
-	// keptGaps is how many gaps are kept of a runner. quietGaps of them are those of streams
-	// that had the runner nearly to themselves: what is sought is the runner's speed, and load
-	// only adds to a gap.
-	keptGaps  = 16
-	quietGaps = 8
-	// minGaps is how many a class must have at a runner for its speed to count.
+	// maxGaps is the number of gaps kept for each runner. The gap without load, which only
+	// increases it, is estimated by the quantile 1/quantileDivisor.
+	maxGaps         = 16
+	quantileDivisor = 8
+	// minGaps is the number of gaps of a class at a runner from which they are used.
 	minGaps = 2
-	// turnedGaps in a row that are turnedFactor times what was believed tell that the runner
-	// has turned slow: what was seen before is dropped, so that it is known within the second
-	// that so many streams take. Noise stretches single events, and prompts in between never
-	// all of a stream.
-	turnedGaps   = 4
-	turnedFactor = 3
-	// fits is how often runners and classes are fitted to each other in turn, beginning with
-	// what was believed: the next judgements go on.
-	fits = 6
+	// A runner has slowed down if slowdownGaps gaps in a row are slowdownFactor times the expected
+	// one. Older gaps are then dropped, so that the slowdown is detected within about a second.
+	// Noise and prompts stretch single events, but not whole streams.
+	slowdownGaps   = 4
+	slowdownFactor = 3
+	// fitRounds is the number of iterations of the fit. Each call of Judge continues from the
+	// previous result.
+	fitRounds = 6
 )
 
 type gap struct {
@@ -31,44 +29,44 @@
 	seconds float64
 }
 
-// speed is what is known of one runner's speed.
+// speed is the state of one runner.
 type speed struct {
-	// gaps are the newest, oldest first.
+	// gaps holds the latest gaps, oldest first.
 	gaps []gap
-	// slowness is what is believed; 0 if nothing tells. seenAt is when it was last seen.
+	// slowness is the estimated slowness; 0 if it is unknown. seenAt is the time of the last gap.
 	slowness float64
 	seenAt   time.Time
-	// told is the slowness that was last handed out.
-	told float64
+	// published is the published slowness.
+	published float64
 }
 
-// add takes a gap. The usual one of its class is 0 if it is not known.
-func (s *speed) add(now time.Time, seen gap, usual float64) {
-	if len(s.gaps) == keptGaps {
+// add records a gap. typical is the typical gap of its class; 0 if it is unknown.
+func (s *speed) add(now time.Time, seen gap, typical float64) {
+	if len(s.gaps) == maxGaps {
 		s.gaps = append(s.gaps[:0], s.gaps[1:]...)
 	}
 	s.gaps = append(s.gaps, seen)
 	s.seenAt = now
-	if s.hasTurned(usual) {
-		s.gaps = slices.Clone(s.gaps[len(s.gaps)-turnedGaps:])
+	if s.hasSlowedDown(typical) {
+		s.gaps = slices.Clone(s.gaps[len(s.gaps)-slowdownGaps:])
 	}
 }
 
-// hasTurned reports whether the newest gaps are all far above the belief.
-func (s *speed) hasTurned(usual float64) bool {
-	if s.slowness == 0 || usual == 0 || len(s.gaps) <= turnedGaps {
+// hasSlowedDown reports whether the latest gaps are all far above the expected one.
+func (s *speed) hasSlowedDown(typical float64) bool {
+	if s.slowness == 0 || typical == 0 || len(s.gaps) <= slowdownGaps {
 		return false
 	}
-	for _, each := range s.gaps[len(s.gaps)-turnedGaps:] {
-		if each.class != s.gaps[len(s.gaps)-1].class || each.seconds < turnedFactor*s.slowness*usual {
+	for _, each := range s.gaps[len(s.gaps)-slowdownGaps:] {
+		if each.class != s.gaps[len(s.gaps)-1].class || each.seconds < slowdownFactor*s.slowness*typical {
 			return false
 		}
 	}
 	return true
 }
 
-// quiet returns the runner's own gap for each class that it has shown enough of.
-func (s *speed) quiet() map[Class]float64 {
+// unloadedGaps returns the estimated gap without load for each class with enough gaps.
+func (s *speed) unloadedGaps() map[Class]float64 {
 	byClass := make(map[Class][]float64)
 	for _, each := range s.gaps {
 		byClass[each.class] = append(byClass[each.class], each.seconds)
@@ -77,25 +75,25 @@
 	for class, seconds := range byClass {
 		if len(seconds) >= minGaps {
 			slices.Sort(seconds)
-			found[class] = seconds[len(seconds)/quietGaps]
+			found[class] = seconds[len(seconds)/quantileDivisor]
 		}
 	}
 	return found
 }
 
-// fitting finds at once how slow runners are and how long an event of each class usually takes,
-// of the gaps by runner and class: a runner with only one class, which perhaps only slow runners
-// hold, is compared through those that hold several.
+// fitting estimates the slowness of runners and the typical gap of each class together from the
+// gaps by runner and class. Runners without a common class are compared through runners that hold
+// several classes.
 type fitting struct {
-	gaps     map[string]map[Class]float64
-	slowness map[string]float64
-	usual    map[Class]float64
+	gaps        map[string]map[Class]float64
+	slowness    map[string]float64
+	typicalGaps map[Class]float64
 }
 
-// newFitting begins with what was believed of the runners, and leaves out what cannot be
-// compared: classes at a single runner.
-func newFitting(gaps map[string]map[Class]float64, believed func(instance string) float64) *fitting {
-	f := &fitting{gaps: gaps, slowness: make(map[string]float64), usual: make(map[Class]float64)}
+// newFitting starts from the initial slowness of the runners and ignores classes seen at a single
+// runner, which can't be compared.
+func newFitting(gaps map[string]map[Class]float64, initial func(instance string) float64) *fitting {
+	f := &fitting{gaps: gaps, slowness: make(map[string]float64), typicalGaps: make(map[Class]float64)}
 	holders := make(map[Class]int)
 	for _, byClass := range gaps {
 		for class := range byClass {
@@ -105,19 +103,20 @@
 	for instance, byClass := range gaps {
 		maps.DeleteFunc(byClass, func(class Class, _ float64) bool { return holders[class] < 2 })
 		if len(byClass) > 0 {
-			f.slowness[instance] = believed(instance)
+			f.slowness[instance] = initial(instance)
 		}
 	}
-	for range fits {
-		f.fitUsual()
+	for range fitRounds {
+		f.fitTypicalGaps()
 		f.fitSlowness()
 	}
-	f.center()
+	f.normalize()
 	return f
 }
 
-// fitUsual takes the geometric mean of a class's gaps, each by the slowness of its runner.
-func (f *fitting) fitUsual() {
+// fitTypicalGaps sets the typical gap of each class to the geometric mean of its gaps, divided by
+// the slowness of their runners.
+func (f *fitting) fitTypicalGaps() {
 	sums, counts := make(map[Class]float64), make(map[Class]float64)
 	for instance, classes := range f.gaps {
 		for class, seconds := range classes {
@@ -126,16 +125,17 @@
 		}
 	}
 	for class, sum := range sums {
-		f.usual[class] = math.Exp(sum / counts[class])
+		f.typicalGaps[class] = math.Exp(sum / counts[class])
 	}
 }
 
-// fitSlowness takes the geometric mean of a runner's gaps, each by what is usual in its class.
+// fitSlowness sets the slowness of each runner to the geometric mean of its gaps, divided by the
+// typical gaps of their classes.
 func (f *fitting) fitSlowness() {
 	for instance, classes := range f.gaps {
 		sum := 0.0
 		for class, seconds := range classes {
-			sum += math.Log(seconds / f.usual[class])
+			sum += math.Log(seconds / f.typicalGaps[class])
 		}
 		if len(classes) > 0 {
 			f.slowness[instance] = math.Exp(sum / float64(len(classes)))
@@ -143,29 +143,29 @@
 	}
 }
 
-// center makes the middle one of the runners that can be compared with each other the usual one.
-func (f *fitting) center() {
-	kin := f.kin()
-	alike := make(map[Class][]float64)
-	kinOf := make(map[string]Class)
+// normalize scales each set of comparable runners so that its median runner has slowness 1.
+func (f *fitting) normalize() {
+	components := f.components()
+	members := make(map[Class][]float64)
+	componentOf := make(map[string]Class)
 	for instance, classes := range f.gaps {
 		for class := range classes {
-			kinOf[instance] = kin[class]
-			alike[kin[class]] = append(alike[kin[class]], f.slowness[instance])
+			componentOf[instance] = components[class]
+			members[components[class]] = append(members[components[class]], f.slowness[instance])
 			break
 		}
 	}
-	for class := range f.usual {
-		f.usual[class] *= median(alike[kin[class]])
+	for class := range f.typicalGaps {
+		f.typicalGaps[class] *= median(members[components[class]])
 	}
-	for instance, class := range kinOf {
-		f.slowness[instance] /= median(alike[class])
+	for instance, class := range componentOf {
+		f.slowness[instance] /= median(members[class])
 	}
 }
 
-// kin names for each class the one that stands for all classes which runners link with it: each
-// by a runner that holds both, or over others.
-func (f *fitting) kin() map[Class]Class {
+// components returns a representative class for each class. Classes have the same representative if
+// runners that hold several classes connect them.
+func (f *fitting) components() map[Class]Class {
 	parents := make(map[Class]Class)
 	root := func(class Class) Class {
 		for parents[class] != class {
@@ -193,8 +193,8 @@
 	return found
 }
 
-// median is the middle of the values, the lesser of the two of an even number: of two runners
-// the quicker one is the usual one. It sorts them.
+// median sorts the values and returns the middle one, or the lower of the two middle ones: of two
+// runners, the faster one is the typical one.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
--- a/placement/pace/work.go
+++ b/placement/pace/work.go
@@ -5,71 +5,70 @@
 	"time"
 )
 
-// Work is what the requests of a service take at its usual runner, and how long their callers
-// bear to wait. The zero value says nothing.
+// Work describes the requests of a service at its typical runner, and how long their callers wait.
+// The zero value means that it is unknown.
 type Work struct {
-	// Reading is how long the prompt of a request is read, on average.
+	// Reading is the mean time to read the prompt of a request.
 	Reading time.Duration
-	// Hindrance is how long the prompt is read on average that another request comes upon: the
-	// mean square over the mean, as a long prompt is in the way for longer.
+	// Hindrance is the mean reading time of the prompt that an arriving request finds being
+	// read: the mean square over the mean, as long prompts are met more often.
 	Hindrance time.Duration
-	// Stream is how long a stream takes from its first event to its last while nothing is read.
+	// Stream is the duration of a stream from its first event to its last while no prompt is read.
 	Stream time.Duration
 	// Patience is the longest pause between events, or wait for the first, that is in time.
 	Patience time.Duration
-	// Slots is how many requests a runner executes at once; 0 for no bound.
+	// Slots is the number of requests that a runner executes at once; 0 if it is unlimited.
 	Slots int
 }
 
-// IsKnown reports whether enough is known to say what a runner bears.
+// IsKnown reports whether the work is sufficient to compute the capacity of a runner.
 func (w Work) IsKnown() bool {
 	return w.Reading > 0 && w.Hindrance > 0 && w.Stream > 0 && w.Patience > 0
 }
 
 const (
-	// borneLate is the part of requests that may be late for a runner to count as bearing its
-	// load: callers are promised that 95 in 100 get their tokens in time.
-	borneLate = 0.05
-	// maxPrompts bounds the prompts that are counted in a row. Rows that are longer than this
-	// and still in time are those of prompts that are short beside the patience; then the
-	// share of time spent reading is what binds.
+	// maxLateShare is the share of late requests that defines the capacity: 95 in 100 requests are
+	// in time.
+	maxLateShare = 0.05
+	// maxPrompts bounds the number of consecutive prompts that are counted. If more of them are
+	// still in time, the share of time spent reading limits the capacity.
 	maxPrompts = 64
-	// loadSteps is the number of rates for which the part of late requests is worked out.
+	// loadSteps is the number of rates for which the share of late requests is computed.
 	loadSteps = 40
 )
 
-// Load tells what a runner bears: which part of its requests is late at which rate. It is read
-// from a table, as plans ask thousands of times.
+// Load gives the share of late requests of a runner by rate. It is a table, as each plan looks up
+// thousands of values.
 type Load struct {
-	// step is the rate between two entries of late, in requests a second.
+	// step is the rate between two entries of late, in requests per second.
 	step float64
-	// late is the part of late requests at 0, step, 2 step and so on; 1 above.
-	late  [loadSteps + 1]float64
-	borne float64
+	// late is the share of late requests at the rates 0, step, 2*step and so on; 1 above.
+	late     [loadSteps + 1]float64
+	capacity float64
 }
 
-// At works out what a runner bears that takes slowness times as long as the usual one.
+// At returns the load of a runner with the given slowness.
 func (w Work) At(slowness float64) *Load {
 	l := &Load{step: 1 / (w.Reading.Seconds() * slowness) / loadSteps}
 	for i := range l.late {
 		l.late[i] = w.late(float64(i)*l.step, slowness)
 	}
 	for i := 1; i < len(l.late); i++ {
-		if l.late[i] <= borneLate {
-			l.borne = float64(i) * l.step
+		if l.late[i] <= maxLateShare {
+			l.capacity = float64(i) * l.step
 			continue
 		}
-		within := (borneLate - l.late[i-1]) / (l.late[i] - l.late[i-1])
-		l.borne = (float64(i-1) + within) * l.step
+		within := (maxLateShare - l.late[i-1]) / (l.late[i] - l.late[i-1])
+		l.capacity = (float64(i-1) + within) * l.step
 		break
 	}
 	return l
 }
 
-// Borne is how many requests a second the runner bears.
-func (l *Load) Borne() float64 { return l.borne }
+// Borne returns the rate in requests per second at which maxLateShare of them are late.
+func (l *Load) Borne() float64 { return l.capacity }
 
-// Late is the part of the requests that are late at a rate of requests a second.
+// Late returns the share of requests that are late at a rate in requests per second.
 func (l *Load) Late(rate float64) float64 {
 	at := max(0, rate) / l.step
 	i := int(at)
@@ -79,12 +78,11 @@
 	return l.late[i] + (at-float64(i))*(l.late[i+1]-l.late[i])
 }
 
-// late is the part of requests that see a pause or a first event beyond their patience.
+// late returns the share of requests with a pause or a first event that takes longer than Patience.
 //
-// While prompts are read all streams of the runner pause. Prompts come at random, so that with
-// a share u of its time spent reading, n prompts are read in a row with the probability of the
-// Borel distribution, e^(-un) (un)^(n-1) / n!. A stream is late if in its time a row takes longer
-// than the patience.
+// All streams of a runner pause while it reads prompts. With Poisson arrivals and a share u of its
+// time spent reading, n prompts are read in a row with the probability of the Borel distribution,
+// e^(-un) (un)^(n-1) / n!. A stream is late if a row during it takes longer than Patience.
 func (w Work) late(rate, slowness float64) float64 {
 	reading := rate * w.Reading.Seconds() * slowness
 	if reading >= 1 {
@@ -100,13 +98,13 @@
 	return min(1, rows*stream*longRows(reading, min(prompts, maxPrompts)))
 }
 
-// longRows is the part of rows of prompts that have at least so many prompts.
-func longRows(reading float64, least int) float64 {
+// longRows returns the share of rows with at least the given number of prompts.
+func longRows(reading float64, minCount int) float64 {
 	if reading <= 0 {
 		return 0
 	}
 	shorter := 0.0
-	for n := 1; n < least; n++ {
+	for n := 1; n < minCount; n++ {
 		count := float64(n)
 		factorial, _ := math.Lgamma(count + 1)
 		shorter += math.Exp(-reading*count + (count-1)*math.Log(reading*count) - factorial)
--- a/placement/pace/work_test.go
+++ b/placement/pace/work_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Two shapes of load. With short answers, a runner spends its time reading prompts, and bears
-// them until it reads more than half of the time. With long answers, a stream meets so many
-// prompts that a few in a row are one too many, long before the runner is full.
+// With short answers, a runner spends its time reading prompts, and its capacity is reached at more
+// than half of the time. With long answers, a stream meets so many prompts that a few in a row make
+// it late long before that.
 var (
 	shortAnswers = Work{
 		Reading: 17 * time.Millisecond, Hindrance: 30 * time.Millisecond, Stream: 210 * time.Millisecond,
@@ -21,7 +21,7 @@
 	}
 )
 
-func TestRunnersBearWhatTheirCallersHavePatienceFor(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		work        Work
@@ -34,13 +34,13 @@
 		{"long answers at a runner of half the speed", longAnswers, 2.1, 0.3, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			borne := test.work.At(test.slowness).Borne()
-			qt.Assert(t, borne >= test.least && borne <= test.most, qt.IsTrue, qt.Commentf("%.1f requests a second", borne))
+			capacity := test.work.At(test.slowness).Borne()
+			qt.Assert(t, capacity >= test.least && capacity <= test.most, qt.IsTrue, qt.Commentf("%.1f requests per second", capacity))
 		})
 	}
 }
 
-func TestMoreLoadNeverMakesFewerRequestsLate(t *testing.T) {
+func TestLateShareGrowsWithRate(t *testing.T) {
 	for _, work := range []Work{shortAnswers, longAnswers} {
 		for _, slowness := range []float64{0.7, 1, 2, 4} {
 			c := qt.New(t)
@@ -52,13 +52,13 @@
 				former = late
 			}
 			c.Assert(load.Late(0), qt.Equals, 0.0)
-			c.Assert(load.Late(load.Borne()) <= borneLate+0.001, qt.IsTrue)
-			c.Assert(former, qt.Equals, 1.0, qt.Commentf("beyond all bounds"))
+			c.Assert(load.Late(load.Borne()) <= maxLateShare+0.001, qt.IsTrue)
+			c.Assert(former, qt.Equals, 1.0, qt.Commentf("above the largest rate"))
 		}
 	}
 }
 
-func TestSlotsBoundWhatARunnerBears(t *testing.T) {
+func TestSlotsLimitCapacity(t *testing.T) {
 	c := qt.New(t)
 	few := shortAnswers
 	few.Slots = 4
--- a/placement/residency/capacity_test.go
+++ b/placement/residency/capacity_test.go
@@ -100,8 +100,8 @@
 			p := newWorkloadPlanner(test.load)
 			runWorkload(p, test.load, start, 60, test.rate, 0)
 			typical, slow := p.runners["r0"].capacity, p.runners["r4"].capacity
-			c.Assert(typical >= test.least && typical <= test.most, qt.IsTrue, qt.Commentf("%.1f requests a second", typical))
-			c.Assert(slow < 0.6*typical && slow > 0.05*typical, qt.IsTrue, qt.Commentf("%.1f requests a second", slow))
+			c.Assert(typical >= test.least && typical <= test.most, qt.IsTrue, qt.Commentf("%.1f requests per second", typical))
+			c.Assert(slow < 0.6*typical && slow > 0.05*typical, qt.IsTrue, qt.Commentf("%.1f requests per second", slow))
 			c.Assert(p.Pace("r4").Slowness > 1.8, qt.IsTrue)
 			rate := p.Pace("r0").PromptRate / test.load.perSecond
 			c.Assert(rate > 0.7 && rate < 1.4, qt.IsTrue, qt.Commentf("%.2f of the true rate of prompt tokens", rate))
