--- a/placement/pace/learner.go
+++ b/placement/pace/learner.go
@@ -236,7 +236,7 @@
 // rounded rounds to two digits, to keep messages short.
 func rounded(value float64) float64 { return math.Round(value*100) / 100 }
 
-// Work returns the work of the requests of a service at its typical runner. The caller sets Patience
+// Work returns the work of the requests of a service at its typical runner. The caller sets MaxWait
 // and Slots, which the learner doesn't know.
 func (l *Learner) Work(name string) Work {
 	service := l.services[name]
@@ -245,9 +245,9 @@
 	}
 	seconds := func(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 	return Work{
-		Reading:   seconds(service.tokens / service.rate),
-		Hindrance: seconds(service.squares / service.tokens / service.rate),
-		Stream:    seconds(service.events * service.event.Seconds()),
+		Reading:      seconds(service.tokens / service.rate),
+		BlockingRead: seconds(service.squares / service.tokens / service.rate),
+		Stream:       seconds(service.events * service.event.Seconds()),
 	}
 }
 
--- a/placement/pace/work.go
+++ b/placement/pace/work.go
@@ -10,20 +10,20 @@
 type Work struct {
 	// Reading is the mean time to read the prompt of a request.
 	Reading time.Duration
-	// Hindrance is the mean reading time of the prompt that an arriving request finds being
+	// BlockingRead is the mean reading time of the prompt that an arriving request finds being
 	// read: the mean square over the mean, as long prompts are met more often.
-	Hindrance time.Duration
+	BlockingRead time.Duration
 	// Stream is the duration of a stream from its first event to its last while no prompt is read.
 	Stream time.Duration
-	// Patience is the longest pause between events, or wait for the first, that is in time.
-	Patience time.Duration
+	// MaxWait is the longest pause between events, or wait for the first, that is in time.
+	MaxWait time.Duration
 	// Slots is the number of requests that a runner executes at once; 0 if it is unlimited.
 	Slots int
 }
 
 // IsKnown reports whether the work is sufficient to compute the capacity of a runner.
 func (w Work) IsKnown() bool {
-	return w.Reading > 0 && w.Hindrance > 0 && w.Stream > 0 && w.Patience > 0
+	return w.Reading > 0 && w.BlockingRead > 0 && w.Stream > 0 && w.MaxWait > 0
 }
 
 const (
@@ -65,8 +65,8 @@
 	return l
 }
 
-// Borne returns the rate in requests per second at which maxLateShare of them are late.
-func (l *Load) Borne() float64 { return l.capacity }
+// Capacity returns the rate in requests per second at which maxLateShare of them are late.
+func (l *Load) Capacity() float64 { return l.capacity }
 
 // Late returns the share of requests that are late at a rate in requests per second.
 func (l *Load) Late(rate float64) float64 {
@@ -78,11 +78,11 @@
 	return l.late[i] + (at-float64(i))*(l.late[i+1]-l.late[i])
 }
 
-// late returns the share of requests with a pause or a first event that takes longer than Patience.
+// late returns the share of requests with a pause or a first event that takes longer than MaxWait.
 //
 // All streams of a runner pause while it reads prompts. With Poisson arrivals and a share u of its
 // time spent reading, n prompts are read in a row with the probability of the Borel distribution,
-// e^(-un) (un)^(n-1) / n!. A stream is late if a row during it takes longer than Patience.
+// e^(-un) (un)^(n-1) / n!. A stream is late if a row during it takes longer than MaxWait.
 func (w Work) late(rate, slowness float64) float64 {
 	reading := rate * w.Reading.Seconds() * slowness
 	if reading >= 1 {
@@ -92,8 +92,8 @@
 	if w.Slots > 0 && rate*stream > float64(w.Slots) {
 		return 1
 	}
-	each := w.Hindrance.Seconds() * slowness
-	prompts := int(math.Ceil(w.Patience.Seconds() / each))
+	each := w.BlockingRead.Seconds() * slowness
+	prompts := int(math.Ceil(w.MaxWait.Seconds() / each))
 	rows := reading / each * (1 - reading)
 	return min(1, rows*stream*longRows(reading, min(prompts, maxPrompts)))
 }
--- a/placement/pace/work_test.go
+++ b/placement/pace/work_test.go
@@ -12,12 +12,12 @@
 // it late long before that.
 var (
 	shortAnswers = Work{
-		Reading: 17 * time.Millisecond, Hindrance: 30 * time.Millisecond, Stream: 210 * time.Millisecond,
-		Patience: 400 * time.Millisecond, Slots: 24,
+		Reading: 17 * time.Millisecond, BlockingRead: 30 * time.Millisecond, Stream: 210 * time.Millisecond,
+		MaxWait: 400 * time.Millisecond, Slots: 24,
 	}
 	longAnswers = Work{
-		Reading: 60 * time.Millisecond, Hindrance: 62 * time.Millisecond, Stream: 1800 * time.Millisecond,
-		Patience: 300 * time.Millisecond, Slots: 64,
+		Reading: 60 * time.Millisecond, BlockingRead: 62 * time.Millisecond, Stream: 1800 * time.Millisecond,
+		MaxWait: 300 * time.Millisecond, Slots: 64,
 	}
 )
 
@@ -34,7 +34,7 @@
 		{"long answers at a runner of half the speed", longAnswers, 2.1, 0.3, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			capacity := test.work.At(test.slowness).Borne()
+			capacity := test.work.At(test.slowness).Capacity()
 			qt.Assert(t, capacity >= test.least && capacity <= test.most, qt.IsTrue, qt.Commentf("%.1f requests per second", capacity))
 		})
 	}
@@ -52,7 +52,7 @@
 				former = late
 			}
 			c.Assert(load.Late(0), qt.Equals, 0.0)
-			c.Assert(load.Late(load.Borne()) <= maxLateShare+0.001, qt.IsTrue)
+			c.Assert(load.Late(load.Capacity()) <= maxLateShare+0.001, qt.IsTrue)
 			c.Assert(former, qt.Equals, 1.0, qt.Commentf("above the largest rate"))
 		}
 	}
@@ -62,7 +62,7 @@
 	c := qt.New(t)
 	few := shortAnswers
 	few.Slots = 4
-	c.Assert(few.At(1).Borne() < shortAnswers.At(1).Borne()/2, qt.IsTrue)
+	c.Assert(few.At(1).Capacity() < shortAnswers.At(1).Capacity()/2, qt.IsTrue)
 }
 
 func BenchmarkLoad(b *testing.B) {
--- a/placement/residency/capacity.go
+++ b/placement/residency/capacity.go
@@ -136,8 +136,8 @@
 	isNear := func(a, b time.Duration) bool {
 		return float64(a) < workChange*float64(b) && float64(b) < workChange*float64(a)
 	}
-	return isNear(a.Reading, b.Reading) && isNear(a.Hindrance, b.Hindrance) && isNear(a.Stream, b.Stream) &&
-		a.Patience == b.Patience && a.Slots == b.Slots
+	return isNear(a.Reading, b.Reading) && isNear(a.BlockingRead, b.BlockingRead) && isNear(a.Stream, b.Stream) &&
+		a.MaxWait == b.MaxWait && a.Slots == b.Slots
 }
 
 // workOf returns the work of the requests of a service, with the shortest wait that one of its
@@ -159,8 +159,8 @@
 			continue
 		}
 		for _, limit := range []time.Duration{route.Objective, route.MaxPause} {
-			if limit > 0 && (work.Patience == 0 || limit < work.Patience) {
-				work.Patience = limit
+			if limit > 0 && (work.MaxWait == 0 || limit < work.MaxWait) {
+				work.MaxWait = limit
 			}
 		}
 	}
@@ -195,7 +195,7 @@
 func (p *Planner) capacityAt(service string, slowness float64) float64 {
 	model := p.capacityModel(service)
 	if load := model.loadAt(slowness); load != nil {
-		return load.Borne() * model.scale
+		return load.Capacity() * model.scale
 	}
 	return p.options.ReplicaRate * model.scale / slowness
 }
