--- a/placement/residency/cost.go
+++ b/placement/residency/cost.go
@@ -47,8 +47,8 @@
 	return 0, "", false
 }
 
-// evictions holds what the cost of a load at a runner depends on but for the model. It is computed
-// once in each plan.
+// evictions holds the inputs to the cost of a load at a runner that don't depend on the model. It is
+// computed once in each plan.
 type evictions struct {
 	freeMB float64
 	// candidates are the models that may be evicted, the least valuable first.
