--- a/request/routing/balancer.go
+++ b/request/routing/balancer.go
@@ -7,61 +7,61 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Balancer chooses replicas for one router.
+// Balancer chooses replicas for one router. It is not safe for concurrent use.
 type Balancer struct {
 	options Options
 	random  *rand.Rand
 	runners map[structs.RunnerID]*runner
 	rows    map[structs.RowName]*row
-	// left holds the runners that Leave took out, with the life that left.
-	left  map[structs.RunnerID]structs.Incarnation
-	hints hints
-	zones zones
-	// withTokens are the runners for which there may be tokens.
-	withTokens []*runner
-	// lastNumber is the number that was given to a runner last.
+	// departed maps the runners passed to Leave to their incarnation at that time.
+	departed map[structs.RunnerID]structs.Incarnation
+	hints    hints
+	zones    zones
+	// tokenHolders lists the runners that may hold tokens.
+	tokenHolders []*runner
+	// lastNumber is the number assigned most recently to a runner.
 	lastNumber uint32
 	ejections  uint64
 	cacheGaps  uint64
 }
 
-// New makes a Balancer without runners.
+// New returns a Balancer without runners.
 func New(options Options, random *rand.Rand) *Balancer {
 	options = options.withDefaults()
 	return &Balancer{
-		options: options,
-		random:  random,
-		runners: make(map[structs.RunnerID]*runner),
-		rows:    make(map[structs.RowName]*row),
-		left:    make(map[structs.RunnerID]structs.Incarnation),
-		hints:   newHints(options.HintLimit),
-		zones:   zones{outOfReach: make(map[structs.ZoneID]bool)},
+		options:  options,
+		random:   random,
+		runners:  make(map[structs.RunnerID]*runner),
+		rows:     make(map[structs.RowName]*row),
+		departed: make(map[structs.RunnerID]structs.Incarnation),
+		hints:    newHints(options.HintLimit),
+		zones:    zones{unreachable: make(map[structs.ZoneID]bool)},
 	}
 }
 
-// Pick chooses a replica of the row that has room, or reports false. Prefixes are
-// the prompt's PrefixHashes. The runner named avoid is chosen only if no other
-// one has room.
+// Pick chooses a replica of the row that has room and reports whether there is one.
+// The prefixes are the PrefixHashes of the prompt. The runner avoid is chosen only
+// if no other one has room.
 func (b *Balancer) Pick(now time.Time, name structs.RowName, prefixes []uint64, avoid structs.RunnerID) (Choice, bool) {
 	return b.PickFor(now, name, &Work{Prefixes: prefixes, Avoid: avoid})
 }
 
-// PickFor chooses a replica of the row for the work, or reports false if none has room.
+// PickFor chooses a replica of the row for the work and reports whether one has room.
 func (b *Balancer) PickFor(now time.Time, name structs.RowName, work *Work) (Choice, bool) {
 	wanted := b.rows[name]
 	if wanted == nil || len(wanted.subset) == 0 {
 		return Choice{}, false
 	}
 	found := b.lookUp(now, wanted, work)
-	best := b.unheard(now, wanted, work)
+	best := b.limitedToProbe(now, wanted, work)
 	if best == nil {
 		best = b.pick(now, wanted, work, &found)
 	}
 	if best == nil && work.Avoid != "" {
-		// The one to avoid is better than none.
-		anywhere := *work
-		anywhere.Avoid = ""
-		best = b.scan(now, wanted, &anywhere, &found, false)
+		// Fall back to the runner to avoid.
+		unrestricted := *work
+		unrestricted.Avoid = ""
+		best = b.scan(now, wanted, &unrestricted, &found, false)
 	}
 	if best == nil && b.options.UseFailing {
 		best = b.scan(now, wanted, work, &found, true)
@@ -69,12 +69,12 @@
 	if best == nil {
 		return Choice{}, false
 	}
-	unread := work.tokens() - found.cachedTokens(best.runner.number)
+	uncached := work.tokens() - found.cachedTokens(best.runner.number)
 	expected := b.costOf(now, best, work, &found)
-	return Choice{balancer: b, replica: best, runner: best.runner.info, chosenAt: now, unread: unread, expected: expected}, true
+	return Choice{balancer: b, replica: best, runner: best.runner.info, chosenAt: now, uncachedTokens: uncached, expected: expected}, true
 }
 
-// pick chooses among the replicas that may be used, in the way that the options ask for.
+// pick chooses among the usable replicas by the method that the options select.
 func (b *Balancer) pick(now time.Time, wanted *row, work *Work, found *lookup) *replica {
 	if b.options.Sharpness > 0 {
 		return b.draw(now, wanted, work, found)
@@ -82,7 +82,7 @@
 	return b.sample(now, wanted, work, found)
 }
 
-// find returns the replica of the subset on the runner with the number, or nil.
+// find returns the replica of the subset on the runner with the given number, or nil.
 func (r *row) find(number uint32) *replica {
 	if number == 0 {
 		return nil
@@ -95,47 +95,47 @@
 	return nil
 }
 
-// usable reports whether an attempt may be sent to the replica now.
-func (b *Balancer) usable(now time.Time, candidate *replica, work *Work) bool {
-	return !candidate.runner.failing && !now.Before(candidate.ejectedUntil) && candidate.breaker.allows(now) && b.answers(now, candidate, work)
+// isUsable reports whether an attempt may be sent to the replica now.
+func (b *Balancer) isUsable(now time.Time, candidate *replica, work *Work) bool {
+	return !candidate.runner.failing && !now.Before(candidate.ejectedUntil) && candidate.breaker.allows(now) && b.isAvailable(now, candidate, work)
 }
 
-// answers reports whether the replica's runner has room and is not known to leave
-// requests unanswered, though it may fail those of the replica.
-func (b *Balancer) answers(now time.Time, candidate *replica, work *Work) bool {
+// isAvailable reports whether the replica's runner accepts requests and has room.
+// Unlike isUsable it ignores failures of the replica itself.
+func (b *Balancer) isAvailable(now time.Time, candidate *replica, work *Work) bool {
 	target := candidate.runner
-	if target.leaving || candidate.rest.isOn(now) || b.zones.outOfReach[target.info.Zone] {
+	if target.leaving || candidate.cooldown.isActive(now) || b.zones.unreachable[target.info.Zone] {
 		return false
 	}
-	if !target.asked.allows(now) || !work.allows(target) || work.Avoid != "" && target.info.ID == work.Avoid {
+	if !target.requested.allows(now) || !work.allows(target) || work.Avoid != "" && target.info.ID == work.Avoid {
 		return false
 	}
-	return target.mayTake() && target.hasRoom(now, &b.options) && target.breaker.allows(now)
+	return target.mayReceive() && target.hasRoom(now, &b.options) && target.breaker.allows(now)
 }
 
-// SetFailing says whether a runner fails many of the requests that it is sent, as other routers saw.
+// SetFailing sets whether other routers see the runner fail many of its requests.
 func (b *Balancer) SetFailing(id structs.RunnerID, isFailing bool) {
 	if target := b.runners[id]; target != nil {
 		target.failing = isFailing
 	}
 }
 
-// SetBatch says how many requests a runner runs at once; 0 leaves what is known.
+// SetBatch sets how many requests a runner runs at once; 0 leaves the known value.
 func (b *Balancer) SetBatch(id structs.RunnerID, slots int) {
 	if target := b.runners[id]; target != nil && slots > 0 {
 		target.maxBatch = slots
 	}
 }
 
-// IsCrowded reports whether a runner has as many requests as it can run at once, as far as
-// this router knows, so that it may be silent for a while.
+// IsCrowded reports whether the known load of a runner fills its batch, in which case
+// it may not respond for a while.
 func (b *Balancer) IsCrowded(now time.Time, id structs.RunnerID) bool {
 	target := b.runners[id]
 	return target != nil && target.load(now, b.options.ReportLife) >= target.maxBatch
 }
 
-// Slots returns how many requests of the row can run at once on usable replicas
-// of the subset, and how many more may be sent now.
+// Slots returns how many requests of the row can run at once on usable replicas of
+// the subset, and how many more may be sent now.
 func (b *Balancer) Slots(now time.Time, name structs.RowName) (slots, free int) {
 	wanted := b.rows[name]
 	if wanted == nil {
@@ -143,7 +143,7 @@
 	}
 	for _, candidate := range wanted.subset {
 		target := candidate.runner
-		if target.leaving || target.asked.isOn(now) || now.Before(candidate.ejectedUntil) || target.breaker.open() || candidate.breaker.open() {
+		if target.leaving || target.requested.isActive(now) || now.Before(candidate.ejectedUntil) || target.breaker.open() || candidate.breaker.open() {
 			continue
 		}
 		limit := target.maxBatch + b.options.QueueSlack
@@ -156,7 +156,7 @@
 	return slots, free
 }
 
-// Ready counts the row's ready replicas on runners that are not leaving.
+// Ready returns the number of the row's ready replicas on runners that are not leaving.
 func (b *Balancer) Ready(name structs.RowName) int {
 	wanted := b.rows[name]
 	if wanted == nil {
@@ -165,17 +165,17 @@
 	return wanted.ready
 }
 
-// ObserveLoad takes a runner's load report.
+// ObserveLoad records a runner's load report.
 func (b *Balancer) ObserveLoad(id structs.RunnerID, report structs.LoadReport) {
 	if target := b.runners[id]; target != nil {
 		target.observe(report)
 	}
 }
 
-// ObserveCache learns from a runner's cache event. An event older than one seen
-// before is ignored, while several may share a sequence; a gap loses only hints,
-// which costs a cache miss at worst. A cleared runner gets a new number, so that no
-// hint names it any more.
+// ObserveCache updates the prefix hints by a runner's cache event. Events older than
+// the latest one are ignored; several may share a sequence number. A gap in the
+// sequence only loses hints, which costs cache misses at worst. A runner whose cache
+// was cleared gets a new number, which invalidates its hints.
 func (b *Balancer) ObserveCache(change CacheChange) {
 	target := b.runners[change.Runner]
 	if target == nil || change.Sequence < target.sequence {
@@ -196,8 +196,8 @@
 	}
 }
 
-// Rows lists the rows with a ready replica on the runner. The slice is shared
-// and must not be changed.
+// Rows returns the names of the rows with a ready replica on the runner. The slice is
+// shared and must not be modified.
 func (b *Balancer) Rows(id structs.RunnerID) []structs.RowName {
 	if target := b.runners[id]; target != nil {
 		return target.rows
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// Ejections counts the replicas ejected as outliers.
+// Ejections returns the number of replicas ejected as outliers.
 func (b *Balancer) Ejections() uint64 { return b.ejections }
 
-// CacheGaps counts the gaps seen in the sequences of cache events.
+// CacheGaps returns the number of gaps seen in the sequences of cache events.
 func (b *Balancer) CacheGaps() uint64 { return b.cacheGaps }
--- a/request/routing/balancer_test.go
+++ b/request/routing/balancer_test.go
@@ -33,7 +33,7 @@
 	return balancer
 }
 
-// fill sends until no replica has room and counts the attempts of each runner.
+// fill sends attempts until no replica has room and counts them by runner.
 func fill(balancer *Balancer, limit int) map[structs.RunnerID]int {
 	counts := map[structs.RunnerID]int{}
 	for range limit {
@@ -47,7 +47,7 @@
 	return counts
 }
 
-func TestPickTakesOnlyUsableReplicas(t *testing.T) {
+func TestPickSkipsUnusableReplicas(t *testing.T) {
 	reported := func(id structs.RunnerID, load int) func(*Balancer) {
 		return func(b *Balancer) {
 			b.ObserveLoad(id, structs.LoadReport{Running: load, MaxBatch: 4, ObservedAt: start})
@@ -58,15 +58,15 @@
 		change func(*Balancer)
 		want   map[structs.RunnerID]int
 	}{
-		{"up to the limit of each", func(*Balancer) {}, map[structs.RunnerID]int{"runner-0": 5, "runner-1": 5}},
-		{"not a leaving one", func(b *Balancer) { b.Leave("runner-0") }, map[structs.RunnerID]int{"runner-1": 5}},
-		{"one that left stays out in an older placement", func(b *Balancer) {
+		{"each up to its limit", func(*Balancer) {}, map[structs.RunnerID]int{"runner-0": 5, "runner-1": 5}},
+		{"leaving runner", func(b *Balancer) { b.Leave("runner-0") }, map[structs.RunnerID]int{"runner-1": 5}},
+		{"left runner in an older placement", func(b *Balancer) {
 			b.Leave("runner-0")
 			b.SetPlacement(placement(2))
 		}, map[structs.RunnerID]int{"runner-1": 5}},
-		{"what others sent counts", reported("runner-0", 3), map[structs.RunnerID]int{"runner-0": 2, "runner-1": 5}},
-		{"others cannot keep this router out", reported("runner-0", 6), map[structs.RunnerID]int{"runner-0": 1, "runner-1": 5}},
-		{"not one of another life", func(b *Balancer) {
+		{"load of other routers", reported("runner-0", 3), map[structs.RunnerID]int{"runner-0": 2, "runner-1": 5}},
+		{"other routers cannot starve this one", reported("runner-0", 6), map[structs.RunnerID]int{"runner-0": 1, "runner-1": 5}},
+		{"replica of an older incarnation", func(b *Balancer) {
 			placed := placement(2)
 			placed.Runners[0].Incarnation = 2
 			b.SetPlacement(placed)
@@ -81,15 +81,15 @@
 	}
 }
 
-func TestLoadReportIsCorrectedByOwnAttempts(t *testing.T) {
+func TestLoadReportExcludesOwnAttempts(t *testing.T) {
 	tests := []struct {
 		about      string
 		observedAt time.Duration
 		others     int
 	}{
-		{"taken before the own attempts", -time.Second, 3},
-		{"taken after the first", time.Second, 2},
-		{"taken after both", 3 * time.Second, 1},
+		{"report before own attempts", -time.Second, 3},
+		{"report after the first", time.Second, 2},
+		{"report after both", 3 * time.Second, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestSubsetIsBoundedStableAndSpread(t *testing.T) {
+func TestSubsetSizeStabilityAndSpread(t *testing.T) {
 	used := map[structs.RunnerID]int{}
 	for daemon := range 100 {
 		options := Options{Daemon: structs.DaemonID(fmt.Sprint(daemon)), SubsetSize: 8}
@@ -127,9 +127,8 @@
 	qt.Assert(t, len(used) > 95, qt.IsTrue, qt.Commentf("%d runners used", len(used)))
 }
 
-// TestChangesOfAPlacementAddUpToTheWhole gives one balancer each placement whole
-// and another only the runners that changed.
-func TestChangesOfAPlacementAddUpToTheWhole(t *testing.T) {
+// Applies the same random changes to one balancer as full and to another as partial placements.
+func TestPartialPlacementsMatchFullPlacement(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	whole := New(Options{SubsetSize: 3}, rand.New(rand.NewPCG(1, 1)))
 	follower := New(Options{SubsetSize: 3}, rand.New(rand.NewPCG(1, 1)))
@@ -150,7 +149,7 @@
 	}
 }
 
-// changeRunner draws a new state of one runner into the placement and the change.
+// changeRunner applies a random change of one runner to the placement and the change.
 func changeRunner(random *rand.Rand, placed *structs.Placement, number int, change *structs.Placement) {
 	info := &placed.Runners[number]
 	info.Leaving = random.IntN(4) == 0
@@ -197,7 +196,7 @@
 	qt.Assert(t, same, qt.Equals, 3)
 }
 
-func TestCacheEventsTeachAndForget(t *testing.T) {
+func TestObserveCache(t *testing.T) {
 	balancer := newBalancer(8, Options{})
 	prefixes := PrefixHashes(nil, "row", strings.Repeat("b", PrefixBlockBytes))
 	steps := []struct {
@@ -206,10 +205,10 @@
 		known  bool
 	}{
 		{"cached", CacheChange{Sequence: 2, PrefixHash: prefixes[0]}, true},
-		{"an older event changes nothing", CacheChange{Sequence: 1, PrefixHash: prefixes[0], Evicted: true}, true},
+		{"older event is ignored", CacheChange{Sequence: 1, PrefixHash: prefixes[0], Evicted: true}, true},
 		{"evicted after a gap", CacheChange{Sequence: 5, PrefixHash: prefixes[0], Evicted: true}, false},
-		{"another block of the same event", CacheChange{Sequence: 5, PrefixHash: prefixes[0]}, true},
-		{"all cleared", CacheChange{Sequence: 6, Cleared: true}, false},
+		{"another block with the same sequence", CacheChange{Sequence: 5, PrefixHash: prefixes[0]}, true},
+		{"cleared", CacheChange{Sequence: 6, Cleared: true}, false},
 	}
 	for _, step := range steps {
 		step.change.Runner = "runner-5"
@@ -222,7 +221,7 @@
 	qt.Assert(t, balancer.CacheGaps(), qt.Equals, uint64(1))
 }
 
-func TestPrefixHashesAreTheKeysOfTheEngine(t *testing.T) {
+func TestPrefixHashesMatchEngineKeys(t *testing.T) {
 	prompt := strings.Repeat("0123456789", 50)
 	keys := engineapi.PromptBlocks("row", prompt)
 	qt.Assert(t, PrefixHashes(nil, "row", prompt), qt.DeepEquals, []uint64{keys[0], keys[1], keys[3]})
@@ -255,7 +254,7 @@
 	qt.Assert(t, attempt(OutcomeSuccess), qt.IsTrue)
 }
 
-func TestOutlierEjectionIsLimitedToAShare(t *testing.T) {
+func TestOutlierEjectionShareIsBounded(t *testing.T) {
 	balancer := newBalancer(6, Options{EjectionShare: 0.34, BreakerFailures: 1000})
 	for round := range 3000 {
 		choice, ok := balancer.Pick(start, "row", nil, "")
@@ -283,7 +282,7 @@
 	}
 }
 
-func TestRunnerWithAnOpenConnectionIsPreferredUntilItIsBusier(t *testing.T) {
+func TestWarmRunnerIsPreferredUntilBusier(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := New(Options{MaxBatch: 10, ColdTime: 250 * time.Millisecond, WarmTime: 8 * time.Second}, rand.New(rand.NewPCG(1, 1)))
@@ -303,28 +302,26 @@
 		next.Sent(now.Add(time.Second), nil)
 	}
 	other, _ := b.Pick(now.Add(time.Second), "row", nil, "")
-	c.Assert(other.Runner(), qt.Not(qt.Equals), first.Runner(), qt.Commentf("three more than the other outweigh a connection"))
+	c.Assert(other.Runner(), qt.Not(qt.Equals), first.Runner(), qt.Commentf("three more requests outweigh a connection"))
 }
 
-// While every replica fails, requests go on to the runners that answer, if that is
-// wanted, but never to those that leave requests unanswered.
-func TestSlowRunnerGetsFewerRequestsNotNone(t *testing.T) {
+func TestSlowRunnerGetsFewerRequests(t *testing.T) {
 	balancer := newBalancer(2, Options{MaxBatch: 64, Choices: 4})
 	balancer.SetPace("runner-1", pace.Runner{Slowness: 2})
 	counts := fill(balancer, 30)
 	qt.Assert(t, counts, qt.DeepEquals, map[structs.RunnerID]int{"runner-0": 20, "runner-1": 10})
 }
 
-func TestWhereEveryReplicaFailsOneThatAnswersIsChosen(t *testing.T) {
+func TestUseFailingWhenEveryReplicaFails(t *testing.T) {
 	for _, test := range []struct {
 		about   string
 		options Options
 		outcome Outcome
 		found   bool
 	}{
-		{"refusals", Options{UseFailing: true}, OutcomeRefused, true},
-		{"no answers", Options{UseFailing: true}, OutcomeBroken, false},
-		{"not wanted", Options{}, OutcomeRefused, false},
+		{"replicas refuse", Options{UseFailing: true}, OutcomeRefused, true},
+		{"runners do not answer", Options{UseFailing: true}, OutcomeBroken, false},
+		{"option unset", Options{}, OutcomeRefused, false},
 	} {
 		t.Run(test.about, func(t *testing.T) {
 			test.options.BreakerFailures = 2
--- a/request/routing/benchmark_test.go
+++ b/request/routing/benchmark_test.go
@@ -9,10 +9,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// BenchmarkPick compares the balancer with a random choice and with a scan for
-// the least attempts in flight. Every iteration chooses, sends and, with half
-// of the slots in use, ends an older attempt. The spread is the largest load of
-// a runner over the mean, over the runners of the subset or of the baseline.
+// BenchmarkPick compares the balancer with a random choice and with a scan for the
+// fewest attempts in flight. Every iteration sends one attempt and, with half of the
+// slots in use, ends an older one. The metric spread is the largest load of a runner
+// over the mean, in the subset or among the runners of the baseline.
 func BenchmarkPick(b *testing.B) {
 	prefixes := PrefixHashes(nil, "row", strings.Repeat("a", PrefixBlockBytes<<PrefixHashLimit))
 	for _, runners := range []int{12, 420, 10000} {
@@ -55,8 +55,7 @@
 	b.ReportMetric(float64(highest)/4, "spread")
 }
 
-// BenchmarkDraw measures the choice of a router that is one of many, among up to 60 replicas of
-// known pace and load, for a prompt of two parts.
+// BenchmarkDraw measures the weighted draw among up to 60 replicas of known pace and load.
 func BenchmarkDraw(b *testing.B) {
 	for _, runners := range []int{6, 16, 60} {
 		options := manyRouters()
@@ -101,7 +100,7 @@
 	return least
 }
 
-// BenchmarkSetPlacement measures the adoption of a whole placement.
+// BenchmarkSetPlacement measures full and partial placements.
 func BenchmarkSetPlacement(b *testing.B) {
 	for _, runners := range []int{12, 420, 10000} {
 		balancer := newBalancer(runners, Options{})
--- a/request/routing/breaker.go
+++ b/request/routing/breaker.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Outcome is how an attempt ended, as far as the choice of replicas cares.
+// Outcome is the result of an attempt as far as it affects later choices.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// OutcomeSuccess: the answer is whole.
+	// OutcomeSuccess means that the answer is complete.
 	OutcomeSuccess Outcome = iota
-	// OutcomeNeutral: the attempt was given up for a reason that says nothing
-	// about the replica.
+	// OutcomeNeutral means that the attempt was abandoned for a reason unrelated to
+	// the replica.
 	OutcomeNeutral
-	// OutcomeTurnedAway: the runner is there and is full, or is about to unload what the request
-	// needs, and has not run it.
+	// OutcomeTurnedAway means that the runner rejected the request without running it,
+	// because it is full or about to unload the model.
 	OutcomeTurnedAway
-	// OutcomeRefused: the runner is there but does not run the replica's requests.
+	// OutcomeRefused means that the runner responds but does not run the replica's requests.
 	OutcomeRefused
-	// OutcomeBroken: the runner could not be reached or the stream broke.
+	// OutcomeBroken means that the runner was unreachable or the stream broke.
 	OutcomeBroken
 )
 
-// breaker stops sending after failures in a row; after a delay it lets one probe
-// through, which closes it or opens it again for longer.
+// breaker is a circuit breaker. It opens after consecutive failures; after a delay it
+// lets one probe through, which closes it or opens it again for twice the delay.
 type breaker struct {
 	failures  int
 	delay     time.Duration
@@ -39,7 +39,7 @@
 	return !b.probing && !now.Before(b.openUntil)
 }
 
-// sent notes that an attempt goes out; with an open breaker it is the probe.
+// sent records an attempt; if the breaker is open, the attempt is its probe.
 func (b *breaker) sent() {
 	if b.open() {
 		b.probing = true
@@ -48,7 +48,7 @@
 
 func (b *breaker) succeeded() { *b = breaker{} }
 
-// abandoned ends an attempt that proves nothing.
+// abandoned ends an attempt whose outcome is neither a success nor a failure.
 func (b *breaker) abandoned() { b.probing = false }
 
 func (b *breaker) failed(now time.Time, options *Options) {
@@ -68,19 +68,19 @@
 	}
 }
 
-// The limits of outlier ejection.
+// Parameters of outlier ejection.
 const (
-	// outlierSamples is how many attempts a replica is judged by at least.
+	// outlierSamples is the minimum number of attempts before a replica may be ejected.
 	outlierSamples = 8
-	// outlierRate is the share of failed attempts from which it may be an outlier,
-	// outlierFactor how many times the others' share its own must exceed.
+	// outlierRate is the failure rate from which a replica may be an outlier, and
+	// outlierFactor the multiple of its peers' mean rate that it must exceed.
 	outlierRate   = 0.5
 	outlierFactor = 2.0
-	// outlierWeight is the least weight of a new attempt in its share.
+	// outlierWeight is the minimum weight of a new attempt in the moving average.
 	outlierWeight = 0.1
 )
 
-// failureRate is a moving average of the share of attempts that fail.
+// failureRate is a moving average of the share of failed attempts.
 type failureRate struct {
 	value   float64
 	samples int
@@ -96,8 +96,8 @@
 	f.value += weight * (sample - f.value)
 }
 
-// ejectOutlier takes the replica out for a while if it fails far more often than
-// the others of its row, unless too many are out already.
+// ejectOutlier excludes the replica for EjectionTime if its failure rate is far above
+// that of its row, unless EjectionShare of the subset is already ejected.
 func (b *Balancer) ejectOutlier(now time.Time, candidate *replica) {
 	if candidate.rate.samples < outlierSamples || candidate.rate.value < outlierRate {
 		return
--- a/request/routing/askedrest_test.go
+++ b/request/routing/cooldown_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// newTwoRunners places the rows m and n on two runners.
+// newTwoRunners returns a Balancer with the rows m and n on two runners.
 func newTwoRunners() *Balancer {
 	b := New(Options{Daemon: "d", UseFailing: true}, rand.New(rand.NewPCG(1, 1)))
 	placement := structs.Placement{Runners: []structs.RunnerInfo{{ID: "a", Zone: "z1"}, {ID: "b", Zone: "z2"}}}
@@ -23,7 +23,7 @@
 	return b
 }
 
-// send picks a runner and counts a request to it; it returns false if there is none.
+// send picks a runner, records a sent request and reports whether there was a runner.
 func send(b *Balancer, now time.Time, row structs.RowName) (Choice, bool) {
 	choice, found := b.Pick(now, row, nil, "")
 	if found {
@@ -32,7 +32,7 @@
 	return choice, found
 }
 
-func TestRunnerThatAskedForRestIsChosenForNoRow(t *testing.T) {
+func TestRunnerInRequestedCooldownIsNotPicked(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := newTwoRunners()
@@ -40,7 +40,7 @@
 	before.Sent(now, nil)
 	b.Rest("a", now.Add(3*time.Second))
 	c.Assert(before.IsWanted(now), qt.IsFalse)
-	// The answer to what was sent before ends nothing, and neither does a shorter rest.
+	// Neither the answer to an earlier request nor a shorter cooldown ends it.
 	c.Assert(before.Took(), qt.IsFalse)
 	before.Done(now, OutcomeSuccess)
 	b.Rest("a", now.Add(time.Second))
@@ -56,7 +56,7 @@
 	c.Assert(found, qt.IsFalse)
 }
 
-func TestOneRequestAtATimeTriesARunnerAfterItsRest(t *testing.T) {
+func TestRunnerIsProbedOneRequestAtATimeAfterCooldown(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := newTwoRunners()
@@ -65,55 +65,55 @@
 	b.Rest("a", end)
 	first, found := send(b, end, "m")
 	c.Assert(found, qt.IsTrue)
-	c.Assert(first.NextTry(end), qt.Equals, trialPause)
+	c.Assert(first.NextTry(end), qt.Equals, probeInterval)
 	_, found = send(b, end, "n")
 	c.Assert(found, qt.IsFalse)
-	// A slow answer holds the others up for a moment only.
-	second, found := send(b, end.Add(trialPause), "n")
+	// After probeInterval another probe is sent without an answer to the first.
+	second, found := send(b, end.Add(probeInterval), "n")
 	c.Assert(found, qt.IsTrue)
-	_, found = send(b, end.Add(trialPause), "m")
+	_, found = send(b, end.Add(probeInterval), "m")
 	c.Assert(found, qt.IsFalse)
-	// It takes requests again.
+	// The runner accepts requests again.
 	c.Assert(first.Took(), qt.IsTrue)
 	c.Assert(second.Took(), qt.IsFalse)
 	for range 5 {
-		choice, found := send(b, end.Add(trialPause), "m")
+		choice, found := send(b, end.Add(probeInterval), "m")
 		c.Assert(found, qt.IsTrue)
-		c.Assert(choice.NextTry(end.Add(trialPause)), qt.Equals, time.Duration(0))
+		c.Assert(choice.NextTry(end.Add(probeInterval)), qt.Equals, time.Duration(0))
 	}
 }
 
-func TestRowRestsUntilTheFirstOfItsRunnersTakesRequests(t *testing.T) {
+func TestRowCooldownEndsWithFirstRunner(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := newTwoRunners()
-	restsFor := func(work Work) time.Duration {
-		until, isResting := b.RestsUntil(now, "m", &work)
-		if !isResting {
+	cooldownFor := func(work Work) time.Duration {
+		until, isCooling := b.RestsUntil(now, "m", &work)
+		if !isCooling {
 			return 0
 		}
 		return until.Sub(now)
 	}
 	b.Rest("a", now.Add(3*time.Second))
-	c.Assert(restsFor(Work{}), qt.Equals, time.Duration(0))
-	// Who may have the one runner alone rests with it.
-	c.Assert(restsFor(Work{Barred: "b"}), qt.Equals, 3*time.Second)
-	c.Assert(restsFor(Work{Zones: map[structs.ZoneID]bool{"z1": true}}), qt.Equals, 3*time.Second)
+	c.Assert(cooldownFor(Work{}), qt.Equals, time.Duration(0))
+	// Work restricted to the one runner waits for its cooldown.
+	c.Assert(cooldownFor(Work{Barred: "b"}), qt.Equals, 3*time.Second)
+	c.Assert(cooldownFor(Work{Zones: map[structs.ZoneID]bool{"z1": true}}), qt.Equals, 3*time.Second)
 	b.Rest("b", now.Add(2*time.Second))
-	c.Assert(restsFor(Work{}), qt.Equals, 2*time.Second)
+	c.Assert(cooldownFor(Work{}), qt.Equals, 2*time.Second)
 	b.Leave("b")
-	c.Assert(restsFor(Work{}), qt.Equals, 3*time.Second)
+	c.Assert(cooldownFor(Work{}), qt.Equals, 3*time.Second)
 	b.Leave("a")
-	c.Assert(restsFor(Work{}), qt.Equals, time.Duration(0))
-	_, isResting := b.RestsUntil(now, "unknown", &Work{})
-	c.Assert(isResting, qt.IsFalse)
+	c.Assert(cooldownFor(Work{}), qt.Equals, time.Duration(0))
+	_, isCooling := b.RestsUntil(now, "unknown", &Work{})
+	c.Assert(isCooling, qt.IsFalse)
 }
 
-// Of a row with more replicas than a daemon uses, all of its subset rest or leave: others take their places.
-func TestOthersTakeThePlacesOfRunnersThatRestOrLeave(t *testing.T) {
+// Runners outside the subset replace its members that cool down or leave, until none is left.
+func TestSubsetReplacesCoolingAndLeavingRunners(t *testing.T) {
 	for name, lose := range map[string]func(b *Balancer, id structs.RunnerID, until time.Time){
-		"rest":  func(b *Balancer, id structs.RunnerID, until time.Time) { b.Rest(id, until) },
-		"leave": func(b *Balancer, id structs.RunnerID, _ time.Time) { b.Leave(id) },
+		"cooldown": func(b *Balancer, id structs.RunnerID, until time.Time) { b.Rest(id, until) },
+		"leave":    func(b *Balancer, id structs.RunnerID, _ time.Time) { b.Leave(id) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -137,8 +137,8 @@
 			}
 			_, found := b.Pick(now, "m", nil, "")
 			c.Assert(found, qt.IsFalse)
-			_, isResting := b.RestsUntil(now, "m", &Work{})
-			c.Assert(isResting, qt.Equals, name == "rest")
+			_, isCooling := b.RestsUntil(now, "m", &Work{})
+			c.Assert(isCooling, qt.Equals, name == "cooldown")
 		})
 	}
 }
--- a/request/routing/draw.go
+++ b/request/routing/draw.go
@@ -3,42 +3,41 @@
 import "time"
 
 const (
-	// maxDrawn bounds the replicas among which one is drawn; a subset is smaller by default.
-	maxDrawn = 64
-	// turnTime is how long an attempt counts as the turn of its runner: several times what a
-	// request takes, so that a router that sends one or two a second to a row goes round its replicas.
-	turnTime = 4 * time.Second
-	// maxTurns bounds the turns that count, so that a router with many requests, which knows more of
-	// the work at the runners by itself, goes by the expected times.
-	maxTurns = 2.0
-	// turnSharpness is how much turns decide. In the load test 2 to 6 let alike many callers be late, and
-	// turns at all spare a third to a half of these.
-	turnSharpness = 4
+	// maxCandidates bounds the replicas considered; the default SubsetSize is smaller.
+	maxCandidates = 64
+	// recentWindow is the time constant of the count of recent requests per runner:
+	// several request durations, so that a router with one or two requests a second
+	// for a row cycles through its replicas.
+	recentWindow = 4 * time.Second
+	// maxRecent bounds that count, so that routers with many requests, which know more of
+	// the load themselves, choose by expected cost.
+	maxRecent = 2.0
+	// recentExponent is the power of the count of recent requests in the weights.
+	recentExponent = 4
 )
 
-// draw draws one of the replicas that may be used, the likelier the sooner it is expected to be
-// done. Many routers with the same word of the leader then spread their requests, in place of
-// sending all to the one that was best when the word was written. Runners that had a turn
-// lately are less likely: less is left to chance then, and as all routers get the same mix of
-// requests, what one of them sends to a runner also tells what all of them do.
+// draw draws one of the usable replicas at random, weighted by inverse cost. Random
+// choice keeps routers with the same load report from all choosing the same replica.
+// Runners that recently received requests of this router get a lower weight, which
+// evens out the draws.
 func (b *Balancer) draw(now time.Time, wanted *row, work *Work, found *lookup) *replica {
-	var costs, weights [maxDrawn]float64
-	size := min(len(wanted.subset), maxDrawn)
-	var least nearAndFar
+	var costs, weights [maxCandidates]float64
+	size := min(len(wanted.subset), maxCandidates)
+	var least zoneCosts
 	for index, candidate := range wanted.subset[:size] {
-		if b.usable(now, candidate, work) {
+		if b.isUsable(now, candidate, work) {
 			costs[index] = b.costOf(now, candidate, work, found)
-			least.add(b.isFar(candidate.runner), costs[index])
+			least.add(b.isRemote(candidate.runner), costs[index])
 		}
 	}
-	staysNear := b.random.Float64() >= least.spill()
+	localOnly := b.random.Float64() >= least.remoteShare()
 	total := 0.0
 	for index, candidate := range wanted.subset[:size] {
-		if costs[index] == 0 || staysNear && b.isFar(candidate.runner) {
+		if costs[index] == 0 || localOnly && b.isRemote(candidate.runner) {
 			continue
 		}
-		turns := min(maxTurns, candidate.runner.turns(now))
-		weights[index] = 1 / (b.sharpen(costs[index], candidate, found) * raise(1+turns, turnSharpness))
+		recent := min(maxRecent, candidate.runner.recentRequests(now))
+		weights[index] = 1 / (b.weightedCost(costs[index], candidate, found) * intPow(1+recent, recentExponent))
 		total += weights[index]
 	}
 	var drawn *replica
@@ -55,33 +54,34 @@
 	return drawn
 }
 
-// turns is how many requests the runner got lately of this router; one at a slow runner counts for
-// more.
-func (r *runner) turns(now time.Time) float64 {
-	if r.lately == 0 {
+// recentRequests returns the decaying count of requests that this router sent to the
+// runner, multiplied by the runner's slowness.
+func (r *runner) recentRequests(now time.Time) float64 {
+	if r.recent == 0 {
 		return 0
 	}
-	passed := now.Sub(r.latelyAt).Seconds() / turnTime.Seconds()
-	// Close to exp(-passed), and a tenth of the work.
-	return r.lately / (1 + passed + passed*passed/2) * r.pace.Slowness
+	passed := now.Sub(r.recentAt).Seconds() / recentWindow.Seconds()
+	// A cheap approximation of exp(-passed).
+	return r.recent / (1 + passed + passed*passed/2) * r.pace.Slowness
 }
 
-func (r *runner) addTurn(now time.Time) {
-	r.lately = r.turns(now)/r.pace.Slowness + 1
-	r.latelyAt = now
+func (r *runner) addRecent(now time.Time) {
+	r.recent = r.recentRequests(now)/r.pace.Slowness + 1
+	r.recentAt = now
 }
 
-// sharpen makes differences of cost weigh more. A router that does not know what others do gives
-// each replica what its speed bears, as all routers together would fill up the quickest ones.
-func (b *Balancer) sharpen(cost float64, candidate *replica, found *lookup) float64 {
-	if !found.outlook.isKnown && candidate.runner.pace.PromptRate > 0 {
+// weightedCost raises the cost to the power Sharpness. Without any load report it
+// returns the cost itself, so that the load follows the replicas' speed: otherwise
+// routers without reports would together overload the fastest ones.
+func (b *Balancer) weightedCost(cost float64, candidate *replica, found *lookup) float64 {
+	if !found.peers.isKnown && candidate.runner.pace.PromptRate > 0 {
 		return cost
 	}
-	return raise(cost, b.options.Sharpness)
+	return intPow(cost, b.options.Sharpness)
 }
 
-// raise returns the base to a whole power above 0.
-func raise(base float64, power int) float64 {
+// intPow returns base to the given power, which must be at least 1.
+func intPow(base float64, power int) float64 {
 	raised := base
 	for range power - 1 {
 		raised *= base
--- a/request/routing/failing_test.go
+++ b/request/routing/failing_test.go
@@ -6,24 +6,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A runner that others saw fail loses no further request while another one has room, and all of
-// them serve on when they are all that is left.
-func TestFailingRunnerIsTheLastChoice(t *testing.T) {
+// A runner marked as failing gets requests only if no other runner has room.
+func TestFailingRunnerIsPickedLast(t *testing.T) {
 	options := Options{MaxBatch: 4, QueueSlack: 1, UseFailing: true}
-	t.Run("others come first until they are full", func(t *testing.T) {
+	t.Run("picked when the others are full", func(t *testing.T) {
 		balancer := newBalancer(2, options)
 		balancer.SetFailing("runner-0", true)
 		counts := fill(balancer, 5)
 		qt.Assert(t, counts["runner-0"], qt.Equals, 0)
 		qt.Assert(t, fill(balancer, 1)["runner-0"], qt.Equals, 1)
 	})
-	t.Run("one that rested is used again", func(t *testing.T) {
+	t.Run("recovered runner", func(t *testing.T) {
 		balancer := newBalancer(2, options)
 		balancer.SetFailing("runner-0", true)
 		balancer.SetFailing("runner-0", false)
 		qt.Assert(t, fill(balancer, 10)["runner-0"], qt.Equals, 5)
 	})
-	t.Run("all that fail are used all the same", func(t *testing.T) {
+	t.Run("all runners failing", func(t *testing.T) {
 		balancer := newBalancer(2, options)
 		balancer.SetFailing("runner-0", true)
 		balancer.SetFailing("runner-1", true)
--- a/request/routing/load_choice_test.go
+++ b/request/routing/load_choice_test.go
@@ -10,22 +10,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// loadScale is the load as a part of that at which a policy that knows all begins to be late.
+// loadScale is the load relative to the capacity of the omniscient policy.
 const loadScale = 0.9
 
-// manyRouters are the options of a router that is one of many.
+// manyRouters returns the options of one router among many.
 func manyRouters() Options {
 	return Options{ReportLife: 3 * time.Second, Sharpness: 3, ColdTime: 4 * time.Millisecond, WarmTime: 8 * time.Second}
 }
 
-// play plays the load with a policy for each of some seeds and returns what callers saw on average.
-func play(wordAge float64, change func(l *load, now float64), policyOf func(l *load) policy) result {
+// simulate runs the load with a policy for several seeds and returns the mean result.
+func simulate(reportAge float64, change func(l *load, now float64), policyOf func(l *load) policy) result {
 	const seeds = 4
 	var results [seeds]result
 	var running sync.WaitGroup
 	for seed := range results {
 		running.Go(func() {
-			l := newLoad(uint64(seed)+5, wordAge, loadScale)
+			l := newLoad(uint64(seed)+5, reportAge, loadScale)
 			l.change = change
 			results[seed] = l.run(policyOf(l))
 		})
@@ -36,99 +36,98 @@
 		mean.lateShort += each.lateShort / seeds
 		mean.lateLong += each.lateLong / seeds
 		mean.paused += each.paused / seeds
-		mean.inAim += each.inAim / seeds
+		mean.inTime += each.inTime / seeds
 		mean.spread += each.spread / seeds
 		mean.hotSpread += each.hotSpread / seeds
 	}
 	return mean
 }
 
-func byTime(l *load) policy     { return newBalanced(l, manyRouters()) }
-func byOwnCount(l *load) policy { return &byCount{load: l} }
+func byExpectedTime(l *load) policy { return newBalanced(l, manyRouters()) }
+func byOwnCount(l *load) policy     { return &byCount{load: l} }
 
-// Routers that know of each other by word of 0.1 to 2 s serve more callers in time than routers
-// that count requests, and none of them floods the runner that was best when the word was written.
-func TestManyRoutersChooseByExpectedTime(t *testing.T) {
-	best := play(0.1, nil, func(l *load) policy { return omniscient{l} })
-	t.Logf("all known at once: %v", best)
+// With load reports of 0.1 to 2 s age, choosing by expected time serves more requests in time
+// than counting requests, without all routers picking the runner that was best in the report.
+func TestExpectedTimeBeatsRequestCountWithManyRouters(t *testing.T) {
+	best := simulate(0.1, nil, func(l *load) policy { return omniscient{l} })
+	t.Logf("omniscient: %v", best)
 	for _, test := range []struct {
-		name    string
-		wordAge float64
-		// mostShare bounds the callers that are not served in time, as a part of those by count.
+		name      string
+		reportAge float64
+		// mostShare bounds the requests not in time relative to those of byOwnCount.
 		mostShare float64
 	}{
-		{"word of 0.1 s", 0.1, 0.5},
-		{"word of 0.5 s", 0.5, 0.5},
-		{"word of 2 s", 2, 0.6},
+		{"reports of 0.1 s", 0.1, 0.5},
+		{"reports of 0.5 s", 0.5, 0.5},
+		{"reports of 2 s", 2, 0.6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			before := play(test.wordAge, nil, byOwnCount)
-			now := play(test.wordAge, nil, byTime)
+			before := simulate(test.reportAge, nil, byOwnCount)
+			now := simulate(test.reportAge, nil, byExpectedTime)
 			t.Logf("by count: %v", before)
 			t.Logf("by time:  %v", now)
-			qt.Assert(t, 1-now.inAim <= test.mostShare*(1-before.inAim), qt.IsTrue)
+			qt.Assert(t, 1-now.inTime <= test.mostShare*(1-before.inTime), qt.IsTrue)
 			qt.Assert(t, now.lateLong <= before.lateLong, qt.IsTrue)
 		})
 	}
-	t.Run("no word at all", func(t *testing.T) {
-		before := play(1000, nil, byOwnCount)
-		now := play(1000, nil, byTime)
+	t.Run("no reports", func(t *testing.T) {
+		before := simulate(1000, nil, byOwnCount)
+		now := simulate(1000, nil, byExpectedTime)
 		t.Logf("by count: %v", before)
 		t.Logf("by time:  %v", now)
-		qt.Assert(t, 1-now.inAim <= 0.75*(1-before.inAim), qt.IsTrue)
+		qt.Assert(t, 1-now.inTime <= 0.75*(1-before.inTime), qt.IsTrue)
 	})
 }
 
-// What fails may cost callers no more than it did with routers that count requests.
-func TestLoadUnderFailure(t *testing.T) {
+// Under partial failures, choosing by expected time serves no fewer requests in time than counting.
+func TestExpectedTimeUnderFailures(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(l *load, now float64)
-		// spoil changes what a policy hears.
-		spoil func(p policy) policy
+		// wrap changes the reports that a policy receives.
+		wrap func(p policy) policy
 	}{
-		{"a runner turns slow by four", func(l *load, _ float64) { l.engines[0].slowness *= 4 }, unspoiled},
-		{"half of the runners have late reports", nil, func(p policy) policy { return &halfLate{policy: p} }},
-		{"one router hears nothing", nil, func(p policy) policy {
+		{"a runner becomes four times slower", func(l *load, _ float64) { l.engines[0].slowness *= 4 }, unwrapped},
+		{"late reports on half of the runners", nil, func(p policy) policy { return &delayedReports{policy: p} }},
+		{"one router without reports", nil, func(p policy) policy {
 			if balanced, isBalanced := p.(*balanced); isBalanced {
-				balanced.isDeaf = func(router int) bool { return router == 0 }
+				balanced.dropsReports = func(router int) bool { return router == 0 }
 			}
 			return p
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			before := play(0.1, test.change, func(l *load) policy { return test.spoil(byOwnCount(l)) })
-			now := play(0.1, test.change, func(l *load) policy { return test.spoil(byTime(l)) })
+			before := simulate(0.1, test.change, func(l *load) policy { return test.wrap(byOwnCount(l)) })
+			now := simulate(0.1, test.change, func(l *load) policy { return test.wrap(byExpectedTime(l)) })
 			t.Logf("by count: %v", before)
 			t.Logf("by time:  %v", now)
-			qt.Assert(t, now.inAim >= before.inAim, qt.IsTrue)
+			qt.Assert(t, now.inTime >= before.inTime, qt.IsTrue)
 		})
 	}
 }
 
-func unspoiled(p policy) policy { return p }
+func unwrapped(p policy) policy { return p }
 
-// halfLate has the word on every second runner come two seconds later.
-type halfLate struct {
+// delayedReports delays the reports on every second runner by two seconds.
+type delayedReports struct {
 	policy
-	former [][]news
+	previous [][]runnerReport
 }
 
-func (p *halfLate) word(written float64, current []news) {
-	const late = int(2 / wordPause)
-	p.former = append(p.former, current)
-	mixed := append([]news(nil), current...)
-	if len(p.former) > late {
+func (p *delayedReports) observe(written float64, current []runnerReport) {
+	const late = int(2 / reportInterval)
+	p.previous = append(p.previous, current)
+	mixed := append([]runnerReport(nil), current...)
+	if len(p.previous) > late {
 		for number := 0; number < len(mixed); number += 2 {
-			mixed[number] = p.former[len(p.former)-1-late][number]
+			mixed[number] = p.previous[len(p.previous)-1-late][number]
 		}
 	}
-	p.policy.word(written, mixed)
+	p.policy.observe(written, mixed)
 }
 
-// A router that hears nothing gives each replica what its speed bears, as it must not take the
-// quickest ones for idle.
-func TestWithoutWordReplicasGetWhatTheirSpeedBears(t *testing.T) {
+// Without reports, requests are distributed by the speed of the replicas.
+func TestWithoutReportsLoadFollowsReplicaSpeed(t *testing.T) {
 	l := newLoad(1, 0.1, 1)
 	p := newBalanced(l, manyRouters())
 	slow, all := 0, 4000
@@ -140,13 +139,13 @@
 		}
 		p.done(0, s)
 	}
-	// Two of six at 0.55 of the speed bear 1.1 of 5.1.
+	// Two of six replicas at 0.55 of the speed have 1.1 of 5.1 of the capacity.
 	share := float64(slow) / float64(all)
 	qt.Assert(t, share > 0.17 && share < 0.27, qt.IsTrue, qt.Commentf("%f", share))
 }
 
-// A runner whose answers are lost looks idle, and is shut out by its breaker all the same.
-func TestRunnerWhoseAnswersAreLostIsShutOut(t *testing.T) {
+// The breaker excludes a runner that appears idle because its answers are lost.
+func TestBreakerExcludesRunnerWithLostAnswers(t *testing.T) {
 	options := manyRouters()
 	options.BreakerFailures, options.BreakerDelay = 2, 500*time.Millisecond
 	balancer := newBalancer(6, options)
@@ -166,7 +165,7 @@
 	qt.Assert(t, lost <= 8, qt.IsTrue, qt.Commentf("%d requests lost in 10 s", lost))
 }
 
-func TestReplicaThatTurnsRequestsAwayRests(t *testing.T) {
+func TestRejectionStartsCooldown(t *testing.T) {
 	c := qt.New(t)
 	balancer := newBalancer(1, Options{})
 	turnAway := func(now time.Time) bool {
@@ -178,22 +177,22 @@
 		return found
 	}
 	now := start
-	for _, length := range []time.Duration{firstRest, 2 * firstRest, 4 * firstRest, maxRest, maxRest} {
+	for _, length := range []time.Duration{minCooldown, 2 * minCooldown, 4 * minCooldown, maxCooldown, maxCooldown} {
 		c.Assert(turnAway(now), qt.IsTrue)
 		c.Assert(turnAway(now.Add(length-time.Millisecond)), qt.IsFalse)
 		now = now.Add(length)
 	}
-	// A view in which the model was unloaded and loaded again ends the rest.
+	// Unloading and reloading the model ends the cooldown.
 	c.Assert(turnAway(now), qt.IsTrue)
 	without := placement(1)
 	without.Replicas = nil
 	balancer.SetPlacement(without)
 	balancer.SetPlacement(placement(1))
 	c.Assert(turnAway(now), qt.IsTrue)
-	c.Assert(balancer.rows["row"].subset[0].rest.length, qt.Equals, firstRest)
+	c.Assert(balancer.rows["row"].subset[0].cooldown.duration, qt.Equals, minCooldown)
 }
 
-func TestOneThatServesIsOutOfRest(t *testing.T) {
+func TestSuccessEndsCooldown(t *testing.T) {
 	c := qt.New(t)
 	balancer := newBalancer(1, Options{})
 	first, _ := balancer.Pick(start, "row", nil, "")
@@ -201,12 +200,12 @@
 	second, _ := balancer.Pick(start, "row", nil, "")
 	second.Sent(start, nil)
 	second.Done(start, OutcomeTurnedAway)
-	c.Assert(second.Rest(start), qt.Equals, firstRest)
+	c.Assert(second.Rest(start), qt.Equals, minCooldown)
 	first.Done(start, OutcomeSuccess)
 	c.Assert(second.Rest(start), qt.Equals, time.Duration(0))
 }
 
-func TestBarredRunnerIsNeverChosen(t *testing.T) {
+func TestBarredRunnerIsNeverPicked(t *testing.T) {
 	c := qt.New(t)
 	balancer := newBalancer(1, Options{UseFailing: true})
 	_, found := balancer.PickFor(start, "row", &Work{Avoid: "runner-0"})
@@ -215,9 +214,8 @@
 	c.Assert(found, qt.IsFalse)
 }
 
-// A prompt that a runner has read before is cheaper there by the time that it takes to read, which
-// outweighs some more requests for a long one and nothing for a short one.
-func TestCachedPromptSavesItsReadingTime(t *testing.T) {
+// The prefill time saved by a cached prefix decides for a long prompt, and not for a short one.
+func TestCachedPromptSavesPrefillTime(t *testing.T) {
 	share := func(prompt int64) float64 {
 		balancer := newBalancer(2, manyRouters())
 		for _, id := range []structs.RunnerID{"runner-0", "runner-1"} {
--- a/request/routing/load_long_test.go
+++ b/request/routing/load_long_test.go
@@ -9,24 +9,24 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// sizeless hides the sizes of prompts from a policy.
-type sizeless struct{ *balanced }
+// withoutSizes hides the sizes of prompts from the policy.
+type withoutSizes struct{ *balanced }
 
-func (p sizeless) choose(now float64, s *stream) int {
+func (p withoutSizes) choose(now float64, s *stream) int {
 	work := workOf(s)
 	work.Prompt, work.Lengths = 0, nil
 	return p.chooseFor(now, s, work)
 }
 
-// apart sends long prompts to one quick replica of each row and all else to the others.
-type apart struct {
+// dedicated sends long prompts to one fast replica of each row and all others to the rest.
+type dedicated struct {
 	*balanced
-	// kept are the balancers for long prompts, of each router: a row of one replica for each runner.
-	kept []*Balancer
+	// longBalancers are the balancers for long prompts, one per router: one single-replica row per runner.
+	longBalancers []*Balancer
 }
 
-func newApart(l *load) apart {
-	p := apart{balanced: newBalanced(l, manyRouters())}
+func newDedicated(l *load) dedicated {
+	p := dedicated{balanced: newBalanced(l, manyRouters())}
 	var placed structs.Placement
 	for number := range l.engines {
 		placed.Runners = append(placed.Runners, structs.RunnerInfo{ID: runnerID(number)})
@@ -35,45 +35,43 @@
 	for range loadRouters {
 		balancer := New(manyRouters(), rand.New(rand.NewPCG(1, 4)))
 		balancer.SetPlacement(placed)
-		p.kept = append(p.kept, balancer)
+		p.longBalancers = append(p.longBalancers, balancer)
 	}
 	return p
 }
 
-func (p apart) choose(now float64, s *stream) int {
+func (p dedicated) choose(now float64, s *stream) int {
 	work := workOf(s)
 	holders := p.load.holders[s.model]
-	kept := holders[0]
+	holder := holders[0]
 	for _, number := range holders {
-		if p.load.engines[number].slowness < p.load.engines[kept].slowness {
-			kept = number
+		if p.load.engines[number].slowness < p.load.engines[holder].slowness {
+			holder = number
 		}
 	}
 	if s.size < len(promptSizes)-1 {
-		work.Barred = runnerID(kept)
+		work.Barred = runnerID(holder)
 		return p.chooseFor(now, s, work)
 	}
-	choice, found := p.kept[s.router].PickFor(at(now), rowName(kept), work)
+	choice, found := p.longBalancers[s.router].PickFor(at(now), rowName(holder), work)
 	if !found {
 		return -1
 	}
 	choice.Sent(at(now), work.Prefixes)
 	s.choice = choice
-	return kept
+	return holder
 }
 
-// A few long prompts hold up the streams of their runners and are late themselves where those are
-// busy. To weigh them by their size serves about as many callers in time as to take all prompts for
-// alike; to keep replicas for them serves more of them and spares nearly all pauses, and costs
-// many more of the short ones, as the replicas that are kept stand idle between two.
-func TestLongPromptsAreWeighedByTheirSize(t *testing.T) {
-	weighed := play(0.3, nil, byTime)
-	alike := play(0.3, nil, func(l *load) policy { return sizeless{newBalanced(l, manyRouters())} })
-	kept := play(0.3, nil, func(l *load) policy { return newApart(l) })
-	t.Logf("weighed:       %v", weighed)
-	t.Logf("all alike:     %v", alike)
-	t.Logf("replicas kept: %v", kept)
-	qt.Assert(t, weighed.inAim >= alike.inAim-0.002, qt.IsTrue)
-	qt.Assert(t, weighed.lateLong <= alike.lateLong+0.005, qt.IsTrue)
-	qt.Assert(t, weighed.inAim > kept.inAim, qt.IsTrue)
+// Weighting prompts by size serves no fewer requests in time than treating all alike, and more than
+// dedicated replicas for long prompts do.
+func TestLongPromptsAreWeightedBySize(t *testing.T) {
+	weighted := simulate(0.3, nil, byExpectedTime)
+	alike := simulate(0.3, nil, func(l *load) policy { return withoutSizes{newBalanced(l, manyRouters())} })
+	separate := simulate(0.3, nil, func(l *load) policy { return newDedicated(l) })
+	t.Logf("by size:   %v", weighted)
+	t.Logf("all alike: %v", alike)
+	t.Logf("dedicated: %v", separate)
+	qt.Assert(t, weighted.inTime >= alike.inTime-0.002, qt.IsTrue)
+	qt.Assert(t, weighted.lateLong <= alike.lateLong+0.005, qt.IsTrue)
+	qt.Assert(t, weighted.inTime > separate.inTime, qt.IsTrue)
 }
--- a/request/routing/load_policies_test.go
+++ b/request/routing/load_policies_test.go
@@ -10,12 +10,12 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// balanced is the policy of the package: a Balancer for each router.
+// balanced uses one Balancer per router.
 type balanced struct {
 	load      *load
 	balancers []*Balancer
-	// isDeaf tells which routers hear nothing of the leader.
-	isDeaf func(router int) bool
+	// dropsReports reports whether a router receives no load reports.
+	dropsReports func(router int) bool
 }
 
 func newBalanced(l *load, options Options) *balanced {
@@ -44,7 +44,7 @@
 
 func paceOf(e *engine) pace.Runner {
 	return pace.Runner{
-		PromptRate: readRate / e.slowness, Slowness: e.slowness,
+		PromptRate: prefillRate / e.slowness, Slowness: e.slowness,
 		Event: time.Duration(eventTokens * stepTime * e.slowness * float64(time.Second)),
 	}
 }
@@ -76,28 +76,27 @@
 
 func (p *balanced) done(now float64, s *stream) { s.choice.Done(at(now), OutcomeSuccess) }
 
-func (p *balanced) word(now float64, written []news) {
+func (p *balanced) observe(now float64, written []runnerReport) {
 	for router, balancer := range p.balancers {
-		if p.isDeaf != nil && p.isDeaf(router) {
+		if p.dropsReports != nil && p.dropsReports(router) {
 			continue
 		}
 		for number, each := range written {
 			balancer.ObserveLoad(runnerID(number), structs.LoadReport{Running: each.requests, ObservedAt: at(now)})
-			balancer.ObserveReading(runnerID(number), each.reading)
+			balancer.ObserveReading(runnerID(number), each.prefillShare)
 		}
 	}
 }
 
-// byCount is the policy before: two samples, by the requests that a router has there itself and, if
-// the leader calls a runner crowded, those of others; a runner that has read the beginning of the
-// prompt may be busier by 0.03 of its batch. Which runners are slow made no difference, as nearly all
-// were taken to be.
+// byCount compares two samples by the request counts of the router and, for runners reported as half full,
+// of other routers; a runner with a cached prefix may exceed the better one by 0.03 of a batch. It
+// ignores the speed of runners.
 type byCount struct {
 	load     *load
 	inFlight [loadRouters][loadRunners]int
 	others   [loadRouters][loadRunners]int
 	answered [loadRouters][loadRunners]float64
-	read     [loadRouters]map[[2]int]int
+	cachedOn [loadRouters]map[[2]int]int
 }
 
 func (p *byCount) score(now float64, router, number int) float64 {
@@ -116,17 +115,17 @@
 	if p.score(now, s.router, holders[second]) < p.score(now, s.router, best) {
 		best = holders[second]
 	}
-	if p.read[s.router] == nil {
-		p.read[s.router] = map[[2]int]int{}
+	if p.cachedOn[s.router] == nil {
+		p.cachedOn[s.router] = map[[2]int]int{}
 	}
 	key := [2]int{s.model, s.size}
-	if known, isKnown := p.read[s.router][key]; isKnown && p.score(now, s.router, known-1) <= p.score(now, s.router, best)+0.03 {
+	if known, isKnown := p.cachedOn[s.router][key]; isKnown && p.score(now, s.router, known-1) <= p.score(now, s.router, best)+0.03 {
 		best = known - 1
 	}
 	if p.inFlight[s.router][best]+p.others[s.router][best] >= loadSlots+2 && p.inFlight[s.router][best] > 0 {
 		return -1
 	}
-	p.read[s.router][key] = best + 1
+	p.cachedOn[s.router][key] = best + 1
 	p.inFlight[s.router][best]++
 	return best
 }
@@ -136,7 +135,7 @@
 	p.answered[s.router][s.runner] = now
 }
 
-func (p *byCount) word(_ float64, written []news) {
+func (p *byCount) observe(_ float64, written []runnerReport) {
 	for router := range loadRouters {
 		for number, each := range written {
 			p.others[router][number] = 0
@@ -147,26 +146,26 @@
 	}
 }
 
-// omniscient knows the true state of all runners at once, and takes the one where the request and
-// those that are there lose the least.
+// omniscient knows the current state of all runners and minimizes the time of the request plus the delay
+// of those already there.
 type omniscient struct{ load *load }
 
 func (p omniscient) choose(now float64, s *stream) int {
 	best, lowest := -1, math.Inf(1)
 	for _, number := range p.load.holders[s.model] {
 		e := p.load.engines[number]
-		rate := readRate / e.slowness
-		unread := int64(0)
+		rate := prefillRate / e.slowness
+		pending := int64(0)
 		for _, other := range e.streams {
-			unread += other.toRead
+			pending += other.prefillLeft
 		}
 		for _, other := range e.queue {
-			unread += other.toRead
+			pending += other.prefillLeft
 		}
 		own := float64(e.uncached(s)) / rate
 		requests := float64(len(e.streams) + len(e.queue))
-		stay := (float64(unread)/rate + own + answerTokens*stepTime*e.slowness) / (1 - min(maxReading, e.readingAt(now)))
-		cost := stay*(1+max(0, requests+1-loadSlots)/loadSlots) + requests*own
+		serviceTime := (float64(pending)/rate + own + answerTokens*stepTime*e.slowness) / (1 - min(maxPrefillShare, e.prefillShare(now)))
+		cost := serviceTime*(1+max(0, requests+1-loadSlots)/loadSlots) + requests*own
 		if cost < lowest {
 			best, lowest = number, cost
 		}
@@ -174,5 +173,5 @@
 	return best
 }
 
-func (omniscient) done(float64, *stream) {}
-func (omniscient) word(float64, []news)  {}
+func (omniscient) done(float64, *stream)           {}
+func (omniscient) observe(float64, []runnerReport) {}
--- a/request/routing/load_test.go
+++ b/request/routing/load_test.go
@@ -7,10 +7,9 @@
 	"math/rand/v2"
 )
 
-// The load that these tests answer: 60 runners of which a quarter has 0.55 of the speed of the
-// others, 68 routers that each see a small part of it, one model in demand on 6 of the runners and
-// 39 less so on 3 each, short prompts beside a few that are 14 times as long, and a rate that
-// swings by 55% up and down. Runners read prompts in pieces between the tokens of their streams.
+// The simulated load: 60 runners, a quarter of them at 0.55 of the speed; 68 routers; one popular model on
+// 6 runners and 39 others on 3 each; mostly short prompts; a rate that varies by ±55%. Runners process
+// prompts in chunks between the steps of their streams.
 const (
 	loadRunners  = 60
 	loadRouters  = 68
@@ -18,31 +17,31 @@
 	hotReplicas  = 6
 	coolReplicas = 3
 	loadSlots    = 24
-	// stepTime is how long a runner takes for one token of each of its streams, readRate how many
-	// tokens of prompts it reads a second, and readPiece how many between two steps.
-	stepTime  = 5.2e-3
-	readRate  = 38400
-	readPiece = 2048
-	// eventTokens are the tokens of one event, answerTokens those of an answer.
+	// stepTime is the time for one token of each stream, in seconds; prefillRate is in prompt tokens per second,
+	// and prefillChunk bounds the prompt tokens per step.
+	stepTime     = 5.2e-3
+	prefillRate  = 38400
+	prefillChunk = 2048
+	// eventTokens is the number of tokens per event, answerTokens per answer.
 	eventTokens  = 7
 	answerTokens = 70
 	slowness     = 1 / 0.55
-	// hotRate and coolRate are requests a second for the model in demand and for all others.
-	hotRate   = 100.0
-	coolRate  = 395.0
-	waveShare = 0.55
-	waveTime  = 12.0
-	loadTime  = 24.0
-	// wordPause separates two words of the leader, as long as it holds a question for news.
-	wordPause = 0.5
-	// Callers of short prompts, who read along, want the first event within shortAim and those of
-	// long ones within longAim; nobody wants a pause above maxPause.
-	shortAim = 0.4
-	longAim  = 0.6
-	maxPause = 0.5
+	// hotRate and coolRate are requests per second for the popular model and for all others.
+	hotRate     = 100.0
+	coolRate    = 395.0
+	rateSwing   = 0.55
+	swingPeriod = 12.0
+	loadTime    = 24.0
+	// reportInterval separates two load reports, in seconds.
+	reportInterval = 0.5
+	// shortTarget and longTarget bound the time to the first event of short and long prompts, and maxPause the
+	// time between events, all in seconds.
+	shortTarget = 0.4
+	longTarget  = 0.6
+	maxPause    = 0.5
 )
 
-// promptSize is a kind of prompt: tokens that many share, tokens of its own, and its part of all.
+// promptSize is a kind of prompt: its shared and own tokens, and its share of all prompts.
 type promptSize struct {
 	shared, own int64
 	share       float64
@@ -50,11 +49,11 @@
 
 var promptSizes = []promptSize{{155, 491, 0.90}, {800, 1400, 0.076}, {6300, 2890, 0.024}}
 
-// stream is one request of the load.
+// stream is one request.
 type stream struct {
 	router, model, size int
 	arrived             float64
-	toRead              int64
+	prefillLeft         int64
 	tokens              int
 	lastEvent, first    float64
 	pause               float64
@@ -62,20 +61,20 @@
 	choice              Choice
 }
 
-// engine is a runner of the load.
+// engine simulates a runner.
 type engine struct {
 	slowness float64
 	streams  []*stream
 	queue    []*stream
 	cached   map[[2]int]bool
-	piece    map[*stream]int64
+	chunk    map[*stream]int64
 	isBusy   bool
-	// reading is the tokens read a second, averaged over readTime, as of readAt.
-	reading, readAt float64
-	served          int
+	// prefillTokenRate is the average of prompt tokens per second over prefillAverageTime, as of prefillRateAt.
+	prefillTokenRate, prefillRateAt float64
+	served                          int
 }
 
-const readTime = 1.0
+const prefillAverageTime = 1.0
 
 func (e *engine) uncached(s *stream) int64 {
 	size := promptSizes[s.size]
@@ -85,21 +84,21 @@
 	return size.shared + size.own
 }
 
-func (e *engine) readingAt(now float64) float64 {
-	return e.reading * math.Exp((e.readAt-now)/readTime) * e.slowness / readRate
+func (e *engine) prefillShare(now float64) float64 {
+	return e.prefillTokenRate * math.Exp((e.prefillRateAt-now)/prefillAverageTime) * e.slowness / prefillRate
 }
 
-// accept takes a request.
+// accept queues a request.
 func (e *engine) accept(now float64, s *stream) {
-	s.toRead = e.uncached(s)
+	s.prefillLeft = e.uncached(s)
 	e.cached[[2]int{s.model, s.size}] = true
-	e.reading = e.reading*math.Exp((e.readAt-now)/readTime) + float64(s.toRead)/readTime
-	e.readAt = now
+	e.prefillTokenRate = e.prefillTokenRate*math.Exp((e.prefillRateAt-now)/prefillAverageTime) + float64(s.prefillLeft)/prefillAverageTime
+	e.prefillRateAt = now
 	e.served++
 	e.queue = append(e.queue, s)
 }
 
-// step begins a step and returns how long it takes; 0 if there is nothing to do.
+// step begins a step and returns its duration; 0 if idle.
 func (e *engine) step() float64 {
 	for len(e.queue) > 0 && len(e.streams) < loadSlots {
 		e.streams = append(e.streams, e.queue[0])
@@ -108,29 +107,29 @@
 	if len(e.streams) == 0 {
 		return 0
 	}
-	clear(e.piece)
-	left := int64(readPiece)
+	clear(e.chunk)
+	left := int64(prefillChunk)
 	for _, s := range e.streams {
-		part := min(left, s.toRead)
-		e.piece[s] = part
+		part := min(left, s.prefillLeft)
+		e.chunk[s] = part
 		left -= part
 	}
-	return e.slowness * (stepTime + float64(readPiece-left)/readRate)
+	return e.slowness * (stepTime + float64(prefillChunk-left)/prefillRate)
 }
 
-// finish ends a step and returns the streams that have ended.
+// finish ends a step and returns the finished streams.
 func (e *engine) finish(now float64) []*stream {
 	var ended []*stream
 	kept := e.streams[:0]
 	for _, s := range e.streams {
-		part, isIn := e.piece[s]
-		if s.toRead -= part; s.toRead > 0 || !isIn {
+		part, isIn := e.chunk[s]
+		if s.prefillLeft -= part; s.prefillLeft > 0 || !isIn {
 			kept = append(kept, s)
 			continue
 		}
 		s.tokens++
 		if s.tokens%eventTokens == 1 {
-			s.noteEvent(now)
+			s.recordEvent(now)
 		}
 		if s.tokens >= answerTokens {
 			ended = append(ended, s)
@@ -142,7 +141,7 @@
 	return ended
 }
 
-func (s *stream) noteEvent(now float64) {
+func (s *stream) recordEvent(now float64) {
 	if s.tokens == 1 {
 		s.first = now - s.arrived
 	} else {
@@ -156,20 +155,20 @@
 	// choose returns a runner, or -1 if the request has to wait.
 	choose(now float64, s *stream) int
 	done(now float64, s *stream)
-	// word is the news of the leader, written at a time before now.
-	word(written float64, news []news)
+	// observe receives load reports written at an earlier time.
+	observe(written float64, reports []runnerReport)
 }
 
-// news is what the leader knows of a runner.
-type news struct {
-	requests int
-	reading  float64
+// runnerReport is the reported load of a runner.
+type runnerReport struct {
+	requests     int
+	prefillShare float64
 }
 
-// event is something that happens in a load.
+// event is a scheduled action.
 type event struct {
-	at   float64
-	what func(now float64)
+	at     float64
+	action func(now float64)
 }
 
 type events []event
@@ -184,30 +183,30 @@
 	return last
 }
 
-// load is one run.
+// load is one simulation run.
 type load struct {
-	random  *rand.Rand
-	engines []*engine
-	holders [][]int
-	popular []float64
-	policy  policy
-	events  events
-	// wordAge is how old the word of the leader is when it comes.
-	wordAge float64
+	random     *rand.Rand
+	engines    []*engine
+	holders    [][]int
+	popularity []float64
+	policy     policy
+	events     events
+	// reportAge is the delay of load reports in seconds.
+	reportAge float64
 	// scale multiplies all rates.
 	scale  float64
 	ended  []*stream
 	change func(l *load, now float64)
 }
 
-func newLoad(seed uint64, wordAge, scale float64) *load {
-	l := &load{random: rand.New(rand.NewPCG(seed, 9)), wordAge: wordAge, scale: scale}
+func newLoad(seed uint64, reportAge, scale float64) *load {
+	l := &load{random: rand.New(rand.NewPCG(seed, 9)), reportAge: reportAge, scale: scale}
 	for number := range loadRunners {
 		speed := 1.0
 		if number%4 == 1 {
 			speed = slowness
 		}
-		l.engines = append(l.engines, &engine{slowness: speed, cached: map[[2]int]bool{}, piece: map[*stream]int64{}})
+		l.engines = append(l.engines, &engine{slowness: speed, cached: map[[2]int]bool{}, chunk: map[*stream]int64{}})
 	}
 	total := 0.0
 	for model := range loadModels {
@@ -218,36 +217,36 @@
 			weight = 1 / math.Sqrt(float64(model))
 		}
 		total += weight
-		l.popular = append(l.popular, weight)
+		l.popularity = append(l.popularity, weight)
 		l.holders = append(l.holders, l.random.Perm(loadRunners)[:count])
 	}
-	// Two of the six that hold the model in demand are slow.
+	// Two of the six runners of the popular model are slow.
 	l.holders[0] = []int{0, 1, 2, 3, 4, 5}
-	for model := range l.popular {
-		l.popular[model] /= total
+	for model := range l.popularity {
+		l.popularity[model] /= total
 	}
 	return l
 }
 
 func (l *load) at(when float64, what func(now float64)) { heap.Push(&l.events, event{when, what}) }
 
-// run plays the load.
+// run simulates the load with the policy.
 func (l *load) run(p policy) result {
 	l.policy = p
 	l.at(0, func(now float64) { l.arrive(now, true) })
 	l.at(0, func(now float64) { l.arrive(now, false) })
-	l.at(wordPause, l.tell)
+	l.at(reportInterval, l.report)
 	if l.change != nil {
 		l.at(loadTime/3, func(now float64) { l.change(l, now) })
 	}
 	for len(l.events) > 0 {
 		next := heap.Pop(&l.events).(event)
-		next.what(next.at)
+		next.action(next.at)
 	}
 	return l.result()
 }
 
-// arrive lets a request come, and then the next one.
+// arrive adds a request and schedules the next one.
 func (l *load) arrive(now float64, isHot bool) {
 	rate := coolRate
 	s := &stream{router: l.random.IntN(loadRouters), arrived: now, runner: -1}
@@ -262,7 +261,7 @@
 		s.size++
 	}
 	l.send(now, s)
-	rate *= l.scale * (1 + waveShare*math.Sin(2*math.Pi*now/waveTime))
+	rate *= l.scale * (1 + rateSwing*math.Sin(2*math.Pi*now/swingPeriod))
 	if next := now + l.random.ExpFloat64()/rate; next < loadTime {
 		l.at(next, func(now float64) { l.arrive(now, isHot) })
 	}
@@ -270,7 +269,7 @@
 
 func (l *load) drawModel() int {
 	point := l.random.Float64()
-	for model, weight := range l.popular {
+	for model, weight := range l.popularity {
 		if point -= weight; point < 0 {
 			return model
 		}
@@ -278,7 +277,7 @@
 	return loadModels - 1
 }
 
-// send lets the policy choose, again in a while if no runner has room.
+// send lets the policy choose a runner and retries later if none has room.
 func (l *load) send(now float64, s *stream) {
 	s.runner = l.policy.choose(now, s)
 	if s.runner < 0 {
@@ -312,26 +311,26 @@
 	})
 }
 
-// tell writes the word of the leader, which comes wordAge later to all routers at once.
-func (l *load) tell(now float64) {
-	var written []news
+// report writes the load reports, which reach all routers after reportAge.
+func (l *load) report(now float64) {
+	var written []runnerReport
 	wrote := now
 	for _, each := range l.engines {
-		written = append(written, news{len(each.streams) + len(each.queue), each.readingAt(now)})
+		written = append(written, runnerReport{len(each.streams) + len(each.queue), each.prefillShare(now)})
 	}
-	l.at(now+l.wordAge, func(now float64) { l.policy.word(wrote, written) })
+	l.at(now+l.reportAge, func(now float64) { l.policy.observe(wrote, written) })
 	if now < loadTime {
-		l.at(now+wordPause, l.tell)
+		l.at(now+reportInterval, l.report)
 	}
 }
 
-// result is what callers saw.
+// result summarizes the requests of a run.
 type result struct {
-	// lateShort and lateLong are the shares of requests whose first event came after the aim,
-	// paused that of those with too long a pause, inAim that of those without any of these.
-	lateShort, lateLong, paused, inAim float64
-	// spread is the most requests that one runner got over the mean, hotSpread the same over
-	// the holders of the model in demand, by what each can bear.
+	// lateShort and lateLong are the shares of requests whose first event was late, paused of those with a pause
+	// above maxPause, inTime of those with neither.
+	lateShort, lateLong, paused, inTime float64
+	// spread is the maximum over the mean of the requests per runner, hotSpread the same among the runners of
+	// the popular model, relative to their capacity.
 	spread, hotSpread float64
 }
 
@@ -339,30 +338,30 @@
 	var r result
 	short, long, good := 0, 0, 0
 	for _, s := range l.ended {
-		aim, isLong := shortAim, s.size == len(promptSizes)-1
+		target, isLong := shortTarget, s.size == len(promptSizes)-1
 		if isLong {
-			aim = longAim
+			target = longTarget
 			long++
 		} else {
 			short++
 		}
-		if s.first > aim && isLong {
+		if s.first > target && isLong {
 			r.lateLong++
-		} else if s.first > aim {
+		} else if s.first > target {
 			r.lateShort++
 		}
 		if s.pause > maxPause {
 			r.paused++
 		}
-		if s.first <= aim && s.pause <= maxPause {
+		if s.first <= target && s.pause <= maxPause {
 			good++
 		}
 	}
 	r.lateShort /= float64(short)
 	r.lateLong /= float64(long)
 	r.paused /= float64(len(l.ended))
-	r.inAim = float64(good) / float64(len(l.ended))
-	most, hotMost, hot, bear := 0.0, 0.0, 0.0, 0.0
+	r.inTime = float64(good) / float64(len(l.ended))
+	most, hotMost, hot, capacity := 0.0, 0.0, 0.0, 0.0
 	for _, each := range l.engines {
 		most = max(most, float64(each.served))
 	}
@@ -370,14 +369,14 @@
 		each := l.engines[number]
 		hotMost = max(hotMost, float64(each.served)*each.slowness)
 		hot += float64(each.served)
-		bear += 1 / each.slowness
+		capacity += 1 / each.slowness
 	}
 	r.spread = most * loadRunners / float64(len(l.ended))
-	r.hotSpread = hotMost / (hot / bear)
+	r.hotSpread = hotMost / (hot / capacity)
 	return r
 }
 
 func (r result) String() string {
-	return fmt.Sprintf("in aim %.4f, late short %.4f long %.4f, paused %.4f, spread %.2f hot %.2f",
-		r.inAim, r.lateShort, r.lateLong, r.paused, r.spread, r.hotSpread)
+	return fmt.Sprintf("in time %.4f, late short %.4f long %.4f, paused %.4f, spread %.2f hot %.2f",
+		r.inTime, r.lateShort, r.lateLong, r.paused, r.spread, r.hotSpread)
 }
--- a/request/routing/options.go
+++ b/request/routing/options.go
@@ -9,45 +9,45 @@
 
 // Options are the settings of a Balancer; zero values mean the defaults.
 type Options struct {
-	// Daemon decides, together with the runners' names, the subset.
+	// Daemon determines the subset, together with the IDs of the runners.
 	Daemon structs.DaemonID
-	// Zone is that of this daemon; empty if there are no zones.
+	// Zone is the zone of this daemon; empty if there are no zones.
 	Zone structs.ZoneID
-	// Choices is how many replicas are sampled for a choice.
+	// Choices is the number of replicas sampled for a choice.
 	Choices int
 	// SubsetSize bounds the replicas of a row that this daemon uses.
 	SubsetSize int
-	// AffinityBound is by how much of a full batch the score of a runner with a
-	// cached prefix may exceed that of the best sample.
+	// AffinityBound bounds the extra cost of a runner with a cached prefix over the
+	// best sample, as a share of a full batch.
 	AffinityBound float64
-	// HintLimit bounds the remembered prefixes.
+	// HintLimit bounds the number of remembered prefixes.
 	HintLimit int
-	// QueueSlack is how many requests beyond MaxBatch a runner is given.
+	// QueueSlack is the number of requests sent to a runner beyond MaxBatch.
 	QueueSlack int
-	// MaxBatch is taken for runners that have not reported theirs.
+	// MaxBatch is assumed for runners that have not reported theirs.
 	MaxBatch int
-	// ReportLife is how long a load report counts.
+	// ReportLife is how long a load report is used.
 	ReportLife time.Duration
-	// BreakerFailures is how many failures in a row open a breaker.
+	// BreakerFailures is the number of consecutive failures that opens a breaker.
 	BreakerFailures int
-	// BreakerDelay is how long a breaker stays open before a probe; it doubles
-	// with every failed probe up to BreakerDelayLimit.
+	// BreakerDelay is how long a breaker stays open before a probe; it doubles with
+	// every failed probe up to BreakerDelayLimit.
 	BreakerDelay      time.Duration
 	BreakerDelayLimit time.Duration
 	// EjectionShare is the largest share of a row's subset ejected as outliers.
 	EjectionShare float64
-	// EjectionTime is how long an outlier stays out.
+	// EjectionTime is how long an outlier stays ejected.
 	EjectionTime time.Duration
-	// UseFailing lets a replica that refuses requests be chosen when no other may be:
-	// where every replica fails part of its requests, one that answers is better than none.
+	// UseFailing allows the choice of a replica that refuses requests if no other one
+	// is usable.
 	UseFailing bool
-	// ColdTime is what a new connection costs, which is needed for a runner that has answered
-	// nothing for WarmTime. Zero means that this does not matter.
+	// ColdTime is the cost of a new connection, which is needed for a runner that has
+	// not answered within WarmTime. Zero ignores connections.
 	ColdTime time.Duration
 	WarmTime time.Duration
-	// Sharpness has replicas drawn at random, with weights that are the expected times to this
-	// power, inverted: for routers that each know little of the work of many others. Zero has the
-	// best of Choices taken.
+	// Sharpness is the power of the cost in the weights of a random draw, for routers
+	// that each know little of the load of many others. Zero selects the best of
+	// Choices samples.
 	Sharpness int
 }
 
--- a/request/routing/paced_test.go
+++ b/request/routing/paced_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestColdRunnerIsChosenOnlyWithATokenForTheRequest(t *testing.T) {
+func TestColdRunnerRequiresToken(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := New(Options{Daemon: "d"}, rand.New(rand.NewPCG(1, 1)))
@@ -47,9 +47,8 @@
 	c.Assert(b.Paced(now, "m"), qt.HasLen, 0)
 }
 
-// A runner that names a limit may be over it: where others can stand in for it, a token for it is used by the next
-// request if it has not answered for some time, and by chance otherwise.
-func TestTokenOfARunnerThatWasNotHeardLatelyIsUsed(t *testing.T) {
+// A rate-limited runner that has not answered for limitedProbeInterval gets the next request if it has a token.
+func TestTokenOfSilentLimitedRunnerIsUsed(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := New(Options{Daemon: "d"}, rand.New(rand.NewPCG(1, 1)))
@@ -65,15 +64,15 @@
 		c.Assert(choice.Runner(), qt.Equals, structs.RunnerID("paced"))
 		choice.Sent(now, nil)
 		choice.Done(now, OutcomeSuccess)
-		now = now.Add(unheardTime)
+		now = now.Add(limitedProbeInterval)
 	}
 	b.GiveTokens("paced", 1)
 	choice, _ := b.Pick(now, "m", nil, "paced")
 	c.Assert(choice.Runner(), qt.Equals, structs.RunnerID("free"))
 }
 
-// A token for a cold runner was lent for requests that have no other: those that have one don't take it.
-func TestTokenOfAColdRunnerIsLeftToThoseThatHaveNoOther(t *testing.T) {
+// A token of a cold runner is not used by every request that has an alternative.
+func TestColdRunnerTokenIsNotAlwaysTaken(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := New(Options{Daemon: "d", Zone: "near", Sharpness: 3}, rand.New(rand.NewPCG(1, 1)))
--- a/request/routing/placement.go
+++ b/request/routing/placement.go
@@ -10,9 +10,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// SetPlacement adopts where the zone's replicas are. A partial placement replaces
-// only what is known of the runners that it lists. Attempts under way keep their
-// counts; a runner with another incarnation starts anew.
+// SetPlacement sets the runners and their replicas. A partial placement replaces only
+// the runners that it lists. Attempts in flight keep their counts; a runner with
+// another incarnation starts with fresh state.
 func (b *Balancer) SetPlacement(placement structs.Placement) {
 	changed := make(changedRows)
 	if !placement.Partial {
@@ -32,23 +32,23 @@
 	}
 }
 
-// changedRows holds the rows whose replicas may have changed. Each is rebuilt by
-// itself, so their order does not matter.
+// changedRows is the set of rows whose replicas may have changed. The rows are rebuilt
+// independently, so their order does not matter.
 type changedRows map[*row]struct{}
 
-// Leave takes the runner out of every choice at once and for the rest of its life.
+// Leave excludes the runner for the rest of its incarnation.
 func (b *Balancer) Leave(id structs.RunnerID) {
 	target := b.runners[id]
 	if target == nil || target.leaving {
 		return
 	}
-	b.left[id] = target.info.Incarnation
+	b.departed[id] = target.info.Incarnation
 	target.leaving = true
-	b.replaceIn(target)
+	b.rebuildRows(target)
 }
 
-// replaceIn chooses the subsets anew of the rows on a runner that is of no use to them, now or ever.
-func (b *Balancer) replaceIn(target *runner) {
+// rebuildRows rebuilds the subsets of the rows on the runner.
+func (b *Balancer) rebuildRows(target *runner) {
 	for _, name := range target.rows {
 		if current := b.rows[name]; current != nil {
 			b.rebuild(current)
@@ -56,7 +56,7 @@
 	}
 }
 
-// retireUnlisted ends the runners that a whole placement no longer lists.
+// retireUnlisted retires the runners that a full placement does not list.
 func (b *Balancer) retireUnlisted(infos []structs.RunnerInfo, changed changedRows) {
 	listed := make(map[structs.RunnerID]struct{}, len(infos))
 	for _, info := range infos {
@@ -67,16 +67,16 @@
 			b.retire(target, changed)
 		}
 	}
-	for id := range b.left {
+	for id := range b.departed {
 		if _, kept := listed[id]; !kept {
-			delete(b.left, id)
+			delete(b.departed, id)
 		}
 	}
 }
 
-// Drop takes a runner out of every choice, as if a whole placement no longer listed it.
+// Drop removes a runner, as a full placement that does not list it would.
 func (b *Balancer) Drop(id structs.RunnerID) {
-	delete(b.left, id)
+	delete(b.departed, id)
 	target := b.runners[id]
 	if target == nil {
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-// retire ends one life of a runner; attempts under way still refer to it.
+// retire removes one incarnation of a runner; attempts in flight still refer to it.
 func (b *Balancer) retire(target *runner, changed changedRows) {
 	target.unplaceAll(changed)
 	target.leaving = true
@@ -96,7 +96,7 @@
 	delete(b.runners, target.info.ID)
 }
 
-// setRunner adopts what a placement says of a runner, whose replicas follow.
+// setRunner adopts the description of a runner. Its replicas are added afterwards.
 func (b *Balancer) setRunner(info structs.RunnerInfo, changed changedRows) {
 	target := b.runners[info.ID]
 	if target != nil && target.info.Incarnation != info.Incarnation {
@@ -108,9 +108,9 @@
 		b.runners[info.ID] = target
 	}
 	target.unplaceAll(changed)
-	incarnation, left := b.left[info.ID]
+	incarnation, left := b.departed[info.ID]
 	if left && info.Incarnation > incarnation {
-		delete(b.left, info.ID)
+		delete(b.departed, info.ID)
 		left = false
 	}
 	target.info = info
@@ -124,13 +124,13 @@
 		number:   b.lastNumber,
 		hash:     xxhash.Sum64String(string(b.options.Daemon) + "\x00" + string(info.ID)),
 		maxBatch: b.options.MaxBatch,
-		pace:     orUsual(pace.Runner{}),
+		pace:     withDefaultSlowness(pace.Runner{}),
 		replicas: make(map[structs.RowName]*replica),
 	}
 }
 
-// addReplica puts a ready replica in its row; every replica on a runner that
-// is not leaving is a candidate for the subset.
+// addReplica adds a ready replica to its row. Replicas on runners that are not leaving
+// are candidates for the subset.
 func (b *Balancer) addReplica(placed structs.Replica, changed changedRows) {
 	target := b.runners[placed.Runner]
 	if target == nil || placed.State != structs.ReplicaReady || placed.Incarnation != target.info.Incarnation {
@@ -164,7 +164,7 @@
 	r.rows = r.rows[:0]
 }
 
-// dropUnplaced forgets the replicas that are no longer placed and sorts the rows.
+// dropUnplaced removes the replicas that are no longer placed and sorts the rows.
 func (r *runner) dropUnplaced() {
 	slices.Sort(r.rows)
 	for name, known := range r.replicas {
@@ -174,10 +174,10 @@
 	}
 }
 
-// rebuild lists the placed replicas of the row again and chooses its subset: the
-// replicas on the runners with the highest hash of daemon and runner (rendezvous
-// hashing), so that at most one member changes when a runner comes or goes. Those that
-// asked for rest, and have taken no request since, are the last.
+// rebuild updates the placed replicas of the row and its subset: the replicas on the
+// runners with the highest hash of daemon and runner (rendezvous hashing), so that at
+// most one member changes when a runner is added or removed. Runners that requested a
+// cooldown and have not accepted a request since come last.
 func (b *Balancer) rebuild(current *row) {
 	current.replicas = slices.DeleteFunc(current.replicas, func(known *replica) bool { return !known.placed })
 	if len(current.replicas) == 0 {
@@ -192,7 +192,7 @@
 	}
 	current.ready = len(current.subset)
 	slices.SortFunc(current.subset, func(left, right *replica) int {
-		return cmp.Or(left.runner.asked.compare(&right.runner.asked), cmp.Compare(right.runner.hash, left.runner.hash),
+		return cmp.Or(left.runner.requested.compare(&right.runner.requested), cmp.Compare(right.runner.hash, left.runner.hash),
 			cmp.Compare(left.runner.number, right.runner.number))
 	})
 	if len(current.subset) > b.options.SubsetSize {
--- a/request/routing/prefix.go
+++ b/request/routing/prefix.go
@@ -9,16 +9,16 @@
 // PrefixBlockBytes is the size of an engine's prefix blocks.
 const PrefixBlockBytes = 64
 
-// PrefixHashLimit is how many prefixes of a prompt are hashed at most.
+// PrefixHashLimit is the maximum number of prefixes hashed per prompt.
 const PrefixHashLimit = 8
 
-// hintRunners is how many runners are remembered for one prefix.
+// hintRunners is the number of runners remembered per prefix.
 const hintRunners = 4
 
-// PrefixHashes appends to destination the hashes of the prompt's first 1, 2, 4, 8
-// and so on whole blocks, at most PrefixHashLimit. They are the keys by which
-// engines name cached blocks: the hash of the row's name, a zero byte and the
-// prompt up to the end of the block. A router needs only these few of them.
+// PrefixHashes appends to destination the hashes of the prompt's first 1, 2, 4, 8 and
+// so on whole blocks, at most PrefixHashLimit. They are the keys of cached blocks at
+// the engines: the hash of the row's name, a zero byte and the prompt up to the end of
+// the block.
 func PrefixHashes(destination []uint64, row structs.RowName, prompt string) []uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -37,12 +37,12 @@
 	return destination
 }
 
-// hint names runners, by number, that probably have a prefix cached; the most
-// recent one is first and 0 means none.
+// hint lists the numbers of runners that probably have a prefix cached, the most
+// recent one first; 0 marks an empty entry.
 type hint [hintRunners]uint32
 
-// hints remembers prefixes in two generations: when the younger is full it
-// becomes the older, and the older is forgotten.
+// hints is a bounded cache of prefixes in two generations: when the younger one is
+// full it replaces the older one, which is discarded.
 type hints struct {
 	limit   int
 	younger map[uint64]hint
@@ -106,8 +106,8 @@
 	h.younger[key] = value
 }
 
-// CacheChange is a runner's statement that it cached or evicted a prefix, or that
-// its cache is empty.
+// CacheChange is a runner's event that it cached or evicted a prefix, or cleared its
+// cache.
 type CacheChange struct {
 	Runner     structs.RunnerID
 	Sequence   uint64
--- a/request/routing/retry.go
+++ b/request/routing/retry.go
@@ -15,16 +15,16 @@
 	DefaultBackoffLimit = time.Second
 )
 
-// Budget bounds the retries of a row to a share of its requests: every request
-// adds a part of a retry, up to a reserve.
+// Budget bounds the retries of a row to a share of its requests: every request adds a
+// fraction of a retry, up to a reserve.
 type Budget struct {
 	ratio   float64
 	reserve float64
 	tokens  float64
 }
 
-// NewBudget makes a full Budget to which every request adds ratio of a retry, and
-// which holds at most reserve of them; values of 0 mean the defaults.
+// NewBudget returns a full Budget to which every request adds ratio retries, up to
+// reserve; zero values select the defaults.
 func NewBudget(ratio, reserve float64) Budget {
 	option.Positive(&ratio, DefaultRetryRatio)
 	option.Positive(&reserve, DefaultRetryReserve)
@@ -34,10 +34,10 @@
 // Deposit counts a request.
 func (b *Budget) Deposit() { b.tokens = min(b.reserve, b.tokens+b.ratio) }
 
-// Covers reports whether a retry could be taken out now.
+// Covers reports whether a retry is available.
 func (b *Budget) Covers() bool { return b.tokens >= 1 }
 
-// Withdraw takes one retry out; it reports whether there was one.
+// Withdraw takes one retry and reports whether one was available.
 func (b *Budget) Withdraw() bool {
 	if b.tokens < 1 {
 		return false
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Backoff returns a random delay before retry number retry (1 for the first):
-// between half and all of base doubled with each retry, at most limit.
+// Backoff returns a random delay before the given retry (1 for the first), between
+// half and all of base × 2^(retry-1), limited to limit.
 func Backoff(random *rand.Rand, base, limit time.Duration, retry int) time.Duration {
 	option.Positive(&base, DefaultBackoffBase)
 	option.Positive(&limit, DefaultBackoffLimit)
--- a/request/routing/runner.go
+++ b/request/routing/runner.go
@@ -7,25 +7,25 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// historyLength is how many changes of the own load a runner remembers.
+// historyLength is the number of in-flight changes remembered per runner.
 const historyLength = 64
 
-// runner is one life of a runner as this router sees it.
+// runner is one incarnation of a runner as seen by this router.
 type runner struct {
 	info structs.RunnerInfo
-	// number names this life of the runner, with its cache, in hints.
+	// number identifies this incarnation and its cache in hints.
 	number uint32
-	// hash is that of daemon and runner, which ranks the runner in subsets.
+	// hash ranks the runner in subsets; it depends on daemon and runner.
 	hash    uint64
 	leaving bool
-	// paced runners get a request for each token that the leader lent.
+	// paced runners get one request per token lent by the leader.
 	paced  bool
 	tokens int
-	// limited runners are paced as they name a rate limit.
+	// limited runners are paced because of a rate limit.
 	limited bool
-	// asked is the rest that the runner asked this router for.
-	asked askedRest
-	// failing runners are chosen only where no other one can be.
+	// requested is the cooldown that the runner requested from this router.
+	requested requestedCooldown
+	// failing runners are chosen only if no other one is usable.
 	failing bool
 	// inFlight counts this router's attempts; others is the load of all other
 	// routers as of reportedAt.
@@ -33,52 +33,52 @@
 	others     int
 	reportedAt time.Time
 	maxBatch   int
-	// reading is the share of its time that the runner has read prompts lately, as of reportedAt.
-	reading float64
-	// pace is what work takes there, with what is usual in place of what is not known.
+	// prefillShare is the share of its time that the runner spent on prompts, as of reportedAt.
+	prefillShare float64
+	// pace is the measured pace of the runner, with defaults where unknown.
 	pace pace.Runner
-	// unreadTokens are those that this router had sent at unreadAt and that were not read yet.
-	unreadTokens float64
-	unreadAt     time.Time
-	// lately counts the attempts that this router has sent, as of latelyAt; it fades over
-	// turnTime.
-	lately   float64
-	latelyAt time.Time
-	// answeredAt is when an attempt last ended with an answer.
+	// pendingTokens is the number of tokens sent by this router and not processed as of pendingTokensAt.
+	pendingTokens   float64
+	pendingTokensAt time.Time
+	// recent is the decaying count of attempts sent by this router, as of recentAt; see
+	// recentWindow.
+	recent   float64
+	recentAt time.Time
+	// answeredAt is when an attempt last succeeded.
 	answeredAt time.Time
 	breaker    breaker
-	// history is nil until the first attempt: with a thousand routers most runners never get one of this one.
+	// history is nil until the first attempt: with many routers, most runners never get one from this router.
 	history *history
-	// sequence is the highest of the cache events seen.
+	// sequence is the highest sequence number of cache events seen.
 	sequence uint64
-	// rows names the placed replicas, sorted.
+	// rows lists the names of the placed replicas, sorted.
 	rows     []structs.RowName
 	replicas map[structs.RowName]*replica
 }
 
 // replica is a ready copy of a row on a runner.
 type replica struct {
-	row     *row
-	runner  *runner
-	breaker breaker
-	rest    rest
-	rate    failureRate
-	// placed is false once the zone no longer lists the replica.
+	row      *row
+	runner   *runner
+	breaker  breaker
+	cooldown cooldown
+	rate     failureRate
+	// placed is false once the placement no longer lists the replica.
 	placed       bool
 	ejectedUntil time.Time
 }
 
-// row lists the replicas of a row; the subset holds those that this daemon uses.
+// row holds the replicas of a row; subset holds those that this daemon uses.
 type row struct {
 	name structs.RowName
 	// ready counts the replicas on runners that are not leaving.
 	ready int
-	// replicas are all of the row, those on leaving runners too.
+	// replicas includes those on leaving runners.
 	replicas []*replica
 	subset   []*replica
 }
 
-// load returns the requests on the runner as far as this router knows.
+// load returns the number of requests on the runner as known to this router.
 func (r *runner) load(now time.Time, life time.Duration) int {
 	if r.others > 0 && now.Sub(r.reportedAt) < life {
 		return r.inFlight + r.others
@@ -86,9 +86,9 @@
 	return r.inFlight
 }
 
-// hasRoom reports whether the runner may get one more attempt. A router
-// without any attempt on a crowded runner may send one there, so that other
-// routers cannot keep it out; the engine's own queue orders these.
+// hasRoom reports whether the runner may get one more attempt. A router without any
+// attempt on a full runner may send one, so that other routers cannot starve it; the
+// engine queues the excess.
 func (r *runner) hasRoom(now time.Time, options *Options) bool {
 	limit := r.maxBatch + options.QueueSlack
 	load := r.load(now, options.ReportLife)
@@ -98,8 +98,8 @@
 	return r.inFlight == 0 && load < 2*limit
 }
 
-// observe takes a load report. What this router itself had on the runner at the
-// time of the report is subtracted, so that what remains is the load of others.
+// observe records a load report. This router's own attempts at the time of the report
+// are subtracted, which leaves the load of other routers.
 func (r *runner) observe(report structs.LoadReport) {
 	if report.ObservedAt.Before(r.reportedAt) {
 		return
@@ -115,7 +115,7 @@
 	r.others = max(0, report.Running+report.Queued-own)
 }
 
-// change counts an attempt in or out.
+// change adds the difference to the attempts in flight.
 func (r *runner) change(now time.Time, difference int) {
 	r.inFlight += difference
 	if r.history == nil {
@@ -124,15 +124,15 @@
 	r.history.add(now, r.inFlight)
 }
 
-// history is a ring of the latest changes of the own load.
+// history is a ring buffer of the latest changes of this router's attempts in flight.
 type history struct {
-	// origin is the first time that was seen: the steady clock counts from it, as the time
-	// of day may jump.
+	// origin is the time of the first change. Offsets from it use the monotonic clock,
+	// as the wall clock may jump.
 	origin time.Time
-	// changedAt is the time since origin, load what was in flight from then on.
+	// changedAt holds times since origin, load the attempts in flight from then on.
 	changedAt [historyLength]time.Duration
 	load      [historyLength]int32
-	// count is how many changes there were in all.
+	// count is the total number of changes.
 	count int
 }
 
@@ -146,8 +146,8 @@
 	h.count++
 }
 
-// at returns the own load at the time; if it is older than the ring reaches, the
-// oldest known load.
+// at returns the load at the given time, or the oldest known one if the time is before
+// the ring's range.
 func (h *history) at(when time.Time) int {
 	passed := when.Sub(h.origin)
 	kept := min(h.count, historyLength)
--- a/request/routing/sample.go
+++ b/request/routing/sample.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// sample takes the best of a few replicas chosen at random, or one that has read the beginning
-// of the prompt and is expected to be done little later.
+// sample returns the best of a few random replicas, or one with a cached prefix of the
+// prompt whose cost is not much higher.
 func (b *Balancer) sample(now time.Time, wanted *row, work *Work, found *lookup) *replica {
 	var best *replica
 	lowest := 0.0
@@ -15,7 +15,7 @@
 			index = (first + 1 + b.random.IntN(size-1)) % size
 		}
 		candidate := wanted.subset[index]
-		if candidate == best || !b.usable(now, candidate, work) {
+		if candidate == best || !b.isUsable(now, candidate, work) {
 			continue
 		}
 		if cost := b.costOf(now, candidate, work, found); best == nil || cost < lowest {
@@ -35,8 +35,8 @@
 	return best
 }
 
-// scan takes the best that may be used of the whole subset, from a random start; with failing
-// also those that fail the requests of the row.
+// scan returns the cheapest usable replica of the whole subset, starting at random. If
+// failing is set, replicas that are only available count as well.
 func (b *Balancer) scan(now time.Time, wanted *row, work *Work, found *lookup, failing bool) *replica {
 	var best *replica
 	lowest := 0.0
@@ -44,7 +44,7 @@
 	first := b.random.IntN(size)
 	for offset := range size {
 		candidate := wanted.subset[(first+offset)%size]
-		if !b.usable(now, candidate, work) && !(failing && b.answers(now, candidate, work)) {
+		if !b.isUsable(now, candidate, work) && !(failing && b.isAvailable(now, candidate, work)) {
 			continue
 		}
 		if cost := b.costOf(now, candidate, work, found); best == nil || cost < lowest {
@@ -54,16 +54,16 @@
 	return best
 }
 
-// cached finds a runner that probably has the longest known prefix of the prompt and costs at most
-// AffinityBound of a full batch more than the lowest.
+// cached returns the replica with the longest cached prefix whose cost exceeds the
+// lowest by at most AffinityBound of a full batch, or nil.
 func (b *Balancer) cached(now time.Time, wanted *row, work *Work, found *lookup, lowest float64) *replica {
 	for index := found.count - 1; index >= 0; index-- {
 		for _, number := range found.known[index] {
 			candidate := wanted.find(number)
-			if candidate == nil || !b.usable(now, candidate, work) {
+			if candidate == nil || !b.isUsable(now, candidate, work) {
 				continue
 			}
-			if b.costOf(now, candidate, work, found) <= lowest+usualStay*b.options.AffinityBound {
+			if b.costOf(now, candidate, work, found) <= lowest+defaultServiceTime*b.options.AffinityBound {
 				return candidate
 			}
 		}
--- a/request/routing/work.go
+++ b/request/routing/work.go
@@ -7,24 +7,23 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Work is what a request asks of a replica.
+// Work describes a request to be placed.
 type Work struct {
-	// Prefixes are the prompt's PrefixHashes, the shortest first.
+	// Prefixes are the PrefixHashes of the prompt, the shortest first.
 	Prefixes []uint64
-	// Lengths are how many tokens the prompt has up to the end of each of the Prefixes; if there
-	// are fewer, nothing is known of the others.
+	// Lengths are the token counts of the Prefixes. It may be shorter than Prefixes.
 	Lengths []int64
-	// Prompt is how many tokens the prompt has; 0 if it is not known.
+	// Prompt is the number of tokens of the prompt; 0 if unknown.
 	Prompt int64
-	// Avoid names a runner that is chosen only if no other one has room, Barred one that is not
-	// chosen at all.
+	// Avoid is a runner that is chosen only if no other one has room. Barred is never
+	// chosen.
 	Avoid  structs.RunnerID
 	Barred structs.RunnerID
-	// Zones are those of the runners that may be chosen; nil for all.
+	// Zones are the zones whose runners may be chosen; nil allows all.
 	Zones map[structs.ZoneID]bool
 }
 
-// allows reports whether the runner may get the work at all, however busy it is.
+// allows reports whether the runner may get the work, regardless of its load.
 func (w *Work) allows(target *runner) bool {
 	if w.Barred != "" && target.info.ID == w.Barred {
 		return false
@@ -32,20 +31,20 @@
 	return w.Zones == nil || w.Zones[target.info.Zone]
 }
 
-// maxPrefixes bounds the prefixes of a prompt that are looked up for one choice.
+// maxPrefixes bounds the prefixes looked up for one choice.
 const maxPrefixes = PrefixHashLimit
 
-// lookup is what is remembered of the prefixes of one prompt.
+// lookup holds what is known of one prompt and of the load of other routers.
 type lookup struct {
 	known [maxPrefixes]hint
-	// saved is how many tokens need not be read where the prefix is cached.
+	// saved is the number of tokens that need no processing where the prefix is cached.
 	saved [maxPrefixes]int64
 	count int
-	// outlook is what is known of the work of others.
-	outlook outlook
+	// peers is the load of other routers.
+	peers peerLoad
 }
 
-// lookUp finds who has cached which prefix of the prompt.
+// lookUp finds the runners that have cached the prefixes of the prompt.
 func (b *Balancer) lookUp(now time.Time, wanted *row, work *Work) lookup {
 	var found lookup
 	prompt := work.tokens()
@@ -57,12 +56,12 @@
 			found.saved[index] = min(work.Lengths[index], prompt)
 		}
 	}
-	found.outlook = b.look(now, wanted)
+	found.peers = b.peerLoad(now, wanted)
 	return found
 }
 
-// cachedTokens is how many tokens of the prompt the runner with the number probably has in its
-// cache.
+// cachedTokens returns how many tokens of the prompt the runner with the given number
+// has probably cached.
 func (l *lookup) cachedTokens(number uint32) int64 {
 	for index := l.count - 1; index >= 0; index-- {
 		if slices.Contains(l.known[index][:], number) {
@@ -72,14 +71,13 @@
 	return 0
 }
 
-// usualPrompt is how many tokens a prompt is taken to have that does not say: a few paragraphs.
-// It only weighs beside prompts that say their size.
-const usualPrompt = 500
+// defaultPromptTokens is the assumed size of a prompt of unknown size.
+const defaultPromptTokens = 500
 
-// tokens is the length of the prompt.
+// tokens returns the size of the prompt in tokens.
 func (w *Work) tokens() int64 {
 	if w.Prompt > 0 {
 		return w.Prompt
 	}
-	return usualPrompt
+	return defaultPromptTokens
 }
--- a/request/routing/zone.go
+++ b/request/routing/zone.go
@@ -7,31 +7,29 @@
 )
 
 const (
-	// usualWay is how much longer an answer from another zone takes where nothing was measured: the way
-	// there and back between zones of one region.
-	usualWay = 2 * time.Millisecond
-	// wayPrice is what a runner of another zone must save beside the way itself: bytes between zones cost
-	// their operators, and a loss of the other zone costs the request. It is two steps of a usual engine,
-	// which callers do not notice.
-	wayPrice = 10 * time.Millisecond
+	// defaultZoneLatency is the assumed additional round-trip time to another zone: that of zones of one region.
+	defaultZoneLatency = 2 * time.Millisecond
+	// remotePenalty is what a runner of another zone must save besides the latency, for the cost of traffic between
+	// zones and the exposure to failures of both. It is about two engine steps.
+	remotePenalty = 10 * time.Millisecond
 )
 
-// zones is what a Balancer knows of zones.
+// zones holds what a Balancer knows of zones.
 type zones struct {
-	// outOfReach holds the zones of which no runner is chosen.
-	outOfReach map[structs.ZoneID]bool
-	// ways are how much longer than within the own zone the way to others is, there and back.
-	ways map[structs.ZoneID]time.Duration
+	// unreachable is the set of zones whose runners are not chosen.
+	unreachable map[structs.ZoneID]bool
+	// latencies are the additional round-trip times to other zones, relative to the own zone.
+	latencies map[structs.ZoneID]time.Duration
 }
 
-// SetOutOfReach takes the runners of a zone out of every choice, or in again. What failed there while it
-// got out of reach is not held against them.
-func (b *Balancer) SetOutOfReach(zone structs.ZoneID, isOutOfReach bool) {
-	if isOutOfReach {
-		b.zones.outOfReach[zone] = true
+// SetOutOfReach sets whether the runners of a zone are excluded. When the zone is reachable again, earlier failures
+// of its runners are cleared.
+func (b *Balancer) SetOutOfReach(zone structs.ZoneID, isUnreachable bool) {
+	if isUnreachable {
+		b.zones.unreachable[zone] = true
 		return
 	}
-	delete(b.zones.outOfReach, zone)
+	delete(b.zones.unreachable, zone)
 	for _, target := range b.runners {
 		if target.info.Zone != zone {
 			continue
@@ -44,56 +42,55 @@
 	}
 }
 
-// SetWays says how much longer than within the own zone the way to runners of other zones is, there and
-// back. Zones that are not listed count as usualWay.
-func (b *Balancer) SetWays(ways map[structs.ZoneID]time.Duration) { b.zones.ways = ways }
+// SetWays sets the additional round-trip times to other zones, relative to the own zone. Zones that are not listed
+// have defaultZoneLatency.
+func (b *Balancer) SetWays(latencies map[structs.ZoneID]time.Duration) { b.zones.latencies = latencies }
 
-// way is what it costs to send a request to the runner's zone, in place of the own one.
-func (b *Balancer) way(target *runner) time.Duration {
-	if !b.isFar(target) {
+// remoteCost returns the additional cost of the runner's zone.
+func (b *Balancer) remoteCost(target *runner) time.Duration {
+	if !b.isRemote(target) {
 		return 0
 	}
-	measured, isMeasured := b.zones.ways[target.info.Zone]
+	measured, isMeasured := b.zones.latencies[target.info.Zone]
 	if !isMeasured {
-		measured = usualWay
+		measured = defaultZoneLatency
 	}
-	return measured + wayPrice
+	return measured + remotePenalty
 }
 
-// spillFrom is how many times as long as at the best far replica a request must take at the best near
-// one for all to be drawn from alike; at equal times the near ones alone are. A stream at a far runner
-// is lost with either zone, and callers do not notice a first event that comes half as late
-// again as tens of milliseconds.
-const spillFrom = 1.5
+// spillRatio is the ratio of the best local to the best remote cost from which local and remote replicas are drawn
+// alike. At a ratio of 1 only local ones are drawn: a remote stream depends on two zones, and a slightly later
+// first event is not noticed.
+const spillRatio = 1.5
 
-// nearAndFar is what the best replicas of the own zone and of others are expected to take; 0 for none.
-type nearAndFar struct{ near, far float64 }
+// zoneCosts holds the lowest cost of replicas in the own zone and in others; 0 for none.
+type zoneCosts struct{ local, remote float64 }
 
-func (l *nearAndFar) add(isFar bool, cost float64) {
-	least := &l.near
-	if isFar {
-		least = &l.far
+func (l *zoneCosts) add(isRemote bool, cost float64) {
+	least := &l.local
+	if isRemote {
+		least = &l.remote
 	}
 	if *least == 0 || cost < *least {
 		*least = cost
 	}
 }
 
-// spill is how often far replicas are drawn from beside the near ones.
-func (l *nearAndFar) spill() float64 {
-	if l.near == 0 || l.far == 0 {
+// remoteShare returns the share of choices that include remote replicas. It may lie outside [0, 1].
+func (l *zoneCosts) remoteShare() float64 {
+	if l.local == 0 || l.remote == 0 {
 		return 1
 	}
-	return (l.near/l.far - 1) / (spillFrom - 1)
+	return (l.local/l.remote - 1) / (spillRatio - 1)
 }
 
-// isFar reports whether the runner is in another zone than this daemon.
-func (b *Balancer) isFar(target *runner) bool {
+// isRemote reports whether the runner is in another zone than this daemon.
+func (b *Balancer) isRemote(target *runner) bool {
 	zone := target.info.Zone
 	return b.options.Zone != "" && zone != "" && zone != b.options.Zone
 }
 
-// Reached counts the row's ready replicas in zones that are not out of reach.
+// Reached returns the number of the row's ready replicas in reachable zones.
 func (b *Balancer) Reached(name structs.RowName) int {
 	wanted := b.rows[name]
 	if wanted == nil {
@@ -101,7 +98,7 @@
 	}
 	count := 0
 	for _, known := range wanted.replicas {
-		if !known.runner.leaving && !b.zones.outOfReach[known.runner.info.Zone] {
+		if !known.runner.leaving && !b.zones.unreachable[known.runner.info.Zone] {
 			count++
 		}
 	}
--- a/request/routing/zone_test.go
+++ b/request/routing/zone_test.go
@@ -12,8 +12,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// zoned is a balancer in zone a before two runners in each of the zones a and b, of 24 places.
-func zoned(zone structs.ZoneID) *routing.Balancer {
+// newZonedBalancer returns a balancer in the given zone with two runners in each of the zones a and b.
+func newZonedBalancer(zone structs.ZoneID) *routing.Balancer {
 	b := routing.New(routing.Options{Daemon: "d", Zone: zone, MaxBatch: 24, Sharpness: 3, BreakerFailures: 2, BreakerDelay: 10 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 	var placed structs.Placement
 	for _, id := range []structs.RunnerID{"a1", "a2", "b1", "b2"} {
@@ -27,58 +27,56 @@
 	return b
 }
 
-// countNear picks many times, each request ending before the next, and counts those for zone a.
-func countNear(c *qt.C, b *routing.Balancer, now time.Time) int {
-	near := 0
+// countLocal runs sequential requests and counts those sent to zone a.
+func countLocal(c *qt.C, b *routing.Balancer, now time.Time) int {
+	local := 0
 	for range 1000 {
 		choice, found := b.Pick(now, "r", nil, "")
 		c.Assert(found, qt.IsTrue)
 		if choice.Runner()[:1] == "a" {
-			near++
+			local++
 		}
 		choice.Sent(now, nil)
 		choice.Done(now, routing.OutcomeSuccess)
 	}
-	return near
+	return local
 }
 
-// A far runner costs the way; it is chosen if it saves more than that. Where no zone is known, or the router has
-// none, all are alike.
-func TestNearRunnersComeFirstUntilFarOnesAreQuicker(t *testing.T) {
+// Remote runners are chosen only if they save more than the latency. Without zones all runners are alike.
+func TestLocalRunnersArePreferredUntilRemoteAreFaster(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
-		name string
-		zone structs.ZoneID
-		ways map[structs.ZoneID]time.Duration
-		// others are the requests of other routers at each near runner.
+		name      string
+		zone      structs.ZoneID
+		latencies map[structs.ZoneID]time.Duration
+		// others are the requests of other routers on each local runner.
 		others      int
 		least, most int
 	}{
 		{"idle", "a", nil, 0, 1000, 1000},
-		{"near ones have one request more", "a", nil, 1, 900, 1000},
-		{"near ones are half full", "a", nil, 12, 0, 250},
-		{"the way is long", "a", map[structs.ZoneID]time.Duration{"b": 700 * time.Millisecond}, 12, 1000, 1000},
-		{"no zone of its own", "", nil, 0, 400, 600},
+		{"local runners have one request more", "a", nil, 1, 900, 1000},
+		{"local runners are half full", "a", nil, 12, 0, 250},
+		{"high latency", "a", map[structs.ZoneID]time.Duration{"b": 700 * time.Millisecond}, 12, 1000, 1000},
+		{"router without a zone", "", nil, 0, 400, 600},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			b := zoned(test.zone)
-			b.SetWays(test.ways)
+			b := newZonedBalancer(test.zone)
+			b.SetWays(test.latencies)
 			for _, id := range []structs.RunnerID{"a1", "a2"} {
 				b.ObserveLoad(id, structs.LoadReport{Running: test.others, ObservedAt: now})
 			}
-			near := countNear(c, b, now.Add(time.Millisecond))
-			c.Assert(near >= test.least && near <= test.most, qt.IsTrue, qt.Commentf("%d of 1000", near))
+			local := countLocal(c, b, now.Add(time.Millisecond))
+			c.Assert(local >= test.least && local <= test.most, qt.IsTrue, qt.Commentf("%d of 1000", local))
 		})
 	}
 }
 
-// Nothing is sent to a zone that is out of reach. Once it is back, what failed there while it went does not keep
-// its runners out.
-func TestZoneOutOfReachGetsNothing(t *testing.T) {
+// An unreachable zone gets no requests, and earlier failures do not exclude its runners once it is reachable again.
+func TestUnreachableZoneIsNotPicked(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	b := zoned("a")
+	b := newZonedBalancer("a")
 	for range 20 {
 		choice, found := b.Pick(now, "r", nil, "")
 		if !found {
@@ -94,7 +92,7 @@
 	c.Assert(b.Reached("r"), qt.Equals, 0)
 	b.SetOutOfReach("b", false)
 	c.Assert(b.Reached("r"), qt.Equals, 2)
-	c.Assert(countNear(c, b, now), qt.Equals, 0)
+	c.Assert(countLocal(c, b, now), qt.Equals, 0)
 	b.SetOutOfReach("a", false)
-	c.Assert(countNear(c, b, now), qt.Equals, 1000)
+	c.Assert(countLocal(c, b, now), qt.Equals, 1000)
 }
