--- a/request/limiter/benchmark_test.go
+++ b/request/limiter/benchmark_test.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// BenchmarkAdmit decides on a request by what the router holds.
+// BenchmarkAdmit measures decisions by the held share.
 func BenchmarkAdmit(b *testing.B) {
 	limiter := New()
 	limiter.SetTenants([]site.Tenant{{Name: "t", Limit: site.RateLimit{Unit: site.UnitTokens, Rate: 1e6, Burst: 1e6}}})
--- a/request/limiter/bound_test.go
+++ b/request/limiter/bound_test.go
@@ -13,37 +13,37 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// The simulated site plays routers that draw from a leader in virtual time, in steps of one
-// millisecond. Leaders change, reservations and answers are late or lost, routers are cut off,
-// frozen and restarted.
+// simulatedSite simulates routers that draw from a leader, in steps of one millisecond. Leaders
+// change, reservations and answers are delayed or lost, and routers are partitioned, frozen and
+// restarted.
 type simulatedSite struct {
 	random  *rand.Rand
 	at      time.Time
 	bound   quota.Bound
 	tenants []site.Tenant
-	// log is what outlives leaders.
+	// log survives leader changes.
 	log     *domain.Machine
 	divider *quota.Divider
-	// proposal is under way until committedAt; nil for none.
+	// proposal is in progress until committedAt; nil for none.
 	proposal    []quota.Part
 	decided     time.Time
 	last        time.Time
 	committedAt time.Time
 	routers     []*simulatedRouter
-	// spent lists what was admitted.
-	spent []expense
-	// refused counts requests that were refused by the limit.
+	// admitted lists the admitted requests that were run.
+	admitted []admission
+	// refused counts the requests refused by the limit.
 	refused int
-	// leaderlessUntil is when the next leader begins.
+	// leaderlessUntil is when the next leader takes over.
 	leaderlessUntil time.Time
-	// notRun is the part of the admitted requests that no runner runs in the end. refunds are those
-	// that are not given back yet.
-	notRun   float64
-	refunds  []simulatedRefund
-	question uint64
+	// unrunShare is the share of admitted requests that no runner runs. refunds are those not yet
+	// given back.
+	unrunShare float64
+	refunds    []simulatedRefund
+	question   uint64
 }
 
-// simulatedRefund is given back to the limiter that admitted it, if that still is there.
+// simulatedRefund is given back to the limiter that admitted it, unless that was restarted.
 type simulatedRefund struct {
 	at      time.Time
 	router  *simulatedRouter
@@ -52,7 +52,7 @@
 	fresh   Fresh
 }
 
-type expense struct {
+type admission struct {
 	at   time.Time
 	cost float64
 }
@@ -61,19 +61,19 @@
 	name     string
 	limiter  *Limiter
 	cutUntil time.Time
-	// A question is under way while isAsking is set: the leader has it from arrivesAt on, and
-	// answers at once, or at waitsUntil if it lacks reservations. The answer comes at answerAt.
-	isAsking   bool
-	askedAt    time.Time
-	arrivesAt  time.Time
-	waitsUntil time.Time
-	wants      []quota.Want
-	question   uint64
-	answerAt   time.Time
-	grants     []quota.Grant
-	isLost     bool
-	refilled   time.Time
-	frozenTil  time.Time
+	// While isAsking is set, a call is in flight: the leader receives it at arrivesAt and answers
+	// at once, or by waitsUntil if it lacks reservations. The answer arrives at answerAt.
+	isAsking    bool
+	askedAt     time.Time
+	arrivesAt   time.Time
+	waitsUntil  time.Time
+	wants       []quota.Want
+	question    uint64
+	answerAt    time.Time
+	grants      []quota.Grant
+	isLost      bool
+	refilled    time.Time
+	frozenUntil time.Time
 }
 
 const simulatedTenant = "t"
@@ -91,7 +91,7 @@
 	return s
 }
 
-// elect begins a leadership that knows what is in the log.
+// elect starts a leader from the log.
 func (s *simulatedSite) elect() {
 	if s.proposal != nil && s.random.IntN(2) == 0 {
 		s.commit()
@@ -112,7 +112,7 @@
 	s.last = s.decided
 }
 
-// stepLeader proposes what should be reserved, and commits it some milliseconds later.
+// stepLeader proposes reservations and commits them some milliseconds later.
 func (s *simulatedSite) stepLeader() {
 	if s.at.Before(s.leaderlessUntil) {
 		return
@@ -138,17 +138,17 @@
 	r.isAsking = false
 }
 
-// request is one that comes to a router.
+// request sends a request to a router.
 func (s *simulatedSite) request(r *simulatedRouter, cost float64) {
 	at, from := s.at, r.limiter
 	settle := func(verdict Verdict) {
-		if verdict.IsAdmitted && s.notRun > 0 && s.random.Float64() < s.notRun {
+		if verdict.IsAdmitted && s.unrunShare > 0 && s.random.Float64() < s.unrunShare {
 			after := time.Duration(s.random.IntN(2500)) * time.Millisecond
 			s.refunds = append(s.refunds, simulatedRefund{s.at.Add(after), r, from, cost, verdict.Fresh})
 			return
 		}
 		if verdict.IsAdmitted {
-			s.spent = append(s.spent, expense{s.at, cost})
+			s.admitted = append(s.admitted, admission{s.at, cost})
 			return
 		}
 		s.refused++
@@ -159,13 +159,13 @@
 	}
 }
 
-// step plays one millisecond.
+// step simulates one millisecond.
 func (s *simulatedSite) step() {
 	s.at = s.at.Add(time.Millisecond)
 	s.stepLeader()
 	s.refund()
 	for _, r := range s.routers {
-		if s.at.Before(r.frozenTil) {
+		if s.at.Before(r.frozenUntil) {
 			continue
 		}
 		s.answer(r)
@@ -186,7 +186,7 @@
 	s.refunds = kept
 }
 
-// answer takes a router's question one step further.
+// answer advances a router's call to the leader.
 func (s *simulatedSite) answer(r *simulatedRouter) {
 	if !r.isAsking || s.at.Before(r.arrivesAt) {
 		return
@@ -233,14 +233,14 @@
 	r.wants = wants
 }
 
-// worst is the largest part of the bound that any window used.
-func (s *simulatedSite) worst(limit site.RateLimit) float64 {
+// maxWindowUse returns the largest share of the bound used in any window.
+func (s *simulatedSite) maxWindowUse(limit site.RateLimit) float64 {
 	allowed := (limit.Rate*s.bound.Window.Seconds()+limit.Burst)*(1+s.bound.Overshoot) + s.bound.Slack
 	most, sum, first := 0.0, 0.0, 0
-	for _, each := range s.spent {
+	for _, each := range s.admitted {
 		sum += each.cost
-		for each.at.Sub(s.spent[first].at) > s.bound.Window {
-			sum -= s.spent[first].cost
+		for each.at.Sub(s.admitted[first].at) > s.bound.Window {
+			sum -= s.admitted[first].cost
 			first++
 		}
 		most = max(most, sum/allowed)
@@ -248,10 +248,10 @@
 	return most
 }
 
-// spentSince is what was admitted from a time on.
-func (s *simulatedSite) spentSince(since time.Time) float64 {
+// admittedSince returns the cost admitted since the given time.
+func (s *simulatedSite) admittedSince(since time.Time) float64 {
 	sum := 0.0
-	for _, each := range s.spent {
+	for _, each := range s.admitted {
 		if !each.at.Before(since) {
 			sum += each.cost
 		}
@@ -269,19 +269,19 @@
 					t.Parallel()
 					limit := site.RateLimit{Unit: site.UnitTokens, Rate: rate, Burst: rate, PlainTokens: 200}
 					s := newSimulatedSite(seed, limit, simulatedBound, 40)
-					s.notRun = notRun
-					playTroubles(s, rate)
-					most := s.worst(limit)
-					qt.Assert(t, most <= 1, qt.IsTrue, qt.Commentf("a window used %.3f of the bound", most))
+					s.unrunShare = notRun
+					simulateFaults(s, rate)
+					most := s.maxWindowUse(limit)
+					qt.Assert(t, most <= 1, qt.IsTrue, qt.Commentf("largest use of a window: %.3f of the bound", most))
 				})
 			}
 		}
 	}
 }
 
-// playTroubles plays half a minute in which the tenant asks for far more than its limit at times,
-// while leaders change and routers are cut off, frozen and restarted.
-func playTroubles(s *simulatedSite, rate float64) {
+// simulateFaults runs 30 s with bursts far above the limit, while leaders change and routers are
+// partitioned, frozen and restarted.
+func simulateFaults(s *simulatedSite, rate float64) {
 	const meanCost = 1500.0
 	for millisecond := range 30000 {
 		factor := 0.5
@@ -295,7 +295,7 @@
 			}
 		}
 		if s.random.IntN(3000) == 0 {
-			// The lease of the former leader has ended before the next begins.
+			// The lease of the former leader ends before the next one starts.
 			s.leaderlessUntil = s.at.Add(time.Duration(s.random.IntN(1500)) * time.Millisecond)
 		}
 		if s.at.Equal(s.leaderlessUntil) {
@@ -308,15 +308,15 @@
 		case 1:
 			r.cutUntil = s.at.Add(time.Duration(s.random.IntN(6000)) * time.Millisecond)
 		case 2:
-			r.frozenTil = s.at.Add(time.Duration(s.random.IntN(3000)) * time.Millisecond)
+			r.frozenUntil = s.at.Add(time.Duration(s.random.IntN(3000)) * time.Millisecond)
 		}
 		s.step()
 	}
 }
 
-// A tenant that stays below its limit is refused nothing while there is a leader, and one that
-// asks for far more gets nearly all of its limit.
-func TestLimitIsGivenWholeAndNotLess(t *testing.T) {
+// A tenant below its limit is refused nothing while there is a leader, and one far above it gets
+// nearly its whole limit.
+func TestLimitIsFullyUsed(t *testing.T) {
 	for _, rate := range []float64{2700, 30000, 180000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			c := qt.New(t)
@@ -337,21 +337,21 @@
 			c.Assert(s.refused, qt.Equals, 0)
 			began := s.at
 			play(4, 24000)
-			used := s.spentSince(began.Add(8*time.Second)) / (2 * (rate*8 + rate))
+			used := s.admittedSince(began.Add(8*time.Second)) / (2 * (rate*8 + rate))
 			c.Assert(used >= 0.99, qt.IsTrue, qt.Commentf("%.3f of the limit was used", used))
-			c.Assert(s.worst(limit) <= 1, qt.IsTrue)
+			c.Assert(s.maxWindowUse(limit) <= 1, qt.IsTrue)
 		})
 	}
 }
 
-// A tenant asks for four times its limit, and half of its requests no runner runs, which is known 1.25 s
-// later on average. What was not run is granted to others; half of the limit would be lost without.
-func TestWhatIsNotRunIsGrantedAgain(t *testing.T) {
+// Half of the requests of a tenant at four times its limit are refunded 1.25 s later on average. Their
+// cost is granted again; otherwise half of the limit would be lost.
+func TestRefundsAreGrantedAgain(t *testing.T) {
 	c := qt.New(t)
 	const rate = 30000.0
 	limit := site.RateLimit{Unit: site.UnitTokens, Rate: rate, Burst: rate, PlainTokens: 200}
 	s := newSimulatedSite(1, limit, simulatedBound, 40)
-	s.notRun = 0.5
+	s.unrunShare = 0.5
 	for range 24000 {
 		for expected := rate * 4 / 1500 / 1000; expected > 0; expected-- {
 			if s.random.Float64() < expected {
@@ -360,7 +360,7 @@
 		}
 		s.step()
 	}
-	used := s.spentSince(s.at.Add(-16*time.Second)) / (2 * (rate*8 + rate))
+	used := s.admittedSince(s.at.Add(-16*time.Second)) / (2 * (rate*8 + rate))
 	c.Assert(used >= 0.65, qt.IsTrue, qt.Commentf("%.3f of the limit was used", used))
-	c.Assert(s.worst(limit) <= 1, qt.IsTrue)
+	c.Assert(s.maxWindowUse(limit) <= 1, qt.IsTrue)
 }
--- a/request/limiter/doc.go
+++ b/request/limiter/doc.go
@@ -1,6 +1,6 @@
-// Package limiter admits requests of tenants at one router, by the parts of their limits that
-// the router holds. What it holds it drew from the leader (package quota); what is not held
-// has to be asked for, and the requests wait until the leader has answered.
+// Package limiter admits the requests of tenants at one router within the shares of their
+// rate limits that the router holds. The router draws these shares from the leader (package
+// quota). Requests beyond the held share wait for the leader's answer.
 //
-// The package is pure: time comes in as an argument, and calls are the caller's to make.
+// Time is passed as an argument, and the caller makes the calls to the leader.
 package limiter
--- a/request/limiter/limiter.go
+++ b/request/limiter/limiter.go
@@ -9,38 +9,37 @@
 )
 
 const (
-	// reserveTime is how much of its usual use a router would like to hold: about as long as
-	// it takes to find another leader.
+	// reserveTime is the amount of usual use that a router tries to hold: about the time to
+	// find another leader.
 	reserveTime = 3 * time.Second
-	// refillShare of what a router would like to hold is when it asks for more.
-	refillShare = 0.5
-	// maxExhausted is how long nothing is asked for reserves of a limit that has no room: it may
-	// have again sooner than was thought.
-	maxExhausted = 100 * time.Millisecond
-	// exhaustedPause separates two questions for requests that wait for a limit that has no room, at
-	// least, and exhaustedShare is the part of it for each router that asks: all of them together ask 2,000
-	// times a second for a tenant at most, which takes a leader about a tenth of a core. Requests are told
-	// that much later.
-	exhaustedPause = 25 * time.Millisecond
-	exhaustedShare = 500 * time.Microsecond
-	// maxAsked bounds the waiting requests of a tenant in one question.
+	// refillThreshold is the missing share of the reserve from which a router asks for more.
+	refillThreshold = 0.5
+	// maxExhaustedTime bounds how long no reserves are asked for after a limit is exhausted,
+	// as it may have room again earlier than estimated.
+	maxExhaustedTime = 100 * time.Millisecond
+	// minAskInterval separates two requests to the leader for waiters of an exhausted limit;
+	// askIntervalPerRouter raises it with the number of routers, which bounds the leader's load
+	// to 2,000 requests per second and tenant. Verdicts are delayed by as much.
+	minAskInterval       = 25 * time.Millisecond
+	askIntervalPerRouter = 500 * time.Microsecond
+	// maxAsked bounds the waiters of a tenant in one request to the leader.
 	maxAsked = 64
-	// shortestReturn is the least time after which a refused caller is asked to come back: of
-	// a limit that is used up, a sooner return finds nothing.
-	shortestReturn = 250 * time.Millisecond
+	// minRetryAfter is the minimum retry delay of a refused request; an exhausted limit has no
+	// room earlier.
+	minRetryAfter = 250 * time.Millisecond
 )
 
-// Verdict is what becomes of a request that waited.
+// Verdict is the decision on a request.
 type Verdict struct {
-	// IsAdmitted requests have been counted; others are beyond the limit.
+	// IsAdmitted is set if the request was counted; otherwise it exceeds the limit.
 	IsAdmitted bool
-	// ComeBackIn is when a request that is not admitted should be tried again.
+	// ComeBackIn is the delay after which a refused request should be retried.
 	ComeBackIn time.Duration
-	// Fresh is the part of its cost that the leader granted for the request itself.
+	// Fresh is the part of the cost that the leader granted for this request.
 	Fresh Fresh
 }
 
-// Fresh is an amount that the leader granted, in answer to a question that was asked at a time.
+// Fresh is an amount granted by the leader in answer to a call made at the time Asked.
 type Fresh struct {
 	Amount float64
 	Asked  time.Time
@@ -50,53 +49,53 @@
 type Waiter struct {
 	Tenant string
 	Cost   float64
-	// Ask is what decides whether the request goes before others of its tenant, as it was at
-	// a time.
+	// Ask holds what orders the request among those of its tenant, as of Asked.
 	Ask   quota.Ask
 	Asked time.Time
-	// Settle is called once, with what becomes of the request, unless it is cancelled before.
-	// It must return at once.
+	// Settle is called at most once, with the decision on a request that was not cancelled.
+	// It must not block.
 	Settle func(Verdict)
 }
 
-// Limiter holds this router's parts of all limits. Its methods must not run at the same time.
+// Limiter holds this router's shares of all limits. It is not safe for concurrent use.
 type Limiter struct {
 	accounts map[string]*account
-	// pause separates two questions for a limit that has no room.
-	pause time.Duration
+	// askInterval separates two calls for waiters of an exhausted limit.
+	askInterval time.Duration
 }
 
-// account is the router's part of one tenant's limit.
+// account is the router's share of one tenant's limit.
 type account struct {
 	limit site.RateLimit
 	held  float64
-	// keep is the most that may be held, as the leader said, and until is when what is held
-	// ends.
-	keep  float64
-	until time.Time
+	// maxHeld bounds held, as set by the leader; heldUntil is when held expires.
+	maxHeld   float64
+	heldUntil time.Time
 	// exhaustedUntil is when the limit may have room again.
 	exhaustedUntil time.Time
-	// askAgainAt is when the leader may be asked again for those that wait.
-	askAgainAt time.Time
-	waiters    []*Waiter
-	// asked are those of the question under way, in its order.
-	asked []*Waiter
-	// returns are for the leader.
+	// nextAskAt is when the leader may be asked again for the waiters.
+	nextAskAt time.Time
+	waiters   []*Waiter
+	// askedWaiters are those of the call in flight, in its order.
+	askedWaiters []*Waiter
+	// returns are the amounts to give back to the leader.
 	returns []Fresh
 	use     useRate
 }
 
-// New makes a limiter that holds nothing.
-func New() *Limiter { return &Limiter{accounts: make(map[string]*account), pause: exhaustedPause} }
+// New returns a Limiter that holds nothing.
+func New() *Limiter {
+	return &Limiter{accounts: make(map[string]*account), askInterval: minAskInterval}
+}
 
-// SetRouters says how many routers ask the leader.
+// SetRouters sets the number of routers that ask the leader.
 func (l *Limiter) SetRouters(count int) {
-	l.pause = max(exhaustedPause, time.Duration(count)*exhaustedShare)
+	l.askInterval = max(minAskInterval, time.Duration(count)*askIntervalPerRouter)
 }
 
-// SetTenants adopts the limits of a document. What is held of a limit that was lowered is
-// dropped; requests of tenants that have no limit any more are admitted, and those of tenants
-// that are gone are not.
+// SetTenants adopts the limits of the configured tenants. A share of a lowered limit is
+// dropped. Waiters of tenants without a limit are admitted, and those of removed tenants
+// are refused.
 func (l *Limiter) SetTenants(tenants []site.Tenant) {
 	listed := make(map[string]bool, len(tenants))
 	for i := range tenants {
@@ -114,19 +113,19 @@
 	}
 	for name := range l.accounts {
 		if !listed[name] {
-			l.close(name, Verdict{ComeBackIn: shortestReturn})
+			l.close(name, Verdict{ComeBackIn: minRetryAfter})
 		}
 	}
 }
 
 func (a *account) setLimit(limit site.RateLimit) {
 	if limit.Unit != a.limit.Unit || limit.Rate < a.limit.Rate || limit.Burst < a.limit.Burst {
-		a.held, a.keep = 0, 0
+		a.held, a.maxHeld = 0, 0
 	}
 	a.limit = limit
 }
 
-// close ends an account and settles its waiters.
+// close removes an account and settles its waiters.
 func (l *Limiter) close(name string, verdict Verdict) {
 	known := l.accounts[name]
 	if known == nil {
@@ -138,8 +137,8 @@
 	delete(l.accounts, name)
 }
 
-// Admit decides on a request at once, if that is possible. Otherwise the request waits, and the
-// leader has to be asked.
+// Admit decides on a request if the held share allows. Otherwise it queues the waiter, and
+// the leader has to be asked.
 func (l *Limiter) Admit(at time.Time, waiter *Waiter) (verdict Verdict, isDecided bool) {
 	known := l.accounts[waiter.Tenant]
 	if known == nil {
@@ -155,7 +154,7 @@
 	return Verdict{}, false
 }
 
-// Cancel takes back a request that waits. It reports false if the request was settled before.
+// Cancel removes a waiter. It reports false if the waiter was already settled.
 func (l *Limiter) Cancel(waiter *Waiter) bool {
 	known := l.accounts[waiter.Tenant]
 	if known == nil {
@@ -169,8 +168,8 @@
 	return true
 }
 
-// Refund gives back what was counted for a request that no runner has run: what the leader granted for it
-// to the leader, with the next question, and the rest to what is held.
+// Refund gives back the cost of a request that no runner has run: the part that the leader granted for it
+// to the leader with the next call, and the rest to the held share.
 func (l *Limiter) Refund(at time.Time, tenant string, cost float64, fresh Fresh) {
 	known := l.accounts[tenant]
 	if known == nil {
@@ -182,12 +181,12 @@
 		known.returns = append(known.returns, fresh)
 		cost -= fresh.Amount
 	}
-	// No more than the leader takes the router to hold.
-	known.held = max(known.held, min(known.held+cost, known.keep))
+	// Hold no more than the leader assumes.
+	known.held = max(known.held, min(known.held+cost, known.maxHeld))
 }
 
-// takeReturns lists what goes back to the leader. It is told once: whether a question whose answer is
-// lost was heard, nobody knows.
+// takeReturns returns the amounts for the leader. They are sent only once, as the leader may have
+// received a call whose answer was lost.
 func (a *account) takeReturns(at time.Time) []quota.Return {
 	var returns []quota.Return
 	for _, fresh := range a.returns {
@@ -197,7 +196,7 @@
 	return returns
 }
 
-// Held is what the router holds of a tenant's limit.
+// Held returns the amount that the router holds of a tenant's limit.
 func (l *Limiter) Held(at time.Time, tenant string) float64 {
 	known := l.accounts[tenant]
 	if known == nil {
@@ -207,8 +206,8 @@
 	return known.held
 }
 
-// IsAsking reports whether the leader should be asked now for requests that wait, and whether
-// it should be asked sometime soon for reserves.
+// IsAsking reports whether the leader should be called now, for waiters, and whether it
+// should be called soon, for reserves or returns.
 func (l *Limiter) IsAsking(at time.Time) (now, soon bool) {
 	for _, known := range l.accounts {
 		now = now || len(known.waiters) > 0
@@ -217,74 +216,74 @@
 	return now, soon
 }
 
-// Wants lists what to ask the leader for.
+// Wants returns the request to the leader.
 func (l *Limiter) Wants(at time.Time) []quota.Want {
 	var wants []quota.Want
 	for name, known := range l.accounts {
 		known.expire(at)
-		known.asked = nil
+		known.askedWaiters = nil
 		if !known.mayAsk(at) && !known.isLow(at) && len(known.returns) == 0 {
 			continue
 		}
 		want := quota.Want{Tenant: name, Held: known.held, Reserve: known.reserve(at), Returned: known.takeReturns(at)}
-		known.asked = slices.Clone(known.waiters[:min(len(known.waiters), maxAsked)])
-		for _, waiter := range known.asked {
+		known.askedWaiters = slices.Clone(known.waiters[:min(len(known.waiters), maxAsked)])
+		for _, waiter := range known.askedWaiters {
 			want.Waiting = append(want.Waiting, waiter.Cost)
-			want.Asks = append(want.Asks, waiter.askAt(at))
+			want.Asks = append(want.Asks, waiter.currentAsk(at))
 		}
 		wants = append(wants, want)
 	}
 	return wants
 }
 
-// mayAsk reports whether requests wait that the leader may be asked for.
-func (a *account) mayAsk(at time.Time) bool { return len(a.waiters) > 0 && !at.Before(a.askAgainAt) }
+// mayAsk reports whether there are waiters for which the leader may be called.
+func (a *account) mayAsk(at time.Time) bool { return len(a.waiters) > 0 && !at.Before(a.nextAskAt) }
 
-// askAt is what the request has left of its times.
-func (w *Waiter) askAt(at time.Time) quota.Ask {
+// currentAsk returns the waiter's Ask with the remaining times.
+func (w *Waiter) currentAsk(at time.Time) quota.Ask {
 	ask, passed := w.Ask, at.Sub(w.Asked)
 	ask.Due = max(0, ask.Due-passed)
 	ask.Away = max(0, ask.Away-passed)
 	return ask
 }
 
-// Adopt takes what the leader granted, in answer to a question that was asked at a time, and
-// settles those that waited.
+// Adopt records the grants of the leader in answer to the call made at the time asked, and
+// settles the waiters.
 func (l *Limiter) Adopt(asked, at time.Time, grants []quota.Grant) {
 	for _, grant := range grants {
 		if known := l.accounts[grant.Tenant]; known != nil {
-			known.adopt(asked, at, grant, l.pause)
+			known.adopt(asked, at, grant, l.askInterval)
 		}
 	}
 }
 
-func (a *account) adopt(asked, at time.Time, grant quota.Grant, pause time.Duration) {
+func (a *account) adopt(asked, at time.Time, grant quota.Grant, askInterval time.Duration) {
 	a.expire(at)
 	a.held += grant.Amount
-	a.until = asked.Add(quota.LeaseLife)
-	a.exhaustedUntil, a.askAgainAt = time.Time{}, time.Time{}
+	a.heldUntil = asked.Add(quota.LeaseLife)
+	a.exhaustedUntil, a.nextAskAt = time.Time{}, time.Time{}
 	if grant.RoomIn > 0 {
-		a.askAgainAt = at.Add(pause)
-		a.exhaustedUntil = at.Add(min(grant.RoomIn, maxExhausted))
+		a.nextAskAt = at.Add(askInterval)
+		a.exhaustedUntil = at.Add(min(grant.RoomIn, maxExhaustedTime))
 	}
 	if len(grant.Answers) > 0 {
 		a.settle(grant.Answers, Fresh{Amount: grant.Amount, Asked: asked})
 	} else {
 		a.settleInOrder(grant.RoomIn)
 	}
-	a.keep = grant.Keep
-	a.held = min(a.held, a.keep)
+	a.maxHeld = grant.Keep
+	a.held = min(a.held, a.maxHeld)
 }
 
-// settle tells each request that was asked for what becomes of it. Those that are not decided wait
-// on, and so do those that came after the question.
+// settle applies the answers to the waiters of the call. Undecided waiters and those that
+// came after the call keep waiting.
 func (a *account) settle(answers []quota.Answer, fresh Fresh) {
-	for i, waiter := range a.asked[:min(len(a.asked), len(answers))] {
+	for i, waiter := range a.askedWaiters[:min(len(a.askedWaiters), len(answers))] {
 		place := slices.Index(a.waiters, waiter)
 		answer := answers[i]
 		switch {
 		case place < 0:
-			// Its caller has left.
+			// Cancelled meanwhile.
 			continue
 		case answer.IsAdmitted && a.held >= waiter.Cost:
 			a.held -= waiter.Cost
@@ -300,8 +299,8 @@
 	}
 }
 
-// settleInOrder admits the first of those that wait, as far as what is held goes. A leader of the
-// version before refuses all others if it says when there is room.
+// settleInOrder admits waiters in order while the held share suffices. It serves leaders of
+// the previous version, which send no answers and refuse all others if roomIn is set.
 func (a *account) settleInOrder(roomIn time.Duration) {
 	for len(a.waiters) > 0 && a.held >= a.waiters[0].Cost {
 		a.held -= a.waiters[0].Cost
@@ -310,30 +309,30 @@
 	}
 	if roomIn > 0 {
 		for _, waiter := range a.waiters {
-			waiter.Settle(Verdict{ComeBackIn: max(shortestReturn, roomIn)})
+			waiter.Settle(Verdict{ComeBackIn: max(minRetryAfter, roomIn)})
 		}
 		a.waiters = nil
 	}
 }
 
-// expire drops what is held when its time is over.
+// expire drops the held share after its end.
 func (a *account) expire(at time.Time) {
-	if !at.Before(a.until) {
-		a.held, a.keep = 0, 0
+	if !at.Before(a.heldUntil) {
+		a.held, a.maxHeld = 0, 0
 	}
 }
 
-// reserve is what the router would like to hold.
+// reserve returns the amount that the router tries to hold.
 func (a *account) reserve(at time.Time) float64 {
 	return a.use.perSecond(at) * reserveTime.Seconds()
 }
 
-// isLow reports whether the router holds much less than it would like to, by one request at
-// least.
+// isLow reports whether the held share is below the refill threshold and lacks the cost of
+// at least one request.
 func (a *account) isLow(at time.Time) bool {
 	if at.Before(a.exhaustedUntil) {
 		return false
 	}
-	aim := a.reserve(at)
-	return aim-a.held > aim*refillShare && aim-a.held >= a.use.mean()
+	target := a.reserve(at)
+	return target-a.held > target*refillThreshold && target-a.held >= a.use.mean()
 }
