--- a/request/fairqueue/benchmark_test.go
+++ b/request/fairqueue/benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkDecide takes one of 1,000 that wait and puts it back, 16 tenants and 2 ranks among them.
+// BenchmarkDecide admits and requeues one of 1,000 waiting requests of 16 tenants and 2 ranks.
 func BenchmarkDecide(b *testing.B) {
 	for _, rows := range []int{1, 10, 50} {
 		b.Run(fmt.Sprint(rows, " rows"), func(b *testing.B) {
--- a/request/fairqueue/load_test.go
+++ b/request/fairqueue/load_test.go
@@ -13,7 +13,7 @@
 	"github.com/lotusferry/lotusferry/request/waiting"
 )
 
-// loadClass is a kind of requests; perSecond is over all tenants and routers.
+// loadClass is a kind of request; perSecond is the rate over all tenants and routers.
 type loadClass struct {
 	name      string
 	work      int64
@@ -32,17 +32,17 @@
 	loadRouters = 80
 	loadTenants = 16
 	hotTenants  = 2
-	// loadPlaces is how many requests of a router run at once, each at loadSpeed tokens a second:
-	// three times what all tenants use usually.
-	loadPlaces = 2
-	loadSpeed  = 7160
-	loadTime   = 20 * time.Second
-	// loadPatience is the part of its time that a request waits, as in the relay.
-	loadPatience = 0.45
+	// loadSlots is the number of concurrent requests per router, each at loadSpeed tokens per second:
+	// three times the usual use of all tenants.
+	loadSlots = 2
+	loadSpeed = 7160
+	loadTime  = 20 * time.Second
+	// waitShare is the share of its time limit that a request waits, as in the relay.
+	waitShare = 0.45
 )
 
-// part is what a tenant uses of the whole: the first two have a fifth each, the others ever less.
-func part(tenant int) float64 {
+// tenantShare returns a tenant's share of all requests: a fifth for each of the hot tenants.
+func tenantShare(tenant int) float64 {
 	if tenant < hotTenants {
 		return 0.2
 	}
@@ -55,14 +55,14 @@
 
 type loadTally struct{ asked, inTime, late, refused int }
 
-func (t loadTally) lost() float64 { return 1 - float64(t.inTime)/float64(t.asked) }
+func (t loadTally) missed() float64 { return 1 - float64(t.inTime)/float64(t.asked) }
 
 type loadKey struct {
 	isHot bool
 	class string
 }
 
-// loadRouter is one router with its places.
+// loadRouter is one router with its slots.
 type loadRouter struct {
 	queue *Queue[*loadRequest]
 	row   Row[*loadRequest]
@@ -76,11 +76,10 @@
 	tally  *loadTally
 }
 
-// playLoad plays tenants that share all routers, two of them at a multiple of their use, with
-// bursts of the patient class. Without isFair all wait in the order in which they came.
-//
-// With wordEvery, a leader adds up what the routers tell it, and they hear of it that often.
-func playLoad(factor float64, isFair bool, wordEvery time.Duration) map[loadKey]*loadTally {
+// simulateLoad runs tenants that share all routers, the hot ones at a multiple of their use, with
+// bursts of the patient class. If isFair is unset, requests are served in order of arrival.
+// A positive sharesInterval makes routers exchange reports on shares with a leader at that interval.
+func simulateLoad(factor float64, isFair bool, sharesInterval time.Duration) map[loadKey]*loadTally {
 	random := rand.New(rand.NewPCG(5, 5))
 	tallies := make(map[loadKey]*loadTally)
 	for _, class := range loadClasses {
@@ -88,10 +87,10 @@
 	}
 	routers := make([]loadRouter, loadRouters)
 	for i := range routers {
-		routers[i].queue, routers[i].free = New[*loadRequest](), make([]time.Time, loadPlaces)
+		routers[i].queue, routers[i].free = New[*loadRequest](), make([]time.Time, loadSlots)
 		for tenant := range loadTenants {
 			if isFair {
-				routers[i].queue.SetWeight(fmt.Sprint(tenant), part(tenant)*loadTenants)
+				routers[i].queue.SetWeight(fmt.Sprint(tenant), tenantShare(tenant)*loadTenants)
 			}
 		}
 	}
@@ -100,7 +99,7 @@
 		isBurst := now.Sub(start)%(5*time.Second) < time.Second
 		for _, class := range loadClasses {
 			for tenant := range loadTenants {
-				rate := class.perSecond * part(tenant)
+				rate := class.perSecond * tenantShare(tenant)
 				if tenant < hotTenants {
 					rate *= factor
 				}
@@ -116,11 +115,11 @@
 		for i := range routers {
 			routers[i].serve(now)
 		}
-		if wordEvery > 0 && now.Sub(start)%wordEvery == 0 {
-			// What they hear is from before their own report, so that it is as old again.
-			word := book.Word(now)
+		if sharesInterval > 0 && now.Sub(start)%sharesInterval == 0 {
+			// Routers get the report before their own work is added, so it is one interval old.
+			report := book.Word(now)
 			for i := range routers {
-				routers[i].queue.SetShares(now, word)
+				routers[i].queue.SetShares(now, report)
 				book.Observe(now, fmt.Sprint(i), routers[i].queue.TakeWork())
 			}
 		}
@@ -128,12 +127,12 @@
 	return tallies
 }
 
-// newLoadBook is that of a leader that has led for a minute.
+// newLoadBook returns the book of a leader that has led for a minute.
 func newLoadBook() *shares.Book {
 	book := shares.New(start.Add(-time.Minute))
 	var listed []site.Tenant
 	for tenant := range loadTenants {
-		listed = append(listed, site.Tenant{Name: fmt.Sprint(tenant), Limit: site.RateLimit{Rate: part(tenant)}})
+		listed = append(listed, site.Tenant{Name: fmt.Sprint(tenant), Limit: site.RateLimit{Rate: tenantShare(tenant)}})
 	}
 	book.SetTenants(listed)
 	return book
@@ -141,7 +140,7 @@
 
 func newLoadRequest(now time.Time, tenant int, class loadClass, tally *loadTally, isFair bool) *loadRequest {
 	tally.asked++
-	request := &loadRequest{tally: tally, until: now.Add(time.Duration(float64(class.wait) * loadPatience)), ticket: waiting.Ticket{
+	request := &loadRequest{tally: tally, until: now.Add(time.Duration(float64(class.wait) * waitShare)), ticket: waiting.Ticket{
 		Tenant: fmt.Sprint(tenant), Class: class.name, Arrived: now, Due: now.Add(class.objective), Prompt: class.work,
 	}}
 	request.entry = Entry[*loadRequest]{Ticket: request.ticket, Value: request}
@@ -185,31 +184,30 @@
 	})
 }
 
-// The load: 80 routers with 16 tenants, of which the two largest come to six times their use, and the
-// patient kind of requests in bursts of 2.5 times. What callers need: a tenant that keeps to its
-// share must not be the one that pays, and who is refused is whoever is above it.
-func TestRushOfTwoTenantsIsTheirOwn(t *testing.T) {
+// The two largest of 16 tenants come to six times their use on 80 routers. Tenants within their share
+// must not be refused or delayed by them.
+func TestOverloadDoesNotAffectOtherTenants(t *testing.T) {
 	c := qt.New(t)
-	calm, before, alone := playLoad(1, true, 0), playLoad(6, false, 0), playLoad(6, true, 0)
-	for _, wordEvery := range []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second} {
-		after := playLoad(6, true, wordEvery)
+	baseline, before, alone := simulateLoad(1, true, 0), simulateLoad(6, false, 0), simulateLoad(6, true, 0)
+	for _, sharesInterval := range []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second} {
+		after := simulateLoad(6, true, sharesInterval)
 		for _, class := range loadClasses {
 			for _, isHot := range []bool{false, true} {
 				key := loadKey{isHot, class.name}
-				t.Logf("word every %v, hot %v, %s: calm %+v, first come first served %+v, without word %+v, with it %+v",
-					wordEvery, isHot, class.name, *calm[key], *before[key], *alone[key], *after[key])
+				t.Logf("reports every %v, hot %v, %s: baseline %+v, first come first served %+v, without reports %+v, with reports %+v",
+					sharesInterval, isHot, class.name, *baseline[key], *before[key], *alone[key], *after[key])
 			}
 			quiet := loadKey{false, class.name}
-			t.Logf("%s of the others not in time: calm %.3f, first come first served %.3f, without word %.3f, with it %.3f", class.name,
-				calm[quiet].lost(), before[quiet].lost(), alone[quiet].lost(), after[quiet].lost())
-			if wordEvery >= wordLife {
-				// Such a word fades before the next, and the clocks of each router decide between.
-				c.Check(after[quiet].lost() <= alone[quiet].lost(), qt.IsTrue, qt.Commentf("%s: %+v", class.name, *after[quiet]))
+			t.Logf("%s of the others not in time: baseline %.3f, first come first served %.3f, without reports %.3f, with reports %.3f", class.name,
+				baseline[quiet].missed(), before[quiet].missed(), alone[quiet].missed(), after[quiet].missed())
+			if sharesInterval >= sharesLife {
+				// Such a report expires before the next one, and the clocks of each router decide in between.
+				c.Check(after[quiet].missed() <= alone[quiet].missed(), qt.IsTrue, qt.Commentf("%s: %+v", class.name, *after[quiet]))
 				continue
 			}
 			c.Check(after[quiet].refused <= after[quiet].asked/100, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *after[quiet]))
-			// A place may be taken by a long request for a second: nothing is taken back.
-			c.Check(after[quiet].lost() <= calm[quiet].lost()+0.06, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *after[quiet]))
+			// A long request may hold a slot for a second, as there is no preemption.
+			c.Check(after[quiet].missed() <= baseline[quiet].missed()+0.06, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *after[quiet]))
 		}
 	}
 }
--- a/request/fairqueue/order.go
+++ b/request/fairqueue/order.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// head is the request of the row that goes first now; nil if none waits.
+// head returns the first request of the row; nil if none waits.
 func (q *Queue[V]) head(now time.Time, row *Row[V]) *Entry[V] {
 	var first *Entry[V]
 	for _, each := range row.flows {
 		if first != nil && q.compareFlows(now, each, first.flow) > 0 {
 			continue
 		}
-		if other := each.head(now); first == nil || q.goesBefore(now, other, first) {
+		if other := each.head(now); first == nil || q.precedes(now, other, first) {
 			first = other
 		}
 	}
 	return first
 }
 
-// compareFlows compares what can be told of two flows without their heads.
+// compareFlows compares two flows regardless of their heads.
 func (q *Queue[V]) compareFlows(now time.Time, flow, other *flow[V]) int {
 	if flow.rank != other.rank {
 		return cmp.Compare(flow.rank, other.rank)
@@ -28,19 +28,19 @@
 	if flow.tenant == other.tenant {
 		return 0
 	}
-	if isTold := now.Before(q.toldUntil); isTold && flow.tenant.isAbove != other.tenant.isAbove {
-		if other.tenant.isAbove {
+	if hasShares := now.Before(q.sharesUntil); hasShares && flow.tenant.isAboveShare != other.tenant.isAboveShare {
+		if other.tenant.isAboveShare {
 			return -1
 		}
 		return 1
-	} else if isTold && !flow.tenant.isAbove {
+	} else if hasShares && !flow.tenant.isAboveShare {
 		return 0
 	}
 	return cmp.Or(cmp.Compare(flow.tenant.clock, other.tenant.clock), strings.Compare(flow.tenant.name, other.tenant.name))
 }
 
-// goesBefore reports whether one head of a flow goes before that of another.
-func (q *Queue[V]) goesBefore(now time.Time, entry, other *Entry[V]) bool {
+// precedes reports whether the head of one flow goes before that of another.
+func (q *Queue[V]) precedes(now time.Time, entry, other *Entry[V]) bool {
 	if compared := q.compareFlows(now, entry.flow, other.flow); compared != 0 {
 		return compared < 0
 	}
@@ -53,8 +53,8 @@
 	return entry.flow.tenant.name < other.flow.tenant.name
 }
 
-// urgency is 0 for a request that is late soon, 1 for one that is late and 2 for one that can
-// wait.
+// urgency returns 0 for a request due within dueMargin, 1 for an overdue one and 2 for
+// all others.
 func (e *Entry[V]) urgency(now time.Time) int {
 	switch slack := e.Ticket.Due.Sub(now); {
 	case slack <= 0:
@@ -65,8 +65,8 @@
 	return 2
 }
 
-// head is the first that is not late yet if it is late soon, else the first of those that are
-// late, else the first.
+// head returns the first entry that is not overdue if it is due within dueMargin, else the
+// first entry.
 func (f *flow[V]) head(now time.Time) *Entry[V] {
 	low, high := 0, len(f.entries)
 	for low < high {
--- a/request/fairqueue/queue.go
+++ b/request/fairqueue/queue.go
@@ -9,70 +9,67 @@
 )
 
 const (
-	// dueMargin is how long before it is late a request goes before those that are late already:
-	// as long as several callers of the most urgent kinds can wait, some hundreds of ms each.
+	// dueMargin is the time before its due time from which a request goes before overdue ones:
+	// several objectives of the most urgent classes.
 	dueMargin = time.Second
-	// maxAhead is by how much the clock of a tenant may differ from the virtual time, in tokens
-	// over weight: some seconds of what a router passes on for a large tenant. It bounds for how
-	// long a tenant pays for what it was given when nobody else wanted it, and what it may take
-	// from others after there was no room for it alone.
-	maxAhead = 50000
-	// aheadTime is over which that fades while the tenant has nothing that waits: the time over which
-	// callers notice who is served.
-	aheadTime = 2 * time.Second
-	// plainWork is the work of a request that does not tell its size, in tokens: one that is
-	// not a generation takes about as long as a short one.
-	plainWork = 200
-	// defaultWeight is that of tenants that have none.
+	// maxClockLead bounds the difference of a tenant's clock from the virtual time, in tokens over
+	// weight: a few seconds of a large tenant's work. It bounds the debt for work served without
+	// competition, and the credit of a tenant whose requests alone had no room.
+	maxClockLead = 50000
+	// clockDecayTime is the time constant with which the lead of an idle tenant decays.
+	clockDecayTime = 2 * time.Second
+	// defaultWork is the assumed work of a request of unknown size, in tokens; requests other
+	// than generations take about as long as a short one.
+	defaultWork = 200
+	// defaultWeight is the weight of tenants without a configured one.
 	defaultWeight = 1
 )
 
-// Queue orders the requests of all rows. Requests of a row need the same, so that if there is
-// no room for one, there is none for any. The zero value is not usable.
+// Queue orders the requests of all rows. If there is no room for one request of a row, there
+// is none for any other of it. Use New to create one; it is not safe for concurrent use.
 type Queue[V any] struct {
 	tenants map[string]*tenant
-	// now is the virtual time: the clock of the tenant that was last let in.
-	now float64
-	// toldUntil is until when the word on shares counts.
-	toldUntil time.Time
-	// rows are those in which requests wait.
+	// virtualTime is the clock of the tenant that was admitted last.
+	virtualTime float64
+	// sharesUntil is when the report on shares expires.
+	sharesUntil time.Time
+	// rows are those with waiting requests.
 	rows []*Row[V]
-	// open is kept to spare its allocation.
-	open []candidate[V]
+	// candidates is reused to avoid an allocation.
+	candidates []candidate[V]
 }
 
-// tenant has the clock of one tenant.
+// tenant holds the virtual clock of one tenant.
 type tenant struct {
 	name   string
 	clock  float64
 	weight float64
-	// waiting counts its requests that wait, and at is when the clock last faded.
-	waiting int
-	at      time.Time
-	// done is the work that was let in since it was last taken.
+	// waiting counts its waiting requests; decayedAt is when the clock last decayed.
+	waiting   int
+	decayedAt time.Time
+	// done is the work admitted since the last call of TakeWork.
 	done float64
-	// isAbove is set while the tenant is said to be above its share.
-	isAbove bool
+	// isAboveShare is set if the leader reports the tenant as above its share.
+	isAboveShare bool
 }
 
-// Row holds the requests that wait for the same room.
+// Row holds the waiting requests that compete for the same resources.
 type Row[V any] struct {
 	flows []*flow[V]
 	size  int
-	// place is that in the list of rows in which requests wait.
-	place int
+	// index is the position in Queue.rows.
+	index int
 	meter meter
 }
 
-// flow lists the requests of one tenant and rank that wait in a row, the one that is late first
-// in front.
+// flow lists the waiting requests of one tenant and rank in a row, ordered by due time.
 type flow[V any] struct {
 	tenant  *tenant
 	rank    int
 	entries []*Entry[V]
 }
 
-// Entry is a request that waits.
+// Entry is a waiting request.
 type Entry[V any] struct {
 	Ticket waiting.Ticket
 	Value  V
@@ -80,27 +77,25 @@
 	flow   *flow[V]
 }
 
-// New makes an empty queue.
+// New returns an empty Queue.
 func New[V any]() *Queue[V] { return &Queue[V]{tenants: make(map[string]*tenant)} }
 
-// Work is the work that a request is taken to need.
+// Work returns the estimated work of a request, in tokens.
 func Work(ticket waiting.Ticket) float64 {
 	if work := ticket.Work(); work > 0 {
 		return float64(work)
 	}
-	return plainWork
+	return defaultWork
 }
 
-// SetWeight sets the part of a tenant against those of others; 1 is that of tenants that have
-// none.
+// SetWeight sets the weight of a tenant; the default is 1.
 func (q *Queue[V]) SetWeight(name string, weight float64) {
 	if weight > 0 {
 		q.tenant(name).weight = weight
 	}
 }
 
-// SetWeights sets the parts of all tenants, by name. Clocks go by their ratios alone, so that they
-// are made 1 on average.
+// SetWeights sets the weights of all tenants by name, normalized to a mean of 1.
 func (q *Queue[V]) SetWeights(weights map[string]float64) {
 	sum := 0.0
 	for _, weight := range weights {
@@ -119,44 +114,44 @@
 func (q *Queue[V]) tenant(name string) *tenant {
 	known := q.tenants[name]
 	if known == nil {
-		known = &tenant{name: name, clock: q.now, weight: defaultWeight}
+		known = &tenant{name: name, clock: q.virtualTime, weight: defaultWeight}
 		q.tenants[name] = known
 	}
 	return known
 }
 
-// Charge counts work that was let in for a tenant without waiting, or that was used beyond what
-// was counted; below 0 it gives work back.
+// Charge counts work that was admitted for a tenant without waiting, or used beyond the
+// estimate; negative work gives it back.
 func (q *Queue[V]) Charge(at time.Time, name string, work float64) {
 	known := q.tenant(name)
-	q.fade(at, known)
+	q.decay(at, known)
 	known.done += work
-	known.clock = min(known.clock+work/known.weight, q.now+maxAhead)
+	known.clock = min(known.clock+work/known.weight, q.virtualTime+maxClockLead)
 }
 
-// fade brings a clock nearer to the virtual time while the tenant does not wait. It has no claim
-// to the time in which it asked for nothing.
-func (q *Queue[V]) fade(at time.Time, known *tenant) {
+// decay moves the clock of a tenant without waiting requests towards the virtual time. An idle
+// tenant accumulates no credit.
+func (q *Queue[V]) decay(at time.Time, known *tenant) {
 	if known.waiting > 0 {
 		return
 	}
-	ahead := max(0, known.clock-q.now)
-	if passed := at.Sub(known.at); passed > 0 {
-		ahead *= math.Exp(-passed.Seconds() / aheadTime.Seconds())
-		known.at = at
+	lead := max(0, known.clock-q.virtualTime)
+	if passed := at.Sub(known.decayedAt); passed > 0 {
+		lead *= math.Exp(-passed.Seconds() / clockDecayTime.Seconds())
+		known.decayedAt = at
 	}
-	known.clock = q.now + ahead
+	known.clock = q.virtualTime + lead
 }
 
-// Push adds a request to those that wait in a row.
+// Push adds a request to a row.
 func (q *Queue[V]) Push(at time.Time, row *Row[V], entry *Entry[V]) {
 	owner := q.tenant(entry.Ticket.Tenant)
-	q.fade(at, owner)
+	q.decay(at, owner)
 	owner.waiting++
 	if row.size == 0 {
-		row.place = len(q.rows)
+		row.index = len(q.rows)
 		q.rows = append(q.rows, row)
-		row.meter.begin(at)
+		row.meter.reset(at)
 	}
 	row.size++
 	entry.row = row
@@ -164,7 +159,7 @@
 	entry.flow.insert(entry)
 }
 
-// insert keeps the order. One that is late at the same time as others comes after them.
+// insert adds the entry in order of due time, after entries with the same one.
 func (f *flow[V]) insert(entry *Entry[V]) {
 	place := len(f.entries)
 	for place > 0 && entry.Ticket.Due.Before(f.entries[place-1].Ticket.Due) {
@@ -184,7 +179,7 @@
 	return added
 }
 
-// Remove takes a request out of those that wait. It reports false if it does not.
+// Remove removes a waiting request. It reports false if the entry does not wait.
 func (q *Queue[V]) Remove(entry *Entry[V]) bool {
 	row, from := entry.row, entry.flow
 	if row == nil {
@@ -197,8 +192,8 @@
 	}
 	if row.size--; row.size == 0 {
 		last := len(q.rows) - 1
-		q.rows[row.place] = q.rows[last]
-		q.rows[row.place].place = row.place
+		q.rows[row.index] = q.rows[last]
+		q.rows[row.index].index = row.index
 		q.rows[last] = nil
 		q.rows = q.rows[:last]
 	}
@@ -207,22 +202,22 @@
 	return true
 }
 
-// LetIn takes a request out of those that wait and counts its work.
+// LetIn removes a waiting request and counts its work.
 func (q *Queue[V]) LetIn(at time.Time, entry *Entry[V]) {
 	owner := entry.flow.tenant
 	entry.row.meter.add(at)
 	q.Remove(entry)
-	owner.clock = max(owner.clock, q.now-maxAhead)
-	q.now = max(q.now, owner.clock)
+	owner.clock = max(owner.clock, q.virtualTime-maxClockLead)
+	q.virtualTime = max(q.virtualTime, owner.clock)
 	owner.clock += Work(entry.Ticket) / owner.weight
 	owner.done += Work(entry.Ticket)
 }
 
-// Len is how many requests wait in the row.
+// Len returns the number of requests waiting in the row.
 func (r *Row[V]) Len() int { return r.size }
 
-// Each calls visit for all requests that wait in the row until it returns false. The row must not
-// be changed meanwhile.
+// Each calls visit for each request waiting in the row until it returns false. The row must
+// not be modified meanwhile.
 func (r *Row[V]) Each(visit func(*Entry[V]) bool) {
 	for _, each := range r.flows {
 		for _, entry := range each.entries {
--- a/request/fairqueue/queue_test.go
+++ b/request/fairqueue/queue_test.go
@@ -20,7 +20,7 @@
 	}}
 }
 
-// serveOne lets in the one that goes first.
+// serveOne admits the first request.
 func serveOne(q *Queue[string], now time.Time) *Entry[string] {
 	var served *Entry[string]
 	q.Serve(now, func(entry *Entry[string]) bool {
@@ -33,10 +33,9 @@
 	return served
 }
 
-// The theorem of start-time fair queueing: of two tenants that wait all the time, neither is given
-// more work over its weight than the other by more than the largest request of each over its
-// weight.
-func TestTenantsThatWaitGetWorkByTheirWeights(t *testing.T) {
+// The fairness bound of start-time fair queueing: between two backlogged tenants, work over weight
+// differs by at most the sum of the largest request of each over its weight.
+func TestBackloggedTenantsAreServedByWeight(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			c := qt.New(t)
@@ -64,8 +63,8 @@
 				push(i)
 				for a := range tenants {
 					for b := range a {
-						apart := math.Abs(given[a]/weight[a] - given[b]/weight[b])
-						c.Assert(apart <= largest[a]/weight[a]+largest[b]/weight[b], qt.IsTrue, qt.Commentf("step %d, tenants %d and %d: %g", step, a, b, apart))
+						difference := math.Abs(given[a]/weight[a] - given[b]/weight[b])
+						c.Assert(difference <= largest[a]/weight[a]+largest[b]/weight[b], qt.IsTrue, qt.Commentf("step %d, tenants %d and %d: %g", step, a, b, difference))
 					}
 				}
 			}
@@ -81,16 +80,16 @@
 		at      time.Duration
 		first   int
 	}{
-		{"the more urgent rank", []*Entry[string]{entryOf("a", 1, start, ms(100), 1), entryOf("b", 0, start, ms(900), 1)}, 0, 1},
-		{"one with little patience passes one with much", []*Entry[string]{
+		{"lower rank", []*Entry[string]{entryOf("a", 1, start, ms(100), 1), entryOf("b", 0, start, ms(900), 1)}, 0, 1},
+		{"short objective before long", []*Entry[string]{
 			entryOf("a", 0, start, ms(6000), 1), entryOf("a", 0, start.Add(ms(500)), ms(400), 1)}, ms(500), 1},
-		{"one with much patience that is late soon is not passed", []*Entry[string]{
+		{"long objective within the due margin", []*Entry[string]{
 			entryOf("a", 0, start, ms(6000), 1), entryOf("a", 0, start.Add(ms(5700)), ms(400), 1)}, ms(5700), 0},
-		{"one that can be in time passes one that cannot", []*Entry[string]{
+		{"due soon before overdue", []*Entry[string]{
 			entryOf("a", 0, start, ms(400), 1), entryOf("a", 0, start.Add(ms(500)), ms(400), 1)}, ms(500), 1},
-		{"one that is late passes one that can wait", []*Entry[string]{
+		{"overdue before not yet due", []*Entry[string]{
 			entryOf("a", 0, start.Add(ms(300)), ms(6000), 1), entryOf("a", 0, start, ms(400), 1)}, ms(500), 1},
-		{"of those that are late, the first", []*Entry[string]{
+		{"first of the overdue", []*Entry[string]{
 			entryOf("a", 0, start.Add(ms(100)), ms(400), 1), entryOf("a", 0, start, ms(400), 1)}, ms(900), 1},
 	} {
 		for _, rows := range []int{1, 2} {
@@ -107,7 +106,7 @@
 	}
 }
 
-func TestTenantThatWasServedMuchWaitsForOthers(t *testing.T) {
+func TestChargedTenantYieldsToOthers(t *testing.T) {
 	c := qt.New(t)
 	q, row := New[string](), &Row[string]{}
 	q.Charge(start, "hot", 9000)
@@ -115,16 +114,16 @@
 	q.Push(start, row, hot)
 	q.Push(start, row, quiet)
 	c.Assert(serveOne(q, start), qt.Equals, quiet)
-	// What is long past counts no more.
+	// The charge has decayed after a long time.
 	q.Remove(hot)
-	later := start.Add(10 * aheadTime)
+	later := start.Add(10 * clockDecayTime)
 	q.Charge(later, "quiet", 700)
 	q.Push(later, row, hot)
 	q.Push(later, row, quiet)
 	c.Assert(serveOne(q, later), qt.Equals, hot)
 }
 
-func TestWhoLeavesFreesItsPlace(t *testing.T) {
+func TestRemove(t *testing.T) {
 	c := qt.New(t)
 	q, row := New[string](), &Row[string]{}
 	first, second := entryOf("a", 0, start, time.Second, 1), entryOf("a", 0, start, time.Second, 1)
@@ -138,8 +137,8 @@
 	c.Assert(serveOne(q, start), qt.IsNil)
 }
 
-// Requests of other rows are tried when there is no room for the first.
-func TestRowWithoutRoomHoldsNobodyUp(t *testing.T) {
+// Other rows are tried if there is no room for the first one.
+func TestFullRowDoesNotBlockOthers(t *testing.T) {
 	c := qt.New(t)
 	q := New[string]()
 	full, free := &Row[string]{}, &Row[string]{}
@@ -156,8 +155,8 @@
 	c.Assert(free.Len(), qt.Equals, 0)
 }
 
-// No order of pushes, removals and servings loses a request or lets one in twice.
-func TestRandomUseLosesNobody(t *testing.T) {
+// No sequence of operations loses a request or admits one twice.
+func TestRandomOperationsLoseNoEntry(t *testing.T) {
 	for seed := range uint64(10) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 2))
--- a/request/fairqueue/serve.go
+++ b/request/fairqueue/serve.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// candidate is a row that is tried, with the request that goes first in it.
+// candidate is a row to serve and its first request.
 type candidate[V any] struct {
 	row  *Row[V]
 	head *Entry[V]
 }
 
-// Serve lets in requests in their order, as long as admit finds room for them. After it found none
-// for a request, the others of that row are not tried. admit must not change the queue.
+// Serve admits requests in order while admit finds room for them. Once admit returns false for
+// a request, its row is skipped. admit must not modify the queue.
 func (q *Queue[V]) Serve(now time.Time, admit func(*Entry[V]) bool) {
-	open := q.open[:0]
+	open := q.candidates[:0]
 	for _, row := range q.rows {
 		open = append(open, candidate[V]{row: row, head: q.head(now, row)})
 	}
 	q.order(now, open)
 	for len(open) > 0 {
 		chosen := open[0]
-		owner, isLetIn := chosen.head.flow.tenant, admit(chosen.head)
-		if isLetIn {
+		owner, isAdmitted := chosen.head.flow.tenant, admit(chosen.head)
+		if isAdmitted {
 			q.LetIn(now, chosen.head)
 		}
-		if !isLetIn || chosen.row.size == 0 {
+		if !isAdmitted || chosen.row.size == 0 {
 			last := len(open) - 1
 			open[0] = open[last]
 			open[last] = candidate[V]{}
 			open = open[:last]
 		}
-		if isLetIn {
-			// Its clock has gone on, so that others may go before its tenant's next now.
+		if isAdmitted {
+			// The tenant's clock has advanced, so the order of its entries may have changed.
 			for i := range open {
 				if open[i].row == chosen.row || open[i].head.flow.tenant == owner {
 					open[i].head = q.head(now, open[i].row)
@@ -40,10 +40,10 @@
 			q.siftDown(now, open, 0)
 		}
 	}
-	q.open = open
+	q.candidates = open
 }
 
-// order makes a heap of the candidates.
+// order establishes the heap order of the candidates.
 func (q *Queue[V]) order(now time.Time, open []candidate[V]) {
 	for i := len(open)/2 - 1; i >= 0; i-- {
 		q.siftDown(now, open, i)
@@ -56,10 +56,10 @@
 		if first >= len(open) {
 			return
 		}
-		if other := first + 1; other < len(open) && q.goesBefore(now, open[other].head, open[first].head) {
+		if other := first + 1; other < len(open) && q.precedes(now, open[other].head, open[first].head) {
 			first = other
 		}
-		if !q.goesBefore(now, open[first].head, open[i].head) {
+		if !q.precedes(now, open[first].head, open[i].head) {
 			return
 		}
 		open[i], open[first] = open[first], open[i]
@@ -67,7 +67,7 @@
 	}
 }
 
-// ServeRow does the same for one row.
+// ServeRow is Serve for one row.
 func (q *Queue[V]) ServeRow(now time.Time, row *Row[V], admit func(*Entry[V]) bool) {
 	for {
 		head := q.head(now, row)
