--- a/request/fairqueue/queue.go
+++ b/request/fairqueue/queue.go
@@ -202,8 +202,8 @@
 	return true
 }
 
-// LetIn removes a waiting request and counts its work.
-func (q *Queue[V]) LetIn(at time.Time, entry *Entry[V]) {
+// Admit removes a waiting request and counts its work.
+func (q *Queue[V]) Admit(at time.Time, entry *Entry[V]) {
 	owner := entry.flow.tenant
 	entry.row.meter.add(at)
 	q.Remove(entry)
--- a/request/fairqueue/serve.go
+++ b/request/fairqueue/serve.go
@@ -20,7 +20,7 @@
 		chosen := open[0]
 		owner, isAdmitted := chosen.head.flow.tenant, admit(chosen.head)
 		if isAdmitted {
-			q.LetIn(now, chosen.head)
+			q.Admit(now, chosen.head)
 		}
 		if !isAdmitted || chosen.row.size == 0 {
 			last := len(open) - 1
@@ -74,6 +74,6 @@
 		if head == nil || !admit(head) {
 			return
 		}
-		q.LetIn(now, head)
+		q.Admit(now, head)
 	}
 }
