--- a/request/pressure/doc.go
+++ b/request/pressure/doc.go
@@ -1,9 +1,8 @@
-// Package pressure tells whether a router's machine bears the work that it has.
+// Package pressure detects whether a router's machine is overloaded.
 //
-// A machine that is too small, or that others use, shows it in the process itself: its timers go off
-// late, whether its own work, a quota of processor time or a neighbour is the cause, and every request
-// is late by as much. That does not say how many connections are too many, so a router under pressure
-// lets go of a few at a time and looks again.
+// On an overloaded machine the timers of the process fire late, whether the cause is its own work, a CPU
+// quota or another process, and every request is delayed as much. That does not tell how many connections
+// are too many, so a router under pressure closes a few at a time and measures again.
 //
-// A Gauge is pure: time comes in as an argument. It is not safe for concurrent use.
+// A Gauge takes time as an argument. It is not safe for concurrent use.
 package pressure
--- a/request/pressure/gauge.go
+++ b/request/pressure/gauge.go
@@ -6,63 +6,62 @@
 )
 
 const (
-	// samples are how many of the latest timers are looked at: the middle one counts, so that a machine
-	// that was frozen for a while, which makes one timer very late, is not under pressure.
+	// samples is the number of latest timers whose median counts, so that one very late timer after a pause
+	// of the machine has no effect.
 	samples = 16
-	// lateFrom is from which lateness of its timers a router is under pressure, and lateUntil up to which
-	// it is well again. Callers of quick requests expect the first word within some 400 ms; an eighth of
-	// that is what a router may add. It is well when it adds nothing that anybody notices.
-	lateFrom  = 50 * time.Millisecond
-	lateUntil = 15 * time.Millisecond
-	// enterAfter is how long the limit must be exceeded, and leaveAfter how long the router must be well,
-	// which is several times as long, as connections that were let go of come back to a router that
-	// calls itself well.
+	// enterDelay is the median delay of timers from which a router is under pressure, leaveDelay the one up to
+	// which it no longer is. enterDelay is an eighth of the 400 ms in which the first event is expected.
+	enterDelay = 50 * time.Millisecond
+	leaveDelay = 15 * time.Millisecond
+	// enterAfter is how long enterDelay must be exceeded to enter the state, leaveAfter how long the delay must
+	// be within leaveDelay to leave it. The latter is longer, as clients reconnect to a router that reports
+	// itself as healthy.
 	enterAfter = 500 * time.Millisecond
 	leaveAfter = 3 * time.Second
-	// letGoPause separates two connections that are let go of: a router with fifty callers loses a tenth of
-	// them a second, and the others of its zone take them up one by one.
-	letGoPause = 200 * time.Millisecond
+	// closeInterval separates two closed connections: a router with fifty clients closes a tenth of them per
+	// second, which the other routers of the zone can absorb.
+	closeInterval = 200 * time.Millisecond
 )
 
-// Gauge follows one process. The zero value is ready for use and well.
+// Gauge measures the pressure on one process. The zero value is ready for use.
 type Gauge struct {
 	late  [samples]time.Duration
 	count int
 	// isUnder is set while the process is under pressure.
 	isUnder bool
-	// since is when what speaks against the present state was first seen; zero for nothing.
-	since     time.Time
-	letGoneAt time.Time
+	// contrarySince is when the delay first contradicted the current state; zero if it does not.
+	contrarySince time.Time
+	closedAt      time.Time
 }
 
-// Observe takes by how much a timer was late, and reports whether the state has changed.
+// Observe records the delay of a timer and reports whether the state has changed.
 func (g *Gauge) Observe(now time.Time, late time.Duration) (changed bool) {
 	g.late[g.count%samples] = max(0, late)
 	g.count++
 	if g.count < samples {
 		return false
 	}
-	usual := g.Late()
-	speaksAgainst := !g.isUnder && usual >= lateFrom || g.isUnder && usual <= lateUntil
+	median := g.Late()
+	isContrary := !g.isUnder && median >= enterDelay || g.isUnder && median <= leaveDelay
 	switch {
-	case !speaksAgainst:
-		g.since = time.Time{}
+	case !isContrary:
+		g.contrarySince = time.Time{}
 		return false
-	case g.since.IsZero():
-		g.since = now
+	case g.contrarySince.IsZero():
+		g.contrarySince = now
 	}
 	wait := enterAfter
 	if g.isUnder {
 		wait = leaveAfter
 	}
-	if now.Sub(g.since) < wait {
+	if now.Sub(g.contrarySince) < wait {
 		return false
 	}
-	g.isUnder, g.since = !g.isUnder, time.Time{}
+	g.isUnder, g.contrarySince = !g.isUnder, time.Time{}
 	return true
 }
 
-// Late is by how much timers usually are late.
+// Late returns the median delay of the latest timers.
 func (g *Gauge) Late() time.Duration {
 	count := min(g.count, samples)
 	if count == 0 {
@@ -77,12 +76,12 @@
 // IsUnder reports whether the process is under pressure.
 func (g *Gauge) IsUnder() bool { return g.isUnder }
 
-// LetGo reports whether the connection of an answer that ends now should be closed, so that its caller finds
-// another router.
+// LetGo reports whether the connection of a response that ends now should be closed, so that its client
+// reconnects to another router.
 func (g *Gauge) LetGo(now time.Time) bool {
-	if !g.isUnder || now.Sub(g.letGoneAt) < letGoPause {
+	if !g.isUnder || now.Sub(g.closedAt) < closeInterval {
 		return false
 	}
-	g.letGoneAt = now
+	g.closedAt = now
 	return true
 }
--- a/request/pressure/gauge_test.go
+++ b/request/pressure/gauge_test.go
@@ -9,59 +9,58 @@
 	"github.com/lotusferry/lotusferry/request/pressure"
 )
 
-// pause separates two timers.
-const pause = 50 * time.Millisecond
+// timerInterval separates two timers.
+const timerInterval = 50 * time.Millisecond
 
-// run observes timers for a while and counts the changes of the state and the connections let go of, of one
-// answer with each timer.
-func run(g *pressure.Gauge, now *time.Time, length time.Duration, late func(i int) time.Duration) (changes, letGo int) {
-	for i := range int(length / pause) {
-		*now = now.Add(pause)
+// run observes timers for some time and counts the state changes and the closed connections, with one
+// response per timer.
+func run(g *pressure.Gauge, now *time.Time, length time.Duration, late func(i int) time.Duration) (changes, closed int) {
+	for i := range int(length / timerInterval) {
+		*now = now.Add(timerInterval)
 		if g.Observe(*now, late(i)) {
 			changes++
 		}
 		if g.LetGo(*now) {
-			letGo++
+			closed++
 		}
 	}
-	return changes, letGo
+	return changes, closed
 }
 
 func always(late time.Duration) func(int) time.Duration {
 	return func(int) time.Duration { return late }
 }
 
-// A router on a machine with a third of the others' processor has its quota spent. It lets connections go a few
-// at a time, and no more once it is well.
-func TestRouterAtItsLimitLetsConnectionsGo(t *testing.T) {
+// A router whose CPU quota is used up closes connections a few at a time, and none once it has recovered.
+func TestPressureClosesConnectionsGradually(t *testing.T) {
 	for _, late := range []time.Duration{60 * time.Millisecond, 300 * time.Millisecond} {
 		t.Run(late.String(), func(t *testing.T) {
 			c := qt.New(t)
 			var g pressure.Gauge
 			now := time.Unix(1000, 0)
-			changes, letGo := run(&g, &now, 5*time.Second, always(time.Millisecond))
-			c.Assert(changes+letGo, qt.Equals, 0)
-			changes, letGo = run(&g, &now, 5*time.Second, always(late))
+			changes, closed := run(&g, &now, 5*time.Second, always(time.Millisecond))
+			c.Assert(changes+closed, qt.Equals, 0)
+			changes, closed = run(&g, &now, 5*time.Second, always(late))
 			c.Assert(changes, qt.Equals, 1)
 			c.Assert(g.IsUnder(), qt.IsTrue)
-			c.Assert(letGo >= 10 && letGo <= 25, qt.IsTrue, qt.Commentf("%d", letGo))
+			c.Assert(closed >= 10 && closed <= 25, qt.IsTrue, qt.Commentf("%d", closed))
 			changes, _ = run(&g, &now, 6*time.Second, always(time.Millisecond))
 			c.Assert(changes, qt.Equals, 1)
-			_, letGo = run(&g, &now, 10*time.Second, always(time.Millisecond))
-			c.Assert(letGo, qt.Equals, 0)
+			_, closed = run(&g, &now, 10*time.Second, always(time.Millisecond))
+			c.Assert(closed, qt.Equals, 0)
 		})
 	}
 }
 
-// A machine that is well takes its whole part, whatever happens to it now and then.
-func TestMachineThatIsWellKeepsItsCallers(t *testing.T) {
+// Short or single delays cause no pressure.
+func TestShortDelaysAreNotPressure(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		late func(i int) time.Duration
 	}{
 		{"one timer in five is late", func(i int) time.Duration { return time.Duration(i%5/4) * 300 * time.Millisecond }},
-		{"frozen for ten seconds once", func(i int) time.Duration { return time.Duration(max(0, 1-i)) * 10 * time.Second }},
-		{"busy, not late", always(10 * time.Millisecond)},
+		{"one pause of ten seconds", func(i int) time.Duration { return time.Duration(max(0, 1-i)) * 10 * time.Second }},
+		{"small constant delay", always(10 * time.Millisecond)},
 		{"late for a third of a second", func(i int) time.Duration {
 			if i >= 20 && i < 27 {
 				return 100 * time.Millisecond
@@ -73,14 +72,13 @@
 			c := qt.New(t)
 			var g pressure.Gauge
 			now := time.Unix(1000, 0)
-			changes, letGo := run(&g, &now, 30*time.Second, test.late)
-			c.Assert(changes+letGo, qt.Equals, 0)
+			changes, closed := run(&g, &now, 30*time.Second, test.late)
+			c.Assert(changes+closed, qt.Equals, 0)
 		})
 	}
 }
 
-// A load that goes up and down every second keeps one state: connections that were let go of must not be
-// called back and let go of again.
+// A load that varies every second does not toggle the state, which would close connections repeatedly.
 func TestStateDoesNotFlap(t *testing.T) {
 	for _, period := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
@@ -88,7 +86,7 @@
 			var g pressure.Gauge
 			now := time.Unix(1000, 0)
 			changes, _ := run(&g, &now, time.Minute, func(i int) time.Duration {
-				if (time.Duration(i)*pause/period)%2 == 0 {
+				if (time.Duration(i)*timerInterval/period)%2 == 0 {
 					return 90 * time.Millisecond
 				}
 				return time.Millisecond
