--- a/request/waiting/doc.go
+++ b/request/waiting/doc.go
@@ -1,5 +1,4 @@
-// Package waiting says what it is worth to let a request wait: who brings it, how urgent it
-// is, how long it can wait and how much work it is. The order of those that wait, refusals, the
-// needs of the planner and the order in which streams are resumed go by the same Ticket. It is
-// pure.
+// Package waiting describes how urgent a request is, how long it can wait and how much work
+// it is. Queueing, refusals, placement planning and the order of resumed streams use the same
+// Ticket.
 package waiting
