--- a/request/zonewatch/connect.go
+++ b/request/zonewatch/connect.go
@@ -7,32 +7,30 @@
 )
 
 const (
-	// LeastConnectTimeout is the least time that a connect is given: twenty times the way there and
-	// back between zones of one region, and enough for a router whose processor is busy for some
-	// tens of ms. It is what a lost opening packet costs a request, which the system would send
-	// again after a second only.
+	// LeastConnectTimeout is the minimum timeout of a connect: twenty round trips between zones of
+	// one region, with a margin for a router whose CPU is busy for some tens of milliseconds. It is
+	// the delay caused by a lost SYN, which the kernel retransmits only after a second.
 	LeastConnectTimeout = 80 * time.Millisecond
-	// MostConnectTimeout is the most, and what is given before anything was measured.
+	// MostConnectTimeout is the maximum timeout, also used before anything was measured.
 	MostConnectTimeout = 500 * time.Millisecond
-	// connectFactor times what a connect takes at most as a rule is what it is given.
+	// connectFactor is the ratio of the timeout to the estimated maximum connect time.
 	connectFactor = 4
-	// meanWeight and deviationWeight are those of a new connect in the averages, and deviations how
-	// many times the deviation lies above what a connect takes as a rule: the figures with which
-	// TCP finds its own timeouts (RFC 6298).
+	// meanWeight and deviationWeight are the weights of a new sample in the averages, and
+	// deviationFactor the multiple of the deviation above the mean in the estimated maximum, as in
+	// the retransmission timer of TCP (RFC 6298).
 	meanWeight      = 1.0 / 8
 	deviationWeight = 1.0 / 4
-	deviations      = 4
-	// leastConnects is how many connects must have been measured.
-	leastConnects = 3
-	// patientEvery is after how many connects that took too long in a row, less one, the next is given
-	// MostConnectTimeout: the way may have become slower than any connect that was measured, and only one
-	// that succeeds shows it. A zone that is cut off is found out with half as many, and one that is back
-	// is noticed some 0.4 s later in one of so many cases.
-	patientEvery = 8
+	deviationFactor = 4
+	// minConnects is the minimum number of measured connects for an estimate.
+	minConnects = 3
+	// fullTimeoutEvery makes every eighth connect of a series of timeouts use MostConnectTimeout:
+	// latency may have grown beyond all measured connects, and only a successful one shows it. The loss
+	// of a zone is detected with fewer connects; detection of its recovery may take 0.4 s longer.
+	fullTimeoutEvery = 8
 )
 
-// ConnectTimes learns from connects how long one to a runner of a zone may take. The zero value is
-// ready for use; it is not safe for concurrent use.
+// ConnectTimes estimates connect timeouts per zone. The zero value is ready for use. It is not
+// safe for concurrent use.
 type ConnectTimes struct {
 	zones map[structs.ZoneID]*connectTime
 }
@@ -40,11 +38,11 @@
 type connectTime struct {
 	count           int
 	mean, deviation time.Duration
-	// timeouts counts the connects that took too long since the last one that succeeded.
+	// timeouts counts the timeouts since the last successful connect.
 	timeouts int
 }
 
-// Observe takes how long a connect that succeeded took.
+// Observe records the duration of a successful connect.
 func (c *ConnectTimes) Observe(zone structs.ZoneID, took time.Duration) {
 	if c.zones == nil {
 		c.zones = make(map[structs.ZoneID]*connectTime)
@@ -64,33 +62,33 @@
 	known.mean += time.Duration(meanWeight * float64(took-known.mean))
 }
 
-// ObserveTimeout takes that a connect took longer than Timeout.
+// ObserveTimeout records that a connect exceeded its Timeout.
 func (c *ConnectTimes) ObserveTimeout(zone structs.ZoneID) {
 	if known := c.zones[zone]; known != nil {
 		known.timeouts++
 	}
 }
 
-// Timeout is how long a connect to a runner of the zone is given.
+// Timeout returns the timeout for the next connect to a runner of the zone.
 func (c *ConnectTimes) Timeout(zone structs.ZoneID) time.Duration {
 	if !c.IsMeasured(zone) {
 		return MostConnectTimeout
 	}
 	known := c.zones[zone]
-	if known.timeouts%patientEvery == patientEvery-1 {
+	if known.timeouts%fullTimeoutEvery == fullTimeoutEvery-1 {
 		return MostConnectTimeout
 	}
-	usual := known.mean + deviations*known.deviation
+	usual := known.mean + deviationFactor*known.deviation
 	return min(MostConnectTimeout, max(LeastConnectTimeout, connectFactor*usual))
 }
 
 // IsMeasured reports whether enough connects to the zone were measured.
 func (c *ConnectTimes) IsMeasured(zone structs.ZoneID) bool {
 	known := c.zones[zone]
-	return known != nil && known.count >= leastConnects
+	return known != nil && known.count >= minConnects
 }
 
-// Mean is how long a connect to a runner of the zone takes on average; 0 if too few were measured.
+// Mean returns the average connect time to runners of the zone; 0 if too few were measured.
 func (c *ConnectTimes) Mean(zone structs.ZoneID) time.Duration {
 	if !c.IsMeasured(zone) {
 		return 0
--- a/request/zonewatch/connect_test.go
+++ b/request/zonewatch/connect_test.go
@@ -9,15 +9,15 @@
 	"github.com/lotusferry/lotusferry/request/zonewatch"
 )
 
-// A lost opening packet costs tens of milliseconds where connects are quick, and a far zone is given the
-// time that it takes.
-func TestConnectTimeoutFollowsTheWay(t *testing.T) {
+// The timeout adapts to the measured latency: a lost SYN in a near zone costs little, and a distant zone
+// gets enough time.
+func TestConnectTimeoutAdaptsToLatency(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		took        []time.Duration
 		least, most time.Duration
 	}{
-		{"nothing known", nil, zonewatch.MostConnectTimeout, zonewatch.MostConnectTimeout},
+		{"no measurements", nil, zonewatch.MostConnectTimeout, zonewatch.MostConnectTimeout},
 		{"within a region", repeat(2*time.Millisecond, 20), zonewatch.LeastConnectTimeout, zonewatch.LeastConnectTimeout},
 		{"another continent", repeat(60*time.Millisecond, 40), 240 * time.Millisecond, 300 * time.Millisecond},
 		{"a busy router", append(repeat(2*time.Millisecond, 20), 40*time.Millisecond, 3*time.Millisecond, 50*time.Millisecond), 100 * time.Millisecond, 500 * time.Millisecond},
--- a/request/zonewatch/doc.go
+++ b/request/zonewatch/doc.go
@@ -1,13 +1,13 @@
-// Package zonewatch learns which zones of a site a router can reach.
+// Package zonewatch detects which zones of a site a router can reach.
 //
 // A zone may be cut off as a whole: its runners then neither answer nor refuse, or all refuse
-// connections. A router sees that from its own traffic long before a leader does, and a router
-// within the lost zone hears of no leader at all. A failed connect, or open requests of a zone
-// from which nothing at all is heard, raise a suspicion. It is settled by connects to a few
-// other runners of the zone: one that is answered refutes it, as a single runner may be dead,
-// and if none is answered the zone is out of reach. Such a zone is tried again by single
-// connects, so that no request has to find out that it is back.
+// connections. A router sees this in its own traffic long before a leader does, and a router
+// in a lost zone reaches no leader at all. A failed connect, or silence of a zone with open
+// requests, raises a suspicion, which is checked by probe connects to a few other runners of
+// the zone. One answer refutes it, as a single runner may be dead; without any answer the zone
+// is unreachable. An unreachable zone is retried by single connects, so that no request is
+// spent on detecting its recovery.
 //
-// A Watch is pure: time and randomness come in as arguments, the caller makes the connects,
-// and nothing is safe for concurrent use.
+// A Watch takes time and randomness as arguments, and the caller makes the connects. Nothing
+// is safe for concurrent use.
 package zonewatch
--- a/request/zonewatch/suspicion.go
+++ b/request/zonewatch/suspicion.go
@@ -9,31 +9,29 @@
 )
 
 const (
-	// silentAfter is how long nothing may be heard from a zone with open requests before it is
-	// suspected. Events of streams come every 40 ms or so, and a request that is the only one of
-	// its zone has its first event within 150 ms as a rule; a suspicion that proves wrong costs
-	// three connects.
-	silentAfter = 200 * time.Millisecond
-	// maxRefuted bounds how often silentAfter doubles: once with each suspicion that proved wrong, and
-	// back as soon as a zone is heard of in less than half of the time. Zones whose answers take long
-	// are not asked five times a second.
-	maxRefuted = 3
-	// witnesses is how many runners are asked when a zone is suspected. On a link that loses
-	// 2.5% of the packets a connect fails in 5 of 100 cases within a few times its usual time, and
-	// three together in 1 of 8,000.
-	witnesses = 3
-	// refusedWitnesses is how many must have refused a connect where some did: a refusal comes from a
-	// machine in reach as a rule, of which the process has died. When a quarter of all runners crashes
-	// at once, three refuse in 1 of 64 cases, eight in 1 of 65,000; it costs no time, as refusals come at once.
-	refusedWitnesses = 8
-	// leastWitnesses is how many runners a zone must have to be told from a single dead one.
-	leastWitnesses = 2
+	// silenceTimeout is how long a zone with open requests may be silent before it is suspected.
+	// Stream events arrive every 40 ms or so, and the first event of a single request usually within
+	// 150 ms. A wrong suspicion costs a few connects.
+	silenceTimeout = 200 * time.Millisecond
+	// maxRefutations bounds how often silenceTimeout doubles: once per refuted suspicion. It is halved
+	// when a zone responds in less than half of the time. So zones with slow answers are not probed five
+	// times a second.
+	maxRefutations = 3
+	// probeCount is the number of runners probed when a zone is suspected. At a packet loss of 2.5% a
+	// connect fails in 5 of 100 cases, and three together in 1 of 8,000.
+	probeCount = 3
+	// refusedProbeCount is the number of probes that must fail if some were refused, which usually means
+	// a crashed process on a reachable machine. If a quarter of all runners crash, three refuse in 1 of 64
+	// cases and eight in 1 of 65,000. Refusals arrive at once, so the probes cost no time.
+	refusedProbeCount = 8
+	// minRunners is the minimum number of runners to tell a lost zone from a dead runner.
+	minRunners = 2
 )
 
-// Cause is why a zone was suspected.
+// Cause is the reason why a zone was suspected.
 type Cause string
 
-// The causes.
+// Causes of suspicions.
 const (
 	CauseConnect Cause = "a connect failed"
 	CauseSilence Cause = "open requests are silent"
@@ -41,45 +39,45 @@
 	CauseLeader  Cause = "the leader is silent"
 )
 
-// Probe asks the caller to connect to a runner and to pass the outcome to Probed.
+// Probe asks the caller to connect to a runner and to pass the outcome to Watch.Probed.
 type Probe struct {
 	Zone   structs.ZoneID
 	Runner structs.RunnerID
-	// number is that of the suspicion, or of the try, which the probe is for.
+	// number identifies the suspicion or retry that the probe belongs to.
 	number uint64
 }
 
-// Outcome is how a Probe ended.
+// Outcome is the result of a Probe.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// OutcomeAnswered: the runner took the connection.
+	// OutcomeAnswered means that the runner accepted the connection.
 	OutcomeAnswered Outcome = iota + 1
-	// OutcomeFailed: it said nothing in time.
+	// OutcomeFailed means that there was no answer in time.
 	OutcomeFailed
-	// OutcomeRefused: the connection was refused.
+	// OutcomeRefused means that the connection was refused.
 	OutcomeRefused
-	// OutcomeUnknown: the router itself was late, so that nothing was learned.
+	// OutcomeUnknown means that the router itself was delayed, so that nothing was learned.
 	OutcomeUnknown
 )
 
-// Change is a zone that got out of reach, or is reached again.
+// Change reports that a zone became unreachable or reachable again.
 type Change struct {
 	Zone   structs.ZoneID
 	IsLost bool
-	// Cause and After are those of the suspicion: how long ago it arose. Both are empty for a
-	// zone that is reached again.
+	// Cause and After describe the suspicion: its reason and its age. Both are empty for a zone that
+	// is reachable again.
 	Cause Cause
 	After time.Duration
-	// Runners counts those that were asked in vain, or that answered.
+	// Runners counts the runners that were probed without success, or that answered.
 	Runners int
-	// Open counts the requests under way there.
+	// Open counts the open requests of the zone.
 	Open int
 }
 
-// ConnectFailed notes that a runner could not be connected to. It returns the runners to ask about
-// the zone.
+// ConnectFailed records a failed connect to a runner. It returns the probes to make in the runner's
+// zone.
 func (w *Watch) ConnectFailed(now time.Time, id structs.RunnerID) []Probe {
 	known := w.runners[id]
 	if known == nil {
@@ -88,49 +86,48 @@
 	return w.suspect(now, known.zone, CauseConnect, id)
 }
 
-// LeaderSilent notes that the leader has not been heard for longer than usual: this router may be in a part
-// of the site that is cut off, and send so little elsewhere that its requests do not tell. It returns the
-// runners to ask, of zones that were not heard of just now.
+// LeaderSilent records that the leader has been silent for longer than usual. This router may be cut off
+// and have too few requests to notice. It returns probes for all zones that were not heard from just now.
 func (w *Watch) LeaderSilent(now time.Time) []Probe {
 	var probes []Probe
-	for _, each := range w.sorted() {
-		if now.Sub(each.heardAt) >= silentAfter {
+	for _, each := range w.sortedZones() {
+		if now.Sub(each.heardAt) >= silenceTimeout {
 			probes = append(probes, w.suspect(now, each, CauseLeader, "")...)
 		}
 	}
 	return probes
 }
 
-// suspect begins a round, unless one is under way. The runner that raised the suspicion is not asked
-// if there are others enough.
+// suspect starts a suspicion unless one is active. The runner that raised it is probed only if there
+// are too few others.
 func (w *Watch) suspect(now time.Time, suspected *zone, cause Cause, raisedBy structs.RunnerID) []Probe {
-	if suspected.isLost || suspected.round != nil || len(suspected.ids) < leastWitnesses {
+	if suspected.isLost || suspected.suspicion != nil || len(suspected.ids) < minRunners {
 		return nil
 	}
 	ids := slices.Clone(suspected.ids)
 	w.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	// Whoever was heard last is the most likely to be alive.
+	// Probe the runners heard from last first, as they are the most likely to be alive.
 	slices.SortStableFunc(ids, func(a, b structs.RunnerID) int {
-		return cmp.Or(cmp.Compare(order(a == raisedBy), order(b == raisedBy)), w.runners[b].heardAt.Compare(w.runners[a].heardAt))
+		return cmp.Or(cmp.Compare(lastRank(a == raisedBy), lastRank(b == raisedBy)), w.runners[b].heardAt.Compare(w.runners[a].heardAt))
 	})
-	ids = ids[:min(refusedWitnesses, len(ids))]
+	ids = ids[:min(refusedProbeCount, len(ids))]
 	w.lastNumber++
-	suspected.round = &round{number: w.lastNumber, cause: cause, began: now, waiting: ids, needed: witnesses}
+	suspected.suspicion = &suspicion{number: w.lastNumber, cause: cause, began: now, remaining: ids, needed: probeCount}
 	if cause == CauseSilence || cause == CauseLeader {
-		// Most silences have other causes: one runner that answers tells so at a third of the cost.
+		// Most silences have other causes, which a single answer shows at a third of the cost.
 		return suspected.ask(1)
 	}
-	return suspected.ask(witnesses)
+	return suspected.ask(probeCount)
 }
 
-func order(isLast bool) int {
+func lastRank(isLast bool) int {
 	if isLast {
 		return 1
 	}
 	return 0
 }
 
-// Probed takes the outcome of a Probe. It returns what has changed, and more runners to ask.
+// Probed records the outcome of a Probe. It returns the changes and further probes.
 func (w *Watch) Probed(now time.Time, probe Probe, outcome Outcome) (changes []Change, probes []Probe) {
 	asked := w.zones[probe.Zone]
 	switch {
@@ -138,29 +135,29 @@
 		return nil, nil
 	case asked.isLost:
 		return asked.retried(now, probe, outcome), nil
-	case asked.round == nil || asked.round.number != probe.number:
+	case asked.suspicion == nil || asked.suspicion.number != probe.number:
 		return nil, nil
 	case outcome == OutcomeAnswered || outcome == OutcomeUnknown:
 		asked.refute(now)
 		return nil, nil
 	case outcome == OutcomeRefused:
-		asked.round.needed = refusedWitnesses
+		asked.suspicion.needed = refusedProbeCount
 	}
-	asked.round.open--
-	if asked.round.open > 0 {
+	asked.suspicion.pending--
+	if asked.suspicion.pending > 0 {
 		return nil, nil
 	}
-	if more := asked.round.needed - asked.round.asked; more > 0 && len(asked.round.waiting) > 0 {
+	if more := asked.suspicion.needed - asked.suspicion.asked; more > 0 && len(asked.suspicion.remaining) > 0 {
 		return nil, asked.ask(more)
 	}
-	if !w.isElsewhereReached(asked) {
-		// A router that reaches nobody at all goes on as it was: there is nothing that it could do better.
-		asked.round = nil
-		asked.refuted = min(maxRefuted, asked.refuted+1)
+	if !w.isOtherReachable(asked) {
+		// A router that reaches no other zone has no alternative and keeps using this one.
+		asked.suspicion = nil
+		asked.refutations = min(maxRefutations, asked.refutations+1)
 		return nil, nil
 	}
-	changes = []Change{asked.lose(now)}
-	for _, other := range w.sorted() {
+	changes = []Change{asked.markLost(now)}
+	for _, other := range w.sortedZones() {
 		if other != asked {
 			probes = append(probes, w.suspect(now, other, CauseOther, "")...)
 		}
@@ -168,24 +165,23 @@
 	return changes, probes
 }
 
-// isElsewhereReached reports whether another zone is not lost.
-func (w *Watch) isElsewhereReached(but *zone) bool {
+// isOtherReachable reports whether any zone except the given one is reachable.
+func (w *Watch) isOtherReachable(except *zone) bool {
 	for _, other := range w.zones {
-		if other != but && !other.isLost && len(other.ids) > 0 {
+		if other != except && !other.isLost && len(other.ids) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Step looks at the time: it returns the runners to ask now. It is to be called a few times in
-// silentAfter.
+// Step returns the probes that are due. It should be called several times per silenceTimeout.
 func (w *Watch) Step(now time.Time) []Probe {
 	var probes []Probe
-	for _, each := range w.sorted() {
+	for _, each := range w.sortedZones() {
 		switch {
 		case each.isLost:
-			if probe, isDue := w.tryAgain(now, each); isDue {
+			if probe, isDue := w.retryProbe(now, each); isDue {
 				probes = append(probes, probe)
 			}
 		case each.isSilent(now):
@@ -195,20 +191,20 @@
 	return probes
 }
 
-// tryAgain picks a runner of a zone that is out of reach, if it is time to. The time between two
-// tries is spread, so that routers do not try together.
-func (w *Watch) tryAgain(now time.Time, lost *zone) (Probe, bool) {
+// retryProbe returns a probe of an unreachable zone if one is due. The interval is randomized, so that
+// routers do not probe at the same time.
+func (w *Watch) retryProbe(now time.Time, lost *zone) (Probe, bool) {
 	ids := lost.ids
 	if len(ids) == 0 {
 		ids = lost.leaving
 	}
-	if lost.trying != 0 || now.Before(lost.retryAt) || len(ids) == 0 {
+	if lost.retryNumber != 0 || now.Before(lost.retryAt) || len(ids) == 0 {
 		return Probe{}, false
 	}
-	if spread := time.Duration(w.random.Int64N(int64(firstRetry))); lost.confirmed == 0 && now.Before(lost.retryAt.Add(spread)) {
+	if spread := time.Duration(w.random.Int64N(int64(minRetryInterval))); lost.confirmed == 0 && now.Before(lost.retryAt.Add(spread)) {
 		return Probe{}, false
 	}
 	w.lastNumber++
-	lost.trying = w.lastNumber
+	lost.retryNumber = w.lastNumber
 	return Probe{lost.id, ids[w.random.IntN(len(ids))], w.lastNumber}, true
 }
--- a/request/zonewatch/watch.go
+++ b/request/zonewatch/watch.go
@@ -9,12 +9,12 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Watch knows which zones a router reaches. Make one with New.
+// Watch tracks which zones a router reaches. Use New to create one.
 type Watch struct {
 	random  *rand.Rand
 	zones   map[structs.ZoneID]*zone
 	runners map[structs.RunnerID]*runner
-	// lastNumber is that of the last suspicion or try.
+	// lastNumber is the number of the last suspicion or retry.
 	lastNumber uint64
 }
 
@@ -24,7 +24,7 @@
 	isLeaving bool
 }
 
-// New makes a Watch that knows no runner.
+// New returns a Watch without runners.
 func New(random *rand.Rand) *Watch {
 	return &Watch{
 		random:  random,
@@ -33,7 +33,7 @@
 	}
 }
 
-// Add adopts a runner, or what is new of it.
+// Add adds a runner or updates its zone and state.
 func (w *Watch) Add(info structs.RunnerInfo) {
 	known := w.runners[info.ID]
 	if known != nil && known.zone.id == info.Zone && known.isLeaving == info.Leaving {
@@ -49,26 +49,26 @@
 	}
 	added := &runner{zone: w.zone(info.Zone), heardAt: heardAt, isLeaving: info.Leaving}
 	w.runners[info.ID] = added
-	ids := added.list()
+	ids := added.idList()
 	at, _ := slices.BinarySearch(*ids, info.ID)
 	*ids = slices.Insert(*ids, at, info.ID)
 }
 
-// Remove forgets a runner.
+// Remove removes a runner.
 func (w *Watch) Remove(id structs.RunnerID) {
 	known := w.runners[id]
 	if known == nil {
 		return
 	}
 	delete(w.runners, id)
-	ids := known.list()
+	ids := known.idList()
 	if at, isListed := slices.BinarySearch(*ids, id); isListed {
 		*ids = slices.Delete(*ids, at, at+1)
 	}
 }
 
-// list is where the runner is listed in its zone.
-func (r *runner) list() *[]structs.RunnerID {
+// idList returns the list of its zone that contains the runner.
+func (r *runner) idList() *[]structs.RunnerID {
 	if r.isLeaving {
 		return &r.zone.leaving
 	}
@@ -78,13 +78,13 @@
 func (w *Watch) zone(id structs.ZoneID) *zone {
 	known := w.zones[id]
 	if known == nil {
-		known = &zone{id: id, confirms: leastConfirms}
+		known = &zone{id: id, confirms: minConfirms}
 		w.zones[id] = known
 	}
 	return known
 }
 
-// ZoneOf names the zone of a runner; empty if it is not known.
+// ZoneOf returns the zone of a runner; empty if unknown.
 func (w *Watch) ZoneOf(id structs.RunnerID) structs.ZoneID {
 	if known := w.runners[id]; known != nil {
 		return known.zone.id
@@ -92,26 +92,26 @@
 	return ""
 }
 
-// Sent notes that a request went to a runner of the zone, as ZoneOf named it.
+// Sent records that a request was sent to a runner of the zone, as returned by ZoneOf.
 func (w *Watch) Sent(now time.Time, id structs.ZoneID) {
 	known := w.zones[id]
 	if known == nil {
 		return
 	}
 	if known.open == 0 {
-		known.quietSince = now
+		known.silentSince = now
 	}
 	known.open++
 }
 
-// Ended notes that a request that was Sent is over, however it ended.
+// Ended records that a request passed to Sent has ended, with any outcome.
 func (w *Watch) Ended(id structs.ZoneID) {
 	if known := w.zones[id]; known != nil && known.open > 0 {
 		known.open--
 	}
 }
 
-// Heard notes that a runner sent something for a request.
+// Heard records that a runner sent data for a request.
 func (w *Watch) Heard(now time.Time, id structs.RunnerID) {
 	known := w.runners[id]
 	if known == nil {
@@ -120,17 +120,18 @@
 	known.heardAt = now
 	heard := known.zone
 	heard.heardAt = now
-	if heard.refuted > 0 && now.Sub(heard.quietSince) < heard.patience()/2 {
-		heard.refuted--
+	if heard.refutations > 0 && now.Sub(heard.silentSince) < heard.silenceLimit()/2 {
+		heard.refutations--
 	}
-	heard.quietSince = now
-	heard.round = nil
+	heard.silentSince = now
+	heard.suspicion = nil
 }
 
-// Sample picks a runner of each zone in reach for which it is wanted, to learn how long a connect takes.
+// Sample returns a probe of one runner in each reachable zone for which isWanted returns true, to measure the
+// connect time.
 func (w *Watch) Sample(isWanted func(structs.ZoneID) bool) []Probe {
 	var probes []Probe
-	for _, each := range w.sorted() {
+	for _, each := range w.sortedZones() {
 		if !each.isLost && len(each.ids) > 0 && isWanted(each.id) {
 			probes = append(probes, Probe{Zone: each.id, Runner: each.ids[w.random.IntN(len(each.ids))]})
 		}
@@ -138,27 +139,26 @@
 	return probes
 }
 
-// IsLost reports whether a zone is out of reach.
+// IsLost reports whether a zone is unreachable.
 func (w *Watch) IsLost(id structs.ZoneID) bool {
 	known := w.zones[id]
 	return known != nil && known.isLost
 }
 
-// IsQuiet reports whether nothing is expected of any zone: no request is under way, and none is out of reach or
-// asked.
+// IsQuiet reports whether no request is open and no zone is unreachable or suspected.
 func (w *Watch) IsQuiet() bool {
 	for _, each := range w.zones {
-		if each.open > 0 || each.isLost || each.round != nil {
+		if each.open > 0 || each.isLost || each.suspicion != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// Len counts the zones.
+// Len returns the number of zones.
 func (w *Watch) Len() int { return len(w.zones) }
 
-// Lost counts the zones that are out of reach.
+// Lost returns the number of unreachable zones.
 func (w *Watch) Lost() int {
 	count := 0
 	for _, each := range w.zones {
@@ -169,7 +169,7 @@
 	return count
 }
 
-// RunnersOf lists the runners of a zone. The slice is shared and must not be changed.
+// RunnersOf returns the runners of a zone. The slice is shared and must not be modified.
 func (w *Watch) RunnersOf(id structs.ZoneID) []structs.RunnerID {
 	if known := w.zones[id]; known != nil {
 		return known.ids
@@ -177,7 +177,7 @@
 	return nil
 }
 
-func (w *Watch) sorted() []*zone {
+func (w *Watch) sortedZones() []*zone {
 	listed := make([]*zone, 0, len(w.zones))
 	for _, each := range w.zones {
 		listed = append(listed, each)
--- a/request/zonewatch/watch_test.go
+++ b/request/zonewatch/watch_test.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// step separates two looks of the watch, as at a router.
-	step = 50 * time.Millisecond
-	// connectTime is how long a connect is given.
+	// stepInterval separates two calls of Step.
+	stepInterval = 50 * time.Millisecond
+	// connectTime is the timeout of a connect.
 	connectTime = 80 * time.Millisecond
-	// requestPause separates two requests of the router to one zone: at 7 requests a second and
-	// router, of which a quarter goes to each zone.
-	requestPause = 500 * time.Millisecond
-	// noticed is how soon a router must have left a lost zone: callers that want their first word in
-	// 0.4 s get it from another zone within the time that they give.
-	noticed = 450 * time.Millisecond
-	// returned is how soon a zone that is back must be used again.
-	returned = 1500 * time.Millisecond
+	// requestInterval separates two requests of the router to one zone: 7 requests per second and
+	// router, a quarter of them to each zone.
+	requestInterval = 500 * time.Millisecond
+	// maxDetectionTime is how soon a lost zone must be detected, so that another zone can still send the
+	// first event within about 0.4 s.
+	maxDetectionTime = 450 * time.Millisecond
+	// maxRecoveryTime is how soon a zone must be used again after its recovery.
+	maxRecoveryTime = 1500 * time.Millisecond
 )
 
-// site is a site of four zones as one router sees it, in steps of a millisecond.
+// site simulates a site of four zones as seen by one router, in steps of one millisecond.
 type site struct {
 	c      *qt.C
 	now    time.Time
 	random *rand.Rand
 	watch  *zonewatch.Watch
 	zones  map[structs.ZoneID][]structs.RunnerID
-	// cut zones drop packets, or refuse connections if refuses is set.
+	// Zones in cut drop packets, or refuse connections if refuses is set.
 	cut     map[structs.ZoneID]bool
 	refuses bool
 	dead    map[structs.RunnerID]bool
-	// answerTime is how long an answer takes, loss which part of connects is lost.
+	// answerTime is the duration of an answer, loss the share of failed connects.
 	answerTime time.Duration
 	loss       float64
-	later      []event
-	// isOff zones get no requests.
-	isOff   map[structs.ZoneID]bool
-	changes []changed
+	scheduled  []event
+	// Zones in isIdle get no requests.
+	isIdle  map[structs.ZoneID]bool
+	changes []timedChange
 	probes  int
 }
 
 type event struct {
-	at time.Time
-	do func()
+	at     time.Time
+	action func()
 }
 
-type changed struct {
+type timedChange struct {
 	at time.Time
 	zonewatch.Change
 }
@@ -63,13 +63,13 @@
 	s := &site{
 		c: qt.New(t), now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(3, 4)), watch: zonewatch.New(rand.New(rand.NewPCG(1, 2))),
 		zones: make(map[structs.ZoneID][]structs.RunnerID), cut: make(map[structs.ZoneID]bool), dead: make(map[structs.RunnerID]bool),
-		isOff: make(map[structs.ZoneID]bool), answerTime: 60 * time.Millisecond,
+		isIdle: make(map[structs.ZoneID]bool), answerTime: 60 * time.Millisecond,
 	}
 	s.setRunners(16)
 	return s
 }
 
-// setRunners gives each zone as many runners.
+// setRunners replaces the runners by the given number per zone.
 func (s *site) setRunners(each int) {
 	for _, ids := range s.zones {
 		for _, id := range ids {
@@ -87,20 +87,20 @@
 }
 
 func (s *site) after(delay time.Duration, do func()) {
-	s.later = append(s.later, event{s.now.Add(delay), do})
+	s.scheduled = append(s.scheduled, event{s.now.Add(delay), do})
 }
 
-// isReached reports whether a runner answers now.
-func (s *site) isReached(zone structs.ZoneID, id structs.RunnerID) bool {
+// isReachable reports whether a runner answers now.
+func (s *site) isReachable(zone structs.ZoneID, id structs.RunnerID) bool {
 	return !s.cut[zone] && !s.dead[id]
 }
 
-// ask makes the connects that the watch wants.
-func (s *site) ask(probes []zonewatch.Probe) {
+// probe makes the given connects.
+func (s *site) probe(probes []zonewatch.Probe) {
 	for _, each := range probes {
 		s.probes++
 		outcome, delay := zonewatch.OutcomeAnswered, 2*time.Millisecond
-		if !s.isReached(each.Zone, each.Runner) || s.random.Float64() < s.loss {
+		if !s.isReachable(each.Zone, each.Runner) || s.random.Float64() < s.loss {
 			outcome, delay = zonewatch.OutcomeFailed, connectTime
 			if s.refuses || s.dead[each.Runner] {
 				outcome, delay = zonewatch.OutcomeRefused, 2*time.Millisecond
@@ -109,73 +109,73 @@
 		s.after(delay, func() {
 			changes, more := s.watch.Probed(s.now, each, outcome)
 			for _, change := range changes {
-				s.changes = append(s.changes, changed{s.now, change})
+				s.changes = append(s.changes, timedChange{s.now, change})
 			}
-			s.ask(more)
+			s.probe(more)
 		})
 	}
 }
 
-// request sends a request to a runner of the zone. Every fourth needs a new connection.
+// request sends a request to a runner of the zone. Every fourth request needs a new connection.
 func (s *site) request(zone structs.ZoneID) {
-	if s.watch.IsLost(zone) || s.isOff[zone] {
+	if s.watch.IsLost(zone) || s.isIdle[zone] {
 		return
 	}
 	id := s.zones[zone][s.random.IntN(len(s.zones[zone]))]
 	isNew := s.random.IntN(4) == 0
 	s.watch.Sent(s.now, zone)
-	if isNew && (!s.isReached(zone, id) || s.random.Float64() < s.loss) {
+	if isNew && (!s.isReachable(zone, id) || s.random.Float64() < s.loss) {
 		delay := connectTime
 		if s.refuses {
 			delay = 2 * time.Millisecond
 		}
 		s.after(delay, func() {
 			s.watch.Ended(zone)
-			s.ask(s.watch.ConnectFailed(s.now, id))
+			s.probe(s.watch.ConnectFailed(s.now, id))
 		})
 		return
 	}
 	s.after(s.answerTime, func() {
-		if s.isReached(zone, id) {
+		if s.isReachable(zone, id) {
 			s.watch.Heard(s.now, id)
 			s.watch.Ended(zone)
 			return
 		}
 		if s.refuses {
 			s.watch.Ended(zone)
-			s.ask(s.watch.ConnectFailed(s.now, id))
+			s.probe(s.watch.ConnectFailed(s.now, id))
 			return
 		}
 		s.after(1500*time.Millisecond, func() { s.watch.Ended(zone) })
 	})
 }
 
-// run lets time pass, with requests to all zones.
+// run advances time, with requests to all zones.
 func (s *site) run(length time.Duration) {
 	for passed := time.Duration(0); passed < length; passed += time.Millisecond {
 		s.now = s.now.Add(time.Millisecond)
-		due := s.later
-		s.later = nil
+		due := s.scheduled
+		s.scheduled = nil
 		for _, each := range due {
 			if each.at.After(s.now) {
-				s.later = append(s.later, each)
+				s.scheduled = append(s.scheduled, each)
 			} else {
-				each.do()
+				each.action()
 			}
 		}
 		for offset, zone := range []structs.ZoneID{"a", "b", "c", "d"} {
-			shift := time.Duration(offset) * requestPause / 4
-			if (s.now.Sub(time.Unix(1000, 0))+shift)%requestPause == 0 {
+			shift := time.Duration(offset) * requestInterval / 4
+			if (s.now.Sub(time.Unix(1000, 0))+shift)%requestInterval == 0 {
 				s.request(zone)
 			}
 		}
-		if s.now.Sub(time.Unix(1000, 0))%step == 0 {
-			s.ask(s.watch.Step(s.now))
+		if s.now.Sub(time.Unix(1000, 0))%stepInterval == 0 {
+			s.probe(s.watch.Step(s.now))
 		}
 	}
 }
 
-// lostAfter is how long after a time the zone got out of reach.
+// lostAfter returns the time from the given one to the loss of the zone.
 func (s *site) lostAfter(from time.Time, zone structs.ZoneID) time.Duration {
 	s.c.Helper()
 	for _, each := range s.changes {
@@ -183,13 +183,12 @@
 			return each.at.Sub(from)
 		}
 	}
-	s.c.Fatalf("zone %s never got out of reach", zone)
+	s.c.Fatalf("zone %s never became unreachable", zone)
 	return 0
 }
 
-// A zone is cut off in full flow. From outside it is left within the time in which a caller still gets
-// its first word in time, whether packets are dropped or connections refused.
-func TestLostZoneIsLeft(t *testing.T) {
+// The loss of a zone under load is detected in time, whether packets are dropped or connections refused.
+func TestLostZoneIsDetected(t *testing.T) {
 	for _, refuses := range []bool{false, true} {
 		t.Run(fmt.Sprint("refused ", refuses), func(t *testing.T) {
 			s := newSite(t)
@@ -199,16 +198,15 @@
 			s.cut["d"], s.refuses = true, refuses
 			s.run(2 * time.Second)
 			took := s.lostAfter(from, "d")
-			// The first request after the cut may come as late as a pause after it.
-			s.c.Assert(took <= requestPause+noticed, qt.IsTrue, qt.Commentf("%s", took))
+			// The first request after the cut may come up to requestInterval later.
+			s.c.Assert(took <= requestInterval+maxDetectionTime, qt.IsTrue, qt.Commentf("%s", took))
 			s.c.Assert(s.watch.Lost(), qt.Equals, 1)
 		})
 	}
 }
 
-// Within a zone that is cut off, the router goes on with its own runners: the other zones are left
-// together, as soon as one was found to be out of reach.
-func TestRouterOfTheLostZoneStaysInside(t *testing.T) {
+// A router in a zone that is cut off keeps using its own zone and detects the loss of the others together.
+func TestIsolatedZoneKeepsOwnRunners(t *testing.T) {
 	s := newSite(t)
 	s.run(3 * time.Second)
 	from := s.now
@@ -218,43 +216,43 @@
 	s.run(2 * time.Second)
 	for _, far := range []structs.ZoneID{"b", "c", "d"} {
 		took := s.lostAfter(from, far)
-		// One of three zones has a request within a third of the pause or so.
-		s.c.Assert(took <= requestPause/2+noticed+connectTime, qt.IsTrue, qt.Commentf("%s: %s", far, took))
+		// One of the three zones gets a request within about a third of requestInterval.
+		s.c.Assert(took <= requestInterval/2+maxDetectionTime+connectTime, qt.IsTrue, qt.Commentf("%s: %s", far, took))
 	}
 	s.c.Assert(s.watch.IsLost("a"), qt.IsFalse)
 }
 
-// Whoever serves most is no exception: only the own zone has quick runners, and it is the one to go.
-func TestLossOfTheOwnZoneIsNoticed(t *testing.T) {
+// The loss of the router's own zone is detected, even if it serves most requests.
+func TestLossOfOwnZoneIsDetected(t *testing.T) {
 	s := newSite(t)
-	s.isOff["b"], s.isOff["c"] = true, true
+	s.isIdle["b"], s.isIdle["c"] = true, true
 	s.run(3 * time.Second)
 	from := s.now
 	s.cut["a"] = true
 	s.run(2 * time.Second)
-	s.c.Assert(s.lostAfter(from, "a") <= requestPause+noticed, qt.IsTrue)
+	s.c.Assert(s.lostAfter(from, "a") <= requestInterval+maxDetectionTime, qt.IsTrue)
 	s.c.Assert(s.watch.Lost(), qt.Equals, 1)
 }
 
-// What is no lost zone is not taken for one.
-func TestZoneInReachIsKept(t *testing.T) {
+// Reachable zones are not taken for lost, and suspicions cost few connects.
+func TestReachableZoneIsKept(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		prepare func(s *site)
-		// most is how many connects a second the suspicions may cost.
+		// most bounds the connects per second.
 		most float64
 	}{
-		{"calm", func(*site) {}, 0},
+		{"no failures", func(*site) {}, 0},
 		{"one dead runner", func(s *site) { s.dead["b3"] = true }, 4},
-		{"a quarter of all runners crashed", func(s *site) {
+		{"a quarter of the runners crashed", func(s *site) {
 			for _, ids := range s.zones {
 				for _, id := range ids[:4] {
 					s.dead[id] = true
 				}
 			}
 		}, 12},
-		{"a link that loses 2.5% of the packets each way", func(s *site) { s.loss = 0.05 }, 4},
-		{"runners that take 0.9 s for an answer", func(s *site) { s.answerTime = 900 * time.Millisecond }, 20},
+		{"packet loss of 2.5% each way", func(s *site) { s.loss = 0.05 }, 4},
+		{"answers that take 0.9 s", func(s *site) { s.answerTime = 900 * time.Millisecond }, 20},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newSite(t)
@@ -267,20 +265,19 @@
 	}
 }
 
-// A router inside the lost zone has no request elsewhere: the leader's silence tells, at a connect for each
-// zone that was not heard of anyway.
-func TestSilentLeaderTellsOfTheCut(t *testing.T) {
+// A silent leader makes a router without requests elsewhere probe every zone that it has not just heard from.
+func TestSilentLeaderTriggersProbes(t *testing.T) {
 	for _, isCut := range []bool{false, true} {
 		t.Run(fmt.Sprint("cut ", isCut), func(t *testing.T) {
 			s := newSite(t)
 			for _, far := range []structs.ZoneID{"b", "c", "d"} {
-				s.isOff[far], s.cut[far] = true, isCut
+				s.isIdle[far], s.cut[far] = true, isCut
 			}
 			s.run(3 * time.Second)
 			s.c.Assert(s.probes, qt.Equals, 0)
-			// The own zone has just been heard of.
+			// The own zone was heard from just now.
 			s.watch.Heard(s.now, "a0")
-			s.ask(s.watch.LeaderSilent(s.now))
+			s.probe(s.watch.LeaderSilent(s.now))
 			s.c.Assert(s.probes, qt.Equals, 3)
 			s.run(3 * connectTime)
 			s.c.Assert(s.watch.Lost(), qt.Equals, map[bool]int{false: 0, true: 3}[isCut])
@@ -288,8 +285,8 @@
 	}
 }
 
-// A zone that is back is used again within a second or so, without a request having to find out.
-func TestReturnedZoneIsUsedAgain(t *testing.T) {
+// A recovered zone is used again within maxRecoveryTime, without a request being spent on it.
+func TestRecoveredZoneIsUsed(t *testing.T) {
 	s := newSite(t)
 	s.run(2 * time.Second)
 	s.cut["d"] = true
@@ -297,14 +294,13 @@
 	s.c.Assert(s.watch.IsLost("d"), qt.IsTrue)
 	before := s.probes
 	s.cut["d"] = false
-	s.run(returned)
+	s.run(maxRecoveryTime)
 	s.c.Assert(s.watch.IsLost("d"), qt.IsFalse)
 	s.c.Assert(s.probes-before <= 6, qt.IsTrue)
 }
 
-// A zone that comes and goes every second is left alone for longer each time, so that requests are not
-// sent there and lost again and again; once it stays it is used again.
-func TestFlappingZoneIsLeftAlone(t *testing.T) {
+// A zone that fails every second is avoided for longer each time, and used again once it stays up.
+func TestFlappingZoneIsBackedOff(t *testing.T) {
 	s := newSite(t)
 	s.run(2 * time.Second)
 	for range 10 {
@@ -320,13 +316,12 @@
 		}
 	}
 	s.c.Assert(losses <= 6, qt.IsTrue, qt.Commentf("%d losses of 10", losses))
-	s.run(returned)
+	s.run(maxRecoveryTime)
 	s.c.Assert(s.watch.IsLost("d"), qt.IsFalse)
 }
 
-// A router that reaches nobody goes on with what it has: it cannot be certain of the last zone, and the
-// others are used again as soon as they answer.
-func TestRouterCutOffAlone(t *testing.T) {
+// A router that reaches no zone keeps at least one, and uses the others again as soon as they answer.
+func TestIsolatedRouterKeepsAZone(t *testing.T) {
 	s := newSite(t)
 	s.run(2 * time.Second)
 	for zone := range s.zones {
@@ -335,12 +330,12 @@
 	s.run(4 * time.Second)
 	s.c.Assert(s.watch.Lost() <= 3, qt.IsTrue)
 	clear(s.cut)
-	s.run(returned)
+	s.run(maxRecoveryTime)
 	s.c.Assert(s.watch.Lost(), qt.Equals, 0)
 }
 
-// A process that was held up, and whose connects all ended too late for that, learned nothing.
-func TestLateRouterAccusesNobody(t *testing.T) {
+// Probes that ended too late because the router was delayed prove nothing.
+func TestUnknownOutcomeEndsSuspicion(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	now := s.now
@@ -353,8 +348,8 @@
 	c.Assert(s.watch.IsLost("b"), qt.IsFalse)
 }
 
-// One runner alone cannot be told from its zone.
-func TestZoneOfOneRunnerIsNotJudged(t *testing.T) {
+// The loss of a zone cannot be told from a dead runner if it has only one.
+func TestSingleRunnerZoneIsNotSuspected(t *testing.T) {
 	s := newSite(t)
 	s.setRunners(1)
 	s.cut["d"] = true
@@ -362,8 +357,8 @@
 	s.c.Assert(s.changes, qt.HasLen, 0)
 }
 
-// A connect that was to measure the way, begun before its zone got out of reach, says nothing of a return.
-func TestMeasuringConnectIsNoTryOfALostZone(t *testing.T) {
+// A connect from Sample does not count as a successful retry of a lost zone.
+func TestSampleDoesNotRecoverLostZone(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	sampled := s.watch.Sample(func(zone structs.ZoneID) bool { return zone == "d" })
@@ -378,9 +373,8 @@
 	}
 }
 
-// A try of a lost zone that ended late because the router was held up has found nothing: it takes nothing
-// from those that were answered before.
-func TestLateRouterLearnsNothingOfALostZone(t *testing.T) {
+// A retry with an unknown outcome does not reset the earlier confirmations.
+func TestUnknownOutcomeKeepsConfirmations(t *testing.T) {
 	c := qt.New(t)
 	s := newSite(t)
 	for _, each := range s.watch.ConnectFailed(s.now, "d0") {
--- a/request/zonewatch/zone.go
+++ b/request/zonewatch/zone.go
@@ -7,135 +7,134 @@
 )
 
 const (
-	// firstRetry is the time between two tries of a zone that is out of reach, at first, and
-	// lastRetry the longest, to which it doubles: a zone that is back is used within a second.
-	firstRetry = 150 * time.Millisecond
-	lastRetry  = 500 * time.Millisecond
-	// confirmPause separates the answered connects that a zone needs to be used again, and
-	// leastConfirms is their number at first.
-	confirmPause  = 60 * time.Millisecond
-	leastConfirms = 2
-	// maxConfirms bounds that number, which doubles with each loss within calmTime after a
-	// return: a zone that comes and goes is left alone for half a second more at most.
+	// minRetryInterval is the initial time between two probes of an unreachable zone. It doubles up to
+	// maxRetryInterval.
+	minRetryInterval = 150 * time.Millisecond
+	maxRetryInterval = 500 * time.Millisecond
+	// confirmInterval separates the successful connects that a zone needs to become reachable, and
+	// minConfirms is their initial number.
+	confirmInterval = 60 * time.Millisecond
+	minConfirms     = 2
+	// maxConfirms bounds that number, which doubles with each loss within flapWindow after a recovery.
 	maxConfirms = 8
-	calmTime    = 10 * time.Second
+	flapWindow  = 10 * time.Second
 )
 
-// zone is what is known of one zone.
+// zone is the state of one zone.
 type zone struct {
 	id structs.ZoneID
-	// ids lists its runners that are not leaving, sorted, and leaving the others: a leader calls all
-	// of a lost zone leaving.
+	// ids and leaving list the runners that are not leaving and those that are, sorted. A leader marks
+	// all runners of a lost zone as leaving.
 	ids     []structs.RunnerID
 	leaving []structs.RunnerID
-	// open counts requests under way; quietSince is since when nothing was heard though there
-	// was one.
-	open       int
-	quietSince time.Time
-	// heardAt is when a request there last got something.
+	// open counts the open requests; silentSince is since when nothing was received although there was
+	// one.
+	open        int
+	silentSince time.Time
+	// heardAt is when a request of the zone last received data.
 	heardAt time.Time
-	// refuted counts suspicions that proved wrong, less those for which it was quick again.
-	refuted   int
-	refutedAt time.Time
-	// round is the suspicion being settled; nil for none.
-	round *round
-	// isLost is set while the zone is out of reach; the fields below count only then.
-	isLost     bool
-	returnedAt time.Time
-	retry      time.Duration
-	retryAt    time.Time
-	// trying is the number of the try under way; 0 for none.
-	trying    uint64
-	confirmed int
-	// confirms is how many answered connects in a row the zone needs to be used again.
+	// refutations counts refuted suspicions; quick responses decrement it.
+	refutations int
+	refutedAt   time.Time
+	// suspicion is the active one; nil for none.
+	suspicion *suspicion
+	// isLost is set while the zone is unreachable. The retry fields below are used only then.
+	isLost        bool
+	returnedAt    time.Time
+	retryInterval time.Duration
+	retryAt       time.Time
+	// retryNumber is the number of the retry in flight; 0 for none.
+	retryNumber uint64
+	confirmed   int
+	// confirms is the number of consecutive successful connects needed to become reachable.
 	confirms int
 }
 
-// round is one suspicion being settled.
-type round struct {
+// suspicion is a suspected zone loss that is being checked.
+type suspicion struct {
 	number uint64
 	cause  Cause
 	began  time.Time
-	// open counts those asked that have not said anything yet, and waiting are those to be asked
-	// once they have all failed.
-	open    int
-	waiting []structs.RunnerID
-	asked   int
-	// needed is how many must have failed.
+	// pending counts the probes without an outcome, and remaining lists the runners to probe once
+	// all of them have failed.
+	pending   int
+	remaining []structs.RunnerID
+	asked     int
+	// needed is the number of probes that must fail.
 	needed int
 }
 
-// ask asks the next runners of the round, as many of them as there are.
+// ask returns probes of the next remaining runners, at most count.
 func (z *zone) ask(count int) []Probe {
-	count = min(count, len(z.round.waiting))
+	count = min(count, len(z.suspicion.remaining))
 	probes := make([]Probe, 0, count)
-	for _, id := range z.round.waiting[:count] {
-		probes = append(probes, Probe{z.id, id, z.round.number})
+	for _, id := range z.suspicion.remaining[:count] {
+		probes = append(probes, Probe{z.id, id, z.suspicion.number})
 	}
-	z.round.waiting = z.round.waiting[count:]
-	z.round.open = count
-	z.round.asked += count
+	z.suspicion.remaining = z.suspicion.remaining[count:]
+	z.suspicion.pending = count
+	z.suspicion.asked += count
 	return probes
 }
 
 // refute ends a suspicion that was wrong.
 func (z *zone) refute(now time.Time) {
-	z.round = nil
-	z.refuted = min(maxRefuted, z.refuted+1)
+	z.suspicion = nil
+	z.refutations = min(maxRefutations, z.refutations+1)
 	z.refutedAt = now
 }
 
-// lose takes the zone as out of reach.
-func (z *zone) lose(now time.Time) Change {
+// markLost marks the zone as unreachable.
+func (z *zone) markLost(now time.Time) Change {
 	change := Change{
-		Zone: z.id, IsLost: true, Cause: z.round.cause, After: now.Sub(z.round.began),
-		Runners: z.round.asked, Open: z.open,
+		Zone: z.id, IsLost: true, Cause: z.suspicion.cause, After: now.Sub(z.suspicion.began),
+		Runners: z.suspicion.asked, Open: z.open,
 	}
-	z.round = nil
+	z.suspicion = nil
 	z.isLost = true
-	z.retry, z.retryAt = firstRetry, now.Add(firstRetry)
-	z.trying, z.confirmed = 0, 0
-	if !z.returnedAt.IsZero() && now.Sub(z.returnedAt) < calmTime {
+	z.retryInterval, z.retryAt = minRetryInterval, now.Add(minRetryInterval)
+	z.retryNumber, z.confirmed = 0, 0
+	if !z.returnedAt.IsZero() && now.Sub(z.returnedAt) < flapWindow {
 		z.confirms = min(maxConfirms, 2*z.confirms)
 	} else {
-		z.confirms = leastConfirms
+		z.confirms = minConfirms
 	}
 	return change
 }
 
-// retried takes the outcome of a try of a zone that is out of reach.
+// retried records the outcome of a retry of an unreachable zone.
 func (z *zone) retried(now time.Time, probe Probe, outcome Outcome) []Change {
-	if z.trying == 0 || z.trying != probe.number {
+	if z.retryNumber == 0 || z.retryNumber != probe.number {
 		return nil
 	}
-	z.trying = 0
+	z.retryNumber = 0
 	switch outcome {
 	case OutcomeAnswered:
 	case OutcomeUnknown:
-		z.retryAt = now.Add(z.retry)
+		z.retryAt = now.Add(z.retryInterval)
 		return nil
 	default:
 		z.confirmed = 0
-		z.retry = min(lastRetry, 2*z.retry)
-		z.retryAt = now.Add(z.retry)
+		z.retryInterval = min(maxRetryInterval, 2*z.retryInterval)
+		z.retryAt = now.Add(z.retryInterval)
 		return nil
 	}
 	z.confirmed++
 	if z.confirmed < z.confirms {
-		z.retryAt = now.Add(confirmPause)
+		z.retryAt = now.Add(confirmInterval)
 		return nil
 	}
 	z.isLost = false
-	z.returnedAt, z.quietSince = now, now
-	z.refuted = 0
+	z.returnedAt, z.silentSince = now, now
+	z.refutations = 0
 	return []Change{{Zone: z.id, Runners: z.confirmed, Open: z.open}}
 }
 
-// isSilent reports whether requests are under way and nothing has been heard for too long.
+// isSilent reports whether requests are open and nothing was received for too long.
 func (z *zone) isSilent(now time.Time) bool {
-	patience := z.patience()
-	return z.open > 0 && now.Sub(z.quietSince) >= patience && now.Sub(z.refutedAt) >= patience
+	limit := z.silenceLimit()
+	return z.open > 0 && now.Sub(z.silentSince) >= limit && now.Sub(z.refutedAt) >= limit
 }
 
-// patience is how long nothing may be heard from the zone.
-func (z *zone) patience() time.Duration { return silentAfter << z.refuted }
+// silenceLimit returns how long the zone may be silent.
+func (z *zone) silenceLimit() time.Duration { return silenceTimeout << z.refutations }
