--- a/request/routing/balancer_test.go
+++ b/request/routing/balancer_test.go
@@ -127,7 +127,7 @@
 	qt.Assert(t, len(used) > 95, qt.IsTrue, qt.Commentf("%d runners used", len(used)))
 }
 
-// Applies the same random changes to one balancer as full and to another as partial placements.
+// Full and partial placements with the same random changes result in the same subsets.
 func TestPartialPlacementsMatchFullPlacement(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	whole := New(Options{SubsetSize: 3}, rand.New(rand.NewPCG(1, 1)))
@@ -312,6 +312,7 @@
 	qt.Assert(t, counts, qt.DeepEquals, map[structs.RunnerID]int{"runner-0": 20, "runner-1": 10})
 }
 
+// Replicas that refuse requests are picked if no other is usable and the option is set; unresponsive runners never are.
 func TestUseFailingWhenEveryReplicaFails(t *testing.T) {
 	for _, test := range []struct {
 		about   string
--- a/request/routing/breaker.go
+++ b/request/routing/breaker.go
@@ -5,7 +5,7 @@
 // Outcome is the result of an attempt as far as it affects later choices.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
 	// OutcomeSuccess means that the answer is complete.
 	OutcomeSuccess Outcome = iota
--- a/request/routing/expected.go
+++ b/request/routing/expected.go
@@ -98,7 +98,7 @@
 // expected returns the cost of the request at the replica, in seconds: its expected
 // time plus the delay that its prompt causes to the requests already there.
 //
-//	serviceTime = (pending tokens + prompt tokens) / rate + events × event time, over the share of time left by prompts of others
+//	serviceTime = ((pending + prompt tokens) / rate + events × event time) / (1 - prefill share of others)
 //	wait        = serviceTime × waitFactor × share of the batch in use
 //	delay       = requests in flight × prompt tokens / rate
 func (b *Balancer) expected(now time.Time, candidate *replica, peers *peerLoad, tokens int64) float64 {
--- a/request/zonewatch/suspicion.go
+++ b/request/zonewatch/suspicion.go
@@ -50,7 +50,7 @@
 // Outcome is the result of a Probe.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a Probe.
 const (
 	// OutcomeAnswered means that the runner accepted the connection.
 	OutcomeAnswered Outcome = iota + 1
