--- a/request/admission/estimator.go
+++ b/request/admission/estimator.go
@@ -38,8 +38,8 @@
 	arrivals [structs.PriorityCount]interval
 }
 
-// Situation is what the estimate depends on besides the history.
-type Situation struct {
+// QueueState is what the estimate depends on besides the history.
+type QueueState struct {
 	// Slots is how many requests of the row can run at once; Free of them are free.
 	Slots int
 	Free  int
@@ -50,9 +50,9 @@
 	Priority structs.Priority
 	// MaxTokens is the request's bound, 0 if unknown.
 	MaxTokens int
-	// Rush is how long requests have had to wait (see Rush); later arrivals of higher
+	// BusyFor is how long requests have had to wait (see BusyFor); later arrivals of higher
 	// priority are expected for rushOutlook times as long.
-	Rush time.Duration
+	BusyFor time.Duration
 	// ColdFor is how long a load has been awaited; it counts when Slots is 0.
 	ColdFor time.Duration
 }
@@ -94,7 +94,7 @@
 // Finish estimates how long it takes until a request would be answered. What a
 // request needs once it started counts only for one that must wait, and only if
 // it was observed: a request that can start at once is worth trying.
-func (e *Estimator) Finish(situation Situation) time.Duration {
+func (e *Estimator) Finish(situation QueueState) time.Duration {
 	start := e.Start(situation)
 	if start <= 0 || e.service.count == 0 {
 		return start
@@ -143,7 +143,7 @@
 // has no replica, the load comes first and the queue is then taken to be served
 // one by one. A load that takes longer than expected is expected to need a
 // quarter of the usual time more.
-func (e *Estimator) Start(situation Situation) time.Duration {
+func (e *Estimator) Start(situation QueueState) time.Duration {
 	if situation.Slots > 0 {
 		return e.wait(situation, situation.Slots, situation.Free)
 	}
@@ -152,7 +152,7 @@
 	return remaining + e.wait(situation, 1, 1)
 }
 
-func (e *Estimator) wait(situation Situation, slots, free int) time.Duration {
+func (e *Estimator) wait(situation QueueState, slots, free int) time.Duration {
 	queued := situation.Ahead + 1 - free
 	if queued <= 0 {
 		return 0
@@ -179,22 +179,22 @@
 
 // turnsTake returns in how many seconds so many of the waiting requests start. As long
 // as the rush is expected to go on, later arrivals of higher priority start first.
-func (e *Estimator) turnsTake(turns float64, situation Situation) float64 {
+func (e *Estimator) turnsTake(turns float64, situation QueueState) float64 {
 	rate := 1 / max(e.starts.gap.value, shortestGap)
 	left := rate
 	for priority := clampPriority(situation.Priority) + 1; priority < structs.PriorityCount; priority++ {
 		left -= e.arrivals[priority].rate(situation.Now)
 	}
 	left = max(left, rate/leastShareDivisor)
-	rush := rushOutlook * situation.Rush.Seconds()
+	rush := busyOutlookFactor * situation.BusyFor.Seconds()
 	if turns <= left*rush {
 		return turns / left
 	}
 	return rush + (turns-left*rush)/rate
 }
 
-// rushOutlook is how many times as long as it has lasted a rush is expected to go on.
-const rushOutlook = 2
+// busyOutlookFactor is how many times as long as it has lasted a rush is expected to go on.
+const busyOutlookFactor = 2
 
 // leastShareDivisor bounds what later arrivals of higher priority leave: a class that
 // was passed over DefaultGuardAfter times gets a turn.
--- a/request/admission/pace.go
+++ b/request/admission/pace.go
@@ -16,9 +16,9 @@
 // paceBackoffLimit bounds how far silences in a row raise the limit.
 const paceBackoffLimit = 8
 
-// Pace tracks how long something usually takes, so that a silence can be told
+// TimeoutEstimator tracks how long something usually takes, so that a silence can be told
 // from slowness.
-type Pace struct {
+type TimeoutEstimator struct {
 	mean      float64
 	deviation float64
 	// backoff multiplies the limit after silences in a row; 0 and 1 mean none.
@@ -27,7 +27,7 @@
 }
 
 // Observe records one duration.
-func (p *Pace) Observe(duration time.Duration) {
+func (p *TimeoutEstimator) Observe(duration time.Duration) {
 	sample := duration.Seconds()
 	p.backoff = 1
 	p.count++
@@ -41,16 +41,16 @@
 	p.deviation += paceDeviationWeight * (max(miss, -miss) - p.deviation)
 }
 
-// Silent records that a wait was given up: until something is observed again,
+// RecordTimeout records that a wait was given up: until something is observed again,
 // the limit is doubled, so that a row that became slow is not given up again and
 // again.
-func (p *Pace) Silent() {
+func (p *TimeoutEstimator) RecordTimeout() {
 	p.backoff = min(2*max(p.backoff, 1), paceBackoffLimit)
 }
 
-// Limit returns how long to wait before a silence is taken for a stall: between
+// Timeout returns how long to wait before a silence is taken for a stall: between
 // floor and ceiling, and the ceiling while nothing was observed.
-func (p *Pace) Limit(floor, ceiling time.Duration) time.Duration {
+func (p *TimeoutEstimator) Timeout(floor, ceiling time.Duration) time.Duration {
 	ceiling = max(floor, ceiling)
 	if p.count == 0 {
 		return ceiling
--- a/request/admission/pace_test.go
+++ b/request/admission/pace_test.go
@@ -25,25 +25,25 @@
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
-			var pace Pace
+			var pace TimeoutEstimator
 			for _, sample := range test.samples {
 				pace.Observe(sample)
 			}
 			for range test.silent {
-				pace.Silent()
+				pace.RecordTimeout()
 			}
-			limit := pace.Limit(floor, ceiling)
+			limit := pace.Timeout(floor, ceiling)
 			qt.Assert(t, limit >= test.least && limit <= test.most, qt.IsTrue, qt.Commentf("%v", limit))
 		})
 	}
 }
 
 func TestPaceForgetsSilencesOnceSomethingComes(t *testing.T) {
-	var pace Pace
+	var pace TimeoutEstimator
 	pace.Observe(time.Second)
-	before := pace.Limit(0, time.Hour)
-	pace.Silent()
-	qt.Assert(t, pace.Limit(0, time.Hour), qt.Equals, 2*before)
+	before := pace.Timeout(0, time.Hour)
+	pace.RecordTimeout()
+	qt.Assert(t, pace.Timeout(0, time.Hour), qt.Equals, 2*before)
 	pace.Observe(time.Second)
-	qt.Assert(t, pace.Limit(0, time.Hour) <= before, qt.IsTrue)
+	qt.Assert(t, pace.Timeout(0, time.Hour) <= before, qt.IsTrue)
 }
--- a/request/admission/queue_test.go
+++ b/request/admission/queue_test.go
@@ -213,7 +213,7 @@
 	}
 	estimator.ObserveTurn(now.Add(time.Millisecond), false)
 	estimator.ObserveTurn(now.Add(time.Hour), true)
-	live := Situation{Slots: 4, Ahead: 3, Now: now, Priority: structs.PriorityLive}
+	live := QueueState{Slots: 4, Ahead: 3, Now: now, Priority: structs.PriorityLive}
 	near := func(got, want time.Duration) {
 		qt.Check(t, got > want*9/10 && got < want*11/10, qt.IsTrue, qt.Commentf("%v, not %v", got, want))
 	}
@@ -222,9 +222,9 @@
 	batch := live
 	batch.Priority = structs.PriorityBatch
 	near(estimator.Start(batch), 2*time.Second)
-	batch.Rush = time.Hour
+	batch.BusyFor = time.Hour
 	near(estimator.Start(batch), leastShareDivisor*2*time.Second)
-	batch.Rush = 17 * time.Second / rushOutlook
+	batch.BusyFor = 17 * time.Second / busyOutlookFactor
 	near(estimator.Start(batch), 18*time.Second)
 	batch.Now = now.Add(time.Minute)
 	near(estimator.Start(batch), 2*time.Second)
@@ -243,17 +243,17 @@
 	tests := []struct {
 		about     string
 		estimator *Estimator
-		situation Situation
+		situation QueueState
 		want      time.Duration
 	}{
-		{"a slot is free", observed, Situation{Slots: 2, Free: 1}, 0},
-		{"no slot is free", observed, Situation{Slots: 2}, 2 * time.Second},
-		{"others go first", observed, Situation{Slots: 2, Ahead: 3}, 8 * time.Second},
-		{"cold", observed, Situation{ColdFor: 3 * time.Second}, 5 * time.Second},
-		{"cold with others ahead", observed, Situation{Ahead: 1}, 12 * time.Second},
-		{"cold for longer than expected", observed, Situation{ColdFor: time.Minute}, 2 * time.Second},
-		{"speed known from a report only", reported, Situation{Slots: 1, MaxTokens: 500}, 10 * time.Second},
-		{"nothing observed", NewEstimator(EstimatorOptions{}), Situation{}, DefaultColdLoad},
+		{"a slot is free", observed, QueueState{Slots: 2, Free: 1}, 0},
+		{"no slot is free", observed, QueueState{Slots: 2}, 2 * time.Second},
+		{"others go first", observed, QueueState{Slots: 2, Ahead: 3}, 8 * time.Second},
+		{"cold", observed, QueueState{ColdFor: 3 * time.Second}, 5 * time.Second},
+		{"cold with others ahead", observed, QueueState{Ahead: 1}, 12 * time.Second},
+		{"cold for longer than expected", observed, QueueState{ColdFor: time.Minute}, 2 * time.Second},
+		{"speed known from a report only", reported, QueueState{Slots: 1, MaxTokens: 500}, 10 * time.Second},
+		{"nothing observed", NewEstimator(EstimatorOptions{}), QueueState{}, DefaultColdLoad},
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
--- a/request/admission/rush.go
+++ b/request/admission/rush.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// rushFade is how many times as fast a rush is forgotten as it has built up: a queue
+// busyDecay is how many times as fast a rush is forgotten as it has built up: a queue
 // that is empty for a moment does not end one.
-const rushFade = 4
+const busyDecay = 4
 
-// Rush tracks how long requests have had to wait for a row without a break worth the
+// BusyPeriod tracks how long requests have had to wait for a row without a break worth the
 // name.
-type Rush struct {
+type BusyPeriod struct {
 	length    time.Duration
 	changedAt time.Time
 	waiting   bool
 }
 
 // Observe notes whether requests wait from now on.
-func (r *Rush) Observe(now time.Time, waiting bool) {
+func (r *BusyPeriod) Observe(now time.Time, waiting bool) {
 	if waiting == r.waiting {
 		return
 	}
-	r.length = r.Length(now)
+	r.length = r.Duration(now)
 	r.changedAt = now
 	r.waiting = waiting
 }
 
-// Length is how long the rush has lasted.
-func (r *Rush) Length(now time.Time) time.Duration {
+// Duration is how long the rush has lasted.
+func (r *BusyPeriod) Duration(now time.Time) time.Duration {
 	since := now.Sub(r.changedAt)
 	if r.waiting {
 		return r.length + since
 	}
-	return max(0, r.length-min(since, r.length)*rushFade)
+	return max(0, r.length-min(since, r.length)*busyDecay)
 }
--- a/request/admission/rush_test.go
+++ b/request/admission/rush_test.go
@@ -23,12 +23,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
-			var rush Rush
+			var rush BusyPeriod
 			for index, at := range test.changes {
 				rush.Observe(start.Add(at), index%2 == 0)
 				rush.Observe(start.Add(at), index%2 == 0)
 			}
-			qt.Assert(t, rush.Length(start.Add(test.at)), qt.Equals, test.want)
+			qt.Assert(t, rush.Duration(start.Add(test.at)), qt.Equals, test.want)
 		})
 	}
 }
--- a/request/router/row.go
+++ b/request/router/row.go
@@ -25,10 +25,10 @@
 	estimator *admission.Estimator
 	budget    routing.Budget
 	// rush tracks how long requests have had to wait.
-	rush admission.Rush
+	rush admission.BusyPeriod
 	// first and gap track the wait for the first token and for each next one.
-	first admission.Pace
-	gap   admission.Pace
+	first admission.TimeoutEstimator
+	gap   admission.TimeoutEstimator
 	// held counts the row's requests, running those that occupy a slot.
 	held    int
 	running int
@@ -92,19 +92,19 @@
 }
 
 // situation describes what the request would find in the row.
-func (c *Core) situation(wanted *row, request structs.Request) admission.Situation {
+func (c *Core) situation(wanted *row, request structs.Request) admission.QueueState {
 	slots, free := c.balancer.Slots(c.now, wanted.Name)
 	if slots == 0 && c.balancer.Ready(wanted.Name) > 0 {
 		slots = 1
 	}
-	situation := admission.Situation{
+	situation := admission.QueueState{
 		Slots: slots, Free: free, MaxTokens: request.MaxTokens,
 		Now: c.now, Priority: request.Priority,
 	}
 	if wanted.queue != nil {
 		situation.Ahead = wanted.queue.AheadOf(request.Priority, request.Caller)
 	}
-	situation.Rush = wanted.rush.Length(c.now)
+	situation.BusyFor = wanted.rush.Duration(c.now)
 	if !wanted.awaitedSince.IsZero() {
 		situation.ColdFor = c.now.Sub(wanted.awaitedSince)
 	}
--- a/request/router/stall.go
+++ b/request/router/stall.go
@@ -54,7 +54,7 @@
 func (r *request) awaitsFirst() bool { return r.delivered <= r.resumedFrom }
 
 // pace is that of what the current attempt is waited for: its first or its next token.
-func (r *request) pace() *admission.Pace {
+func (r *request) pace() *admission.TimeoutEstimator {
 	if r.awaitsFirst() {
 		return &r.row.first
 	}
@@ -66,11 +66,11 @@
 // an allowance for that, every burst looks like a stall.
 func (c *Core) stallLimit(held *request) time.Duration {
 	if !held.awaitsFirst() {
-		return held.row.gap.Limit(c.options.StallFloor, c.options.StallCeiling)
+		return held.row.gap.Timeout(c.options.StallFloor, c.options.StallCeiling)
 	}
 	waiting := min(held.row.estimator.Service(held.MaxTokens), held.DeadlineAt.Sub(held.sentAt)/stallQueueShare)
 	ceiling := c.options.StallCeiling + time.Duration(len(held.Prompt))*stallPerPromptByte
-	return waiting + held.row.first.Limit(c.options.StallFloor, ceiling)
+	return waiting + held.row.first.Timeout(c.options.StallFloor, ceiling)
 }
 
 // watch sets when Tick looks whether the attempt has stalled.
@@ -88,7 +88,7 @@
 	held.heardAt = c.now
 	held.peeking = false
 	if held.awaitsFirst() {
-		c.sleepUntil(held, c.now.Add(held.row.gap.Limit(c.options.StallFloor, c.options.StallCeiling)))
+		c.sleepUntil(held, c.now.Add(held.row.gap.Timeout(c.options.StallFloor, c.options.StallCeiling)))
 	}
 }
 
@@ -114,7 +114,7 @@
 // the engine about it.
 func (c *Core) leaveSilent(held *request) {
 	c.stats.Stalls++
-	held.pace().Silent()
+	held.pace().RecordTimeout()
 	if held.Repeatable() || held.ran() {
 		c.emit(CancelAttempt{Attempt: held.attempt})
 	}
