--- a/request/router/answer.go
+++ b/request/router/answer.go
@@ -8,23 +8,23 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// answerOverhead bounds what EncodeAnswer adds to the text.
+// answerOverhead bounds the bytes that EncodeAnswer adds to the text.
 const answerOverhead = 128
 
-// Answer is the whole answer to a request with a key, as its router keeps it.
+// Answer is the complete answer to a request with a key, as stored by its router.
 type Answer struct {
 	Text   string
 	Tokens int
 	Finish structs.FinishReason
 }
 
-// EncodeAnswer encodes an answer for keeping.
+// EncodeAnswer encodes an answer for storage.
 func EncodeAnswer(answer Answer) ([]byte, error) {
 	encoded, err := msgpack.Marshal(&answer)
 	return encoded, errors.Wrap(err, "encode answer")
 }
 
-// MarkAnswer returns what a claim keeps of an encoded answer.
+// MarkAnswer returns the size and hash of an encoded answer, which the claim records.
 func MarkAnswer(encoded []byte) structs.AnswerMark {
 	return structs.AnswerMark{Bytes: len(encoded), Hash: xxhash.Sum64(encoded)}
 }
--- a/request/router/arrive.go
+++ b/request/router/arrive.go
@@ -9,8 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// arrive decides about a new request: refuse it, forward it, claim its key or
-// queue it.
+// arrive refuses a new request, forwards it, claims its key or queues it.
 func (c *Core) arrive(incoming structs.Request) {
 	if _, exists := c.requests[incoming.ID]; exists {
 		c.stats.DuplicateArrivals++
@@ -21,47 +20,47 @@
 		incoming.DeadlineAt = c.now.Add(c.options.DefaultDeadline)
 	}
 	incoming.Priority = min(max(incoming.Priority, structs.PriorityBatch), structs.PriorityLive)
-	if problem := c.cannotTake(incoming); problem != nil {
-		c.refuseUnheld(incoming.ID, *problem)
+	if problem := c.admissionError(incoming); problem != nil {
+		c.refuseUntracked(incoming.ID, *problem)
 		return
 	}
-	wanted := c.rows[incoming.Row]
-	if wanted == nil || !wanted.listed {
-		c.refuseUnheld(incoming.ID, notFound(incoming.Row))
+	target := c.rows[incoming.Row]
+	if target == nil || !target.listed {
+		c.refuseUntracked(incoming.ID, notFound(incoming.Row))
 		return
 	}
-	if c.refusesOffer(incoming, wanted) {
+	if c.refuseOfferIfBusy(incoming, target) {
 		return
 	}
-	c.activate(wanted)
-	if wanted.limit > 0 && !c.roleLost(wanted) && c.offer(incoming, wanted) {
-		wanted.budget.Deposit()
+	c.activate(target)
+	if target.limit > 0 && !c.roleLost(target) && c.offer(incoming, target) {
+		target.budget.Deposit()
 		return
 	}
-	c.noteDemand(wanted)
-	defer c.noteUrgent(wanted)
-	if c.notServedHere(incoming, wanted) {
+	c.recordArrival(target)
+	defer c.updateUrgency(target)
+	if c.endIfNotServed(incoming, target) {
 		return
 	}
-	wanted.budget.Deposit()
-	held := c.hold(incoming, wanted)
-	if held.Repeatable() {
-		c.admit(held)
-		c.endIfWaiting(held)
+	target.budget.Deposit()
+	req := c.track(incoming, target)
+	if req.Repeatable() {
+		c.admit(req)
+		c.endIfWaiting(req)
 		return
 	}
-	if c.claimWithRunner(held) {
+	if c.claimWithRunner(req) {
 		return
 	}
-	held.phase = phaseClaiming
-	c.beginClaim(held)
+	req.phase = phaseClaiming
+	c.beginClaim(req)
 }
 
-// cannotTake checks what does not depend on the row.
-func (c *Core) cannotTake(incoming structs.Request) *structs.Error {
+// admissionError checks the conditions that do not depend on the row.
+func (c *Core) admissionError(incoming structs.Request) *structs.Error {
 	switch {
 	case c.draining:
-		problem := structs.NewError(structs.ErrorUnavailable, "this router is stopping", "Send the request to another router.")
+		problem := structs.NewError(structs.ErrorUnavailable, "this router is shutting down", "Send the request to another router.")
 		problem.RetryAfter = MinimumRetryAfter
 		return problem
 	case !incoming.DeadlineAt.After(c.now):
@@ -69,23 +68,23 @@
 		problem.RetryAfter = MinimumRetryAfter
 		return problem
 	case len(c.requests) >= c.options.TotalLimit && !c.shedBatch(incoming.Priority):
-		problem := structs.NewError(structs.ErrorOverloaded, "this router holds as many requests as it may", "Come back after the time given, or ask another router.")
-		problem.RetryAfter = c.spread(c.serviceOf(incoming))
+		problem := structs.NewError(structs.ErrorOverloaded, "this router has reached its request limit", "Retry after the given delay, or use another router.")
+		problem.RetryAfter = c.retryAfter(c.estimatedService(incoming))
 		return problem
 	}
 	return nil
 }
 
-// serviceOf estimates how long a request like this one is held.
-func (c *Core) serviceOf(incoming structs.Request) time.Duration {
-	if wanted := c.rows[incoming.Row]; wanted != nil && wanted.estimator != nil {
-		return wanted.estimator.Service(incoming.MaxTokens)
+// estimatedService estimates the service time of the request.
+func (c *Core) estimatedService(incoming structs.Request) time.Duration {
+	if target := c.rows[incoming.Row]; target != nil && target.estimator != nil {
+		return target.estimator.Service(incoming.MaxTokens)
 	}
 	return admission.NewEstimator(c.options.Estimator).Service(incoming.MaxTokens)
 }
 
-// shedBatch refuses the newest waiting batch request of all rows to make room for
-// a live one; it reports whether there was one.
+// shedBatch refuses the newest waiting batch request of any row to admit a live one; it
+// reports whether there was one.
 func (c *Core) shedBatch(priority structs.Priority) bool {
 	if priority != structs.PriorityLive {
 		return false
@@ -104,34 +103,34 @@
 		return false
 	}
 	c.stats.Displaced++
-	c.refuseOverload(c.requests[newest.ID], "the request made room for a live one")
+	c.refuseOverload(c.requests[newest.ID], "the request was displaced by a live request")
 	return true
 }
 
-// notServedHere ends a request for a row that this zone may not load or has no
-// runner for.
-func (c *Core) notServedHere(incoming structs.Request, wanted *row) bool {
-	lost := c.roleLost(wanted)
-	if wanted.limit > 0 && !lost || c.balancer.Ready(wanted.Name) > 0 {
+// endIfNotServed forwards or refuses a request for a row that this zone may not load or
+// has no runner for. It reports whether the request ended.
+func (c *Core) endIfNotServed(incoming structs.Request, target *row) bool {
+	lost := c.roleLost(target)
+	if target.limit > 0 && !lost || c.balancer.Ready(target.Name) > 0 {
 		return false
 	}
 	switch {
-	case wanted.MaxReplicas <= 0:
-		c.refuseUnheld(incoming.ID, *structs.NewError(structs.ErrorLimit,
-			fmt.Sprintf("row %s may have no replica", wanted.Name),
+	case target.MaxReplicas <= 0:
+		c.refuseUntracked(incoming.ID, *structs.NewError(structs.ErrorLimit,
+			fmt.Sprintf("row %s may have no replica", target.Name),
 			"Raise max_replicas of the row."))
-	case lost && (incoming.Forwarded || len(wanted.elsewhere) == 0):
-		c.refuseUnheld(incoming.ID, c.noRunner(wanted))
-	case len(wanted.elsewhere) == 0:
+	case lost && (incoming.Forwarded || len(target.elsewhere) == 0):
+		c.refuseUntracked(incoming.ID, c.noRunner(target))
+	case len(target.elsewhere) == 0:
 		return false
 	case !incoming.Forwarded:
-		c.forward(incoming.ID, wanted.elsewhere)
+		c.forward(incoming.ID, target.elsewhere)
 	default:
 		problem := structs.NewError(structs.ErrorUnavailable,
-			fmt.Sprintf("row %s has just moved to zone %s", wanted.Name, wanted.elsewhere[0]),
-			"Come back after the time given.")
-		problem.RetryAfter = c.spread(0)
-		c.refuseUnheld(incoming.ID, *problem)
+			fmt.Sprintf("row %s has just moved to zone %s", target.Name, target.elsewhere[0]),
+			"Retry after the given delay.")
+		problem.RetryAfter = c.retryAfter(0)
+		c.refuseUntracked(incoming.ID, *problem)
 	}
 	return true
 }
@@ -141,14 +140,14 @@
 	c.emit(Forward{ID: id, Zones: zones})
 }
 
-// forwardFailed ends a forwarded request that no zone answered in whole.
+// forwardFailed refuses a forwarded request that no zone answered completely.
 func (c *Core) forwardFailed(event ForwardFailed) {
 	refusal := structs.Refusal{
 		Error: structs.Error{
 			Kind:       structs.ErrorUnavailable,
 			Message:    "the zone that serves this request cannot be reached",
-			Remedy:     "Come back after the time given, with the same key if there is one.",
-			RetryAfter: c.spread(0),
+			Remedy:     "Retry after the given delay, with the same key if there is one.",
+			RetryAfter: c.retryAfter(0),
 		},
 		Execution: structs.ExecutionNotRun,
 	}
@@ -165,91 +164,92 @@
 	c.stats.Refused++
 }
 
-// hold starts to keep the request.
-func (c *Core) hold(incoming structs.Request, wanted *row) *request {
-	held := &request{Request: incoming, row: wanted, wakeAt: incoming.DeadlineAt}
-	held.hashPrompt()
-	c.requests[held.ID] = held
-	heap.Push(&c.timers, held)
-	wanted.held++
-	return held
+// track adds the request to those held.
+func (c *Core) track(incoming structs.Request, target *row) *request {
+	req := &request{Request: incoming, row: target, wakeAt: incoming.DeadlineAt}
+	req.hashPrompt()
+	c.requests[req.ID] = req
+	heap.Push(&c.timers, req)
+	target.requestCount++
+	return req
 }
 
-// admit queues a request for the first time, unless it would start too late. One
-// that was offered to another zone has waited since then.
-func (c *Core) admit(held *request) {
-	held.phase = phaseQueued
-	if held.queuedAt.IsZero() {
-		held.queuedAt = c.now
+// admit queues a request for the first time, unless it is expected to miss its deadline.
+// The waiting time of a request includes the time it was offered to other zones.
+func (c *Core) admit(req *request) {
+	req.phase = phaseQueued
+	if req.queuedAt.IsZero() {
+		req.queuedAt = c.now
 	}
-	if c.endIfRowGone(held) {
+	if c.endIfRowRemoved(req) {
 		return
 	}
-	if wait, ok := c.takeTokens(held); !ok {
+	if wait, ok := c.takeTokens(req); !ok {
 		c.stats.OverTokens++
-		c.refuse(held, structs.ErrorLimit, "the caller or the row has used its tokens",
-			"Come back after the time given, or have an operator raise the limit.", wait)
+		c.refuse(req, structs.ErrorLimit, "the caller or the row has used its tokens",
+			"Retry after the given delay, or have an operator raise the limit.", wait)
 		return
 	}
-	situation := c.situation(held.row, held.Request)
-	held.estimated = held.row.estimator.Start(situation)
-	patience := held.DeadlineAt.Sub(c.now)
-	if finish := held.row.estimator.Finish(situation); finish >= patience {
+	state := c.queueState(req.row, req.Request)
+	req.estimatedWait = req.row.estimator.Start(state)
+	patience := req.DeadlineAt.Sub(c.now)
+	if finish := req.row.estimator.Finish(state); finish >= patience {
 		c.stats.RefusedEarly++
-		c.refuse(held, structs.ErrorDeadline, "the request would be answered after its deadline",
-			"Come back after the time given, or allow a later deadline.", max(held.estimated, finish-patience))
+		c.refuse(req, structs.ErrorDeadline, "the request would be answered after its deadline",
+			"Retry after the given delay, or allow a later deadline.", max(req.estimatedWait, finish-patience))
 		return
 	}
-	c.enqueue(held)
+	c.enqueue(req)
 }
 
-// enqueue puts the request in its row's queue; what the queue sheds is refused.
-func (c *Core) enqueue(held *request) {
-	held.phase = phaseQueued
-	if c.endIfRowGone(held) {
+// enqueue adds the request to the queue of its row and refuses the request that the queue
+// displaces.
+func (c *Core) enqueue(req *request) {
+	req.phase = phaseQueued
+	if c.endIfRowRemoved(req) {
 		return
 	}
-	c.activate(held.row)
-	if held.row.queue.Len() == 0 {
-		held.row.turns = max(held.row.turns, c.rowTurns)
+	c.activate(req.row)
+	if req.row.queue.Len() == 0 {
+		req.row.virtualTime = max(req.row.virtualTime, c.virtualTime)
 	}
-	shed, verdict := held.row.queue.Push(admission.Item{
-		ID:         held.ID,
-		Caller:     held.Caller,
-		Priority:   held.Priority,
-		QueuedAt:   held.queuedAt,
-		DeadlineAt: held.DeadlineAt,
+	shed, verdict := req.row.queue.Push(admission.Item{
+		ID:         req.ID,
+		Caller:     req.Caller,
+		Priority:   req.Priority,
+		QueuedAt:   req.queuedAt,
+		DeadlineAt: req.DeadlineAt,
 	})
 	switch verdict {
 	case admission.Queued:
 		c.queued++
-		held.row.noteWaiting(c.now)
-		held.row.estimator.ObserveArrival(c.now, held.Priority)
+		req.row.updateBusy(c.now)
+		req.row.estimator.ObserveArrival(c.now, req.Priority)
 	case admission.QueuedDisplacing:
 		c.stats.Displaced++
-		held.row.estimator.ObserveArrival(c.now, held.Priority)
-		c.refuseOverload(c.requests[shed.ID], "the request made room for a live one")
+		req.row.estimator.ObserveArrival(c.now, req.Priority)
+		c.refuseOverload(c.requests[shed.ID], "the request was displaced by a live request")
 	case admission.FullQueue:
-		c.refuseOverload(held, "the queue of the row is full")
+		c.refuseOverload(req, "the queue of the row is full")
 		return
 	case admission.FullCaller:
-		c.refuseOverload(held, "the caller has too many requests waiting for the row")
+		c.refuseOverload(req, "the caller has too many requests waiting for the row")
 		return
 	}
-	c.dispatchRow(held.row)
+	c.dispatchRow(req.row)
 }
 
-func (c *Core) refuseOverload(held *request, message string) {
-	situation := c.situation(held.row, held.Request)
-	c.refuse(held, structs.ErrorOverloaded, message, "Come back after the time given.", held.row.estimator.Start(situation))
+func (c *Core) refuseOverload(req *request, message string) {
+	state := c.queueState(req.row, req.Request)
+	c.refuse(req, structs.ErrorOverloaded, message, "Retry after the given delay.", req.row.estimator.Start(state))
 }
 
-// endIfRowGone refuses a waiting request whose row was removed from the table.
-func (c *Core) endIfRowGone(held *request) bool {
-	if held.row.listed {
+// endIfRowRemoved refuses a waiting request whose row was removed from the table.
+func (c *Core) endIfRowRemoved(req *request) bool {
+	if req.row.listed {
 		return false
 	}
-	c.refuseAs(held, notFound(held.Row), never)
+	c.refuseAs(req, notFound(req.Row), noRetry)
 	return true
 }
 
--- a/request/router/attempt.go
+++ b/request/router/attempt.go
@@ -5,192 +5,192 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// attemptStarted notes that the engine took the attempt.
 func (c *Core) attemptStarted(id AttemptID) {
-	if held := c.attempts[id]; held != nil {
-		held.accept()
+	if req := c.attempts[id]; req != nil {
+		req.markAccepted()
 	}
 }
 
-// accept notes that the engine took the current attempt.
-func (r *request) accept() {
+// markAccepted records that the engine accepted the current attempt.
+func (r *request) markAccepted() {
 	if !r.accepted {
 		r.accepted = true
 		r.choice.Took()
 	}
 }
 
-// receiveToken delivers the next token of the current attempt and nothing else.
-// It allocates nothing for a repeatable request.
+// receiveToken delivers the next token of the current attempt and drops any other token.
+// It does not allocate for a repeatable request.
 func (c *Core) receiveToken(id AttemptID, token *structs.Token) {
-	held := c.attempts[id]
-	if held == nil || token.ID != structs.RequestID(id) {
+	req := c.attempts[id]
+	if req == nil || token.ID != structs.RequestID(id) {
 		c.stats.StrayTokens++
 		return
 	}
-	held.accept()
-	if token.Index < held.delivered && c.mutation != mutationKeepDuplicates {
+	req.markAccepted()
+	if token.Index < req.delivered && c.mutation != mutationKeepDuplicates {
 		c.stats.DuplicateTokens++
 		return
 	}
-	if !c.wellFormed(held, token) {
+	if !c.continuesStream(req, token) {
 		c.stats.BrokenStreams++
 		c.emit(CancelAttempt{Attempt: id})
-		c.attemptBroke(held)
+		c.attemptBroke(req)
 		return
 	}
-	c.hear(held)
-	c.deliverToken(held, token)
+	c.recordProgress(req)
+	c.deliverToken(req, token)
 }
 
-// wellFormed reports whether the token continues the stream.
-func (c *Core) wellFormed(held *request, token *structs.Token) bool {
-	if token.Index > held.delivered && c.mutation != mutationIgnoreGaps {
+// continuesStream reports whether the token is a valid continuation of the stream.
+func (c *Core) continuesStream(req *request, token *structs.Token) bool {
+	if token.Index > req.delivered && c.mutation != mutationIgnoreGaps {
 		return false
 	}
-	if held.MaxTokens > 0 && token.Index > held.MaxTokens {
+	if req.MaxTokens > 0 && token.Index > req.MaxTokens {
 		return false
 	}
 	return token.Finish == "" || token.Finish == structs.FinishStop || token.Finish == structs.FinishLength
 }
 
-// deliverToken hands the caller a token that continues the stream.
-func (c *Core) deliverToken(held *request, token *structs.Token) {
-	held.delivered++
-	if !held.Repeatable() {
-		held.answer = append(held.answer, token.Text...)
-		if len(held.answer)+answerOverhead > c.options.AnswerLimit {
-			c.emit(CancelAttempt{Attempt: held.attempt})
-			c.refuseUnknown(held, "the answer is longer than can be kept for its key")
+// deliverToken passes the next token of the stream to the caller.
+func (c *Core) deliverToken(req *request, token *structs.Token) {
+	req.delivered++
+	if !req.Repeatable() {
+		req.answer = append(req.answer, token.Text...)
+		if len(req.answer)+answerOverhead > c.options.AnswerLimit {
+			c.emit(CancelAttempt{Attempt: req.attempt})
+			c.refuseUnknown(req, "the answer exceeds the size limit for a request with a key")
 			return
 		}
 	}
-	if !held.gone {
+	if !req.callerGone {
 		c.stats.Delivered++
-		c.deliver = Deliver{ID: held.ID, Token: *token}
-		c.deliver.Token.ID = held.ID
+		c.deliver = Deliver{ID: req.ID, Token: *token}
+		c.deliver.Token.ID = req.ID
 		c.emit(&c.deliver)
 	}
 	if token.Finish != "" {
-		c.complete(held, token.Finish)
+		c.complete(req, token.Finish)
 	}
 }
 
-// attemptFailed decides what becomes of a request whose stream ended early. An
-// engine that had accepted the attempt cannot have refused it.
+// attemptFailed handles an attempt whose stream ended early. A refusal after the engine
+// accepted the attempt counts as a broken stream.
 func (c *Core) attemptFailed(event AttemptFailed) {
-	held := c.attempts[event.Attempt]
-	if held == nil {
+	req := c.attempts[event.Attempt]
+	if req == nil {
 		return
 	}
-	if event.Stage == Broken || held.accepted {
-		c.attemptBroke(held)
+	if event.Stage == Broken || req.accepted {
+		c.attemptBroke(req)
 		return
 	}
 	outcome := routing.OutcomeBroken
 	if event.Stage == RefusedByEngine {
 		outcome = routing.OutcomeRefused
 		if event.Error != nil && event.Error.RetryAfter > 0 {
-			c.balancer.Rest(held.choice.Runner(), c.now.Add(event.Error.RetryAfter))
+			c.balancer.Rest(req.choice.Runner(), c.now.Add(event.Error.RetryAfter))
 		}
 	}
-	c.endAttempt(held, outcome)
-	c.retry(held, "no engine took the request")
+	c.endAttempt(req, outcome)
+	c.retry(req, "no engine accepted the request")
 }
 
-// attemptBroke ends an attempt that may have run. A repeatable request resumes
-// elsewhere; for one with a key the engine is asked, unless it is known that it ran.
-func (c *Core) attemptBroke(held *request) {
-	attempt := held.attempt
-	c.endAttempt(held, routing.OutcomeBroken)
-	if held.Repeatable() || c.mutation == mutationRepeatKeyed {
-		held.uncertain = held.Repeatable()
-		c.retry(held, "the stream broke and could not be resumed")
+// attemptBroke ends an attempt that may have run. A repeatable request resumes on another
+// engine. For a request with a key, the engine is asked for the status unless the request
+// is known to have run.
+func (c *Core) attemptBroke(req *request) {
+	attempt := req.attempt
+	c.endAttempt(req, routing.OutcomeBroken)
+	if req.Repeatable() || c.mutation == mutationRepeatKeyed {
+		req.mayHaveRun = req.Repeatable()
+		c.retry(req, "the stream broke and could not be resumed")
 		return
 	}
-	if held.ran() {
-		held.uncertain = true
-		c.refuseUnknown(held, "the stream broke or fell silent after the request had started")
+	if req.hasRun() {
+		req.mayHaveRun = true
+		c.refuseUnknown(req, "the stream broke or stalled after the request had started")
 		return
 	}
-	held.phase = phaseAsking
-	c.sleepUntil(held, held.DeadlineAt)
+	req.phase = phaseCheckingStatus
+	c.scheduleWake(req, req.DeadlineAt)
 	c.emit(CancelAttempt{Attempt: attempt})
-	c.askStatus(held)
+	c.askStatus(req)
 }
 
 // retry queues the request again after a delay, if attempts, budget and deadline allow.
-func (c *Core) retry(held *request, message string) {
-	held.phase = phaseBackoff
-	held.avoid = held.choice.Runner()
-	if held.gone {
-		c.endClaim(held, held.execution())
-		c.release(held)
+func (c *Core) retry(req *request, message string) {
+	req.phase = phaseBackoff
+	req.avoid = req.choice.Runner()
+	if req.callerGone {
+		c.endClaim(req, req.execution())
+		c.untrack(req)
 		return
 	}
-	if held.attempts >= c.options.AttemptLimit || !held.row.budget.Withdraw() {
-		c.giveUp(held, message)
+	if req.attempts >= c.options.AttemptLimit || !req.row.budget.Withdraw() {
+		c.giveUp(req, message)
 		return
 	}
-	delay := routing.Backoff(c.options.Random, c.options.BackoffBase, c.options.BackoffLimit, held.attempts)
+	delay := routing.Backoff(c.options.Random, c.options.BackoffBase, c.options.BackoffLimit, req.attempts)
 	when := c.now.Add(delay)
-	if !when.Before(held.DeadlineAt) {
-		c.giveUp(held, message)
+	if !when.Before(req.DeadlineAt) {
+		c.giveUp(req, message)
 		return
 	}
 	c.stats.Retries++
-	c.sleepUntil(held, when)
+	c.scheduleWake(req, when)
 }
 
-// askStatus has the engine cancel the broken attempt and say what became of it.
-func (c *Core) askStatus(held *request) {
-	held.statusAsks++
+// askStatus asks the engine to cancel the broken attempt and report its status.
+func (c *Core) askStatus(req *request) {
+	req.statusAsks++
 	c.emit(AskStatus{
-		ID:      held.ID,
-		Attempt: held.attempt,
-		Runner:  held.choice.Runner(),
-		Address: held.choice.Address(),
+		ID:      req.ID,
+		Attempt: req.attempt,
+		Runner:  req.choice.Runner(),
+		Address: req.choice.Address(),
 	})
 }
 
-// answered reports whether the engine said what it knows of this attempt.
+// answered reports whether the engine returned a status of this attempt.
 func (s StatusReplied) answered() bool {
 	return s.Error == nil && s.Status != nil && s.Status.ID == structs.RequestID(s.Attempt)
 }
 
-// statusReplied decides whether a broken attempt with a key certainly did not run.
+// statusReplied retries a broken attempt with a key if it certainly did not run.
 func (c *Core) statusReplied(event StatusReplied) {
 	if event.Peek {
-		c.peeked(event)
+		c.peekReplied(event)
 		return
 	}
-	held := c.requests[event.ID]
-	if held == nil || held.phase != phaseAsking || held.attempt != event.Attempt {
+	req := c.requests[event.ID]
+	if req == nil || req.phase != phaseCheckingStatus || req.attempt != event.Attempt {
 		return
 	}
 	if !event.answered() {
-		c.askAgain(held)
+		c.retryStatus(req)
 		return
 	}
 	status := event.Status
-	sameLife := status.Incarnation == held.choice.Incarnation()
+	sameIncarnation := status.Incarnation == req.choice.Incarnation()
 	neverStarted := !status.Started && status.Tokens == 0
 	switch {
-	case sameLife && neverStarted && (status.State == structs.RunUnknown || status.State == structs.RunCancelled):
-		c.retry(held, "no engine took the request")
-	case sameLife && (status.State == structs.RunQueued || status.State == structs.RunRunning):
-		c.askAgain(held)
+	case sameIncarnation && neverStarted && (status.State == structs.RunUnknown || status.State == structs.RunCancelled):
+		c.retry(req, "no engine accepted the request")
+	case sameIncarnation && (status.State == structs.RunQueued || status.State == structs.RunRunning):
+		c.retryStatus(req)
 	default:
-		c.refuseUnknown(held, "the stream broke and the engine does not know whether the request ran whole")
+		c.refuseUnknown(req, "the stream broke and the engine does not know whether the request ran to completion")
 	}
 }
 
-// askAgain asks the engine once more after a delay, a bounded number of times.
-func (c *Core) askAgain(held *request) {
-	if held.statusAsks >= c.options.StatusLimit {
-		c.refuseUnknown(held, "the stream broke and the engine could not be asked whether the request ran")
+// retryStatus asks the engine again after a delay, up to StatusLimit times.
+func (c *Core) retryStatus(req *request) {
+	if req.statusAsks >= c.options.StatusLimit {
+		c.refuseUnknown(req, "the stream broke and the engine could not be asked whether the request ran")
 		return
 	}
-	delay := routing.Backoff(c.options.Random, c.options.BackoffBase, c.options.BackoffLimit, held.statusAsks)
-	c.sleepUntil(held, c.now.Add(delay))
+	delay := routing.Backoff(c.options.Random, c.options.BackoffBase, c.options.BackoffLimit, req.statusAsks)
+	c.scheduleWake(req, c.now.Add(delay))
 }
--- a/request/router/benchmark_test.go
+++ b/request/router/benchmark_test.go
@@ -32,7 +32,7 @@
 	})
 }
 
-// BenchmarkRequest measures a repeatable request of one token from its arrival to its end.
+// BenchmarkRequest measures a repeatable request with an answer of one token.
 func BenchmarkRequest(b *testing.B) {
 	for _, runners := range []int{12, 420, 10000} {
 		b.Run(fmt.Sprintf("runners=%d", runners), func(b *testing.B) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkTableMemory reports the bytes that a row of the table costs a router.
+// BenchmarkTableMemory measures the memory of a router per row of the table.
 func BenchmarkTableMemory(b *testing.B) {
 	const rows = 58_250
 	names := make([]structs.RowName, rows)
--- a/request/router/claim.go
+++ b/request/router/claim.go
@@ -8,130 +8,130 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// unreachableKeeperRetry is when a caller may ask again for an answer whose router
-// does not answer: it may be restarting.
-const unreachableKeeperRetry = 5 * time.Second
+// unreachableHolderRetry is the RetryAfter when the router that holds the answer does not
+// respond; it may be restarting.
+const unreachableHolderRetry = 5 * time.Second
 
-// claim is the request's claim as it stands.
-func (c *Core) claim(held *request) structs.Claim {
+// claim returns the current claim of the request.
+func (c *Core) claim(req *request) structs.Claim {
 	claim := structs.Claim{
-		Key:           claimKey(held.Request),
-		Request:       held.ID,
-		Digest:        RequestDigest(held.Request),
-		Home:          HomeZone(c.options.Zones, held.IdempotencyKey),
+		Key:           claimKey(req.Request),
+		Request:       req.ID,
+		Digest:        RequestDigest(req.Request),
+		Home:          HomeZone(c.options.Zones, req.IdempotencyKey),
 		Holder:        c.options.Daemon,
 		Session:       c.options.Session,
 		HolderAddress: c.options.Address,
 		State:         structs.ClaimHeld,
 		ExpiresAt:     c.now.Add(c.options.AnswerLife),
 	}
-	switch held.phase {
+	switch req.phase {
 	case phaseBinding:
-		nameEngine(&claim, held, held.attemptID(held.attempts+1))
-	case phaseRunning, phaseAsking:
-		nameEngine(&claim, held, held.attempt)
+		setEngine(&claim, req, req.attemptID(req.attempts+1))
+	case phaseRunning, phaseCheckingStatus:
+		setEngine(&claim, req, req.attempt)
 	}
 	return claim
 }
 
-// nameEngine names the chosen engine and the attempt that it is or will be sent.
-func nameEngine(claim *structs.Claim, held *request, attempt AttemptID) {
-	claim.Choice = held.choices
-	claim.Runner = held.choice.Runner()
-	claim.Incarnation = held.choice.Incarnation()
-	claim.Address = held.choice.Address()
+// setEngine records the chosen engine and the ID of its attempt in the claim.
+func setEngine(claim *structs.Claim, req *request, attempt AttemptID) {
+	claim.Choice = req.choices
+	claim.Runner = req.choice.Runner()
+	claim.Incarnation = req.choice.Incarnation()
+	claim.Address = req.choice.Address()
 	claim.EngineRequest = structs.RequestID(attempt)
 }
 
-// claimReplied goes on with a request whose claim was decided.
+// claimReplied continues a request with the result of its claim.
 func (c *Core) claimReplied(event ClaimReplied) {
-	held := c.requests[event.ID]
-	if held == nil {
-		c.releaseOrphan(event.ID)
+	req := c.requests[event.ID]
+	if req == nil {
+		c.finishOrphanedClaim(event.ID)
 		return
 	}
-	if held.phase != phaseClaiming && held.phase != phaseBinding {
+	if req.phase != phaseClaiming && req.phase != phaseBinding {
 		return
 	}
 	switch {
 	case event.NotAsked:
-		c.claimNotAsked(held, event.Error)
+		c.claimNotAsked(req, event.Error)
 	case event.Error != nil:
-		c.claimFailed(held, event.Error)
+		c.claimFailed(req, event.Error)
 	case event.Claim == nil:
-		c.claimFailed(held, nil)
-	case event.New || c.holds(held, event.Claim):
-		held.claimHeld = true
-		c.claimed(held, event.Claim)
+		c.claimFailed(req, nil)
+	case event.New || c.ownsClaim(req, event.Claim):
+		req.claimHeld = true
+		c.claimGranted(req, event.Claim)
 	default:
-		held.claimHeld = false
-		c.answerFromClaim(held, event.Claim)
+		req.claimHeld = false
+		c.answerFromClaim(req, event.Claim)
 	}
 }
 
-// holds reports whether the record says that this very request, in this router and
-// life of it, holds its key.
-func (c *Core) holds(held *request, claim *structs.Claim) bool {
+// ownsClaim reports whether the claim is held by this request in the current session of
+// this router.
+func (c *Core) ownsClaim(req *request, claim *structs.Claim) bool {
 	own := structs.ClaimHolder{Daemon: c.options.Daemon, Session: c.options.Session}
-	return claim != nil && claim.State == structs.ClaimHeld && claim.Request == held.ID && claim.HeldBy() == own
+	return claim != nil && claim.State == structs.ClaimHeld && claim.Request == req.ID && claim.HeldBy() == own
 }
 
-// claimed goes on with a request that holds its key. A late answer that does not
-// name the reserved replica answers an earlier BeginClaim. After its deadline a
-// request is not sent: engines forget that they refused an ID long ago.
-func (c *Core) claimed(held *request, claim *structs.Claim) {
-	if held.expired(c.now) {
-		held.phase = c.withoutOutstandingClaim(held)
-		c.expire(held)
+// claimGranted continues a request that holds its key. A reply that does not name the
+// reserved replica belongs to an earlier BeginClaim and is ignored. An expired request is
+// not sent, because engines remember refused IDs only for a limited time.
+func (c *Core) claimGranted(req *request, claim *structs.Claim) {
+	if req.expired(c.now) {
+		req.phase = c.releaseReservation(req)
+		c.expire(req)
 		return
 	}
-	if held.phase == phaseClaiming {
-		c.admit(held)
+	if req.phase == phaseClaiming {
+		c.admit(req)
 		return
 	}
-	if claim.Runner == held.choice.Runner() && claim.Incarnation == held.choice.Incarnation() {
-		c.send(held)
+	if claim.Runner == req.choice.Runner() && claim.Incarnation == req.choice.Incarnation() {
+		c.send(req)
 	}
 }
 
-// claimNotAsked ends a request whose home zone cannot be reached. Only a claim
-// that the zone granted before has to be released.
-func (c *Core) claimNotAsked(held *request, problem *structs.Error) {
-	held.phase = c.withoutOutstandingClaim(held)
-	home := HomeZone(c.options.Zones, held.IdempotencyKey)
+// claimNotAsked refuses a request whose home zone is unreachable. Its claim is released
+// only if the zone granted it before.
+func (c *Core) claimNotAsked(req *request, problem *structs.Error) {
+	req.phase = c.releaseReservation(req)
+	home := HomeZone(c.options.Zones, req.IdempotencyKey)
 	estimate := MinimumRetryAfter
 	if problem != nil {
 		estimate = max(estimate, problem.RetryAfter)
 	}
-	remedy := "Come back after the time given with the same key."
+	remedy := "Retry after the given delay with the same key."
 	if home != c.options.Zone {
 		remedy += fmt.Sprintf(" A new request may start its key with %q instead.", string(c.options.Zone)+keySeparator)
 	}
-	c.refuse(held, structs.ErrorUnavailable, fmt.Sprintf("zone %s, the home of the key, cannot be reached from zone %s", home, c.options.Zone),
+	c.refuse(req, structs.ErrorUnavailable, fmt.Sprintf("zone %s, the home of the key, cannot be reached from zone %s", home, c.options.Zone),
 		remedy, estimate)
 }
 
-// claimFailed ends a request whose claim could not be decided. The zone may have
-// recorded it all the same, so it is released.
-func (c *Core) claimFailed(held *request, problem *structs.Error) {
-	held.claimHeld = true
-	held.phase = c.withoutOutstandingClaim(held)
-	estimate := held.row.estimator.Service(held.MaxTokens)
+// claimFailed refuses a request whose claim was not decided. The claim is released,
+// because the zone may have recorded it.
+func (c *Core) claimFailed(req *request, problem *structs.Error) {
+	req.claimHeld = true
+	req.phase = c.releaseReservation(req)
+	estimate := req.row.estimator.Service(req.MaxTokens)
 	if problem != nil && problem.RetryAfter > 0 {
 		estimate = problem.RetryAfter
 	}
 	switch structs.KindOf(asError(problem)) {
 	case structs.ErrorInvalid:
-		c.refuseAs(held, *problem, never)
+		c.refuseAs(req, *problem, noRetry)
 	case structs.ErrorOverloaded:
-		c.refuseAs(held, *problem, estimate)
+		c.refuseAs(req, *problem, estimate)
 	default:
-		c.refuse(held, structs.ErrorUnavailable, "the request's key could not be claimed in its home zone",
-			"Come back after the time given with the same key.", estimate)
+		c.refuse(req, structs.ErrorUnavailable, "the idempotency key could not be claimed in its home zone",
+			"Retry after the given delay with the same key.", estimate)
 	}
 }
 
-// asError keeps a missing problem a nil error.
+// asError returns a nil error for a nil problem.
 func asError(problem *structs.Error) error {
 	if problem == nil {
 		return nil
@@ -139,173 +139,171 @@
 	return problem
 }
 
-// beginClaim asks for the claim, with the reserved replica if there is one.
-func (c *Core) beginClaim(held *request) {
-	if held.phase == phaseBinding {
-		held.choices++
-	}
-	claim := c.claim(held)
-	if held.claimHeld {
-		// The zone knows it from the first one.
+// beginClaim requests the claim, naming the reserved replica if there is one.
+func (c *Core) beginClaim(req *request) {
+	if req.phase == phaseBinding {
+		req.choices++
+	}
+	claim := c.claim(req)
+	if req.claimHeld {
+		// The zone has recorded it from an earlier BeginClaim.
 		claim.HolderAddress = ""
 	}
-	c.emit(BeginClaim{ID: held.ID, Claim: claim, Choice: claim.Choice})
+	c.emit(BeginClaim{ID: req.ID, Claim: claim, Choice: claim.Choice})
 }
 
-// claimWithRunner claims the key with the runner named at once, which saves an entry
-// of the zone's log, if a replica is free for the request. It reports whether it did.
-func (c *Core) claimWithRunner(held *request) bool {
-	situation := c.situation(held.row, held.Request)
-	inTime := held.row.estimator.Finish(situation) < held.DeadlineAt.Sub(c.now)
-	if !inTime || held.row.waiting() > 0 {
+// claimWithRunner claims the key and names the runner in one operation if a replica is
+// free, which saves an entry in the log of the zone. It reports whether it did.
+func (c *Core) claimWithRunner(req *request) bool {
+	state := c.queueState(req.row, req.Request)
+	inTime := req.row.estimator.Finish(state) < req.DeadlineAt.Sub(c.now)
+	if !inTime || req.row.waiting() > 0 {
 		return false
 	}
-	choice, free := c.balancer.Pick(c.now, held.row.Name, held.prefixHashes(), held.avoid)
+	choice, free := c.balancer.Pick(c.now, req.row.Name, req.prefixHashes(), req.avoid)
 	if !free {
 		return false
 	}
-	if _, ok := c.takeTokens(held); !ok {
+	if _, ok := c.takeTokens(req); !ok {
 		return false
 	}
-	held.queuedAt = c.now
-	held.estimated = held.row.estimator.Start(situation)
-	held.row.estimator.ObserveArrival(c.now, held.Priority)
-	held.row.turns = max(held.row.turns, c.rowTurns)
-	held.row.countTurn()
-	held.row.estimator.ObserveTurn(c.now, false)
-	c.begin(held, choice)
+	req.queuedAt = c.now
+	req.estimatedWait = req.row.estimator.Start(state)
+	req.row.estimator.ObserveArrival(c.now, req.Priority)
+	req.row.virtualTime = max(req.row.virtualTime, c.virtualTime)
+	req.row.chargeTurn()
+	req.row.estimator.ObserveTurn(c.now, false)
+	c.begin(req, choice)
 	return true
 }
 
-// withoutOutstandingClaim returns the phase of a request whose BeginClaim has
-// been answered: a reserved replica is given back.
-func (c *Core) withoutOutstandingClaim(held *request) phase {
-	if held.phase == phaseBinding {
-		c.endAttempt(held, routing.OutcomeNeutral)
+// releaseReservation frees the reserved replica, if any, and returns the phase of a
+// request without an unanswered BeginClaim.
+func (c *Core) releaseReservation(req *request) phase {
+	if req.phase == phaseBinding {
+		c.endAttempt(req, routing.OutcomeNeutral)
 	}
 	return phaseBackoff
 }
 
-// answerFromClaim ends a request whose key is someone else's.
-func (c *Core) answerFromClaim(held *request, claim *structs.Claim) {
-	held.phase = c.withoutOutstandingClaim(held)
-	if claim.Digest != RequestDigest(held.Request) {
-		c.refuse(held, structs.ErrorInvalid, "the key was used for another request", "Use a new key for a new request.", never)
+// answerFromClaim handles a request whose key is claimed by another request.
+func (c *Core) answerFromClaim(req *request, claim *structs.Claim) {
+	req.phase = c.releaseReservation(req)
+	if claim.Digest != RequestDigest(req.Request) {
+		c.refuse(req, structs.ErrorInvalid, "the key was used for another request", "Use a new key for a new request.", noRetry)
 		return
 	}
 	switch claim.State {
 	case structs.ClaimFinished:
-		held.done = true
-		c.fetchAnswer(held, claim)
+		req.completed = true
+		c.fetchAnswer(req, claim)
 	case structs.ClaimHeld:
-		held.uncertain = true
-		c.fetchAnswer(held, claim)
+		req.mayHaveRun = true
+		c.fetchAnswer(req, claim)
 	case structs.ClaimReleased:
-		c.refuse(held, structs.ErrorUnavailable, "the claim on this key has just been released",
-			"Come back after the time given with the same key.", 0)
+		c.refuse(req, structs.ErrorUnavailable, "the claim on this key has just been released",
+			"Retry after the given delay with the same key.", 0)
 	default:
-		held.uncertain = true
-		c.refuseUnknown(held, "it cannot be known whether the request with this key ran")
+		req.mayHaveRun = true
+		c.refuseUnknown(req, "it is unknown whether the request with this key ran")
 	}
 }
 
-// fetchAnswer asks the router that executes or executed the request with the key for
-// its answer. Of a request that the zone still holds as in progress the router may
-// have the whole answer already: its caller had the last token before the zone could
-// record the end.
-func (c *Core) fetchAnswer(held *request, claim *structs.Claim) {
-	held.claim = claim
+// fetchAnswer requests the answer from the router that holds the claim. The router may
+// have the answer even while the zone records the claim as held, because the last token
+// is delivered before the zone records the end.
+func (c *Core) fetchAnswer(req *request, claim *structs.Claim) {
+	req.claim = claim
 	if claim.Holder == "" || claim.HolderAddress == "" && claim.Holder != c.options.Daemon {
-		c.refuseUnfetched(held, false)
+		c.refuseWithoutAnswer(req, false)
 		return
 	}
-	held.phase = phaseFetching
-	c.emit(FetchAnswer{ID: held.ID, Claim: *claim})
+	req.phase = phaseFetching
+	c.emit(FetchAnswer{ID: req.ID, Claim: *claim})
 }
 
-// answerFetched ends a request with the answer under its key, if that is the one
-// which the claim is of.
+// answerFetched replays the fetched answer if it matches the claim.
 func (c *Core) answerFetched(event AnswerFetched) {
-	held := c.requests[event.ID]
-	if held == nil || held.phase != phaseFetching {
+	req := c.requests[event.ID]
+	if req == nil || req.phase != phaseFetching {
 		return
 	}
 	kept := len(event.Answer) > 0 && !event.Unreachable
-	if held.claim.State == structs.ClaimFinished && MarkAnswer(event.Answer) != held.claim.Answer && c.mutation != mutationReplayAny {
+	if req.claim.State == structs.ClaimFinished && MarkAnswer(event.Answer) != req.claim.Answer && c.mutation != mutationReplayAny {
 		kept = false
 	}
 	if !kept {
-		c.refuseUnfetched(held, event.Unreachable)
+		c.refuseWithoutAnswer(req, event.Unreachable)
 		return
 	}
 	c.stats.Replayed++
-	c.release(held)
-	if !held.gone {
-		c.emit(Replay{ID: held.ID, Answer: event.Answer})
+	c.untrack(req)
+	if !req.callerGone {
+		c.emit(Replay{ID: req.ID, Answer: event.Answer})
 	}
 }
 
-// refuseUnfetched ends a request whose key is another's and whose answer was not
-// had from the router that executes or executed it. It does not run again.
-func (c *Core) refuseUnfetched(held *request, unreachable bool) {
-	const sameKey = "Come back after the time given with the same key."
+// refuseWithoutAnswer refuses a request whose key is claimed by another request and whose
+// answer is not available. The request is not executed.
+func (c *Core) refuseWithoutAnswer(req *request, unreachable bool) {
+	const sameKey = "Retry after the given delay with the same key."
 	switch {
-	case held.claim.State == structs.ClaimHeld:
-		c.refuse(held, structs.ErrorConflict, "a request with this key is in progress", sameKey,
-			held.row.estimator.Service(held.MaxTokens))
+	case req.claim.State == structs.ClaimHeld:
+		c.refuse(req, structs.ErrorConflict, "a request with this key is in progress", sameKey,
+			req.row.estimator.Service(req.MaxTokens))
 	case unreachable:
-		c.refuse(held, structs.ErrorConflict, "the request with this key ran, and the router that keeps its answer does not answer",
-			sameKey, unreachableKeeperRetry)
+		c.refuse(req, structs.ErrorConflict, "the request with this key ran, and the router that stores its answer does not respond",
+			sameKey, unreachableHolderRetry)
 	default:
-		c.refuse(held, structs.ErrorConflict, "the request with this key ran, and its answer is no longer kept",
-			"Use the answer that was given before, or send the request with a new key to run it again.", never)
+		c.refuse(req, structs.ErrorConflict, "the request with this key ran, and its answer is no longer kept",
+			"Use the answer that was given before, or send the request with a new key to run it again.", noRetry)
 	}
 }
 
-// finishClaim keeps the whole answer and records that there is one.
-func (c *Core) finishClaim(held *request, reason structs.FinishReason) {
-	if held.Repeatable() {
+// finishClaim records the end of the claim together with the complete answer.
+func (c *Core) finishClaim(req *request, reason structs.FinishReason) {
+	if req.Repeatable() {
 		return
 	}
-	claim := c.claim(held)
-	answer, err := EncodeAnswer(Answer{Text: string(held.answer), Tokens: held.delivered, Finish: reason})
+	claim := c.claim(req)
+	answer, err := EncodeAnswer(Answer{Text: string(req.answer), Tokens: req.delivered, Finish: reason})
 	claim.State = structs.ClaimFinished
 	claim.Answer = MarkAnswer(answer)
-	if err != nil || c.mutation == mutationForgetAnswer {
+	if err != nil || c.mutation == mutationDropAnswer {
 		claim.State = structs.ClaimUnknown
 		claim.Answer = structs.AnswerMark{}
 		answer = nil
 	}
-	c.emit(FinishClaim{ID: held.ID, Claim: claim, Answer: answer})
+	c.emit(FinishClaim{ID: req.ID, Claim: claim, Answer: answer})
 }
 
-// endClaim ends the claim of a request without a whole answer. While a
-// BeginClaim is unanswered, the release waits for its answer.
-func (c *Core) endClaim(held *request, execution structs.Execution) {
-	if held.Repeatable() {
+// endClaim ends the claim of a request without a complete answer. If a BeginClaim is
+// unanswered, the claim ends when its reply arrives.
+func (c *Core) endClaim(req *request, execution structs.Execution) {
+	if req.Repeatable() {
 		return
 	}
-	claim := c.claim(held)
+	claim := c.claim(req)
 	claim.State = structs.ClaimUnknown
 	if execution == structs.ExecutionNotRun {
 		claim.State = structs.ClaimReleased
 	}
-	if held.phase == phaseClaiming || held.phase == phaseBinding {
-		c.orphans[held.ID] = claim
+	if req.phase == phaseClaiming || req.phase == phaseBinding {
+		c.orphanedClaims[req.ID] = claim
 		return
 	}
-	if held.claimHeld {
-		c.emit(FinishClaim{ID: held.ID, Claim: claim})
+	if req.claimHeld {
+		c.emit(FinishClaim{ID: req.ID, Claim: claim})
 	}
 }
 
-// releaseOrphan releases a claim that was decided after its request had ended.
-func (c *Core) releaseOrphan(id structs.RequestID) {
-	claim, found := c.orphans[id]
+// finishOrphanedClaim ends a claim that was decided after its request had ended.
+func (c *Core) finishOrphanedClaim(id structs.RequestID) {
+	claim, found := c.orphanedClaims[id]
 	if !found {
 		return
 	}
-	delete(c.orphans, id)
+	delete(c.orphanedClaims, id)
 	if c.mutation == mutationLeakClaim {
 		return
 	}
--- a/request/router/core.go
+++ b/request/router/core.go
@@ -9,58 +9,60 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Core holds the requests of one router. It is not safe for concurrent use.
+// Core holds the state of the requests of one router. It is not safe for concurrent use.
 type Core struct {
 	options  Options
 	balancer *routing.Balancer
-	// tokens bounds what callers and rows may use.
+	// tokens limits the tokens that callers and rows may use.
 	tokens *admission.TokenLimits
 	now    time.Time
-	// tickedAt is the time of the last Tick; events between do not put off the next.
+	// tickedAt is the time of the last Tick; other events do not postpone the next one.
 	tickedAt time.Time
 	draining bool
-	// turns counts the calls of dispatchInOrder.
-	turns int
-	// rowTurns is the number of turns that a row which was idle starts with, so that
-	// it saves up nothing; it only rises.
-	rowTurns float64
+	// dispatches counts the calls of dispatchInOrder.
+	dispatches int
+	// virtualTime is where a row that was idle starts, so that idle rows accumulate no
+	// credit. It never decreases.
+	virtualTime float64
 	// queued counts the requests in all queues.
 	queued int
 
-	// rows are all that are known, active those of them in use.
+	// rows holds all known rows, active those in use.
 	rows     map[structs.RowName]*row
 	active   map[structs.RowName]*row
 	requests map[structs.RequestID]*request
 	attempts map[AttemptID]*request
-	// orphans are requests that ended while a BeginClaim was unanswered.
-	orphans map[structs.RequestID]structs.Claim
-	timers  timers
-	roles   roles
-	// silentUntil holds the zones that get no offer before the time.
-	silentUntil map[structs.ZoneID]time.Time
+	// orphanedClaims holds the claims of requests that ended while a BeginClaim was
+	// unanswered.
+	orphanedClaims map[structs.RequestID]structs.Claim
+	timers         timers
+	roles          roles
+	// unresponsiveUntil holds the zones that get no offer before the given time.
+	unresponsiveUntil map[structs.ZoneID]time.Time
 
 	tableRevision uint64
 	viewIndex     uint64
 	viewEpoch     structs.Epoch
 
-	// reported is what the leader was told of the rows in use; demandUrgent says that
-	// it should hear of a row at once.
+	// reported is the demand last reported to the leader by row; demandUrgent requests an
+	// immediate report.
 	reported     map[structs.RowName]reportedDemand
 	demandUrgent bool
 
-	// effects are those of the Step under way; deliver is the Deliver among them.
+	// effects is the result of the current Step; deliver backs its Deliver effect.
 	effects []Effect
 	deliver Deliver
-	// freed are the runners that got room in the Step under way.
-	freed []structs.RunnerID
-	// competing is the memory of dispatchInOrder's argument.
-	competing []waitingRow
-	stats     Stats
-	// mutation lets tests break one rule; it is zero otherwise.
+	// freedRunners lists the runners that gained capacity in the current Step.
+	freedRunners []structs.RunnerID
+	// rowScratch is reused for the argument of dispatchInOrder.
+	rowScratch []waitingRow
+	stats      Stats
+	// mutation lets tests disable one rule; it is zero in production.
 	mutation mutation
 }
 
-// mutation names a rule that a test breaks to show that its checker notices.
+// mutation names a rule that a test disables to show that its checker detects the
+// violation.
 type mutation uint8
 
 const (
@@ -68,39 +70,39 @@
 	mutationTwoTerminals
 	mutationRepeatKeyed
 	mutationSendUnclaimed
-	mutationClaimNotRun
+	mutationReportNotRun
 	mutationKeepDuplicates
 	mutationIgnoreGaps
 	mutationIgnoreDeadline
-	mutationForgetAnswer
+	mutationDropAnswer
 	mutationIgnoreLeaving
 	mutationNoRetryAfter
 	mutationLeakClaim
 	mutationQueueOffered
-	mutationHoldGivenUp
+	mutationDelayFailure
 	mutationNoReview
 	mutationReplayAny
 )
 
-// New makes a Core without table, placement or requests.
+// New returns a Core without table, placement or requests.
 func New(options Options) *Core {
 	options = options.withDefaults()
 	return &Core{
-		options:  options,
-		balancer: routing.New(options.Routing, options.Random),
-		tokens:   admission.NewTokenLimits(options.CallerTokens, options.RowTokens),
-		rows:     make(map[structs.RowName]*row),
-		active:   make(map[structs.RowName]*row),
-		requests: make(map[structs.RequestID]*request),
-		attempts: make(map[AttemptID]*request),
-		orphans:  make(map[structs.RequestID]structs.Claim),
-		reported: make(map[structs.RowName]reportedDemand),
+		options:        options,
+		balancer:       routing.New(options.Routing, options.Random),
+		tokens:         admission.NewTokenLimits(options.CallerTokens, options.RowTokens),
+		rows:           make(map[structs.RowName]*row),
+		active:         make(map[structs.RowName]*row),
+		requests:       make(map[structs.RequestID]*request),
+		attempts:       make(map[AttemptID]*request),
+		orphanedClaims: make(map[structs.RequestID]structs.Claim),
+		reported:       make(map[structs.RowName]reportedDemand),
 	}
 }
 
-// Step takes an event at the time now and returns the effects to carry out, in
-// order. The slice and the Deliver in it are valid until the next call of Step.
-// A now that lies before that of an earlier call counts as the earlier one.
+// Step processes an event at time now and returns the effects to apply, in order. The
+// slice and the Deliver in it are valid until the next call of Step. If now is earlier
+// than in a previous call, the previous time is used.
 func (c *Core) Step(now time.Time, event Event) []Effect {
 	if now.After(c.now) {
 		c.now = now
@@ -115,7 +117,7 @@
 	default:
 		c.handle(event)
 	}
-	if len(c.freed) > 0 {
+	if len(c.freedRunners) > 0 {
 		c.dispatchFreed()
 	}
 	return c.effects
@@ -171,7 +173,7 @@
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// tick ends what is due and starts what can start.
+// tick expires overdue requests, wakes those whose delay has passed and dispatches.
 func (c *Core) tick() {
 	c.tickedAt = c.now
 	for len(c.timers) > 0 && !c.timers[0].wakeAt.After(c.now) {
@@ -188,34 +190,34 @@
 	}
 }
 
-// wake goes on with a request whose delay is over.
+// wake resumes a request whose delay has passed.
 func (c *Core) wake(due *request) {
-	c.sleepUntil(due, due.DeadlineAt)
+	c.scheduleWake(due, due.DeadlineAt)
 	if c.mutation == mutationIgnoreDeadline && due.expired(c.now) {
-		c.sleepUntil(due, c.now.Add(time.Hour))
+		c.scheduleWake(due, c.now.Add(time.Hour))
 	}
 	switch due.phase {
 	case phaseBackoff:
 		c.enqueue(due)
-	case phaseAsking:
+	case phaseCheckingStatus:
 		c.askStatus(due)
 	case phaseRunning:
 		c.checkStall(due)
 	}
 }
 
-// sleepUntil sets when Tick looks at the request again: at the given time, or at
-// its deadline if that comes first.
-func (c *Core) sleepUntil(sleeper *request, when time.Time) {
-	if sleeper.DeadlineAt.Before(when) && c.mutation != mutationIgnoreDeadline {
-		when = sleeper.DeadlineAt
+// scheduleWake sets the time at which Tick next processes the request, at most its
+// deadline.
+func (c *Core) scheduleWake(req *request, when time.Time) {
+	if req.DeadlineAt.Before(when) && c.mutation != mutationIgnoreDeadline {
+		when = req.DeadlineAt
 	}
-	sleeper.wakeAt = when
-	heap.Fix(&c.timers, sleeper.position)
+	req.wakeAt = when
+	heap.Fix(&c.timers, req.position)
 }
 
-// NextDeadline returns when the next Tick is needed at the latest; ok is false
-// when nothing waits for time to pass.
+// NextDeadline returns the time by which the next Tick is needed; ok is false if no timer
+// is pending.
 func (c *Core) NextDeadline() (when time.Time, ok bool) {
 	if len(c.timers) == 0 {
 		return time.Time{}, false
@@ -227,5 +229,5 @@
 	return when, true
 }
 
-// Idle reports whether no request is held and no claim is unanswered.
-func (c *Core) Idle() bool { return len(c.requests) == 0 && len(c.orphans) == 0 }
+// Idle reports whether the Core holds no request and no unanswered claim.
+func (c *Core) Idle() bool { return len(c.requests) == 0 && len(c.orphanedClaims) == 0 }
--- a/request/router/core_test.go
+++ b/request/router/core_test.go
@@ -13,7 +13,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// script feeds a Core events at a fixed time and keeps the last effects.
+// script passes events to a Core at a settable time and stores the effects of the last
+// one.
 type script struct {
 	c       *qt.C
 	core    *Core
@@ -26,7 +27,7 @@
 	if change != nil {
 		change(&options)
 	}
-	s := &script{c: qt.New(t), core: New(options), now: worldStart}
+	s := &script{c: qt.New(t), core: New(options), now: testStart}
 	s.do(ViewChanged{View: testView(2, "row")})
 	return s
 }
@@ -46,7 +47,7 @@
 
 func keyed(request *structs.Request) { request.IdempotencyKey = "a:key" }
 
-// only returns the one effect of type E among the last effects.
+// only returns the single effect of type E among the last effects.
 func only[E Effect](s *script) E {
 	var found []E
 	for _, effect := range s.effects {
@@ -58,7 +59,7 @@
 	return found[0]
 }
 
-func TestArrivalEndsAtOnceWhenItCannotBeServed(t *testing.T) {
+func TestArrivalIsRefusedImmediatelyWhenItCannotBeServed(t *testing.T) {
 	tests := []struct {
 		about  string
 		before []Event
@@ -68,8 +69,8 @@
 	}{
 		{"row not in the table", nil, func(r *structs.Request) { r.Row = "absent" }, structs.ErrorNotFound, false},
 		{"draining", []Event{DrainStarted{}}, nil, structs.ErrorUnavailable, true},
-		{"deadline passed", nil, func(r *structs.Request) { r.DeadlineAt = worldStart }, structs.ErrorDeadline, true},
-		{"cold load comes after the deadline", nil, func(r *structs.Request) { r.Row, r.DeadlineAt = "cold", worldStart.Add(time.Second) }, structs.ErrorDeadline, true},
+		{"deadline passed", nil, func(r *structs.Request) { r.DeadlineAt = testStart }, structs.ErrorDeadline, true},
+		{"cold load would end after the deadline", nil, func(r *structs.Request) { r.Row, r.DeadlineAt = "cold", testStart.Add(time.Second) }, structs.ErrorDeadline, true},
 		{"row not in the table, with a key of another zone", nil, func(r *structs.Request) { r.Row, r.IdempotencyKey = "absent", "b:key" }, structs.ErrorNotFound, false},
 		{"row without replicas allowed", []Event{ViewChanged{View: structs.ZoneView{Table: structs.TableDelta{SinceRevision: 1, Revision: 2, Rows: []structs.Row{{Name: "none"}}}}}},
 			func(r *structs.Request) { r.Row = "none" }, structs.ErrorLimit, false},
@@ -128,7 +129,7 @@
 	return ok
 }
 
-func TestClaimDecidesAboutRepeatedKey(t *testing.T) {
+func TestRepeatedKeyIsHandledByStateOfItsClaim(t *testing.T) {
 	digest := RequestDigest(structs.Request{Row: "row", Prompt: "prompt", MaxTokens: 8})
 	kept := []byte("kept")
 	of := func(state structs.ClaimState, holder structs.DaemonID) structs.Claim {
@@ -148,17 +149,17 @@
 		execution structs.Execution
 		retry     bool
 	}{
-		{"unknown for good", structs.Claim{State: structs.ClaimUnknown, Digest: digest}, nil, structs.ExecutionUnknown, false},
+		{"outcome unknown", structs.Claim{State: structs.ClaimUnknown, Digest: digest}, nil, structs.ExecutionUnknown, false},
 		{"used for another request", structs.Claim{State: structs.ClaimFinished, Digest: digest + 1}, nil, structs.ExecutionNotRun, false},
-		{"finished, and nobody is known to keep the answer", structs.Claim{State: structs.ClaimFinished, Digest: digest}, nil, structs.ExecutionDone, false},
-		{"in progress at a router without address", nowhere, nil, structs.ExecutionUnknown, true},
-		{"finished and kept", of(structs.ClaimFinished, "another"), &AnswerFetched{Answer: kept}, "", false},
-		{"finished and kept here", of(structs.ClaimFinished, "daemon"), &AnswerFetched{Answer: kept}, "", false},
-		{"finished and gone", of(structs.ClaimFinished, "another"), &AnswerFetched{}, structs.ExecutionDone, false},
-		{"finished, another answer", of(structs.ClaimFinished, "another"), &AnswerFetched{Answer: []byte("keep")}, structs.ExecutionDone, false},
-		{"finished, router silent", of(structs.ClaimFinished, "another"), &AnswerFetched{Unreachable: true}, structs.ExecutionDone, true},
+		{"finished, without a holder", structs.Claim{State: structs.ClaimFinished, Digest: digest}, nil, structs.ExecutionDone, false},
+		{"in progress at a router without an address", nowhere, nil, structs.ExecutionUnknown, true},
+		{"finished, answer stored", of(structs.ClaimFinished, "another"), &AnswerFetched{Answer: kept}, "", false},
+		{"finished, answer stored here", of(structs.ClaimFinished, "daemon"), &AnswerFetched{Answer: kept}, "", false},
+		{"finished, answer no longer stored", of(structs.ClaimFinished, "another"), &AnswerFetched{}, structs.ExecutionDone, false},
+		{"finished, different answer fetched", of(structs.ClaimFinished, "another"), &AnswerFetched{Answer: []byte("keep")}, structs.ExecutionDone, false},
+		{"finished, router unreachable", of(structs.ClaimFinished, "another"), &AnswerFetched{Unreachable: true}, structs.ExecutionDone, true},
 		{"in progress", of(structs.ClaimHeld, "another"), &AnswerFetched{}, structs.ExecutionUnknown, true},
-		{"in progress, router silent", of(structs.ClaimHeld, "another"), &AnswerFetched{Unreachable: true}, structs.ExecutionUnknown, true},
+		{"in progress, router unreachable", of(structs.ClaimHeld, "another"), &AnswerFetched{Unreachable: true}, structs.ExecutionUnknown, true},
 		{"ended before the zone recorded it", of(structs.ClaimHeld, "another"), &AnswerFetched{Answer: kept}, "", false},
 	}
 	for _, test := range tests {
@@ -187,7 +188,7 @@
 	}
 }
 
-func TestAnswerThatIsNotFetchedByTheDeadlineIsRefusedAsDone(t *testing.T) {
+func TestAnswerNotFetchedByTheDeadlineIsRefusedAsDone(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(keyed)
 	claim := only[BeginClaim](s).Claim
@@ -229,9 +230,9 @@
 		status  structs.RequestStatus
 		repeats bool
 	}{
-		{"no record in the same life", structs.RequestStatus{State: structs.RunUnknown, Incarnation: 7}, true},
+		{"no record in the same incarnation", structs.RequestStatus{State: structs.RunUnknown, Incarnation: 7}, true},
 		{"cancelled before it started", structs.RequestStatus{State: structs.RunCancelled, Incarnation: 7}, true},
-		{"no record in another life", structs.RequestStatus{State: structs.RunUnknown, Incarnation: 8}, false},
+		{"no record in another incarnation", structs.RequestStatus{State: structs.RunUnknown, Incarnation: 8}, false},
 		{"cancelled after it started", structs.RequestStatus{State: structs.RunCancelled, Incarnation: 7, Started: true}, false},
 		{"finished", structs.RequestStatus{State: structs.RunFinished, Incarnation: 7, Started: true}, false},
 	}
@@ -270,7 +271,7 @@
 	s.c.Check(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 }
 
-func TestRequestIsGivenUpInTheStepOfItsLastFailure(t *testing.T) {
+func TestRequestIsRefusedInTheStepOfItsLastFailure(t *testing.T) {
 	s := newScript(t, func(options *Options) { options.AttemptLimit = 2 })
 	s.arrive(nil)
 	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: RefusedByEngine})
@@ -283,12 +284,12 @@
 	s.c.Check(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 }
 
-// An engine that is full says when to come back: until then it gets no request of any row, and then one at a time until it
-// has taken one.
-func TestEngineThatIsFullGetsNoRequestBeforeTheTimeThatItGave(t *testing.T) {
+// TestFullEngineGetsNoRequestBeforeItsRetryAfter also checks that the engine then gets
+// one request at a time, until it accepts one.
+func TestFullEngineGetsNoRequestBeforeItsRetryAfter(t *testing.T) {
 	s := newScript(t, nil)
 	s.do(ViewChanged{View: testView(1, "row")})
-	full := structs.NewError(structs.ErrorOverloaded, "the engine's queue is full", "Come back later.")
+	full := structs.NewError(structs.ErrorOverloaded, "the engine's queue is full", "Retry later.")
 	full.RetryAfter = 2 * time.Second
 	s.arrive(nil)
 	began := s.now
@@ -333,7 +334,7 @@
 	}
 }
 
-func TestKeyedRequestGoesOnWithoutItsCaller(t *testing.T) {
+func TestKeyedRequestContinuesAfterItsCallerDisconnects(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(keyed)
 	claim := only[BeginClaim](s).Claim
@@ -351,7 +352,7 @@
 	s.c.Check(s.core.Idle(), qt.IsTrue)
 }
 
-func TestOldTableDeltaChangesNothing(t *testing.T) {
+func TestOutdatedOrNoncontiguousTableDeltaIsIgnored(t *testing.T) {
 	s := newScript(t, nil)
 	removal := structs.TableDelta{SinceRevision: 1, Revision: 3, Deleted: []structs.RowName{"row"}}
 	s.do(ViewChanged{View: structs.ZoneView{Table: removal}})
@@ -362,7 +363,7 @@
 	s.c.Assert(only[Refuse](s).Refusal.Error.Kind, qt.Equals, structs.ErrorNotFound)
 }
 
-func TestAnswerTooLongToKeepEndsAsUnknown(t *testing.T) {
+func TestAnswerOverAnswerLimitEndsAsUnknown(t *testing.T) {
 	s := newScript(t, func(options *Options) { options.AnswerLimit = 2 * answerOverhead })
 	s.arrive(keyed)
 	claim := only[BeginClaim](s).Claim
@@ -375,7 +376,7 @@
 	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
 }
 
-func TestColdLoadIsObservedAlsoWhenEveryRequestWasRefused(t *testing.T) {
+func TestColdLoadIsObservedEvenIfEveryRequestWasRefused(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(func(r *structs.Request) { r.Row, r.DeadlineAt = "cold", s.now.Add(time.Second) })
 	s.c.Assert(s.core.Demand().Rows, qt.DeepEquals, []structs.RowDemand{{Row: "cold", Arrived: 1, Unserved: true}})
@@ -389,7 +390,7 @@
 	s.c.Check(s.core.active, qt.HasLen, 0)
 }
 
-func TestFreedSlotGoesToTheMostUrgentWaitingRequestAtOnce(t *testing.T) {
+func TestFreedSlotGoesToTheMostUrgentWaitingRequestImmediately(t *testing.T) {
 	s := newScript(t, func(options *Options) { options.Routing = routing.Options{MaxBatch: 1, QueueSlack: 1} })
 	s.do(RunnerLeaving{Runner: "runner-1"})
 	s.arrive(nil)
@@ -403,7 +404,7 @@
 	s.c.Check(only[SendAttempt](s).Attempt.Request(), qt.Equals, structs.RequestID("live"))
 }
 
-func TestBrokenStreamWithKeyEndsAtOnceAsUnknown(t *testing.T) {
+func TestBrokenStreamWithKeyEndsImmediatelyAsUnknown(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(keyed)
 	claim := only[BeginClaim](s).Claim
@@ -415,7 +416,7 @@
 	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
 }
 
-// TestRowWithLiveRequestsDoesNotStarveAnother lets two rows share one slot.
+// TestRowWithLiveRequestsDoesNotStarveAnother runs two rows on one slot.
 func TestRowWithLiveRequestsDoesNotStarveAnother(t *testing.T) {
 	s := newScript(t, func(options *Options) {
 		options.GuardAfter = 4
--- a/request/router/demand.go
+++ b/request/router/demand.go
@@ -8,25 +8,25 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// DemandScope says which rows a demand report lists.
+// DemandScope selects the rows of a demand report.
 type DemandScope int
 
 // The scopes.
 const (
-	// DemandWhole lists every row with requests and replaces what the leader knows.
+	// DemandWhole lists every row with requests and replaces all earlier reports.
 	DemandWhole DemandScope = iota
-	// DemandChanged lists the rows that differ from what was last reported of them.
+	// DemandChanged lists the rows whose demand differs from the last report.
 	DemandChanged
-	// DemandWaiting lists, of those, the rows whose waiting requests became some,
-	// none, or many more or less.
+	// DemandWaiting lists the rows whose number of waiting requests became zero, became
+	// nonzero or changed significantly.
 	DemandWaiting
 )
 
-// urgentAgain is the time after which another arrival for a row without a ready
-// replica is reported at once again.
-const urgentAgain = 500 * time.Millisecond
+// urgentInterval is the minimum time between urgent reports of a row without a ready
+// replica whose demand has not grown much.
+const urgentInterval = 500 * time.Millisecond
 
-// reportedDemand is what the leader was last told of a row.
+// reportedDemand is the last reported demand of a row.
 type reportedDemand struct {
 	waiting int
 	running int
@@ -34,18 +34,18 @@
 	at      time.Time
 }
 
-// Demand reports all rows with requests now or since their previous report,
+// Demand returns a report of all rows with requests now or since their previous report,
 // sorted by name, as of the latest Step.
 func (c *Core) Demand() structs.DemandReport {
 	report, _ := c.DemandOf(DemandWhole)
 	return report
 }
 
-// DemandOf reports the rows of the scope, sorted by name, as of the latest Step,
-// and starts a new reporting period for them. A row that is reported with neither
-// requests nor arrivals is in use no more. It says whether the report needs to be
-// sent: an empty one keeps the earlier ones alive at the leader, if there are any.
-// After a report that did not reach the leader the next one must be whole.
+// DemandOf returns a report of the rows of the scope, sorted by name, as of the latest
+// Step, and starts a new reporting period for them. Rows without requests and arrivals
+// become inactive. send is whether the report must be sent: an empty report keeps earlier
+// ones valid at the leader, if there are any. After a report that did not reach the
+// leader, the next one must be DemandWhole.
 func (c *Core) DemandOf(scope DemandScope) (report structs.DemandReport, send bool) {
 	known := len(c.reported) > 0
 	if scope == DemandWhole {
@@ -53,28 +53,28 @@
 	}
 	c.demandUrgent = false
 	report = structs.DemandReport{Daemon: c.options.Daemon, Partial: scope != DemandWhole}
-	c.reportEnded(scope, &report)
+	c.appendEnded(scope, &report)
 	for _, current := range c.activeRows() {
-		if current.wanting() == 0 && current.arrived == 0 {
-			if scope != DemandWaiting && current.held == 0 {
+		if current.localRequests() == 0 && current.arrivals == 0 {
+			if scope != DemandWaiting && current.requestCount == 0 {
 				c.deactivate(current)
 			}
 			continue
 		}
 		demand := c.rowDemand(current)
-		if !c.isNews(scope, demand) {
+		if !c.inScope(scope, demand) {
 			continue
 		}
 		report.Rows = append(report.Rows, demand)
-		current.arrived = 0
+		current.arrivals = 0
 		c.reported[demand.Row] = reportedDemand{waiting: demand.Waiting, running: demand.Running, highest: demand.Highest, at: c.now}
 	}
 	slices.SortFunc(report.Rows, func(a, b structs.RowDemand) int { return cmp.Compare(a.Row, b.Row) })
 	return report, len(report.Rows) > 0 || (known && scope != DemandWaiting)
 }
 
-// isNews reports whether a report of the scope lists the row.
-func (c *Core) isNews(scope DemandScope, demand structs.RowDemand) bool {
+// inScope reports whether a report of the scope lists the row.
+func (c *Core) inScope(scope DemandScope, demand structs.RowDemand) bool {
 	last := c.reported[demand.Row]
 	switch scope {
 	case DemandWhole:
@@ -84,21 +84,21 @@
 		return !same || demand.Arrived > 0
 	default:
 		unserved := demand.Unserved && demand.Arrived > 0
-		return unserved || movedMuch(demand.Waiting, last.waiting)
+		return unserved || changedSignificantly(demand.Waiting, last.waiting)
 	}
 }
 
-// movedMuch reports whether the count became some, none, or half as many again
-// or less.
-func movedMuch(now, last int) bool {
+// changedSignificantly reports whether a count became zero, became nonzero or changed by
+// at least half of its last value.
+func changedSignificantly(now, last int) bool {
 	return now != last && 2*max(now-last, last-now) >= last
 }
 
-// reportEnded adds the rows that were reported with requests and have none now.
-func (c *Core) reportEnded(scope DemandScope, report *structs.DemandReport) {
+// appendEnded appends the rows that were reported with requests and have none now.
+func (c *Core) appendEnded(scope DemandScope, report *structs.DemandReport) {
 	for name, last := range c.reported {
 		current := c.active[name]
-		isUsed := current != nil && current.wanting()+current.arrived > 0
+		isUsed := current != nil && current.localRequests()+current.arrivals > 0
 		if isUsed || (scope == DemandWaiting && last.waiting == 0) {
 			continue
 		}
@@ -109,18 +109,18 @@
 	}
 }
 
-// noteUrgent notes that the leader should hear of an arrival at once: the row has
-// no ready replica, and the leader was not told of it lately or of half as many.
-func (c *Core) noteUrgent(wanted *row) {
-	if c.balancer.Ready(wanted.Name) > 0 {
+// updateUrgency requests an immediate report of an arrival if the row has no ready
+// replica and its last report is old or its demand has doubled since.
+func (c *Core) updateUrgency(target *row) {
+	if c.balancer.Ready(target.Name) > 0 {
 		return
 	}
-	last, known := c.reported[wanted.Name]
-	waiting := wanted.wanting() - wanted.running
-	if !known || c.now.Sub(last.at) >= urgentAgain || waiting >= 2*max(last.waiting, 1) {
+	last, known := c.reported[target.Name]
+	waiting := target.localRequests() - target.running
+	if !known || c.now.Sub(last.at) >= urgentInterval || waiting >= 2*max(last.waiting, 1) {
 		c.demandUrgent = true
 	}
 }
 
-// DemandUrgent reports whether a report of scope DemandWaiting is due at once.
+// DemandUrgent reports whether a DemandWaiting report is due immediately.
 func (c *Core) DemandUrgent() bool { return c.demandUrgent }
--- a/request/router/demand_test.go
+++ b/request/router/demand_test.go
@@ -16,7 +16,7 @@
 	s.c.Assert(s.core.DemandUrgent(), qt.IsFalse)
 	for id := range 8 {
 		s.arrive(func(r *structs.Request) { r.ID, r.Row = structs.RequestID(fmt.Sprint(id)), "cold" })
-		// Told of one and of two, the leader hears of two and of four, not of three.
+		// A new report is urgent only when the waiting requests have doubled.
 		told := id == 0 || id == 1 || id == 3 || id == 7
 		s.c.Assert(s.core.DemandUrgent(), qt.Equals, told, qt.Commentf("%d wait", id+1))
 		if !told {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestDemandListsOnlyWhatChanged(t *testing.T) {
+func TestDemandListsOnlyChangedRows(t *testing.T) {
 	s := newScript(t, nil)
 	reports := func(scope DemandScope, want ...structs.RowDemand) {
 		t.Helper()
@@ -52,7 +52,7 @@
 	s.c.Check(s.core.active, qt.HasLen, 0)
 }
 
-func TestWholeReportIsDueWhenTheLeaderMayLackTheEarlierOnes(t *testing.T) {
+func TestWholeReportIsDueWhenTheLeaderMayLackEarlierOnes(t *testing.T) {
 	const interval = 500 * time.Millisecond
 	start := time.Unix(1000, 0)
 	tests := []struct {
@@ -65,7 +65,7 @@
 		{"the changed rows are due", func(*DemandSchedule) {}, changedEvery * interval, DemandChanged},
 		{"a report failed", (*DemandSchedule).Failed, interval, DemandWhole},
 		{"another leader took a report", func(s *DemandSchedule) { s.Acknowledged(start, DemandChanged, 8) }, interval, DemandWhole},
-		{"the leader heard nothing for long", func(*DemandSchedule) {}, staleAfter, DemandWhole},
+		{"the last report is stale", func(*DemandSchedule) {}, staleAfter, DemandWhole},
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
--- a/request/router/demandschedule.go
+++ b/request/router/demandschedule.go
@@ -7,21 +7,20 @@
 )
 
 const (
-	// changedEvery is how many report intervals lie between two reports of all
-	// changed rows.
+	// changedEvery is the number of report intervals between two DemandChanged reports.
 	changedEvery = 4
-	// wholeAfter is how old the latest whole report may become.
-	wholeAfter = 30 * time.Second
-	// staleAfter is how long after the latest report the leader may have dropped
-	// what it knows; it is shorter than the controller's DefaultDemandAfter.
+	// wholeInterval is the interval between two DemandWhole reports.
+	wholeInterval = 30 * time.Second
+	// staleAfter is the age of the latest report after which the leader may have
+	// discarded it; it is shorter than the controller's DefaultDemandAfter.
 	staleAfter = 4 * time.Second
 )
 
-// DemandSchedule decides which demand report a router owes its zone leader. It is
-// not safe for concurrent use.
+// DemandSchedule determines the scope of the next demand report of a router to its zone
+// leader. It is not safe for concurrent use.
 type DemandSchedule struct {
 	interval time.Duration
-	// known says that the leader of the epoch has a whole report.
+	// known is set when the leader of the epoch has a DemandWhole report.
 	known     bool
 	epoch     structs.Epoch
 	wholeAt   time.Time
@@ -29,16 +28,16 @@
 	latestAt  time.Time
 }
 
-// NewDemandSchedule makes the schedule of a router that has reported nothing yet.
+// NewDemandSchedule returns the schedule of a router that has reported nothing yet.
 // Waiting requests are reported every interval, other rows every fourth.
 func NewDemandSchedule(interval time.Duration) *DemandSchedule {
 	return &DemandSchedule{interval: interval}
 }
 
-// Next returns the scope of the report that is due now.
+// Next returns the scope of the report that is due at time now.
 func (s *DemandSchedule) Next(now time.Time) DemandScope {
 	switch {
-	case !s.known, now.Sub(s.wholeAt) >= wholeAfter, now.Sub(s.latestAt) >= staleAfter:
+	case !s.known, now.Sub(s.wholeAt) >= wholeInterval, now.Sub(s.latestAt) >= staleAfter:
 		return DemandWhole
 	case now.Sub(s.changedAt) >= changedEvery*s.interval:
 		return DemandChanged
@@ -46,18 +45,18 @@
 	return DemandWaiting
 }
 
-// Skipped notes that the report due at the time had nothing to say.
+// Skipped records that the report due at the given time was empty.
 func (s *DemandSchedule) Skipped(at time.Time, scope DemandScope) { s.note(at, scope) }
 
-// Acknowledged notes that the leader of the epoch took the report that was made at
-// the time. A leader of another epoch than before lacks the earlier reports.
+// Acknowledged records that the leader of the epoch received the report made at the given
+// time. A leader of a different epoch lacks the earlier reports.
 func (s *DemandSchedule) Acknowledged(at time.Time, scope DemandScope, epoch structs.Epoch) {
 	s.known = scope == DemandWhole || (s.known && epoch == s.epoch)
 	s.epoch = epoch
 	s.note(at, scope)
 }
 
-// Failed notes that a report may not have reached the leader.
+// Failed records that a report may not have reached the leader.
 func (s *DemandSchedule) Failed() { s.known = false }
 
 func (s *DemandSchedule) note(at time.Time, scope DemandScope) {
--- a/request/router/digest_test.go
+++ b/request/router/digest_test.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestDigestTellsContentsApart(t *testing.T) {
+func TestDigestDistinguishesContents(t *testing.T) {
 	zero, one := 0.0, 1.0
 	first, second := int64(1), int64(2)
 	contents := []structs.Request{
--- a/request/router/dispatch.go
+++ b/request/router/dispatch.go
@@ -10,14 +10,14 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// dispatchRow starts the row's requests, in the queue's order, as long as a
-// replica has room.
+// dispatchRow starts requests of the row in queue order while a replica has free
+// capacity.
 func (c *Core) dispatchRow(waiting *row) {
 	for c.dispatchOne(waiting) {
 	}
 }
 
-// dispatchOne starts the row's next request; it reports whether one was started.
+// dispatchOne starts the next request of the row; it reports whether one was started.
 func (c *Core) dispatchOne(waiting *row) bool {
 	for waiting.queue != nil {
 		head, ok := waiting.queue.Peek()
@@ -36,10 +36,10 @@
 		if c.refuseTooLate(waiting, next) {
 			continue
 		}
-		next = c.popFor(waiting, next, choice)
+		next = c.popPreferred(waiting, next, choice)
 		c.queued--
-		waiting.noteWaiting(c.now)
-		waiting.countTurn()
+		waiting.updateBusy(c.now)
+		waiting.chargeTurn()
 		waiting.estimator.ObserveTurn(c.now, waiting.queue.Len() > 0)
 		c.begin(next, choice)
 		return true
@@ -47,10 +47,10 @@
 	return false
 }
 
-// popFor takes the request whose turn it is, or one of the next few whose prompt
-// the chosen runner has cached: where all runners are full there is no choice of
-// runners left, but one of requests.
-func (c *Core) popFor(waiting *row, head *request, choice routing.Choice) *request {
+// popPreferred removes the next request of the queue, or one of the following few whose
+// prompt prefix the chosen runner has cached. It keeps cache hits possible when only one
+// runner has capacity.
+func (c *Core) popPreferred(waiting *row, head *request, choice routing.Choice) *request {
 	item, _ := waiting.queue.PopPreferred(func(item admission.Item) int {
 		candidate := c.requests[item.ID]
 		if candidate != head && (candidate.avoid == choice.Runner() || candidate.expired(c.now)) {
@@ -61,14 +61,14 @@
 	return c.requests[item.ID]
 }
 
-// begin reserves the chosen replica. A request with a key is sent only once the
-// claim names the engine.
+// begin reserves the chosen replica. A request with a key is sent only after the claim
+// names the engine.
 func (c *Core) begin(next *request, choice routing.Choice) {
 	next.choice = choice
 	choice.Sent(c.now, next.prefixHashes())
 	next.row.running++
 	if next.attempts == 0 {
-		next.row.estimator.ObserveStart(next.estimated, c.now.Sub(next.queuedAt))
+		next.row.estimator.ObserveStart(next.estimatedWait, c.now.Sub(next.queuedAt))
 	}
 	next.phase = phaseBinding
 	if !next.Repeatable() {
@@ -80,8 +80,8 @@
 	c.send(next)
 }
 
-// send starts an attempt on the reserved replica, or gives the replica back if
-// it is not usable any more.
+// send starts an attempt on the reserved replica, or queues the request again if the
+// replica is no longer usable.
 func (c *Core) send(next *request) {
 	if !next.choice.Usable() {
 		c.endAttempt(next, routing.OutcomeNeutral)
@@ -94,14 +94,14 @@
 	next.statusAsks = 0
 	next.resumedFrom = next.delivered
 	next.sentAt = c.now
-	next.heardAt = c.now
+	next.lastProgressAt = c.now
 	next.paused = false
-	c.watch(next)
+	c.scheduleStallCheck(next)
 	c.attempts[next.attempt] = next
 	c.stats.Attempts++
 	var estimated, waited time.Duration
 	if next.attempts == 1 {
-		estimated = next.estimated
+		estimated = next.estimatedWait
 		waited = next.sentAt.Sub(next.queuedAt)
 	}
 	c.emit(SendAttempt{
@@ -125,31 +125,31 @@
 	})
 }
 
-// dispatchFreed offers the runners that got room to the rows waiting for them.
+// dispatchFreed dispatches to the runners that gained capacity.
 func (c *Core) dispatchFreed() {
-	for len(c.freed) > 0 && c.queued > 0 {
-		last := len(c.freed) - 1
-		runner := c.freed[last]
-		c.freed = c.freed[:last]
-		c.competing = c.competing[:0]
+	for len(c.freedRunners) > 0 && c.queued > 0 {
+		last := len(c.freedRunners) - 1
+		runner := c.freedRunners[last]
+		c.freedRunners = c.freedRunners[:last]
+		c.rowScratch = c.rowScratch[:0]
 		for _, name := range c.balancer.Rows(runner) {
-			c.competing = appendWaiting(c.competing, c.active[name])
+			c.rowScratch = appendWaiting(c.rowScratch, c.active[name])
 		}
-		c.dispatchInOrder(c.competing)
+		c.dispatchInOrder(c.rowScratch)
 	}
-	c.freed = c.freed[:0]
+	c.freedRunners = c.freedRunners[:0]
 }
 
-// dispatchAll offers every runner to every waiting row.
+// dispatchAll dispatches to all runners.
 func (c *Core) dispatchAll() {
-	c.competing = c.competing[:0]
+	c.rowScratch = c.rowScratch[:0]
 	for _, candidate := range c.active {
-		c.competing = appendWaiting(c.competing, candidate)
+		c.rowScratch = appendWaiting(c.rowScratch, candidate)
 	}
-	c.dispatchInOrder(c.competing)
+	c.dispatchInOrder(c.rowScratch)
 }
 
-// waitingRow is a row with the request whose turn it is there.
+// waitingRow is a row and its next request.
 type waitingRow struct {
 	row  *row
 	head admission.Item
@@ -163,78 +163,78 @@
 	return append(waiting, waitingRow{row: candidate, head: head})
 }
 
-// rowSlack is how many turns of usual weight a row may be ahead of the others that
-// wait and still compete by deadline.
+// rowSlack is how far, in virtual time, a row may be ahead of the others that wait and
+// still compete by deadline.
 const rowSlack = 2
 
-// dispatchInOrder serves rows that compete for the same runners, one request at a
-// time, by the priority of their first request, then by weighted turns, then by
-// deadline; every few turns the longest wait goes first.
+// dispatchInOrder serves rows that compete for the same runners, one request at a time,
+// by the priority of their next request, then by virtual time, then by deadline. Every
+// GuardAfter-th call orders them by the longest wait instead.
 func (c *Core) dispatchInOrder(waiting []waitingRow) {
 	if len(waiting) == 0 {
 		return
 	}
-	c.turns++
-	turns := rowTurns{rows: waiting, order: byWait}
-	if c.turns%c.options.GuardAfter != 0 {
-		fewest := waiting[0].row.turns
+	c.dispatches++
+	queue := rowHeap{rows: waiting, order: byWait}
+	if c.dispatches%c.options.GuardAfter != 0 {
+		fewest := waiting[0].row.virtualTime
 		for _, candidate := range waiting {
-			fewest = min(fewest, candidate.row.turns)
+			fewest = min(fewest, candidate.row.virtualTime)
 		}
-		c.rowTurns = max(c.rowTurns, fewest)
+		c.virtualTime = max(c.virtualTime, fewest)
 		limit := fewest + rowSlack
-		turns.order = func(left, right waitingRow) int { return byUrgency(left, right, limit) }
+		queue.order = func(left, right waitingRow) int { return byUrgency(left, right, limit) }
 	}
-	heap.Init(&turns)
-	for turns.Len() > 0 {
-		served := &turns.rows[0]
+	heap.Init(&queue)
+	for queue.Len() > 0 {
+		served := &queue.rows[0]
 		if c.dispatchOne(served.row) && served.row.waiting() > 0 {
 			served.head, _ = served.row.queue.Peek()
-			heap.Fix(&turns, 0)
+			heap.Fix(&queue, 0)
 			continue
 		}
-		heap.Pop(&turns)
+		heap.Pop(&queue)
 	}
 }
 
-// rowTurns is a heap of waiting rows, the next one first.
-type rowTurns struct {
+// rowHeap is a heap of waiting rows.
+type rowHeap struct {
 	rows  []waitingRow
 	order func(left, right waitingRow) int
 }
 
-var _ heap.Interface = (*rowTurns)(nil)
+var _ heap.Interface = (*rowHeap)(nil)
 
 // Len implements heap.Interface.
-func (t *rowTurns) Len() int { return len(t.rows) }
+func (t *rowHeap) Len() int { return len(t.rows) }
 
 // Less implements heap.Interface.
-func (t *rowTurns) Less(i, j int) bool { return t.order(t.rows[i], t.rows[j]) < 0 }
+func (t *rowHeap) Less(i, j int) bool { return t.order(t.rows[i], t.rows[j]) < 0 }
 
 // Swap implements heap.Interface.
-func (t *rowTurns) Swap(i, j int) { t.rows[i], t.rows[j] = t.rows[j], t.rows[i] }
+func (t *rowHeap) Swap(i, j int) { t.rows[i], t.rows[j] = t.rows[j], t.rows[i] }
 
 // Push implements heap.Interface.
-func (t *rowTurns) Push(item any) { t.rows = append(t.rows, item.(waitingRow)) }
+func (t *rowHeap) Push(item any) { t.rows = append(t.rows, item.(waitingRow)) }
 
 // Pop implements heap.Interface.
-func (t *rowTurns) Pop() any {
+func (t *rowHeap) Pop() any {
 	last := len(t.rows) - 1
 	t.rows = t.rows[:last]
 	return nil
 }
 
-// byUrgency orders by priority, turns beyond limit, then deadline.
+// byUrgency orders rows by priority, virtual time beyond limit, then deadline.
 func byUrgency(left, right waitingRow, limit float64) int {
 	return cmp.Or(
 		cmp.Compare(right.head.Priority, left.head.Priority),
-		cmp.Compare(max(left.row.turns, limit), max(right.row.turns, limit)),
+		cmp.Compare(max(left.row.virtualTime, limit), max(right.row.virtualTime, limit)),
 		left.head.DeadlineAt.Compare(right.head.DeadlineAt),
 		cmp.Compare(left.row.Name, right.row.Name),
 	)
 }
 
-// byWait puts the row first whose next request has waited for the longest.
+// byWait orders rows by the waiting time of their next request, longest first.
 func byWait(left, right waitingRow) int {
 	return cmp.Or(
 		left.head.QueuedAt.Compare(right.head.QueuedAt),
--- a/request/router/doc.go
+++ b/request/router/doc.go
@@ -1,25 +1,25 @@
-// Package router is the life of a request as a pure state machine: claim,
-// admission, choice of a replica, attempts, resumption, retries, and exactly one
-// terminal effect.
+// Package router implements the life cycle of a request as a pure state machine:
+// claim, admission, selection of a replica, attempts, resumption, retries, and
+// exactly one terminal effect.
 //
-// A Core has no goroutine, clock, socket or global random source. Its shell
-// turns what happens into Events, calls Step with the time, and carries out the
-// Effects in their order. Calls are serialised by the shell.
+// A Core uses no goroutine, clock, socket or global random source. The driver, which
+// is the daemon or a test, turns occurrences into Events, passes them to Step with the
+// time, and applies the returned Effects in order. It must serialize its calls.
 //
 // # Terminal effects
 //
 // Every Arrived leads to exactly one of Finish, Replay, Refuse or Forward, unless
-// the caller went away, or another zone took it after an Offer. A Forward that the
-// shell could not deliver comes back as ForwardFailed and ends in a Refuse; a failed
-// Offer comes back as OfferFailed, and the request waits here.
+// the caller disconnected, or another zone accepted the request after an Offer. A
+// Forward that could not be delivered is reported as ForwardFailed and ends in a
+// Refuse; a failed Offer is reported as OfferFailed, and the request is queued here.
 //
 // # Requests with an idempotency key
 //
-// The key's home zone alone decides about it, wherever the request is executed. In
-// it the router claims the key before anything else, names the chosen engine in the
-// claim before it sends the request, and sends it again only if the engine certainly
-// did not run it. The whole answer is in a FinishClaim effect ahead of the Finish; the
-// shell keeps it, and the claim has only its mark. A resend fetches the answer from the
-// router that executed the request (FetchAnswer). A claim whose request certainly did
-// not run is released with structs.ClaimReleased.
+// The home zone of the key alone decides about it, wherever the request is executed.
+// The router claims the key there first, names the chosen engine in the claim before
+// it sends the request, and sends it again only if the engine certainly did not run
+// it. A FinishClaim effect ahead of the Finish contains the complete answer, which the
+// driver stores; the claim records only its AnswerMark. A repeated request fetches the
+// answer from the router that executed the original (FetchAnswer). The claim of a
+// request that certainly did not run is released with structs.ClaimReleased.
 package router
--- a/request/router/engine_test.go
+++ b/request/router/engine_test.go
@@ -7,21 +7,21 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// sendAttempt is the adversarial engine: it refuses, loses, breaks, truncates,
-// repeats, skips and crosses what it is sent.
-func (w *world) sendAttempt(send SendAttempt) {
+// sendAttempt simulates an adversarial engine, which refuses, loses, breaks, truncates,
+// repeats, skips and mixes up the attempts it receives.
+func (w *simulation) sendAttempt(send SendAttempt) {
 	id := send.Attempt.Request()
 	target := w.requests[id]
 	if _, again := w.attempts[send.Attempt]; again {
 		w.violate("attempt", "%s was sent twice", send.Attempt)
 	}
-	if !target.request.Repeatable() && target.confirmed != send.Runner {
+	if !target.request.Repeatable() && target.claimedRunner != send.Runner {
 		w.violate("claim", "%s was sent without a durable claim that names %s", id, send.Runner)
 	}
 	if w.leaving[send.Runner] {
 		w.violate("leaving", "%s was sent to leaving %s", id, send.Runner)
 	}
-	attempt := &engineAttempt{request: target, life: send.Incarnation}
+	attempt := &engineAttempt{request: target, incarnation: send.Incarnation}
 	w.attempts[send.Attempt] = attempt
 	switch w.random.IntN(8) {
 	case 0:
@@ -38,16 +38,16 @@
 }
 
 // stream schedules the tokens of an attempt, with faults.
-func (w *world) stream(send SendAttempt) {
+func (w *simulation) stream(send SendAttempt) {
 	at := w.now
 	if w.chance(20) {
-		// The engine lets the request wait.
+		// The request is queued at the engine.
 		at = at.Add(time.Duration(w.random.IntN(6000)) * time.Millisecond)
 	}
-	for index := send.Generate.ResumeFrom; index < worldTokens; index++ {
+	for index := send.Generate.ResumeFrom; index < answerTokens; index++ {
 		at = at.Add(time.Duration(1+w.random.IntN(400)) * time.Millisecond)
 		token := structs.Token{ID: send.Generate.ID, Index: index, Text: tokenText(send.Generate.Prompt, index)}
-		if index == worldTokens-1 {
+		if index == answerTokens-1 {
 			token.Finish = structs.FinishStop
 		}
 		received := TokenReceived{Attempt: send.Attempt, Token: token}
@@ -59,7 +59,7 @@
 			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: Broken}})
 		}
 		if fault == 12 && index > send.Generate.ResumeFrom {
-			// The engine contradicts itself: it refuses what it has started.
+			// The engine refuses an attempt that it has started.
 			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: RefusedByEngine}})
 			return
 		}
@@ -85,9 +85,9 @@
 	}
 }
 
-// askStatus fences the attempt unless it only peeks, or fails to, and says what
-// the engine knows.
-func (w *world) askStatus(ask AskStatus) {
+// askStatus fences the attempt unless Peek is set, and replies with its status or a
+// failure.
+func (w *simulation) askStatus(ask AskStatus) {
 	attempt := w.attempts[ask.Attempt]
 	if w.chance(30) {
 		w.after(time.Second, StatusReplied{ID: ask.ID, Attempt: ask.Attempt, Peek: ask.Peek, Error: structs.NewError(structs.ErrorUnavailable, "lost", "Ask again.")})
@@ -98,7 +98,7 @@
 		return
 	}
 	attempt.fenced = true
-	status := &structs.RequestStatus{ID: structs.RequestID(ask.Attempt), State: structs.RunUnknown, Incarnation: attempt.life}
+	status := &structs.RequestStatus{ID: structs.RequestID(ask.Attempt), State: structs.RunUnknown, Incarnation: attempt.incarnation}
 	if attempt.received {
 		status.State = structs.RunCancelled
 		status.Started = attempt.executed
@@ -111,10 +111,10 @@
 	w.after(time.Second, StatusReplied{ID: ask.ID, Attempt: ask.Attempt, Status: status})
 }
 
-// peek says what the engine knows of an attempt that goes on: nothing, if the
-// attempt is still on its way. The answer may come late, when it has started since.
-func (w *world) peek(ask AskStatus, attempt *engineAttempt) {
-	status := &structs.RequestStatus{ID: structs.RequestID(ask.Attempt), State: structs.RunUnknown, Incarnation: attempt.life}
+// peek replies with the status of a running attempt, or RunUnknown if the engine has not
+// received it yet. The reply may arrive after the attempt has started.
+func (w *simulation) peek(ask AskStatus, attempt *engineAttempt) {
+	status := &structs.RequestStatus{ID: structs.RequestID(ask.Attempt), State: structs.RunUnknown, Incarnation: attempt.incarnation}
 	if attempt.executed || (attempt.received && w.chance(50)) {
 		status.State = structs.RunQueued
 		status.Started = attempt.executed
@@ -122,12 +122,13 @@
 	w.after(2*time.Second, StatusReplied{ID: ask.ID, Attempt: ask.Attempt, Status: status, Peek: true})
 }
 
-// beginClaim is the key's home zone: it answers late, or records and loses the answer.
-func (w *world) beginClaim(begin BeginClaim) {
+// beginClaim simulates the home zone of the key, which replies late, or records the claim
+// and loses the reply.
+func (w *simulation) beginClaim(begin BeginClaim) {
 	reply := ClaimReplied{ID: begin.ID}
 	current, exists := w.claims[begin.Claim.Key]
 	if w.chance(10) {
-		reply.Error = structs.NewError(structs.ErrorUnavailable, "no quorum", "Come back.")
+		reply.Error = structs.NewError(structs.ErrorUnavailable, "no quorum", "Retry.")
 		if w.chance(50) && !exists {
 			w.claims[begin.Claim.Key] = begin.Claim
 		}
@@ -147,7 +148,7 @@
 	}
 }
 
-func (w *world) finishClaim(finish FinishClaim) {
+func (w *simulation) finishClaim(finish FinishClaim) {
 	current, exists := w.claims[finish.Claim.Key]
 	if !exists || current.Request != finish.ID || current.State != structs.ClaimHeld {
 		return
@@ -158,23 +159,23 @@
 	}
 	w.claims[finish.Claim.Key] = finish.Claim
 	if finish.Claim.State == structs.ClaimFinished {
-		w.requests[finish.ID].kept = true
+		w.requests[finish.ID].answerKept = true
 		w.checkAnswer(w.requests[finish.ID], finish.Answer)
-		w.kept[finish.Claim.Key] = finish.Answer
+		w.keptAnswers[finish.Claim.Key] = finish.Answer
 	}
 }
 
-// fetchAnswer is the router that keeps the answer: it may be late or silent, and may
-// have lost it or another one in its place.
-func (w *world) fetchAnswer(fetch FetchAnswer) {
-	reply := AnswerFetched{ID: fetch.ID, Answer: w.kept[fetch.Claim.Key]}
+// fetchAnswer simulates the router that stores the answer, which may be late,
+// unreachable, or return no answer or a different one.
+func (w *simulation) fetchAnswer(fetch FetchAnswer) {
+	reply := AnswerFetched{ID: fetch.ID, Answer: w.keptAnswers[fetch.Claim.Key]}
 	switch draw := w.random.IntN(100); {
 	case draw < 5:
 		reply.Answer, reply.Unreachable = nil, true
 	case draw < 10:
 		reply.Answer = nil
 	case draw < 20:
-		reply.Answer = []byte("of another life")
+		reply.Answer = []byte("a different answer")
 	}
 	if fetch.Claim.State == structs.ClaimHeld {
 		reply.Answer = nil
--- a/request/router/fairness_test.go
+++ b/request/router/fairness_test.go
@@ -13,8 +13,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// newFullRunner has one runner that takes two requests, of rows "row" and "other".
-func newFullRunner(t *testing.T) *script {
+// newSingleRunnerScript returns a script with one runner of two slots for rows "row" and
+// "other".
+func newSingleRunnerScript(t *testing.T) *script {
 	s := newScript(t, func(options *Options) { options.Routing = routing.Options{MaxBatch: 1, QueueSlack: 1} })
 	view := testView(1, "row", "other")
 	view.Index, view.Table.Revision = 2, 2
@@ -22,7 +23,7 @@
 	return s
 }
 
-// request lets a request with its own prompt arrive and returns what was started.
+// request sends a request with the given prompt and returns the attempts started.
 func (s *script) request(id structs.RequestID, row structs.RowName, patience time.Duration, prompt string) []SendAttempt {
 	return started(s.arrive(func(request *structs.Request) {
 		request.ID, request.Row, request.Prompt = id, row, prompt
@@ -30,7 +31,7 @@
 	}))
 }
 
-// finish ends an attempt and returns what was started then.
+// finish ends an attempt and returns the attempts started by that.
 func (s *script) finish(attempt AttemptID) []SendAttempt {
 	s.now = s.now.Add(100 * time.Millisecond)
 	return started(s.do(TokenReceived{Attempt: attempt, Token: structs.Token{ID: structs.RequestID(attempt), Finish: structs.FinishStop}}))
@@ -47,7 +48,7 @@
 }
 
 func TestRowsShareTheirRunnersFairly(t *testing.T) {
-	s := newFullRunner(t)
+	s := newSingleRunnerScript(t)
 	var running []SendAttempt
 	for number := range 30 {
 		running = append(running, s.request(structs.RequestID(fmt.Sprint("flood-", number)), "row", 20*time.Second, "prompt")...)
@@ -75,8 +76,8 @@
 		{1000, 250, 64},
 		{0, 300, 20},
 	} {
-		t.Run(fmt.Sprint(test.weight, " beside ", test.other), func(t *testing.T) {
-			s := newFullRunner(t)
+		t.Run(fmt.Sprint(test.weight, " and ", test.other), func(t *testing.T) {
+			s := newSingleRunnerScript(t)
 			s.do(ViewChanged{View: structs.ZoneView{Index: 3, Table: structs.TableDelta{Revision: 3, SinceRevision: 2, Rows: []structs.Row{
 				{Name: "row", MaxReplicas: 4, Weight: test.weight}, {Name: "other", MaxReplicas: 4, Weight: test.other},
 			}}}})
@@ -94,15 +95,15 @@
 					served++
 				}
 			}
-			// So often the longest wait goes first.
+			// Turns that go to the longest wait instead of by weight.
 			const guarded = turns / admission.DefaultGuardAfter
 			qt.Check(t, served >= test.want-guarded && served <= test.want+guarded, qt.IsTrue, qt.Commentf("%d of %d", served, turns))
 		})
 	}
 }
 
-func TestFullRunnerTakesARequestItHasCachedFirst(t *testing.T) {
-	s := newFullRunner(t)
+func TestFullRunnerGetsARequestWithCachedPrefixFirst(t *testing.T) {
+	s := newSingleRunnerScript(t)
 	cached := strings.Repeat("a", routing.PrefixBlockBytes)
 	running := s.request("1", "row", 20*time.Second, cached)
 	s.request("2", "row", 20*time.Second, cached)
@@ -113,8 +114,8 @@
 	qt.Assert(t, next[0].Attempt.Request(), qt.Equals, structs.RequestID("known"))
 }
 
-func TestRequestThatWouldBeAnsweredTooLateIsRefusedAtItsArrival(t *testing.T) {
-	s := newFullRunner(t)
+func TestRequestThatWouldMissItsDeadlineIsRefusedAtArrival(t *testing.T) {
+	s := newSingleRunnerScript(t)
 	running := s.request("1", "row", 20*time.Second, "prompt")
 	s.request("2", "row", 20*time.Second, "prompt")
 	s.now = s.now.Add(3 * time.Second)
--- a/request/router/finish.go
+++ b/request/router/finish.go
@@ -8,154 +8,154 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// never is the RetryAfter of refusals after which coming back is of no use.
-const never time.Duration = -1
+// noRetry is the retry estimate of refusals that should not be retried.
+const noRetry time.Duration = -1
 
-// retrySpread is the share by which RetryAfter is lengthened at random, so that
-// refused callers do not come back at once.
-const retrySpread = 0.1
+// retryJitter is the maximum random extension of RetryAfter, as a fraction, so that
+// refused callers do not retry simultaneously.
+const retryJitter = 0.1
 
-// spread makes an estimate of when capacity frees into a RetryAfter.
-func (c *Core) spread(estimate time.Duration) time.Duration {
+// retryAfter returns the RetryAfter for an estimate of when capacity becomes available.
+func (c *Core) retryAfter(estimate time.Duration) time.Duration {
 	if estimate < 0 || c.mutation == mutationNoRetryAfter {
 		return 0
 	}
 	estimate = max(estimate, MinimumRetryAfter)
-	return estimate + time.Duration(retrySpread*c.options.Random.Float64()*float64(estimate))
+	return estimate + time.Duration(retryJitter*c.options.Random.Float64()*float64(estimate))
 }
 
-// refuse ends the request with a refusal and its claim accordingly. The estimate is of
-// when capacity frees, or never.
-func (c *Core) refuse(held *request, kind structs.ErrorKind, message, remedy string, estimate time.Duration) {
-	execution := held.execution()
-	if c.mutation == mutationClaimNotRun {
+// refuse ends the request and its claim. estimate is when capacity becomes available, or
+// noRetry.
+func (c *Core) refuse(req *request, kind structs.ErrorKind, message, remedy string, estimate time.Duration) {
+	execution := req.execution()
+	if c.mutation == mutationReportNotRun {
 		execution = structs.ExecutionNotRun
 	}
-	c.endClaim(held, execution)
-	c.release(held)
-	if held.gone {
+	c.endClaim(req, execution)
+	c.untrack(req)
+	if req.callerGone {
 		return
 	}
-	problem := structs.Error{Kind: kind, Message: message, Remedy: remedy, RetryAfter: c.spread(estimate)}
+	problem := structs.Error{Kind: kind, Message: message, Remedy: remedy, RetryAfter: c.retryAfter(estimate)}
 	c.stats.Refused++
-	c.emit(Refuse{ID: held.ID, Refusal: structs.Refusal{Error: problem, Execution: execution}})
+	c.emit(Refuse{ID: req.ID, Refusal: structs.Refusal{Error: problem, Execution: execution}})
 	if c.mutation == mutationTwoTerminals {
-		c.emit(Refuse{ID: held.ID, Refusal: structs.Refusal{Error: problem, Execution: execution}})
+		c.emit(Refuse{ID: req.ID, Refusal: structs.Refusal{Error: problem, Execution: execution}})
 	}
 }
 
-// refuseAs ends the request with the kind, message and remedy of a problem.
-func (c *Core) refuseAs(held *request, problem structs.Error, estimate time.Duration) {
-	c.refuse(held, problem.Kind, problem.Message, problem.Remedy, estimate)
+// refuseAs refuses the request with the kind, message and remedy of a problem.
+func (c *Core) refuseAs(req *request, problem structs.Error, estimate time.Duration) {
+	c.refuse(req, problem.Kind, problem.Message, problem.Remedy, estimate)
 }
 
-// refuseUnheld ends a request that was not held; nothing of it ran.
-func (c *Core) refuseUnheld(id structs.RequestID, problem structs.Error) {
+// refuseUntracked refuses a request that is not held; none of it ran.
+func (c *Core) refuseUntracked(id structs.RequestID, problem structs.Error) {
 	c.stats.Refused++
 	c.emit(Refuse{ID: id, Refusal: structs.Refusal{Error: problem, Execution: structs.ExecutionNotRun}})
 }
 
-// refuseUnknown ends a request with a key whose outcome cannot be known.
-func (c *Core) refuseUnknown(held *request, message string) {
+// refuseUnknown refuses a request with a key whose outcome is unknown.
+func (c *Core) refuseUnknown(req *request, message string) {
 	c.stats.OutcomeUnknown++
-	c.refuse(held, structs.ErrorUnavailable, message,
-		"Find out by other means whether it took effect; this key will not run again.", never)
+	c.refuse(req, structs.ErrorUnavailable, message,
+		"Find out by other means whether it took effect; this key will not run again.", noRetry)
 }
 
-// giveUp ends a request after failed attempts.
-func (c *Core) giveUp(held *request, message string) {
-	if held.execution() == structs.ExecutionUnknown {
-		c.refuseUnknown(held, message)
+// giveUp refuses a request after failed attempts.
+func (c *Core) giveUp(req *request, message string) {
+	if req.execution() == structs.ExecutionUnknown {
+		c.refuseUnknown(req, message)
 		return
 	}
-	if c.mutation == mutationHoldGivenUp {
-		c.sleepUntil(held, held.DeadlineAt)
+	if c.mutation == mutationDelayFailure {
+		c.scheduleWake(req, req.DeadlineAt)
 		return
 	}
-	situation := c.situation(held.row, held.Request)
-	c.refuse(held, structs.ErrorUnavailable, message, "Come back after the time given.", held.row.estimator.Start(situation))
+	state := c.queueState(req.row, req.Request)
+	c.refuse(req, structs.ErrorUnavailable, message, "Retry after the given delay.", req.row.estimator.Start(state))
 }
 
-// expire ends a request whose deadline has come.
-func (c *Core) expire(held *request) {
+// expire refuses a request whose deadline has passed.
+func (c *Core) expire(req *request) {
 	c.stats.Expired++
-	if held.phase == phaseRunning {
-		c.emit(CancelAttempt{Attempt: held.attempt})
+	if req.phase == phaseRunning {
+		c.emit(CancelAttempt{Attempt: req.attempt})
 	}
-	if held.phase == phaseFetching {
-		c.refuseUnfetched(held, true)
+	if req.phase == phaseFetching {
+		c.refuseWithoutAnswer(req, true)
 		return
 	}
-	if held.execution() == structs.ExecutionUnknown {
-		c.refuseUnknown(held, "the deadline came before the answer was whole")
+	if req.execution() == structs.ExecutionUnknown {
+		c.refuseUnknown(req, "the deadline passed before the answer was complete")
 		return
 	}
-	situation := c.situation(held.row, held.Request)
-	c.refuse(held, structs.ErrorDeadline, "the deadline came before the answer was whole",
-		"Come back after the time given, or allow a later deadline.", held.row.estimator.Start(situation))
+	state := c.queueState(req.row, req.Request)
+	c.refuse(req, structs.ErrorDeadline, "the deadline passed before the answer was complete",
+		"Retry after the given delay, or allow a later deadline.", req.row.estimator.Start(state))
 }
 
-// complete ends a request whose last token was delivered.
-func (c *Core) complete(held *request, reason structs.FinishReason) {
-	if held.resumedFrom == 0 {
-		held.row.estimator.ObserveService(c.now.Sub(held.sentAt), held.delivered)
+// complete finishes a request whose last token was delivered.
+func (c *Core) complete(req *request, reason structs.FinishReason) {
+	if req.resumedFrom == 0 {
+		req.row.estimator.ObserveService(c.now.Sub(req.sentAt), req.delivered)
 	}
 	c.stats.Finished++
-	c.finishClaim(held, reason)
-	c.endAttempt(held, routing.OutcomeSuccess)
-	c.release(held)
-	if held.gone {
+	c.finishClaim(req, reason)
+	c.endAttempt(req, routing.OutcomeSuccess)
+	c.untrack(req)
+	if req.callerGone {
 		return
 	}
-	c.emit(Finish{ID: held.ID, Finish: reason})
+	c.emit(Finish{ID: req.ID, Finish: reason})
 	if c.mutation == mutationTwoTerminals {
-		c.emit(Finish{ID: held.ID, Finish: reason})
+		c.emit(Finish{ID: req.ID, Finish: reason})
 	}
 }
 
-// callerGone drops a request that nobody waits for. A request with a key that
-// may be running goes on, so that its answer can be replayed.
+// callerGone drops a request whose caller disconnected. A request with a key that may be
+// running continues, so that its answer can be replayed.
 func (c *Core) callerGone(id structs.RequestID) {
-	held := c.requests[id]
-	if held == nil || held.gone {
+	req := c.requests[id]
+	if req == nil || req.callerGone {
 		return
 	}
 	c.stats.CallersGone++
-	held.gone = true
-	if !held.Repeatable() && held.execution() != structs.ExecutionNotRun {
+	req.callerGone = true
+	if !req.Repeatable() && req.execution() != structs.ExecutionNotRun {
 		return
 	}
-	if held.phase == phaseRunning {
-		c.emit(CancelAttempt{Attempt: held.attempt})
+	if req.phase == phaseRunning {
+		c.emit(CancelAttempt{Attempt: req.attempt})
 	}
-	c.endClaim(held, held.execution())
-	c.release(held)
+	c.endClaim(req, req.execution())
+	c.untrack(req)
 }
 
 // endAttempt frees the slot of the current attempt, if there is one.
-func (c *Core) endAttempt(held *request, outcome routing.Outcome) {
-	if held.phase != phaseRunning && held.phase != phaseBinding {
+func (c *Core) endAttempt(req *request, outcome routing.Outcome) {
+	if req.phase != phaseRunning && req.phase != phaseBinding {
 		return
 	}
-	delete(c.attempts, held.attempt)
-	held.choice.Done(c.now, outcome)
-	held.row.running--
-	c.freed = append(c.freed, held.choice.Runner())
-	held.phase = phaseBackoff
+	delete(c.attempts, req.attempt)
+	req.choice.Done(c.now, outcome)
+	req.row.running--
+	c.freedRunners = append(c.freedRunners, req.choice.Runner())
+	req.phase = phaseBackoff
 }
 
-// release stops keeping the request, whatever its phase.
-func (c *Core) release(held *request) {
-	if held.phase == phaseQueued && held.row.queue != nil && held.row.queue.Remove(held.ID) {
+// untrack removes the request from those held, in any phase.
+func (c *Core) untrack(req *request) {
+	if req.phase == phaseQueued && req.row.queue != nil && req.row.queue.Remove(req.ID) {
 		c.queued--
-		held.row.noteWaiting(c.now)
+		req.row.updateBusy(c.now)
 	}
-	if held.phase == phaseOffered {
-		held.row.offered--
+	if req.phase == phaseOffered {
+		req.row.offered--
 	}
-	c.endAttempt(held, routing.OutcomeNeutral)
-	c.returnTokens(held)
-	delete(c.requests, held.ID)
-	heap.Remove(&c.timers, held.position)
-	held.row.held--
+	c.endAttempt(req, routing.OutcomeNeutral)
+	c.returnTokens(req)
+	delete(c.requests, req.ID)
+	heap.Remove(&c.timers, req.position)
+	req.row.requestCount--
 }
--- a/request/router/home.go
+++ b/request/router/home.go
@@ -9,13 +9,12 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// keySeparator ends the name of a zone at the start of a key.
+// keySeparator ends the zone name at the start of a key.
 const keySeparator = ":"
 
-// HomeZone returns the zone that decides about an idempotency key: the one named
-// before the key's first colon if it is one of zones, otherwise the zone with the
-// highest hash of zone and key, so that a new zone takes over only its share.
-// Every router must have the same zones.
+// HomeZone returns the zone that decides about an idempotency key: the zone named before
+// the first colon of the key if it is one of zones, otherwise the zone with the highest
+// hash of zone and key (rendezvous hashing). All routers must use the same zones.
 func HomeZone(zones []structs.ZoneID, key string) structs.ZoneID {
 	prefix, _, found := strings.Cut(key, keySeparator)
 	var home structs.ZoneID
@@ -32,27 +31,27 @@
 	return home
 }
 
-// callerSeparator stands between the caller and its key in a claim's key. No
-// caller's name has it.
+// callerSeparator separates the caller from its key in a claim key. Caller names do not
+// contain it.
 const callerSeparator = "/"
 
-// claimKey is the key of the claim for a request: two callers that choose the
-// same idempotency key have claims of their own, in the same home zone.
+// claimKey returns the claim key of a request. Equal idempotency keys of two callers have
+// separate claims in the same home zone.
 func claimKey(request structs.Request) structs.ClaimKey {
 	return structs.ClaimKey(request.Caller + callerSeparator + request.IdempotencyKey)
 }
 
-// HomeOfClaim returns the zone that decides about the key of a claim.
+// HomeOfClaim returns the home zone of a claim key.
 func HomeOfClaim(zones []structs.ZoneID, key structs.ClaimKey) structs.ZoneID {
 	_, own, _ := strings.Cut(string(key), callerSeparator)
 	return HomeZone(zones, own)
 }
 
-// embeddingMark tells the digest of a request for an embedding from others.
+// embeddingMark distinguishes the digests of embedding requests from others.
 const embeddingMark = 1
 
-// RequestDigest hashes what a request asks for, so that another request under the
-// same key is noticed.
+// RequestDigest returns a hash of the content of a request, which detects the reuse of a
+// key for a different request.
 func RequestDigest(request structs.Request) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(request.Row))
@@ -61,7 +60,7 @@
 		_, _ = digest.Write([]byte{embeddingMark})
 	}
 	if request.Sampling != nil {
-		// A Sampling of finite numbers and texts is always encoded.
+		// Encoding finite numbers and strings cannot fail.
 		sampling, _ := json.Marshal(request.Sampling)
 		_, _ = digest.Write(sampling)
 	}
--- a/request/router/home_test.go
+++ b/request/router/home_test.go
@@ -10,7 +10,6 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// TestKeyOfAnotherZoneIsClaimedThereAndExecutedHere follows a request to its end.
 func TestKeyOfAnotherZoneIsClaimedThereAndExecutedHere(t *testing.T) {
 	s := newScript(t, func(options *Options) { options.Session = 5 })
 	s.arrive(func(r *structs.Request) { r.IdempotencyKey = "b:key" })
@@ -64,8 +63,8 @@
 	}
 }
 
-// TestRunnerIsNamedInTheFirstOperationWhenOneIsFree also shows which operation tells
-// the zone where the holder is called.
+// TestRunnerIsNamedInTheFirstOperationWhenOneIsFree also checks that only the first
+// operation carries the holder's address.
 func TestRunnerIsNamedInTheFirstOperationWhenOneIsFree(t *testing.T) {
 	const address = "127.0.0.1:7"
 	s := newScript(t, func(options *Options) { options.Address = address })
@@ -95,14 +94,14 @@
 	s := newScript(t, nil)
 	s.arrive(keyed)
 	claim := only[BeginClaim](s).Claim
-	// The process was paused, and the answer is the first event that it sees.
+	// The process was paused, and the reply is the first event after that.
 	s.now = s.now.Add(time.Hour)
 	s.do(ClaimReplied{ID: "id", Claim: &claim, New: true})
 	s.c.Check(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimReleased)
 	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
 }
 
-func TestVectorFitsIntoTheClaimOfAnEmbedding(t *testing.T) {
+func TestEmbeddingAnswerFitsAnswerLimit(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(func(r *structs.Request) { r.IdempotencyKey, r.Embedding, r.MaxTokens = "a:key", true, 1 })
 	claim := only[BeginClaim](s).Claim
@@ -126,7 +125,7 @@
 	s.c.Check(s.effects, qt.HasLen, 1)
 }
 
-func TestClaimOfTheSameRequestInAnotherRouterIsNotOwn(t *testing.T) {
+func TestClaimHeldByAnotherRouterForSameRequestIsNotOwned(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(keyed)
 	claim := only[BeginClaim](s).Claim
--- a/request/router/listing.go
+++ b/request/router/listing.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// TableRevision returns the revision of the table that the router has.
+// TableRevision returns the revision of the router's table.
 func (c *Core) TableRevision() uint64 { return c.tableRevision }
 
 // Rows returns the rows of the table, sorted by name.
@@ -19,8 +19,8 @@
 	return rows
 }
 
-// Table returns the table with what the router knows of its zone's grants, as a
-// full delta from which another Core would go on.
+// Table returns the table with the known grants of the zone, as a full delta from which
+// another Core can continue.
 func (c *Core) Table() structs.TableDelta {
 	delta := structs.TableDelta{Revision: c.tableRevision, Full: true}
 	for _, known := range c.listedRows() {
--- a/request/router/offer.go
+++ b/request/router/offer.go
@@ -7,141 +7,142 @@
 )
 
 const (
-	// offerBudgetLimit and offerBudgetShare bound how long an offer may be without an
-	// answer: a time, and a share of what is left until the deadline.
-	offerBudgetLimit = 300 * time.Millisecond
+	// offerBudgetMax and offerBudgetShare limit how long an offer may be unanswered: a
+	// duration, and a fraction of the time until the deadline.
+	offerBudgetMax   = 300 * time.Millisecond
 	offerBudgetShare = 0.05
-	// offerBudgetLeast is the shortest time in which another zone can answer.
-	offerBudgetLeast = 20 * time.Millisecond
-	// offerZoneLimit is how many zones one offer asks.
+	// offerBudgetMin is the shortest useful budget of an offer.
+	offerBudgetMin = 20 * time.Millisecond
+	// offerZoneLimit is the number of zones tried by one offer.
 	offerZoneLimit = 2
-	// refusalMemory is how long a zone that refused an offer of a row gets none of that
-	// row, silenceMemory how long a zone that did not answer gets none at all.
-	refusalMemory = 2 * time.Second
-	silenceMemory = 10 * time.Second
+	// refusalBackoff is how long a zone that refused an offer of a row gets no offers of
+	// that row; unresponsiveBackoff is how long a zone that did not answer gets no offers
+	// at all.
+	refusalBackoff      = 2 * time.Second
+	unresponsiveBackoff = 10 * time.Second
 )
 
-// offer hands a new request for a row without a ready replica here to zones that
-// may have one, and reports whether it did. Until the offer has failed, the request
-// is no demand for a load in this zone.
-func (c *Core) offer(incoming structs.Request, wanted *row) bool {
-	if !incoming.Repeatable() || incoming.Forwarded || c.balancer.Ready(wanted.Name) > 0 {
+// offer offers a new request for a row without a ready replica to zones that may have
+// one, and reports whether it did. The request does not count as demand of this zone
+// until the offer fails.
+func (c *Core) offer(incoming structs.Request, target *row) bool {
+	if !incoming.Repeatable() || incoming.Forwarded || c.balancer.Ready(target.Name) > 0 {
 		return false
 	}
-	// While it is not known whether any zone has a replica, one request asks for all.
-	if wanted.offered > 0 && wanted.warmZone == "" {
+	// Until a zone is known to have a replica, only one offer is outstanding.
+	if target.offered > 0 && target.warmZone == "" {
 		return false
 	}
 	left := incoming.DeadlineAt.Sub(c.now)
-	budget := min(offerBudgetLimit, time.Duration(offerBudgetShare*float64(left)))
-	zones := c.offerZones(wanted)
-	if len(zones) == 0 || budget < offerBudgetLeast {
+	budget := min(offerBudgetMax, time.Duration(offerBudgetShare*float64(left)))
+	zones := c.offerZones(target)
+	if len(zones) == 0 || budget < offerBudgetMin {
 		return false
 	}
-	held := c.hold(incoming, wanted)
-	held.phase = phaseOffered
-	held.queuedAt = c.now
-	wanted.offered++
+	req := c.track(incoming, target)
+	req.phase = phaseOffered
+	req.queuedAt = c.now
+	target.offered++
 	c.stats.Offered++
-	c.emit(Offer{ID: held.ID, Zones: zones, Budget: budget})
+	c.emit(Offer{ID: req.ID, Zones: zones, Budget: budget})
 	return true
 }
 
-// offerZones chooses the zones to ask: the one that last took a request of the
-// row, then others from a random one on.
-func (c *Core) offerZones(wanted *row) []structs.ZoneID {
-	if len(wanted.elsewhere) == 0 {
+// offerZones returns the zones to try: the one that last accepted a request of the row,
+// then others, starting at a random one.
+func (c *Core) offerZones(target *row) []structs.ZoneID {
+	if len(target.elsewhere) == 0 {
 		return nil
 	}
 	var chosen []structs.ZoneID
-	first := c.options.Random.IntN(len(wanted.elsewhere))
-	for index := range wanted.elsewhere {
-		zone := wanted.elsewhere[(first+index)%len(wanted.elsewhere)]
-		if c.now.Before(c.silentUntil[zone]) || c.now.Before(wanted.refusedUntil[zone]) {
+	first := c.options.Random.IntN(len(target.elsewhere))
+	for index := range target.elsewhere {
+		zone := target.elsewhere[(first+index)%len(target.elsewhere)]
+		if c.now.Before(c.unresponsiveUntil[zone]) || c.now.Before(target.refusedUntil[zone]) {
 			continue
 		}
 		chosen = append(chosen, zone)
-		if zone == wanted.warmZone {
+		if zone == target.warmZone {
 			chosen[0], chosen[len(chosen)-1] = zone, chosen[0]
 		}
 	}
 	return chosen[:min(len(chosen), offerZoneLimit)]
 }
 
-// offerTaken lets go of a request that another zone executes.
+// offerTaken drops a request that another zone executes.
 func (c *Core) offerTaken(event OfferTaken) {
-	held := c.requests[event.ID]
-	if held == nil || held.phase != phaseOffered {
+	req := c.requests[event.ID]
+	if req == nil || req.phase != phaseOffered {
 		return
 	}
-	held.row.warmZone = event.Zone
+	req.row.warmZone = event.Zone
 	c.stats.OffersTaken++
-	c.release(held)
+	c.untrack(req)
 }
 
-// offerFailed queues a request that no other zone took, as of its arrival.
+// offerFailed queues a request that no other zone accepted, as of its arrival.
 func (c *Core) offerFailed(event OfferFailed) {
-	c.rememberSilent(event.Silent)
-	held := c.requests[event.ID]
-	if held == nil || held.phase != phaseOffered {
+	c.recordUnresponsive(event.Silent)
+	req := c.requests[event.ID]
+	if req == nil || req.phase != phaseOffered {
 		return
 	}
-	c.rememberRefused(held.row, event.Refused)
-	held.row.offered--
-	held.phase = phaseQueued
-	held.uncertain = event.MayHaveRun
-	c.noteDemand(held.row)
-	c.noteUrgent(held.row)
-	c.admit(held)
-	c.endUnserved(held.row)
+	c.recordRefusals(req.row, event.Refused)
+	req.row.offered--
+	req.phase = phaseQueued
+	req.mayHaveRun = event.MayHaveRun
+	c.recordArrival(req.row)
+	c.updateUrgency(req.row)
+	c.admit(req)
+	c.endUnserved(req.row)
 }
 
-func (c *Core) rememberSilent(zones []structs.ZoneID) {
+func (c *Core) recordUnresponsive(zones []structs.ZoneID) {
 	for _, zone := range zones {
-		if c.silentUntil == nil {
-			c.silentUntil = map[structs.ZoneID]time.Time{}
+		if c.unresponsiveUntil == nil {
+			c.unresponsiveUntil = map[structs.ZoneID]time.Time{}
 		}
-		c.silentUntil[zone] = c.now.Add(silenceMemory)
+		c.unresponsiveUntil[zone] = c.now.Add(unresponsiveBackoff)
 	}
 }
 
-func (c *Core) rememberRefused(offered *row, zones []structs.ZoneID) {
+func (c *Core) recordRefusals(offered *row, zones []structs.ZoneID) {
 	for _, zone := range zones {
 		if offered.refusedUntil == nil {
 			offered.refusedUntil = map[structs.ZoneID]time.Time{}
 		}
-		offered.refusedUntil[zone] = c.now.Add(refusalMemory)
+		offered.refusedUntil[zone] = c.now.Add(refusalBackoff)
 		if offered.warmZone == zone {
 			offered.warmZone = ""
 		}
 	}
 }
 
-// refusesOffer ends a request that another zone offered and that could not start now.
-func (c *Core) refusesOffer(incoming structs.Request, wanted *row) bool {
+// refuseOfferIfBusy refuses a request offered by another zone if it cannot start now.
+func (c *Core) refuseOfferIfBusy(incoming structs.Request, target *row) bool {
 	if !incoming.IfReady || c.mutation == mutationQueueOffered {
 		return false
 	}
-	_, free := c.balancer.Slots(c.now, wanted.Name)
-	if free > 0 && wanted.waiting() == 0 {
+	_, free := c.balancer.Slots(c.now, target.Name)
+	if free > 0 && target.waiting() == 0 {
 		return false
 	}
-	c.refuseUnheld(incoming.ID, noRoom(wanted.Name))
+	c.refuseUntracked(incoming.ID, noCapacity(target.Name))
 	return true
 }
 
-// endIfWaiting ends an offered request that found no replica after all.
-func (c *Core) endIfWaiting(held *request) {
-	if !held.IfReady || c.mutation == mutationQueueOffered || c.requests[held.ID] != held || held.phase != phaseQueued {
+// endIfWaiting refuses an offered request that was queued because it found no replica.
+func (c *Core) endIfWaiting(req *request) {
+	if !req.IfReady || c.mutation == mutationQueueOffered || c.requests[req.ID] != req || req.phase != phaseQueued {
 		return
 	}
-	problem := noRoom(held.Row)
-	c.refuseAs(held, problem, problem.RetryAfter)
+	problem := noCapacity(req.Row)
+	c.refuseAs(req, problem, problem.RetryAfter)
 }
 
-func noRoom(name structs.RowName) structs.Error {
+func noCapacity(name structs.RowName) structs.Error {
 	problem := structs.NewError(structs.ErrorUnavailable,
-		"no ready replica with room for row "+string(name)+" here", "Queue the request in its own zone.")
+		"no ready replica with free capacity for row "+string(name)+" in this zone", "Queue the request in its own zone.")
 	problem.RetryAfter = MinimumRetryAfter
 	return *problem
 }
--- a/request/router/offer_test.go
+++ b/request/router/offer_test.go
@@ -9,8 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// newOfferScript makes a script whose row "cold" may also be served by the zones
-// b and c.
+// newOfferScript returns a script whose row "cold" may also be served by zones b and c.
 func newOfferScript(t *testing.T) *script {
 	s := newScript(t, nil)
 	s.do(ViewChanged{View: structs.ZoneView{Table: structs.TableDelta{SinceRevision: 1, Revision: 2,
@@ -37,7 +36,7 @@
 	return count
 }
 
-func TestRequestIsOfferedOnlyWhereItMayBe(t *testing.T) {
+func TestRequestIsOfferedOnlyIfEligible(t *testing.T) {
 	tests := []struct {
 		about  string
 		change func(*structs.Request)
@@ -47,7 +46,7 @@
 		{"ready replica here", func(r *structs.Request) { r.Row = "row" }, 0},
 		{"with a key", keyed, 0},
 		{"forwarded already", func(r *structs.Request) { r.Forwarded = true }, 0},
-		{"no time for an answer", func(r *structs.Request) { r.DeadlineAt = worldStart.Add(300 * time.Millisecond) }, 0},
+		{"no time for an answer", func(r *structs.Request) { r.DeadlineAt = testStart.Add(300 * time.Millisecond) }, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
@@ -58,11 +57,11 @@
 	}
 }
 
-func TestOfferedRequestIsNoDemandUntilTheOfferFailed(t *testing.T) {
+func TestOfferedRequestIsNotDemandUntilTheOfferFails(t *testing.T) {
 	s := newOfferScript(t)
 	s.arriveCold("id", nil)
 	offer := only[Offer](s)
-	s.c.Assert(offer.Budget, qt.Equals, offerBudgetLimit)
+	s.c.Assert(offer.Budget, qt.Equals, offerBudgetMax)
 	s.c.Assert(offer.Zones, qt.HasLen, offerZoneLimit)
 	s.c.Assert(s.core.DemandUrgent(), qt.IsFalse)
 	s.c.Assert(s.core.Demand().Rows, qt.HasLen, 0)
@@ -79,7 +78,7 @@
 	s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
 }
 
-func TestTakenOfferLeadsTheNextOne(t *testing.T) {
+func TestNextOfferPrefersTheZoneThatAcceptedLast(t *testing.T) {
 	s := newOfferScript(t)
 	s.arriveCold("first", nil)
 	s.do(OfferTaken{ID: "first", Zone: "c"})
@@ -90,7 +89,7 @@
 	}
 }
 
-func TestColdBurstCostsOneOffer(t *testing.T) {
+func TestBurstForAColdRowMakesOneOffer(t *testing.T) {
 	s := newOfferScript(t)
 	s.arriveCold("first", nil)
 	zones := only[Offer](s).Zones
@@ -99,7 +98,7 @@
 	s.do(OfferFailed{ID: "first", Refused: zones})
 	s.arriveCold("after", nil)
 	s.c.Assert(s.offers(), qt.Equals, 0)
-	s.now = s.now.Add(refusalMemory)
+	s.now = s.now.Add(refusalBackoff)
 	s.arriveCold("later", nil)
 	s.c.Assert(s.offers(), qt.Equals, 1)
 }
@@ -110,7 +109,7 @@
 	s.do(OfferFailed{ID: "first", Silent: []structs.ZoneID{"b"}, MayHaveRun: true})
 	s.arriveCold("second", nil)
 	s.c.Assert(only[Offer](s).Zones, qt.DeepEquals, []structs.ZoneID{"c"})
-	s.now = worldStart.Add(20 * time.Second)
+	s.now = testStart.Add(20 * time.Second)
 	s.do(Tick{})
 	for _, effect := range s.effects {
 		s.c.Assert(effect.(Refuse).Refusal.Execution, qt.Equals, structs.ExecutionPartial)
--- a/request/router/options.go
+++ b/request/router/options.go
@@ -10,56 +10,58 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Options are the settings of a Core. Zone, Daemon and Random are required; zero
-// values of the others mean the defaults.
+// Options are the settings of a Core. Zone, Daemon and Random are required; zero values
+// of the other fields mean the defaults.
 type Options struct {
 	Zone   structs.ZoneID
 	Daemon structs.DaemonID
-	// Address is where other daemons call this one; claims name it.
+	// Address is where other daemons reach this one; claims record it.
 	Address string
-	// Session tells this life of the daemon apart from others, for its claims.
+	// Session distinguishes runs of this daemon in its claims.
 	Session structs.SessionID
-	// Zones lists all zones of the site; keys are spread over them.
+	// Zones lists all zones of the site; keys are distributed over them.
 	Zones []structs.ZoneID
-	// Random is the only source of randomness; the caller seeds it.
+	// Random is the only source of randomness, seeded by the caller of New.
 	Random *rand.Rand
-	// QueueLimit bounds the waiting requests of a row, CallerLimit those of one
-	// caller in a row, TotalLimit all requests of the router.
+	// QueueLimit limits the waiting requests of a row, CallerLimit those of one caller in
+	// a row, and TotalLimit all requests of the router.
 	QueueLimit  int
 	CallerLimit int
 	TotalLimit  int
-	// GuardAfter is how many turns a waiting class or row is passed over.
+	// GuardAfter is how many times a waiting class or row is passed over before it gets a
+	// turn.
 	GuardAfter int
-	// CallerTokens bounds the tokens of one caller in a row, RowTokens those of a row,
-	// both in this router.
+	// CallerTokens limits the tokens of one caller in a row, RowTokens those of a row,
+	// each in this router.
 	CallerTokens admission.TokenRate
 	RowTokens    admission.TokenRate
-	// CallerWeight gives a caller's share; nil means equal shares.
+	// CallerWeight returns the weight of a caller; nil means equal weights.
 	CallerWeight func(caller string) int
-	// DefaultDeadline is given to requests that bring none.
+	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline time.Duration
-	// AttemptLimit bounds the attempts of a request. RetryRatio is how many
-	// retries a request of the row earns, RetryReserve how many are kept.
+	// AttemptLimit limits the attempts of a request. RetryRatio is the number of retries
+	// that a request adds to the budget of its row, RetryReserve the maximum of the
+	// budget.
 	AttemptLimit int
 	RetryRatio   float64
 	RetryReserve float64
 	// BackoffBase and BackoffLimit bound the delay before a retry.
 	BackoffBase  time.Duration
 	BackoffLimit time.Duration
-	// StallFloor and StallCeiling bound how long an engine may send nothing before
-	// its attempt is taken to have stalled; for the first token a long prompt, and
-	// the time to wait for another request there, come on top.
+	// StallFloor and StallCeiling bound the time without a token after which an attempt
+	// counts as stalled. For the first token, allowances for a long prompt and for
+	// queueing at the engine are added.
 	StallFloor   time.Duration
 	StallCeiling time.Duration
-	// StatusLimit bounds how often an engine is asked about one attempt.
+	// StatusLimit limits the status requests for one attempt.
 	StatusLimit int
-	// AnswerLimit bounds the answer of a request with a key, in bytes; AnswerLife
-	// is how long its key stays claimed, and the longest time it can be replayed.
+	// AnswerLimit limits the answer of a request with a key, in bytes. AnswerLife is how
+	// long the key stays claimed, and the longest time that the answer can be replayed.
 	AnswerLimit int
 	AnswerLife  time.Duration
-	// Estimator holds what is believed of a row before it was observed.
+	// Estimator holds the estimates for a row without observations.
 	Estimator admission.EstimatorOptions
-	// Routing holds the settings of the choice of replicas; its Daemon is set by New.
+	// Routing holds the settings of replica selection; New sets its Daemon.
 	Routing routing.Options
 }
 
@@ -75,14 +77,13 @@
 	DefaultAnswerLife   = 24 * time.Hour
 )
 
-// MinimumRetryAfter is the shortest time a refused caller is told to wait.
+// MinimumRetryAfter is the shortest RetryAfter of a refusal.
 const MinimumRetryAfter = 100 * time.Millisecond
 
-// pollInterval is how often a router with waiting requests wants a Tick.
+// pollInterval is the interval between Ticks while requests are waiting.
 const pollInterval = 100 * time.Millisecond
 
-// reviewInterval is how often the requests waiting for a row are checked against
-// the estimate.
+// reviewInterval is how often waiting requests are checked against the estimate.
 const reviewInterval = 250 * time.Millisecond
 
 func (o Options) withDefaults() Options {
--- a/request/router/random_test.go
+++ b/request/router/random_test.go
@@ -11,13 +11,13 @@
 	mutationSeeds = 60
 )
 
-// TestRandomEventsBreakNoRule drives the core through seeded histories. It also
-// checks that the histories reach every kind of end, so that no checker is idle.
+// TestRandomEventsBreakNoRule runs seeded simulations and checks that they reach every
+// kind of terminal effect.
 func TestRandomEventsBreakNoRule(t *testing.T) {
 	c := qt.New(t)
 	ends := map[string]int{}
 	for seed := range uint64(randomSeeds) {
-		w := newWorld(seed, mutationNone)
+		w := newSimulation(seed, mutationNone)
 		w.run()
 		c.Assert(w.violations, qt.HasLen, 0, qt.Commentf("seed %d", seed))
 		for kind, count := range w.ends {
@@ -31,10 +31,10 @@
 	t.Logf("ends over %d seeds: %v", randomSeeds, ends)
 }
 
-// TestSameSeedGivesSameEffects shows that no order of a map reaches an effect.
+// TestSameSeedGivesSameEffects guards against effects that depend on map iteration order.
 func TestSameSeedGivesSameEffects(t *testing.T) {
 	for seed := range uint64(20) {
-		first, second := newWorld(seed, mutationNone), newWorld(seed, mutationNone)
+		first, second := newSimulation(seed, mutationNone), newSimulation(seed, mutationNone)
 		first.run()
 		second.run()
 		qt.Assert(t, first.trace.Len() > 0, qt.IsTrue)
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestEveryCheckerCanFail breaks one rule of the core at a time.
+// TestEveryCheckerCanFail checks that each checker detects a mutation of the core.
 func TestEveryCheckerCanFail(t *testing.T) {
 	tests := []struct {
 		about    string
@@ -52,24 +52,24 @@
 		{"two terminal effects", mutationTwoTerminals, "terminal"},
 		{"a broken request with a key is repeated", mutationRepeatKeyed, "executions"},
 		{"a request is sent before its claim is held", mutationSendUnclaimed, "claim"},
-		{"every refusal says not_run", mutationClaimNotRun, "not-run"},
+		{"every refusal says not_run", mutationReportNotRun, "not-run"},
 		{"duplicate tokens are delivered", mutationKeepDuplicates, "answer"},
-		{"gaps are passed over", mutationIgnoreGaps, "answer"},
-		{"deadlines are passed over", mutationIgnoreDeadline, "deadline"},
-		{"the answer is not kept", mutationForgetAnswer, "kept"},
-		{"any answer under the key is replayed", mutationReplayAny, "kept"},
+		{"gaps are ignored", mutationIgnoreGaps, "answer"},
+		{"deadlines are ignored", mutationIgnoreDeadline, "deadline"},
+		{"the answer is not stored", mutationDropAnswer, "stored-answer"},
+		{"any answer under the key is replayed", mutationReplayAny, "stored-answer"},
 		{"a leaving runner is used", mutationIgnoreLeaving, "leaving"},
 		{"a claim outlives its request", mutationLeakClaim, "leak"},
-		{"a request that was given up is held back", mutationHoldGivenUp, "at-once"},
-		{"a request that starts too late is kept waiting", mutationNoReview, "at-once"},
+		{"the refusal of a failed request is delayed", mutationDelayFailure, "no-delay"},
+		{"a request that starts too late is kept waiting", mutationNoReview, "no-delay"},
 		{"an offered request waits", mutationQueueOffered, "offered"},
-		{"no refusal says when to come back", mutationNoRetryAfter, "retry-after"},
+		{"refusals have no RetryAfter", mutationNoRetryAfter, "retry-after"},
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
 			found := false
 			for seed := uint64(0); seed < mutationSeeds && !found; seed++ {
-				w := newWorld(seed, test.mutation)
+				w := newSimulation(seed, test.mutation)
 				w.run()
 				_, found = w.violations[test.rule]
 			}
--- a/request/router/report.go
+++ b/request/router/report.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Stats counts what happened since the Core was made.
+// Stats holds the counters of a Core.
 type Stats struct {
 	Arrived           uint64
 	DuplicateArrivals uint64
@@ -34,11 +34,11 @@
 	Stalls            uint64
 	Ejections         uint64
 	CacheGaps         uint64
-	// Held counts the requests now.
+	// Held is the number of requests held now.
 	Held int
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (c *Core) Stats() Stats {
 	stats := c.stats
 	stats.Ejections = c.balancer.Ejections()
@@ -47,8 +47,8 @@
 	return stats
 }
 
-// Accuracy returns the error of the row's start estimates; ok is false for a row
-// that has had no request.
+// Accuracy returns the error of the start estimates of the row; ok is false for a row
+// without requests so far.
 func (c *Core) Accuracy(name structs.RowName) (accuracy admission.Accuracy, ok bool) {
 	current := c.rows[name]
 	if current == nil || current.estimator == nil {
@@ -60,10 +60,10 @@
 func (c *Core) rowDemand(current *row) structs.RowDemand {
 	demand := structs.RowDemand{
 		Row:     current.Name,
-		Waiting: current.wanting() - current.running,
+		Waiting: current.localRequests() - current.running,
 		Running: current.running,
-		Arrived: current.arrived,
-		// An arrival counts too: one that cannot be served in time does not wait.
+		Arrived: current.arrivals,
+		// Set without waiting requests too: a request that cannot be served in time does not wait.
 		Unserved: c.balancer.Ready(current.Name) == 0,
 	}
 	if current.queue == nil {
@@ -77,15 +77,15 @@
 	return demand
 }
 
-// deactivate gives up the memory of a row without requests; what was learned of
-// its service times stays. A row whose cold load is awaited is kept for a while,
-// so that the load is observed also when every request was refused.
+// deactivate releases the queue of a row without requests; its service time estimates are
+// kept. A row with a pending cold load stays active for a while, so that the load is
+// observed even if every request was refused.
 func (c *Core) deactivate(idle *row) {
 	patience := coldObservationFactor * idle.estimator.ColdLoad()
-	if !idle.awaitedSince.IsZero() && c.now.Sub(idle.awaitedSince) < patience {
+	if !idle.coldSince.IsZero() && c.now.Sub(idle.coldSince) < patience {
 		return
 	}
-	idle.awaitedSince = time.Time{}
+	idle.coldSince = time.Time{}
 	idle.queue = nil
 	idle.refusedUntil = nil
 	delete(c.active, idle.Name)
@@ -94,7 +94,7 @@
 	}
 }
 
-// activeRows lists the rows in use by name.
+// activeRows returns the active rows sorted by name.
 func (c *Core) activeRows() []*row {
 	sorted := make([]*row, 0, len(c.active))
 	for _, current := range c.active {
--- a/request/router/request.go
+++ b/request/router/request.go
@@ -9,83 +9,83 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// phase is where a request is in its life.
+// phase is the state of a request.
 type phase uint8
 
 const (
-	// phaseClaiming: the key's claim was asked for.
+	// phaseClaiming: BeginClaim is unanswered.
 	phaseClaiming phase = iota
 	// phaseQueued: the request waits in its row's queue.
 	phaseQueued
-	// phaseBinding: a replica is reserved and is being named in the claim.
+	// phaseBinding: a replica is reserved and BeginClaim with its runner is unanswered.
 	phaseBinding
 	// phaseRunning: an attempt was sent.
 	phaseRunning
-	// phaseAsking: an attempt broke and its engine is asked about it.
-	phaseAsking
-	// phaseBackoff: the request waits before it joins the queue again.
+	// phaseCheckingStatus: an attempt broke and its engine is asked for its status.
+	phaseCheckingStatus
+	// phaseBackoff: the request waits before it is queued again.
 	phaseBackoff
-	// phaseFetching: another request with the key ran or runs, and the router that
-	// executed it is asked for the answer.
+	// phaseFetching: another request holds or held the key, and its router is asked for
+	// the answer.
 	phaseFetching
-	// phaseOffered: another zone is asked to take the request.
+	// phaseOffered: another zone is asked to execute the request.
 	phaseOffered
 )
 
-// request is the state of one request; its size is bounded by the request itself
-// and, with a key, by Options.AnswerLimit.
+// request is the state of one request. Its size is bounded by the request itself and,
+// with a key, by Options.AnswerLimit.
 type request struct {
 	structs.Request
 	row   *row
 	phase phase
-	// gone says that nobody waits for the answer.
-	gone bool
-	// attempts and choices count what was sent, and what was named in the claim.
+	// callerGone is set when the caller has disconnected.
+	callerGone bool
+	// attempts counts the attempts sent, choices the runners named in the claim.
 	attempts int
 	choices  uint64
-	// attempt is the newest attempt, choice the replica it was or will be sent to.
+	// attempt is the latest attempt, choice the replica that it is or will be sent to.
 	attempt AttemptID
 	choice  routing.Choice
-	// avoid is the runner of the attempt that failed last.
+	// avoid is the runner of the last failed attempt.
 	avoid structs.RunnerID
-	// accepted says that the engine is known to have taken the current attempt.
+	// accepted is set when the engine has accepted the current attempt.
 	accepted bool
-	// uncertain says that an earlier attempt may have run in part.
-	uncertain bool
-	// done says that the request under this key ran whole, as its claim shows.
-	done bool
+	// mayHaveRun is set when an earlier attempt may have run in part.
+	mayHaveRun bool
+	// completed is set when the claim shows that a request under this key ran to
+	// completion.
+	completed bool
 	// claim is the claim of the other request, in phaseFetching.
 	claim *structs.Claim
-	// claimHeld says that the home zone holds the claim, or may.
+	// claimHeld is set when the home zone holds the claim, or may hold it.
 	claimHeld bool
-	// delivered counts the tokens that were received, resumedFrom those of them that
-	// came before the current attempt.
+	// delivered counts the tokens received, resumedFrom those received before the current
+	// attempt.
 	delivered   int
 	resumedFrom int
-	// answer is the text so far of a request with a key.
+	// answer is the text received so far for a request with a key.
 	answer []byte
-	// statusAsks counts how often an engine was asked about the current attempt.
+	// statusAsks counts the status requests for the current attempt.
 	statusAsks  int
 	prefixes    [routing.PrefixHashLimit]uint64
 	prefixCount int
 	queuedAt    time.Time
-	// charged is how many tokens its caller and row were charged.
-	charged int
-	// estimated is the wait that was expected when the request was admitted.
-	estimated time.Duration
-	// sentAt is when the current attempt was sent.
-	sentAt time.Time
-	// heardAt is when the current attempt was sent or last gave a token.
-	heardAt time.Time
-	// paused says that the shell does not read the attempt's stream now.
+	// chargedTokens is the number of tokens charged to the caller and the row.
+	chargedTokens int
+	// estimatedWait is the queueing delay estimated at admission.
+	estimatedWait time.Duration
+	sentAt        time.Time
+	// lastProgressAt is when the current attempt was sent or last returned a token.
+	lastProgressAt time.Time
+	// paused is set while the driver does not read the stream of the attempt.
 	paused bool
-	// peeking says that the engine was asked about the current attempt's silence and
-	// that nothing was heard since; peekedTokens is how many tokens it said that it
-	// had made, and started that it had begun.
+	// peeking is set while a Peek about the current attempt is unanswered and no token
+	// has arrived since; peekedTokens and started are the number of tokens made and
+	// whether the run had started, as the engine last reported them.
 	peeking      bool
 	peekedTokens int
 	started      bool
-	// wakeAt is when Tick looks at the request, position its place in the timers.
+	// wakeAt is when Tick next processes the request, position its index in the timers.
 	wakeAt   time.Time
 	position int
 }
@@ -106,13 +106,13 @@
 	return AttemptID(string(r.ID) + string(attemptSeparator) + strconv.Itoa(number))
 }
 
-// execution is what is known of the request if it ends now.
+// execution returns what is known about the execution of the request if it ends now.
 func (r *request) execution() structs.Execution {
-	outstanding := r.phase == phaseRunning || r.phase == phaseAsking || r.phase == phaseOffered
+	outstanding := r.phase == phaseRunning || r.phase == phaseCheckingStatus || r.phase == phaseOffered
 	switch {
-	case r.done:
+	case r.completed:
 		return structs.ExecutionDone
-	case !outstanding && !r.uncertain:
+	case !outstanding && !r.mayHaveRun:
 		return structs.ExecutionNotRun
 	case r.Repeatable():
 		return structs.ExecutionPartial
@@ -120,13 +120,13 @@
 	return structs.ExecutionUnknown
 }
 
-// ran reports whether the current attempt, or one before it, is known to have run.
-func (r *request) ran() bool { return r.delivered > 0 || r.started }
+// hasRun reports whether the current or an earlier attempt is known to have started.
+func (r *request) hasRun() bool { return r.delivered > 0 || r.started }
 
-// expired reports whether the deadline has come.
+// expired reports whether the deadline has passed.
 func (r *request) expired(now time.Time) bool { return !r.DeadlineAt.After(now) }
 
-// timers orders requests by wakeAt.
+// timers is a heap of requests ordered by wakeAt.
 type timers []*request
 
 var _ heap.Interface = (*timers)(nil)
--- a/request/router/review.go
+++ b/request/router/review.go
@@ -7,8 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// reviewWaiting refuses the waiting requests that are not expected to be answered
-// before their deadline any more.
+// reviewWaiting refuses the waiting requests that are expected to miss their deadline.
 func (c *Core) reviewWaiting() {
 	for _, candidate := range c.activeRows() {
 		if candidate.waiting() == 0 || c.now.Before(candidate.reviewAt) || c.mutation == mutationNoReview {
@@ -19,23 +18,22 @@
 	}
 }
 
-// lateRequest is a request that would be answered too late, and when its caller
-// may come back.
+// lateRequest is a request that would miss its deadline, and its RetryAfter.
 type lateRequest struct {
 	request    *request
 	retryAfter time.Duration
 }
 
-// review checks one row by the same estimate as at the arrival.
+// review checks the waiting requests of a row with the estimate used at admission.
 func (c *Core) review(waiting *row) {
-	situation := c.situation(waiting, structs.Request{})
+	state := c.queueState(waiting, structs.Request{})
 	var late []lateRequest
 	waiting.queue.EachAhead(func(item admission.Item, ahead int) bool {
-		situation.Ahead = ahead
-		situation.Priority = item.Priority
-		by := c.now.Add(waiting.estimator.Finish(situation)).Sub(item.DeadlineAt)
+		state.Ahead = ahead
+		state.Priority = item.Priority
+		by := c.now.Add(waiting.estimator.Finish(state)).Sub(item.DeadlineAt)
 		if by > 0 {
-			late = append(late, lateRequest{c.requests[item.ID], max(by, waiting.estimator.Start(situation))})
+			late = append(late, lateRequest{c.requests[item.ID], max(by, waiting.estimator.Start(state))})
 		}
 		return by <= 0
 	})
@@ -44,8 +42,8 @@
 	}
 }
 
-// refuseTooLate ends a request that would end after its deadline if it started now, so
-// that its turn goes to another one that waits; it reports whether it did.
+// refuseTooLate refuses a request that would miss its deadline even if it started now, so
+// that its slot goes to another waiting request. It reports whether it did.
 func (c *Core) refuseTooLate(waiting *row, next *request) bool {
 	if waiting.waiting() < 2 || next.attempts > 0 || !waiting.estimator.Observed() || c.mutation == mutationNoReview {
 		return false
@@ -54,12 +52,12 @@
 	if by <= 0 {
 		return false
 	}
-	c.refuseEarly(next, max(by, waiting.estimator.Start(c.situation(waiting, next.Request))))
+	c.refuseEarly(next, max(by, waiting.estimator.Start(c.queueState(waiting, next.Request))))
 	return true
 }
 
 func (c *Core) refuseEarly(late *request, retryAfter time.Duration) {
 	c.stats.RefusedEarly++
 	c.refuse(late, structs.ErrorDeadline, "the request would be answered after its deadline",
-		"Come back after the time given, or allow a later deadline.", retryAfter)
+		"Retry after the given delay, or allow a later deadline.", retryAfter)
 }
--- a/request/router/review_test.go
+++ b/request/router/review_test.go
@@ -11,20 +11,21 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The rush: a request comes in each rushStep, as many as end, after a backlog of
-// rushBacklog.
+// Live requests arrive one per stepInterval, as fast as they complete, after
+// initialBacklog requests at the start.
 const (
-	rushStep    = 100 * time.Millisecond
-	rushService = 4 * rushStep
-	rushBacklog = 8
-	// rushBatch batch requests come at rushBatchAt and may take rushPatience.
-	rushBatch    = 20
-	rushBatchAt  = 8 * time.Second
-	rushPatience = 30 * time.Second
+	stepInterval   = 100 * time.Millisecond
+	serviceTime    = 4 * stepInterval
+	initialBacklog = 8
+	// batchCount batch requests arrive at batchArrivesAt with a deadline after
+	// deadlineAfter.
+	batchCount     = 20
+	batchArrivesAt = 8 * time.Second
+	deadlineAfter  = 30 * time.Second
 )
 
-// rush drives a router through a rush of live requests that lasts until the given time.
-type rush struct {
+// loadSimulation drives a router with live requests at its capacity until the given time.
+type loadSimulation struct {
 	*script
 	until   time.Duration
 	running map[time.Duration][]AttemptID
@@ -32,46 +33,46 @@
 	refused map[structs.RequestID]bool
 }
 
-// step lets everything happen that is due at the time.
-func (r *rush) step(at time.Duration) {
-	r.now = worldStart.Add(at)
+// step processes all events due at the given time.
+func (r *loadSimulation) step(at time.Duration) {
+	r.now = testStart.Add(at)
 	for _, attempt := range r.running[at] {
 		last := structs.Token{ID: structs.RequestID(attempt), Finish: structs.FinishStop}
-		r.take(at, r.do(TokenReceived{Attempt: attempt, Token: last}))
+		r.apply(at, r.do(TokenReceived{Attempt: attempt, Token: last}))
 	}
-	r.take(at, r.do(Tick{}))
+	r.apply(at, r.do(Tick{}))
 	live, batch := 1, 0
 	switch {
 	case at == 0:
-		live = rushBacklog
+		live = initialBacklog
 	case at >= r.until:
 		live = 0
 	}
-	if at == rushBatchAt {
-		batch = rushBatch
+	if at == batchArrivesAt {
+		batch = batchCount
 	}
 	for number := range live {
-		r.come(at, "live", number, structs.PriorityLive)
+		r.submit(at, "live", number, structs.PriorityLive)
 	}
 	for number := range batch {
-		r.come(at, "batch", number, structs.PriorityBatch)
+		r.submit(at, "batch", number, structs.PriorityBatch)
 	}
 }
 
-func (r *rush) come(at time.Duration, kind string, number int, priority structs.Priority) {
-	r.take(at, r.arrive(func(request *structs.Request) {
+func (r *loadSimulation) submit(at time.Duration, kind string, number int, priority structs.Priority) {
+	r.apply(at, r.arrive(func(request *structs.Request) {
 		request.ID = structs.RequestID(fmt.Sprint(kind, "-", at, "-", number))
 		request.Priority = priority
-		request.DeadlineAt = r.now.Add(rushPatience)
+		request.DeadlineAt = r.now.Add(deadlineAfter)
 	}))
 }
 
-// take answers each attempt with one token after rushService.
-func (r *rush) take(at time.Duration, effects []Effect) {
+// apply answers each attempt with one token after serviceTime.
+func (r *loadSimulation) apply(at time.Duration, effects []Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case SendAttempt:
-			r.running[at+rushService] = append(r.running[at+rushService], effect.Attempt)
+			r.running[at+serviceTime] = append(r.running[at+serviceTime], effect.Attempt)
 		case Finish:
 			r.ended[effect.ID] = at
 		case Refuse:
@@ -81,39 +82,39 @@
 	}
 }
 
-// TestBatchRequestInARush: the last of many is refused early while live requests
-// take nearly all turns, and served when they cease.
-func TestBatchRequestInARush(t *testing.T) {
+// TestBatchRequestDuringBusyPeriod checks that the last of many batch requests is refused
+// early while live requests take nearly all turns, and served when they stop.
+func TestBatchRequestDuringBusyPeriod(t *testing.T) {
 	tests := []struct {
 		about   string
 		until   time.Duration
 		refused bool
 		before  time.Duration
 	}{
-		{"that goes on", time.Hour, true, rushBatchAt + rushPatience/2},
-		{"that has just ended", rushBatchAt, false, rushBatchAt + rushPatience/2},
+		{"continuing busy period", time.Hour, true, batchArrivesAt + deadlineAfter/2},
+		{"busy period just ended", batchArrivesAt, false, batchArrivesAt + deadlineAfter/2},
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
-			r := &rush{
+			r := &loadSimulation{
 				script: newScript(t, func(options *Options) { options.Routing = routing.Options{MaxBatch: 1, QueueSlack: 1} }),
 				until:  test.until, running: map[time.Duration][]AttemptID{},
 				ended: map[structs.RequestID]time.Duration{}, refused: map[structs.RequestID]bool{},
 			}
-			for at := time.Duration(0); at <= rushBatchAt+rushPatience; at += rushStep {
+			for at := time.Duration(0); at <= batchArrivesAt+deadlineAfter; at += stepInterval {
 				r.step(at)
 			}
-			last := structs.RequestID(fmt.Sprint("batch-", rushBatchAt, "-", rushBatch-1))
+			last := structs.RequestID(fmt.Sprint("batch-", batchArrivesAt, "-", batchCount-1))
 			qt.Check(t, r.refused[last], qt.Equals, test.refused)
 			qt.Check(t, r.ended[last] < test.before, qt.IsTrue, qt.Commentf("%v", r.ended[last]))
 		})
 	}
 }
 
-// TestTurnGoesToARequestThatCanStillBeAnsweredInTime: one that would end too late is
-// refused when its turn comes, also between two reviews.
-func TestTurnGoesToARequestThatCanStillBeAnsweredInTime(t *testing.T) {
-	s := newFullRunner(t)
+// TestTurnGoesToARequestThatCanMeetItsDeadline checks that a request that would
+// miss its deadline is refused when its turn comes, also between reviews.
+func TestTurnGoesToARequestThatCanMeetItsDeadline(t *testing.T) {
+	s := newSingleRunnerScript(t)
 	first := s.request("1", "row", time.Minute, "prompt")
 	second := s.request("2", "row", time.Minute, "prompt")
 	s.now = s.now.Add(3 * time.Second)
--- a/request/router/roles_test.go
+++ b/request/router/roles_test.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// loseRunners takes the last runner of the rows' role from the zone.
+// loseRunners removes the last runner of the rows' role from the zone.
 func (s *script) loseRunners(leaving bool) {
 	view := testView(0)
 	view.Index, view.Table = 2, structs.TableDelta{}
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWaitingRequestsOfALostRoleGoOn(t *testing.T) {
+func TestWaitingRequestsOfALostRoleAreForwardedOrRefused(t *testing.T) {
 	s := newOfferScript(t)
 	s.arriveCold("first", nil)
 	s.arriveCold("queued", nil)
@@ -59,14 +59,14 @@
 	alone.c.Assert(only[Refuse](alone).Refusal.Error.Remedy, qt.Contains, "runner")
 }
 
-func TestRoleIsNotLostWhileItsRunnersRegister(t *testing.T) {
+func TestRoleIsNotLostWhileItsRunnersMayRegister(t *testing.T) {
 	s := newScript(t, nil)
 	s.do(ViewChanged{View: structs.ZoneView{Table: structs.TableDelta{SinceRevision: 1, Revision: 2,
 		Rows:   []structs.Row{{Name: "new", MaxReplicas: 1, Role: "new"}},
 		Grants: []structs.Grant{{Row: "new", Zone: "a", Limit: 1, Sequence: 1}}}}})
 	s.arrive(func(r *structs.Request) { r.Row = "new" })
 	s.c.Assert(s.effects, qt.HasLen, 0)
-	s.now = s.now.Add(registrationTime)
+	s.now = s.now.Add(registrationGrace)
 	s.arrive(func(r *structs.Request) { r.ID, r.Row = "later", "new" })
 	s.c.Assert(only[Refuse](s).ID, qt.Equals, structs.RequestID("later"))
 }
--- a/request/router/row.go
+++ b/request/router/row.go
@@ -8,15 +8,16 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// row is a row of the table with what the router knows about it. The parts that
-// cost memory exist only while the row is in use.
+// row is the state of a row of the table. Its queue and estimators are allocated only
+// while the row is in use.
 type row struct {
 	structs.Row
-	// listed says that the row is in the table; a removed row lives on until its
-	// last request has ended.
+	// listed is set while the row is in the table. A removed row is kept until its last
+	// request has ended.
 	listed bool
-	// limit is how many replicas this zone may load, as the newest grant says, whose
-	// number is grantSequence; elsewhere are the other zones that may load the row.
+	// limit is the number of replicas that this zone may load according to the latest
+	// grant, whose sequence number is grantSequence; elsewhere lists the other zones that
+	// may load the row.
 	limit         int
 	grantSequence uint64
 	elsewhere     []structs.ZoneID
@@ -24,33 +25,34 @@
 	queue     *admission.Queue
 	estimator *admission.Estimator
 	budget    routing.Budget
-	// rush tracks how long requests have had to wait.
-	rush admission.BusyPeriod
-	// first and gap track the wait for the first token and for each next one.
-	first admission.TimeoutEstimator
-	gap   admission.TimeoutEstimator
-	// held counts the row's requests, running those that occupy a slot.
-	held    int
-	running int
-	// arrived counts the arrivals since the row's demand was last reported.
-	arrived int
-	// turns counts the row's turns, for the fairness between rows; a turn counts for
-	// less the higher the row's weight is.
-	turns float64
-	// offered counts, of held, the requests that other zones are asked to take.
+	// busy tracks how long requests have been waiting.
+	busy admission.BusyPeriod
+	// firstToken and tokenGap estimate the timeouts for the first and for each later
+	// token.
+	firstToken admission.TimeoutEstimator
+	tokenGap   admission.TimeoutEstimator
+	// requestCount counts the requests of the row, running those that occupy a slot.
+	requestCount int
+	running      int
+	// arrivals counts the arrivals since the last demand report of the row.
+	arrivals int
+	// virtualTime is the number of turns of the row divided by its weight, for fair
+	// sharing between rows.
+	virtualTime float64
+	// offered counts the requests that are offered to other zones.
 	offered int
-	// warmZone last took a request of the row; those in refusedUntil get no offer
-	// of it before the time.
+	// warmZone is the zone that last accepted a request of the row; zones in refusedUntil
+	// get no offer of the row before the given time.
 	warmZone     structs.ZoneID
 	refusedUntil map[structs.ZoneID]time.Time
-	// awaitedSince is when the row was first wanted without a ready replica.
-	awaitedSince time.Time
+	// coldSince is the time of the first demand without a ready replica.
+	coldSince time.Time
 	// reviewAt is when the waiting requests are next checked against the estimate.
 	reviewAt time.Time
 }
 
-// wanting counts the requests that want to be served by this zone.
-func (r *row) wanting() int { return r.held - r.offered }
+// localRequests counts the requests to be served by this zone.
+func (r *row) localRequests() int { return r.requestCount - r.offered }
 
 func (r *row) waiting() int {
 	if r.queue == nil {
@@ -59,78 +61,77 @@
 	return r.queue.Len()
 }
 
-// usualWeight is the weight of a row whose turns count once.
-const usualWeight = 100
+// defaultWeight is the weight of a row without one.
+const defaultWeight = 100
 
-// countTurn counts a turn by the row's weight; a row without one has the usual weight.
-func (r *row) countTurn() {
+// chargeTurn advances the virtual time of the row by one turn.
+func (r *row) chargeTurn() {
 	weight := r.Weight
 	if weight <= 0 {
-		weight = usualWeight
+		weight = defaultWeight
 	}
-	r.turns += usualWeight / float64(weight)
+	r.virtualTime += defaultWeight / float64(weight)
 }
 
-// noteWaiting tells the row's rush whether requests wait from now on.
-func (r *row) noteWaiting(now time.Time) { r.rush.Observe(now, r.waiting() > 0) }
+func (r *row) updateBusy(now time.Time) { r.busy.Observe(now, r.waiting() > 0) }
 
-// activate gives the row its queue and estimator.
-func (c *Core) activate(wanted *row) {
-	if wanted.estimator == nil {
-		wanted.estimator = admission.NewEstimator(c.options.Estimator)
-		wanted.budget = routing.NewBudget(c.options.RetryRatio, c.options.RetryReserve)
+// activate allocates the queue and estimators of the row.
+func (c *Core) activate(target *row) {
+	if target.estimator == nil {
+		target.estimator = admission.NewEstimator(c.options.Estimator)
+		target.budget = routing.NewBudget(c.options.RetryRatio, c.options.RetryReserve)
 	}
-	if wanted.queue == nil {
-		wanted.queue = admission.NewQueue(admission.Options{
+	if target.queue == nil {
+		target.queue = admission.NewQueue(admission.Options{
 			Limit:       c.options.QueueLimit,
 			CallerLimit: c.options.CallerLimit,
 			GuardAfter:  c.options.GuardAfter,
 			Weight:      c.options.CallerWeight,
 		})
 	}
-	c.active[wanted.Name] = wanted
+	c.active[target.Name] = target
 }
 
-// situation describes what the request would find in the row.
-func (c *Core) situation(wanted *row, request structs.Request) admission.QueueState {
-	slots, free := c.balancer.Slots(c.now, wanted.Name)
-	if slots == 0 && c.balancer.Ready(wanted.Name) > 0 {
+// queueState returns the state of the queue that a new request would find.
+func (c *Core) queueState(target *row, request structs.Request) admission.QueueState {
+	slots, free := c.balancer.Slots(c.now, target.Name)
+	if slots == 0 && c.balancer.Ready(target.Name) > 0 {
 		slots = 1
 	}
-	situation := admission.QueueState{
+	state := admission.QueueState{
 		Slots: slots, Free: free, MaxTokens: request.MaxTokens,
 		Now: c.now, Priority: request.Priority,
 	}
-	if wanted.queue != nil {
-		situation.Ahead = wanted.queue.AheadOf(request.Priority, request.Caller)
+	if target.queue != nil {
+		state.Ahead = target.queue.AheadOf(request.Priority, request.Caller)
 	}
-	situation.BusyFor = wanted.rush.Duration(c.now)
-	if !wanted.awaitedSince.IsZero() {
-		situation.ColdFor = c.now.Sub(wanted.awaitedSince)
+	state.BusyFor = target.busy.Duration(c.now)
+	if !target.coldSince.IsZero() {
+		state.ColdFor = c.now.Sub(target.coldSince)
 	}
-	return situation
+	return state
 }
 
-// noteDemand starts the clock of a cold load when no replica is ready.
-func (c *Core) noteDemand(wanted *row) {
-	wanted.arrived++
-	if wanted.awaitedSince.IsZero() && c.balancer.Ready(wanted.Name) == 0 {
-		wanted.awaitedSince = c.now
+// recordArrival counts an arrival and starts the cold-load timer if no replica is ready.
+func (c *Core) recordArrival(target *row) {
+	target.arrivals++
+	if target.coldSince.IsZero() && c.balancer.Ready(target.Name) == 0 {
+		target.coldSince = c.now
 	}
 }
 
-// coldObservationFactor bounds what one cold load can do to the estimate: a row
-// that was refused replicas for hours says nothing about how long a load takes.
+// coldObservationFactor bounds the effect of one cold load on the estimate: the time may
+// include a long wait for permission to load.
 const coldObservationFactor = 4
 
-// noteReady ends the clock of a cold load.
-func (c *Core) noteReady(wanted *row) {
-	if wanted.awaitedSince.IsZero() || c.balancer.Ready(wanted.Name) == 0 {
+// recordColdLoad stops the cold-load timer once a replica is ready.
+func (c *Core) recordColdLoad(target *row) {
+	if target.coldSince.IsZero() || c.balancer.Ready(target.Name) == 0 {
 		return
 	}
-	took := c.now.Sub(wanted.awaitedSince)
-	wanted.awaitedSince = time.Time{}
-	if wanted.estimator != nil {
-		wanted.estimator.ObserveColdLoad(min(took, coldObservationFactor*wanted.estimator.ColdLoad()))
+	took := c.now.Sub(target.coldSince)
+	target.coldSince = time.Time{}
+	if target.estimator != nil {
+		target.estimator.ObserveColdLoad(min(took, coldObservationFactor*target.estimator.ColdLoad()))
 	}
 }
--- a/request/router/scope_test.go
+++ b/request/router/scope_test.go
@@ -25,7 +25,7 @@
 	s.c.Assert(only[BeginClaim](s).Claim.Home, qt.Equals, structs.ZoneID("b"))
 }
 
-func TestEmbeddingIsAskedOfTheEngineAndPartOfTheDigest(t *testing.T) {
+func TestEmbeddingIsPassedToTheEngineAndPartOfTheDigest(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(func(r *structs.Request) { r.Embedding = true })
 	s.c.Assert(only[SendAttempt](s).Generate.Embedding, qt.IsTrue)
--- a/request/router/world_test.go
+++ b/request/router/simulation_test.go
@@ -11,22 +11,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// world drives a Core with random events, an adversarial engine and a zone that
-// answers late, and records every violation of the rules.
-type world struct {
-	random     *rand.Rand
-	core       *Core
-	now        time.Time
-	pending    []scheduled
-	requests   map[structs.RequestID]*tracked
-	attempts   map[AttemptID]*engineAttempt
-	claims     map[structs.ClaimKey]structs.Claim
-	kept       map[structs.ClaimKey][]byte
-	executions map[string]int
-	leaving    map[structs.RunnerID]bool
-	violations map[string]string
-	ends       map[string]int
-	trace      strings.Builder
+// simulation drives a Core with random events, an adversarial engine and a slow home
+// zone, and records every violation of the rules.
+type simulation struct {
+	random      *rand.Rand
+	core        *Core
+	now         time.Time
+	pending     []scheduled
+	requests    map[structs.RequestID]*trackedRequest
+	attempts    map[AttemptID]*engineAttempt
+	claims      map[structs.ClaimKey]structs.Claim
+	keptAnswers map[structs.ClaimKey][]byte
+	executions  map[string]int
+	leaving     map[structs.RunnerID]bool
+	violations  map[string]string
+	ends        map[string]int
+	trace       strings.Builder
 }
 
 type scheduled struct {
@@ -34,42 +34,42 @@
 	event Event
 }
 
-type tracked struct {
-	request   structs.Request
-	terminals int
-	gone      bool
-	confirmed structs.RunnerID
-	notRun    bool
-	delivered int
-	kept      bool
-	// lateSince is since when the request is known to start too late.
+type trackedRequest struct {
+	request       structs.Request
+	terminals     int
+	gone          bool
+	claimedRunner structs.RunnerID
+	notRun        bool
+	delivered     int
+	answerKept    bool
+	// lateSince is when the request was first estimated to start too late.
 	lateSince time.Time
 }
 
 type engineAttempt struct {
-	request  *tracked
-	received bool
-	executed bool
-	fenced   bool
-	life     structs.Incarnation
+	request     *trackedRequest
+	received    bool
+	executed    bool
+	fenced      bool
+	incarnation structs.Incarnation
 }
 
-const worldTokens = 5
+const answerTokens = 5
 
-var worldStart = time.Unix(1_000_000, 0)
+var testStart = time.Unix(1_000_000, 0)
 
-func newWorld(seed uint64, broken mutation) *world {
-	w := &world{
-		random:     rand.New(rand.NewPCG(seed, 1)),
-		now:        worldStart,
-		requests:   map[structs.RequestID]*tracked{},
-		attempts:   map[AttemptID]*engineAttempt{},
-		claims:     map[structs.ClaimKey]structs.Claim{},
-		kept:       map[structs.ClaimKey][]byte{},
-		executions: map[string]int{},
-		leaving:    map[structs.RunnerID]bool{},
-		violations: map[string]string{},
-		ends:       map[string]int{},
+func newSimulation(seed uint64, broken mutation) *simulation {
+	w := &simulation{
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		now:         testStart,
+		requests:    map[structs.RequestID]*trackedRequest{},
+		attempts:    map[AttemptID]*engineAttempt{},
+		claims:      map[structs.ClaimKey]structs.Claim{},
+		keptAnswers: map[structs.ClaimKey][]byte{},
+		executions:  map[string]int{},
+		leaving:     map[structs.RunnerID]bool{},
+		violations:  map[string]string{},
+		ends:        map[string]int{},
 	}
 	w.core = New(Options{
 		Zone: "a", Zones: []structs.ZoneID{"a", "b"}, Daemon: "daemon", QueueLimit: 6,
@@ -81,19 +81,19 @@
 	return w
 }
 
-func (w *world) violate(rule, format string, arguments ...any) {
+func (w *simulation) violate(rule, format string, arguments ...any) {
 	w.violations[rule] = fmt.Sprintf(format, arguments...)
 }
 
-func (w *world) chance(percent int) bool { return w.random.IntN(100) < percent }
+func (w *simulation) chance(percent int) bool { return w.random.IntN(100) < percent }
 
-func (w *world) after(limit time.Duration, event Event) {
+func (w *simulation) after(limit time.Duration, event Event) {
 	delay := time.Duration(w.random.Int64N(int64(limit)))
 	w.pending = append(w.pending, scheduled{w.now.Add(delay), event})
 }
 
-// run lets arrivals come for five seconds and goes on until nothing is left to happen.
-func (w *world) run() {
+// run schedules arrivals during five seconds and advances until no event is pending.
+func (w *simulation) run() {
 	first := testView(4, "row", "other")
 	first.Table.Rows = append(first.Table.Rows, structs.Row{Name: "far", MaxReplicas: 1})
 	first.Table.Elsewhere = []structs.RowZones{{Row: "far", Zones: []structs.ZoneID{"b"}}, {Row: "cold", Zones: []structs.ZoneID{"a", "b", "c"}}}
@@ -104,7 +104,7 @@
 	for _, runner := range []structs.RunnerID{"runner-1", "runner-2"} {
 		w.after(6*time.Second, RunnerLeaving{Runner: runner})
 	}
-	w.disturb()
+	w.scheduleDisturbances()
 	for range 3000 {
 		if !w.advance() {
 			break
@@ -113,10 +113,9 @@
 	w.checkEnd()
 }
 
-// disturb schedules what happens around the requests: lagging load reports, cache
-// events with gaps, rows that are removed, moved and brought back, a runner that
-// restarts, and sometimes a planned stop.
-func (w *world) disturb() {
+// scheduleDisturbances schedules delayed load reports, cache events with gaps, rows that
+// are removed, moved and restored, a runner restart, and sometimes a drain.
+func (w *simulation) scheduleDisturbances() {
 	for number := range 40 {
 		runner := structs.RunnerID(fmt.Sprintf("runner-%d", number%4))
 		report := structs.LoadReport{Running: w.random.IntN(6), MaxBatch: 2, TokensPerSecond: 20, ObservedAt: w.now.Add(time.Duration(number*200) * time.Millisecond)}
@@ -140,14 +139,14 @@
 	}
 }
 
-func (w *world) newRequest(number int) structs.Request {
+func (w *simulation) newRequest(number int) structs.Request {
 	request := structs.Request{
 		ID:         structs.RequestID(fmt.Sprintf("request-%d", number)),
 		Row:        []structs.RowName{"row", "row", "other", "cold", "cold", "missing", "far"}[w.random.IntN(7)],
 		Prompt:     fmt.Sprintf("prompt-%d", number),
-		MaxTokens:  worldTokens,
+		MaxTokens:  answerTokens,
 		Priority:   structs.Priority(w.random.IntN(3)),
-		DeadlineAt: worldStart.Add(time.Duration(2+w.random.IntN(12)) * time.Second),
+		DeadlineAt: testStart.Add(time.Duration(2+w.random.IntN(12)) * time.Second),
 		Caller:     fmt.Sprintf("caller-%d", number%3),
 		Forwarded:  w.chance(10),
 	}
@@ -164,8 +163,8 @@
 	return request
 }
 
-// advance takes the earliest event, or a Tick that is due before it.
-func (w *world) advance() bool {
+// advance processes the earliest event, or a Tick that is due before it.
+func (w *simulation) advance() bool {
 	slices.SortStableFunc(w.pending, func(a, b scheduled) int { return a.at.Compare(b.at) })
 	when, ticks := w.core.NextDeadline()
 	if len(w.pending) > 0 && (!ticks || w.pending[0].at.Before(when)) {
@@ -186,10 +185,10 @@
 	return true
 }
 
-func (w *world) step(event Event) {
+func (w *simulation) step(event Event) {
 	switch event := event.(type) {
 	case Arrived:
-		w.requests[event.Request.ID] = &tracked{request: event.Request}
+		w.requests[event.Request.ID] = &trackedRequest{request: event.Request}
 		if w.chance(10) {
 			w.after(3*time.Second, CallerGone{ID: event.Request.ID})
 		}
@@ -197,7 +196,7 @@
 		w.requests[event.ID].gone = true
 	case ClaimReplied:
 		if event.New {
-			w.requests[event.ID].confirmed = event.Claim.Runner
+			w.requests[event.ID].claimedRunner = event.Claim.Runner
 		}
 	case RunnerLeaving:
 		w.leaving[event.Runner] = true
@@ -210,32 +209,32 @@
 	case OfferTaken:
 		taken := w.requests[event.ID]
 		if taken.terminals == 0 && !taken.gone {
-			w.end(event.ID, "taken")
+			w.recordEnd(event.ID, "taken")
 		}
 	}
 	effects := slices.Clone(w.core.Step(w.now, event))
 	for _, effect := range effects {
 		fmt.Fprintf(&w.trace, "%d %T %+v\n", w.now.UnixNano(), effect, effect)
-		w.carryOut(effect)
+		w.applyEffect(effect)
 	}
 	w.checkOffered(event)
-	w.checkAtOnce(event, effects)
+	w.checkNoDelay(event, effects)
 }
 
-// checkOffered checks that a request offered by another zone does not wait.
-func (w *world) checkOffered(event Event) {
+// checkOffered checks that a request offered by another zone is not queued.
+func (w *simulation) checkOffered(event Event) {
 	arrived, isArrival := event.(Arrived)
 	if !isArrival || !arrived.Request.IfReady {
 		return
 	}
 	id := arrived.Request.ID
 	if w.attempts[AttemptID(id)+".1"] == nil && w.requests[id].terminals == 0 {
-		w.violate("offered", "%s waits here", id)
+		w.violate("offered", "%s was queued", id)
 	}
 }
 
 // execute starts the attempt at the engine when its first token is due.
-func (w *world) execute(id AttemptID) bool {
+func (w *simulation) execute(id AttemptID) bool {
 	attempt := w.attempts[id]
 	if attempt.executed {
 		return true
@@ -251,7 +250,7 @@
 	return true
 }
 
-func (w *world) carryOut(effect Effect) {
+func (w *simulation) applyEffect(effect Effect) {
 	switch effect := effect.(type) {
 	case SendAttempt:
 		w.sendAttempt(effect)
@@ -268,32 +267,32 @@
 	case *Deliver:
 		w.checkToken(effect)
 	case Finish:
-		w.end(effect.ID, "finish")
+		w.recordEnd(effect.ID, "finish")
 		done := w.requests[effect.ID]
-		if done.delivered != worldTokens {
+		if done.delivered != answerTokens {
 			w.violate("answer", "%s finished after %d tokens", effect.ID, done.delivered)
 		}
-		if !done.request.Repeatable() && !done.kept {
-			w.violate("kept", "%s finished before its answer was kept", effect.ID)
+		if !done.request.Repeatable() && !done.answerKept {
+			w.violate("stored-answer", "%s finished before its answer was stored", effect.ID)
 		}
 	case Replay:
-		w.end(effect.ID, "replay")
+		w.recordEnd(effect.ID, "replay")
 		w.checkAnswer(w.requests[effect.ID], effect.Answer)
 	case Refuse:
 		w.checkRefusal(effect)
 	case Offer:
 		w.offer(effect)
 	case Forward:
-		w.end(effect.ID, "forward")
+		w.recordEnd(effect.ID, "forward")
 		if w.chance(30) {
 			w.after(time.Second, ForwardFailed{ID: effect.ID, Row: "row", Stage: NotSent})
 		}
 	}
 }
 
-// offer has the other zone take the request, refuse it or keep silent; a zone that
-// is silent may have run it.
-func (w *world) offer(effect Offer) {
+// offer makes the other zone accept the request, refuse it or time out, possibly after
+// running it.
+func (w *simulation) offer(effect Offer) {
 	if w.requests[effect.ID].request.Forwarded || !w.requests[effect.ID].request.Repeatable() {
 		w.violate("offer", "%s may not be offered", effect.ID)
 	}
@@ -308,7 +307,7 @@
 	}
 }
 
-func (w *world) end(id structs.RequestID, kind string) {
+func (w *simulation) recordEnd(id structs.RequestID, kind string) {
 	w.ends[kind]++
 	w.requests[id].terminals++
 	if w.requests[id].terminals > 1 {
@@ -316,8 +315,8 @@
 	}
 }
 
-func (w *world) checkRefusal(refuse Refuse) {
-	w.end(refuse.ID, "refuse "+string(refuse.Refusal.Execution))
+func (w *simulation) checkRefusal(refuse Refuse) {
+	w.recordEnd(refuse.ID, "refuse "+string(refuse.Refusal.Execution))
 	problem := refuse.Refusal.Error
 	if refuse.Refusal.Execution == structs.ExecutionNotRun {
 		w.requests[refuse.ID].notRun = true
@@ -332,7 +331,7 @@
 	}
 }
 
-func (w *world) checkToken(deliver *Deliver) {
+func (w *simulation) checkToken(deliver *Deliver) {
 	target := w.requests[deliver.ID]
 	want := tokenText(target.request.Prompt, target.delivered)
 	if deliver.Token.Index != target.delivered || deliver.Token.Text != want || deliver.Token.ID != deliver.ID || target.gone || target.terminals > 0 {
@@ -341,29 +340,29 @@
 	target.delivered++
 }
 
-func (w *world) checkAnswer(target *tracked, encoded []byte) {
+func (w *simulation) checkAnswer(target *trackedRequest, encoded []byte) {
 	answer, err := DecodeAnswer(encoded)
 	want := ""
-	for index := range worldTokens {
+	for index := range answerTokens {
 		want += tokenText(target.request.Prompt, index)
 	}
 	if err != nil || answer.Text != want {
-		w.violate("kept", "%s: kept answer %q (%v)", target.request.ID, answer.Text, err)
+		w.violate("stored-answer", "%s: stored answer %q (%v)", target.request.ID, answer.Text, err)
 	}
 }
 
-func (w *world) checkDeadlines() {
+func (w *simulation) checkDeadlines() {
 	for id, target := range w.requests {
 		if target.terminals == 0 && !target.gone && !target.request.DeadlineAt.After(w.now) {
-			w.violate("deadline", "%s has no end at its deadline", id)
+			w.violate("deadline", "%s was not ended at its deadline", id)
 		}
 	}
 }
 
-func (w *world) checkEnd() {
+func (w *simulation) checkEnd() {
 	for id, target := range w.requests {
 		if target.terminals == 0 && !target.gone {
-			w.violate("terminal", "%s has no end", id)
+			w.violate("terminal", "%s was not ended", id)
 		}
 		if target.notRun && w.executions[string(id)] > 0 {
 			w.violate("not-run", "%s ran although not_run", id)
@@ -382,7 +381,8 @@
 	}
 }
 
-// testView places the rows on so many runners, and adds the row "cold" without replicas.
+// testView returns a view with the rows on the given number of runners, and a row "cold"
+// without replicas.
 func testView(runners int, rows ...structs.RowName) structs.ZoneView {
 	view := structs.ZoneView{Index: 1, Table: structs.TableDelta{Full: true, Revision: 1}, Placement: &structs.Placement{}}
 	for _, name := range append([]structs.RowName{"cold"}, rows...) {
--- a/request/router/stall.go
+++ b/request/router/stall.go
@@ -7,32 +7,33 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// An engine that took a request and sends nothing is not seen as a broken
-// stream. A router therefore bounds the wait for the first token and for each
-// next one by what the row's streams usually need (admission.Pace).
+// Stall detection: a stalled engine does not break its stream, so the router limits
+// the wait for the first and for each later token by the usual waits of the row
+// (admission.TimeoutEstimator).
 //
-// A repeatable request is cancelled and resumed elsewhere, if attempts and budget
-// allow. Otherwise, and for a request with a key, the engine is asked without
-// cancelling. While it says that it makes tokens, it is waited for. If it makes none,
-// a repeatable request is refused at once, unless the budget has a retry by now. With
-// a key, what has started can only end as outcome_unknown, and does so at once. The
-// rest is cancelled and asked about again: once the engine has confirmed that it
-// certainly did not run, it is sent elsewhere under the same claim, or refused.
-
-// stallPerPromptByte is what each byte of a prompt adds to the longest wait for
-// the first token.
+// A stalled attempt of a repeatable request is cancelled and resumed on another
+// engine, if attempts and budget allow. Otherwise, and for a request with a key, the
+// engine is asked for the status without cancelling, and awaited while it reports
+// progress. Without progress, a repeatable request is refused unless the budget now
+// allows a retry. A request with a key that has started is refused as
+// outcome_unknown; one that has not is cancelled and the status requested again. Once
+// the engine confirms that it certainly did not run, it is retried under the same
+// claim, or refused.
+
+// stallPerPromptByte is added to the stall timeout of the first token for each byte of
+// the prompt.
 const stallPerPromptByte = 50 * time.Microsecond
 
-// peekLimit bounds the wait for an engine's word about a silent attempt; a shell that
-// gives up on the engine earlier says so.
-const peekLimit = 3 * time.Second
+// peekTimeout limits the wait for the status of a stalled attempt. The driver may report
+// a failure earlier.
+const peekTimeout = 3 * time.Second
 
-// stallQueueShare bounds the time allowed for waiting at the engine to this part
-// of the time that the request had when it was sent.
-const stallQueueShare = 4
+// stallQueueDivisor limits the allowance for queueing at the engine to this part of the
+// time between sending and deadline.
+const stallQueueDivisor = 4
 
-// AttemptPaused says that the shell has stopped reading the attempt's stream
-// because the caller is slow, or that it goes on. A paused stream does not stall.
+// AttemptPaused reports that the driver has stopped reading the stream of the attempt
+// because the caller is slow, or has resumed reading it. A paused stream does not stall.
 type AttemptPaused struct {
 	Attempt AttemptID
 	Paused  bool
@@ -41,119 +42,120 @@
 func (AttemptPaused) event() {}
 
 func (c *Core) attemptPaused(event AttemptPaused) {
-	held := c.attempts[event.Attempt]
-	if held == nil {
+	req := c.attempts[event.Attempt]
+	if req == nil {
 		return
 	}
-	held.paused = event.Paused
-	held.peeking = false
-	held.heardAt = c.now
+	req.paused = event.Paused
+	req.peeking = false
+	req.lastProgressAt = c.now
 }
 
-// awaitsFirst reports whether the current attempt has given no token yet.
-func (r *request) awaitsFirst() bool { return r.delivered <= r.resumedFrom }
+// awaitsFirstToken reports whether the current attempt has returned no token yet.
+func (r *request) awaitsFirstToken() bool { return r.delivered <= r.resumedFrom }
 
-// pace is that of what the current attempt is waited for: its first or its next token.
-func (r *request) pace() *admission.TimeoutEstimator {
-	if r.awaitsFirst() {
-		return &r.row.first
+// timeoutEstimator returns the estimator for the next token of the current attempt.
+func (r *request) timeoutEstimator() *admission.TimeoutEstimator {
+	if r.awaitsFirstToken() {
+		return &r.row.firstToken
 	}
-	return &r.row.gap
+	return &r.row.tokenGap
 }
 
-// stallLimit is how long the current attempt may go on without a token. Before the
-// first one it may have to wait at its engine for another request to end: without
-// an allowance for that, every burst looks like a stall.
-func (c *Core) stallLimit(held *request) time.Duration {
-	if !held.awaitsFirst() {
-		return held.row.gap.Timeout(c.options.StallFloor, c.options.StallCeiling)
+// stallTimeout returns how long the current attempt may go without a token. Before the
+// first token it includes an allowance for queueing at the engine; otherwise bursts would
+// look like stalls.
+func (c *Core) stallTimeout(req *request) time.Duration {
+	if !req.awaitsFirstToken() {
+		return req.row.tokenGap.Timeout(c.options.StallFloor, c.options.StallCeiling)
 	}
-	waiting := min(held.row.estimator.Service(held.MaxTokens), held.DeadlineAt.Sub(held.sentAt)/stallQueueShare)
-	ceiling := c.options.StallCeiling + time.Duration(len(held.Prompt))*stallPerPromptByte
-	return waiting + held.row.first.Timeout(c.options.StallFloor, ceiling)
+	waiting := min(req.row.estimator.Service(req.MaxTokens), req.DeadlineAt.Sub(req.sentAt)/stallQueueDivisor)
+	ceiling := c.options.StallCeiling + time.Duration(len(req.Prompt))*stallPerPromptByte
+	return waiting + req.row.firstToken.Timeout(c.options.StallFloor, ceiling)
 }
 
-// watch sets when Tick looks whether the attempt has stalled.
-func (c *Core) watch(held *request) {
-	held.peeking = false
-	held.peekedTokens = 0
-	held.started = false
-	c.sleepUntil(held, held.heardAt.Add(c.stallLimit(held)))
+// scheduleStallCheck schedules the next stall check of the attempt.
+func (c *Core) scheduleStallCheck(req *request) {
+	req.peeking = false
+	req.peekedTokens = 0
+	req.started = false
+	c.scheduleWake(req, req.lastProgressAt.Add(c.stallTimeout(req)))
 }
 
-// hear records the time of a token. Only the first one sets the timer anew, because
-// the wait for it may be far longer than the next; checkStall looks again later.
-func (c *Core) hear(held *request) {
-	held.pace().Observe(c.now.Sub(held.heardAt))
-	held.heardAt = c.now
-	held.peeking = false
-	if held.awaitsFirst() {
-		c.sleepUntil(held, c.now.Add(held.row.gap.Timeout(c.options.StallFloor, c.options.StallCeiling)))
+// recordProgress records the arrival of a token. Only the first one resets the timer,
+// because the timeout of the first token may be much longer than that of the next;
+// otherwise checkStall reschedules itself.
+func (c *Core) recordProgress(req *request) {
+	req.timeoutEstimator().Observe(c.now.Sub(req.lastProgressAt))
+	req.lastProgressAt = c.now
+	req.peeking = false
+	if req.awaitsFirstToken() {
+		c.scheduleWake(req, c.now.Add(req.row.tokenGap.Timeout(c.options.StallFloor, c.options.StallCeiling)))
 	}
 }
 
-// checkStall looks whether the current attempt has been silent for too long.
-func (c *Core) checkStall(held *request) {
-	limit := c.stallLimit(held)
-	if held.paused {
-		held.heardAt = c.now
+// checkStall handles a current attempt that has returned no token within the timeout.
+func (c *Core) checkStall(req *request) {
+	limit := c.stallTimeout(req)
+	if req.paused {
+		req.lastProgressAt = c.now
 	}
-	if c.now.Sub(held.heardAt) < limit {
-		c.watch(held)
+	if c.now.Sub(req.lastProgressAt) < limit {
+		c.scheduleStallCheck(req)
 		return
 	}
-	if held.peeking || held.Repeatable() && c.mayRetry(held) {
-		c.leaveSilent(held)
+	if req.peeking || req.Repeatable() && c.mayRetry(req) {
+		c.abandonStalled(req)
 		return
 	}
-	c.peek(held)
-	c.sleepUntil(held, c.now.Add(peekLimit))
+	c.peek(req)
+	c.scheduleWake(req, c.now.Add(peekTimeout))
 }
 
-// leaveSilent gives the current attempt up. attemptBroke cancels it too if it asks
-// the engine about it.
-func (c *Core) leaveSilent(held *request) {
+// abandonStalled abandons the current attempt. If attemptBroke asks for the status, it
+// cancels the attempt itself.
+func (c *Core) abandonStalled(req *request) {
 	c.stats.Stalls++
-	held.pace().RecordTimeout()
-	if held.Repeatable() || held.ran() {
-		c.emit(CancelAttempt{Attempt: held.attempt})
+	req.timeoutEstimator().RecordTimeout()
+	if req.Repeatable() || req.hasRun() {
+		c.emit(CancelAttempt{Attempt: req.attempt})
 	}
-	c.attemptBroke(held)
+	c.attemptBroke(req)
 }
 
-// mayRetry reports whether another attempt would be allowed now.
-func (c *Core) mayRetry(held *request) bool {
-	return held.attempts < c.options.AttemptLimit && held.row.budget.Covers()
+// mayRetry reports whether another attempt is allowed now.
+func (c *Core) mayRetry(req *request) bool {
+	return req.attempts < c.options.AttemptLimit && req.row.budget.Covers()
 }
 
-// peek asks the engine about a silent attempt without cancelling it.
-func (c *Core) peek(held *request) {
-	held.peeking = true
+// peek asks the engine for the status of a stalled attempt without cancelling it.
+func (c *Core) peek(req *request) {
+	req.peeking = true
 	c.emit(AskStatus{
-		ID:      held.ID,
-		Attempt: held.attempt,
-		Runner:  held.choice.Runner(),
-		Address: held.choice.Address(),
+		ID:      req.ID,
+		Attempt: req.attempt,
+		Runner:  req.choice.Runner(),
+		Address: req.choice.Address(),
 		Peek:    true,
 	})
 }
 
-// peeked decides about an attempt that has been silent since its engine was asked:
-// one that makes progress there is waited for, any other is given up.
-func (c *Core) peeked(event StatusReplied) {
-	held := c.attempts[event.Attempt]
-	if held == nil || !held.peeking {
+// peekReplied keeps waiting for a stalled attempt that makes progress at its engine, and
+// abandons any other.
+func (c *Core) peekReplied(event StatusReplied) {
+	req := c.attempts[event.Attempt]
+	if req == nil || !req.peeking {
 		return
 	}
-	held.peeking = false
+	req.peeking = false
 	status := event.Status
-	if event.answered() && status.Incarnation == held.choice.Incarnation() {
-		held.started = status.Started || status.Tokens > 0
-		if status.State == structs.RunRunning && status.Tokens > max(held.delivered, held.peekedTokens) {
-			held.peekedTokens = status.Tokens
-			c.sleepUntil(held, c.now.Add(c.stallLimit(held)))
+	if event.answered() && status.Incarnation == req.choice.Incarnation() {
+		req.started = status.Started || status.Tokens > 0
+		if status.State == structs.RunRunning && status.Tokens > max(req.delivered, req.peekedTokens) {
+			req.peekedTokens = status.Tokens
+			c.scheduleWake(req, c.now.Add(c.stallTimeout(req)))
 			return
 		}
 	}
-	c.leaveSilent(held)
+	c.abandonStalled(req)
 }
