--- a/request/admission/class.go
+++ b/request/admission/class.go
@@ -1,35 +1,36 @@
 package admission
 
-// class holds the items of one priority. Callers with waiting items are flows;
-// a flow's start is its virtual time: the turns it had, divided by its weight.
-// Flows whose start is within fairnessSlack of the class's virtual time are
-// eligible and ordered by earliest deadline; the others wait in order of start.
+// class holds the items of one priority, scheduled by weighted fair queueing. Each caller
+// with waiting items is a flow, whose start tag advances by 1/weight with each turn.
+// Flows whose start tag is within fairnessSlack of the virtual time of the class are
+// eligible and ordered by earliest deadline; the others wait in order of their start
+// tags.
 type class struct {
 	length int
-	// passed counts the turns of higher classes while this one waited for its own.
-	passed int
-	// sequence is that of the newest item.
+	// passedOver counts the turns of higher classes since the last turn of this one.
+	passedOver int
+	// sequence is the sequence number of the newest item.
 	sequence uint64
-	// virtual is the virtual time, and weights the sum of the flows' weights.
-	virtual float64
-	weights float64
-	flows   map[string]*flow
-	// eligible flows are ordered by deadline, those ahead of their share by start.
+	// totalWeight is the sum of the weights of the flows.
+	virtualTime float64
+	totalWeight float64
+	flows       map[string]*flow
+	// eligible is ordered by deadline, ineligible by start tag.
 	eligible       heap[flow]
-	ahead          heap[flow]
+	ineligible     heap[flow]
 	newest, oldest *node
-	// free lists flows to use again.
-	free *flow
+	// freeFlows lists flows for reuse.
+	freeFlows *flow
 }
 
-// flow is one caller's items of one class, by earliest deadline.
+// flow holds the items of one caller in a class, by earliest deadline.
 type flow struct {
 	caller   string
 	weight   float64
-	start    float64
+	startTag float64
 	eligible bool
 	position int
-	// visited counts the items that eachAhead has passed.
+	// visited counts the items visited by eachAhead.
 	visited  int
 	items    heap[node]
 	nextFree *flow
@@ -37,17 +38,17 @@
 
 func newClass() class {
 	return class{
-		flows:    make(map[string]*flow),
-		eligible: heap[flow]{less: flowByDeadline, position: flowPosition},
-		ahead:    heap[flow]{less: flowByStart, position: flowPosition},
+		flows:      make(map[string]*flow),
+		eligible:   heap[flow]{less: flowByDeadline, position: flowPosition},
+		ineligible: heap[flow]{less: flowByStart, position: flowPosition},
 	}
 }
 
 func flowByDeadline(a, b *flow) bool { return nodeByDeadline(a.items.top(), b.items.top()) }
 
 func flowByStart(a, b *flow) bool {
-	if a.start != b.start {
-		return a.start < b.start
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.caller < b.caller
 }
@@ -75,28 +76,28 @@
 	added.flow = current
 	current.items.push(added)
 	if exists {
-		c.reorder(current)
+		c.fixFlow(current)
 		return
 	}
-	c.place(current)
+	c.addFlow(current)
 }
 
-// newFlow starts a flow at the class's virtual time, so that a caller saves up
-// nothing while it is away. A caller that left no item behind is not remembered:
-// that forgives it fairnessSlack turns and one at most.
+// newFlow adds a flow at the virtual time of the class, so that absent callers accumulate
+// no credit. A caller without items is forgotten, which forgives it at most fairnessSlack
+// turns plus one.
 func (c *class) newFlow(caller string, weight float64) *flow {
-	created := c.free
+	created := c.freeFlows
 	if created == nil {
 		created = &flow{items: heap[node]{less: nodeByDeadline, position: nodePosition}}
 	} else {
-		c.free = created.nextFree
+		c.freeFlows = created.nextFree
 		created.nextFree = nil
 	}
 	created.caller = caller
 	created.weight = weight
-	created.start = c.virtual
+	created.startTag = c.virtualTime
 	c.flows[caller] = created
-	c.weights += weight
+	c.totalWeight += weight
 	return created
 }
 
@@ -106,18 +107,18 @@
 	current := leaving.flow
 	if len(current.items.items) > 1 {
 		current.items.remove(leaving.position)
-		c.reorder(current)
+		c.fixFlow(current)
 		return
 	}
-	c.displace(current)
+	c.removeFlow(current)
 	current.items.remove(leaving.position)
 	delete(c.flows, current.caller)
-	c.weights -= current.weight
-	current.nextFree = c.free
-	c.free = current
+	c.totalWeight -= current.weight
+	current.nextFree = c.freeFlows
+	c.freeFlows = current
 }
 
-// aheadOf counts the items that probably go before a new item of the caller.
+// aheadOf estimates the number of items served before a new item of the caller.
 func (c *class) aheadOf(caller string, weight float64) int {
 	own := 0
 	if waiting := c.flows[caller]; waiting != nil {
@@ -126,8 +127,8 @@
 	return c.aheadAt(caller, weight, own)
 }
 
-// aheadAt counts the items that probably go before the caller's item that has so
-// many of its own before it: of each other caller as many as fit its share.
+// aheadAt estimates the number of items served before an item of the caller that follows
+// own items of the same caller. Each other caller contributes its fair share at most.
 func (c *class) aheadAt(caller string, weight float64, own int) int {
 	turns := float64(own+1)/weight + fairnessSlack
 	ahead := own
@@ -139,7 +140,7 @@
 	return ahead
 }
 
-// eachAhead visits the items, the oldest first; it returns how many stay.
+// eachAhead visits the items, oldest first, and returns the number that stay.
 func (c *class) eachAhead(higher int, visit func(item Item, ahead int) (stays bool)) int {
 	stayed := 0
 	for _, current := range c.flows {
@@ -156,19 +157,19 @@
 	return stayed
 }
 
-// next returns the item whose turn it is in this class, which must not be empty.
+// next returns the next item of the class, which must not be empty.
 func (c *class) next() *node {
 	c.promote()
 	return c.eligible.top().items.top()
 }
 
-// preferred returns the item with the highest score among the first ones of the
-// callers that are due; head if none is better.
+// preferred returns the item with the highest score among the first items of the eligible
+// callers, or head if none has a higher score.
 func (c *class) preferred(head *node, score func(Item) int) *node {
 	best, highest := head, score(head.Item)
 	due := c.eligible.items
-	due = due[:min(len(due), preferenceWidth)]
-	each := max(1, preferenceWidth/len(due))
+	due = due[:min(len(due), preferenceWindow)]
+	each := max(1, preferenceWindow/len(due))
 	for _, current := range due {
 		items := current.items.items
 		for _, candidate := range items[:min(len(items), each)] {
@@ -180,44 +181,44 @@
 	return best
 }
 
-// charge counts a turn for the flow and moves the virtual time on.
+// charge charges the flow one turn and advances the virtual time.
 func (c *class) charge(served *flow) {
-	c.displace(served)
-	served.start += 1 / served.weight
-	c.virtual += 1 / c.weights
-	c.place(served)
+	c.removeFlow(served)
+	served.startTag += 1 / served.weight
+	c.virtualTime += 1 / c.totalWeight
+	c.addFlow(served)
 }
 
-// promote makes flows eligible that are within the slack; if none is, the
-// virtual time jumps to the earliest start.
+// promote makes the flows within fairnessSlack eligible. If there are none, the virtual
+// time advances to the earliest start tag.
 func (c *class) promote() {
-	if c.eligible.top() == nil && c.ahead.top() != nil {
-		c.virtual = max(c.virtual, c.ahead.top().start)
+	if c.eligible.top() == nil && c.ineligible.top() != nil {
+		c.virtualTime = max(c.virtualTime, c.ineligible.top().startTag)
 	}
-	for first := c.ahead.top(); first != nil && first.start <= c.virtual+fairnessSlack; first = c.ahead.top() {
-		c.displace(first)
-		c.place(first)
+	for first := c.ineligible.top(); first != nil && first.startTag <= c.virtualTime+fairnessSlack; first = c.ineligible.top() {
+		c.removeFlow(first)
+		c.addFlow(first)
 	}
 }
 
-func (c *class) place(current *flow) {
-	current.eligible = current.start <= c.virtual+fairnessSlack
+func (c *class) addFlow(current *flow) {
+	current.eligible = current.startTag <= c.virtualTime+fairnessSlack
 	if current.eligible {
 		c.eligible.push(current)
 		return
 	}
-	c.ahead.push(current)
+	c.ineligible.push(current)
 }
 
-func (c *class) displace(current *flow) {
+func (c *class) removeFlow(current *flow) {
 	if current.eligible {
 		c.eligible.remove(current.position)
 		return
 	}
-	c.ahead.remove(current.position)
+	c.ineligible.remove(current.position)
 }
 
-func (c *class) reorder(current *flow) {
+func (c *class) fixFlow(current *flow) {
 	if current.eligible {
 		c.eligible.fix(current.position)
 	}
--- a/request/admission/doc.go
+++ b/request/admission/doc.go
@@ -1,15 +1,14 @@
-// Package admission is the bounded queue of one row and the estimate of when a
-// request that joins it would start.
+// Package admission implements the bounded queue of one row, the estimate of when a
+// request that joins it would start, and token limits.
 //
-// Order: a higher priority class goes first, but a class that was passed over
+// Higher priority classes are served first, but a class that was passed over
 // Options.GuardAfter times gets one turn. Within a class, callers share turns by
-// weight: a caller that had more than its share so far waits, and among the
-// others the earliest deadline goes first. A full queue sheds its newest batch
-// request for a live one.
+// weight: callers that are ahead of their share wait, and the others are served by
+// earliest deadline. A full queue displaces its newest batch request for a live one.
 //
-// The estimate follows the pace at which the row's requests have started while
-// others waited, less the later arrivals of higher priority.
+// The estimate is based on the rate at which requests of the row have started while
+// others waited, less the rate of later arrivals of higher priority.
 //
-// Queue and Estimator are pure: time comes in as an argument, and they are not
-// safe for concurrent use.
+// Queue and Estimator take the time as an argument and are not safe for concurrent
+// use.
 package admission
--- a/request/admission/estimator.go
+++ b/request/admission/estimator.go
@@ -16,15 +16,15 @@
 // smoothing is the weight of a new observation in the moving averages.
 const smoothing = 0.2
 
-// EstimatorOptions are what an Estimator believes before it has observed
-// anything; zero values mean the defaults.
+// EstimatorOptions are the estimates of an Estimator without observations; zero values
+// mean the defaults.
 type EstimatorOptions struct {
 	Service  time.Duration
 	ColdLoad time.Duration
 }
 
-// Estimator predicts when a request for one row would start, from moving
-// averages of the row's service times and cold loads, and tracks its own error.
+// Estimator predicts when a request of one row would start, from moving averages of the
+// service times and cold loads of the row, and tracks its own error.
 type Estimator struct {
 	options  EstimatorOptions
 	service  average
@@ -32,39 +32,41 @@
 	rate     average
 	bias     average
 	absolute average
-	// starts is the pace at which requests start while others wait; arrivals that
-	// at which requests of each priority join the queue.
+	// starts is the interval between starts while other requests wait; arrivals are the
+	// intervals between arrivals by priority.
 	starts   interval
 	arrivals [structs.PriorityCount]interval
 }
 
-// QueueState is what the estimate depends on besides the history.
+// QueueState is the state of a queue and its row, from which the start of a request is
+// estimated.
 type QueueState struct {
-	// Slots is how many requests of the row can run at once; Free of them are free.
+	// Slots is the number of requests of the row that can run concurrently; Free of them
+	// are free.
 	Slots int
 	Free  int
-	// Ahead counts the queued requests that go first.
+	// Ahead is the number of queued requests served first.
 	Ahead int
-	// Now and Priority tell which later arrivals go first, too.
+	// Now and Priority determine which later arrivals are also served first.
 	Now      time.Time
 	Priority structs.Priority
-	// MaxTokens is the request's bound, 0 if unknown.
+	// MaxTokens is the token limit of the request, 0 if unknown.
 	MaxTokens int
-	// BusyFor is how long requests have had to wait (see BusyFor); later arrivals of higher
-	// priority are expected for rushOutlook times as long.
+	// BusyFor is how long requests have been waiting (see BusyPeriod). Later arrivals of
+	// higher priority are expected for busyOutlookFactor times as long.
 	BusyFor time.Duration
-	// ColdFor is how long a load has been awaited; it counts when Slots is 0.
+	// ColdFor is the time since the start of a cold load; it is used when Slots is 0.
 	ColdFor time.Duration
 }
 
-// Accuracy is the estimator's error as moving averages over the requests that
-// started: Bias is estimated minus actual wait, Absolute its magnitude.
+// Accuracy is the error of an estimator, as moving averages over the started requests:
+// Bias is the estimated minus the actual wait, Absolute its magnitude.
 type Accuracy struct {
 	Bias     time.Duration
 	Absolute time.Duration
 }
 
-// NewEstimator makes an Estimator without observations.
+// NewEstimator returns an Estimator without observations.
 func NewEstimator(options EstimatorOptions) *Estimator {
 	if options.Service <= 0 {
 		options.Service = DefaultService
@@ -75,7 +77,7 @@
 	return &Estimator{options: options}
 }
 
-// ObserveService records that a whole answer of so many tokens took duration.
+// ObserveService records the service time and the number of tokens of a complete answer.
 func (e *Estimator) ObserveService(duration time.Duration, tokens int) {
 	e.service.add(duration.Seconds())
 	if tokens > 0 && duration > 0 {
@@ -83,39 +85,39 @@
 	}
 }
 
-// ObserveLoadReport takes the speed of one stream from an engine's report as
-// long as no answer of the row was observed.
+// ObserveLoadReport uses the speed of one stream from an engine's report until a complete
+// answer of the row has been observed.
 func (e *Estimator) ObserveLoadReport(report structs.LoadReport) {
 	if e.service.count == 0 && report.Running > 0 && report.TokensPerSecond > 0 {
 		e.rate.add(report.TokensPerSecond / float64(report.Running))
 	}
 }
 
-// Finish estimates how long it takes until a request would be answered. What a
-// request needs once it started counts only for one that must wait, and only if
-// it was observed: a request that can start at once is worth trying.
-func (e *Estimator) Finish(situation QueueState) time.Duration {
-	start := e.Start(situation)
+// Finish estimates the time until a request would be answered. The service time is added
+// only for a request that must wait, and only if it was observed: a request that can
+// start now is always attempted.
+func (e *Estimator) Finish(state QueueState) time.Duration {
+	start := e.Start(state)
 	if start <= 0 || e.service.count == 0 {
 		return start
 	}
-	return start + e.Service(situation.MaxTokens)
+	return start + e.Service(state.MaxTokens)
 }
 
-// Observed reports whether a whole answer was observed.
+// Observed reports whether a complete answer was observed.
 func (e *Estimator) Observed() bool { return e.service.count > 0 }
 
-// ObserveColdLoad records how long the row was awaited until a replica was ready.
+// ObserveColdLoad records the time from the first demand for the row to a ready replica.
 func (e *Estimator) ObserveColdLoad(duration time.Duration) { e.cold.add(duration.Seconds()) }
 
-// ObserveStart records a request's estimated and actual wait.
+// ObserveStart records the estimated and the actual wait of a request.
 func (e *Estimator) ObserveStart(estimated, actual time.Duration) {
 	miss := (estimated - actual).Seconds()
 	e.bias.add(miss)
 	e.absolute.add(math.Abs(miss))
 }
 
-// Accuracy returns the estimator's error.
+// Accuracy returns the error of the estimator.
 func (e *Estimator) Accuracy() Accuracy {
 	return Accuracy{Bias: seconds(e.bias.value), Absolute: seconds(e.absolute.value)}
 }
@@ -131,7 +133,7 @@
 	return e.options.Service
 }
 
-// ColdLoad estimates how long a load takes from the first demand.
+// ColdLoad estimates the time from the first demand to a ready replica.
 func (e *Estimator) ColdLoad() time.Duration {
 	if e.cold.count > 0 {
 		return seconds(e.cold.value)
@@ -139,28 +141,27 @@
 	return e.options.ColdLoad
 }
 
-// Start estimates how long a request would wait until it starts. When the row
-// has no replica, the load comes first and the queue is then taken to be served
-// one by one. A load that takes longer than expected is expected to need a
-// quarter of the usual time more.
-func (e *Estimator) Start(situation QueueState) time.Duration {
-	if situation.Slots > 0 {
-		return e.wait(situation, situation.Slots, situation.Free)
+// Start estimates the time until a request would start. Without a replica, it is the
+// remaining load time plus the time to serve the queue with one slot. An overdue load is
+// expected to take another quarter of the usual time.
+func (e *Estimator) Start(state QueueState) time.Duration {
+	if state.Slots > 0 {
+		return e.wait(state, state.Slots, state.Free)
 	}
 	cold := e.ColdLoad()
-	remaining := max(cold-situation.ColdFor, cold/4)
-	return remaining + e.wait(situation, 1, 1)
+	remaining := max(cold-state.ColdFor, cold/4)
+	return remaining + e.wait(state, 1, 1)
 }
 
-func (e *Estimator) wait(situation QueueState, slots, free int) time.Duration {
-	queued := situation.Ahead + 1 - free
+func (e *Estimator) wait(state QueueState, slots, free int) time.Duration {
+	queued := state.Ahead + 1 - free
 	if queued <= 0 {
 		return 0
 	}
-	if situation.Slots > 0 && e.starts.gap.count >= turnsKnown {
-		return seconds(e.turnsTake(float64(queued), situation))
+	if state.Slots > 0 && e.starts.gap.count >= minSamples {
+		return seconds(e.timeForTurns(float64(queued), state))
 	}
-	perSlot := e.Service(situation.MaxTokens) / time.Duration(slots)
+	perSlot := e.Service(state.MaxTokens) / time.Duration(slots)
 	return time.Duration(queued) * perSlot
 }
 
@@ -169,7 +170,7 @@
 	e.arrivals[clampPriority(priority)].add(now)
 }
 
-// ObserveTurn records that a request started; waiting says that others wait still.
+// ObserveTurn records that a request started; waiting tells whether others still wait.
 func (e *Estimator) ObserveTurn(now time.Time, waiting bool) {
 	e.starts.add(now)
 	if !waiting {
@@ -177,75 +178,77 @@
 	}
 }
 
-// turnsTake returns in how many seconds so many of the waiting requests start. As long
-// as the rush is expected to go on, later arrivals of higher priority start first.
-func (e *Estimator) turnsTake(turns float64, situation QueueState) float64 {
-	rate := 1 / max(e.starts.gap.value, shortestGap)
-	left := rate
-	for priority := clampPriority(situation.Priority) + 1; priority < structs.PriorityCount; priority++ {
-		left -= e.arrivals[priority].rate(situation.Now)
+// timeForTurns returns the time in seconds until the given number of waiting requests
+// have started. While the busy period is expected to last, later arrivals of higher
+// priority start first.
+func (e *Estimator) timeForTurns(turns float64, state QueueState) float64 {
+	rate := 1 / max(e.starts.gap.value, minGap)
+	remainingRate := rate
+	for priority := clampPriority(state.Priority) + 1; priority < structs.PriorityCount; priority++ {
+		remainingRate -= e.arrivals[priority].rate(state.Now)
 	}
-	left = max(left, rate/leastShareDivisor)
-	rush := busyOutlookFactor * situation.BusyFor.Seconds()
-	if turns <= left*rush {
-		return turns / left
+	remainingRate = max(remainingRate, rate/minShareDivisor)
+	busy := busyOutlookFactor * state.BusyFor.Seconds()
+	if turns <= remainingRate*busy {
+		return turns / remainingRate
 	}
-	return rush + (turns-left*rush)/rate
+	return busy + (turns-remainingRate*busy)/rate
 }
 
-// busyOutlookFactor is how many times as long as it has lasted a rush is expected to go on.
+// busyOutlookFactor is the expected remaining length of a busy period as a multiple of
+// its length so far.
 const busyOutlookFactor = 2
 
-// leastShareDivisor bounds what later arrivals of higher priority leave: a class that
-// was passed over DefaultGuardAfter times gets a turn.
-const leastShareDivisor = DefaultGuardAfter + 1
+// minShareDivisor bounds the share taken by later arrivals of higher priority: a class
+// gets a turn after being passed over DefaultGuardAfter times.
+const minShareDivisor = DefaultGuardAfter + 1
 
-// turnsKnown is how many turns make a pace.
-const turnsKnown = 8
+// minSamples is the number of samples needed for an interval estimate.
+const minSamples = 8
 
-// shortestGap bounds a pace, in seconds.
-const shortestGap = 1e-6
+// minGap is the lower bound of an interval estimate, in seconds.
+const minGap = 1e-6
 
-// interval is the mean time between events.
+// interval estimates the mean time between events.
 type interval struct {
 	last time.Time
 	gap  average
 }
 
-// A gap counts for at most longestGapFactor times the mean, which is taken to be
-// leastKnownGap seconds at least.
+// A gap is clipped to maxGapFactor times the mean, or to that of minMeanGap seconds if
+// the mean is smaller.
 const (
-	longestGapFactor = 8
-	leastKnownGap    = 1e-3
+	maxGapFactor = 8
+	minMeanGap   = 1e-3
 )
 
-// intervalSmoothing is the weight of a new gap.
-const intervalSmoothing = 0.03
+// gapSmoothing is the weight of a new gap in the moving average.
+const gapSmoothing = 0.03
 
 func (i *interval) add(now time.Time) {
 	if !i.last.IsZero() {
-		i.gap.addWeighted(i.clipped(now.Sub(i.last).Seconds()), intervalSmoothing)
+		i.gap.addWeighted(i.clip(now.Sub(i.last).Seconds()), gapSmoothing)
 	}
 	i.last = now
 }
 
-// clipped bounds a gap, so that one hiccup does not count for many turns.
-func (i *interval) clipped(gap float64) float64 {
-	if i.gap.count < turnsKnown {
+// clip limits the effect of a single long gap.
+func (i *interval) clip(gap float64) float64 {
+	if i.gap.count < minSamples {
 		return gap
 	}
-	return min(gap, longestGapFactor*max(i.gap.value, leastKnownGap))
+	return min(gap, maxGapFactor*max(i.gap.value, minMeanGap))
 }
 
-// pause leaves out the time until the next event.
+// pause excludes the time until the next event.
 func (i *interval) pause() { i.last = time.Time{} }
 
-// rate returns the events a second; a silence lowers it.
+// rate returns the events per second; the time since the last event bounds it from above.
 func (i *interval) rate(now time.Time) float64 {
-	if i.gap.count < turnsKnown {
+	if i.gap.count < minSamples {
 		return 0
 	}
-	return 1 / max(i.gap.value, now.Sub(i.last).Seconds(), shortestGap)
+	return 1 / max(i.gap.value, now.Sub(i.last).Seconds(), minGap)
 }
 
 // average is an exponentially weighted moving average.
--- a/request/admission/heap.go
+++ b/request/admission/heap.go
@@ -1,6 +1,6 @@
 package admission
 
-// heap is a binary heap of pointers that know their position, so that any
+// heap is a binary heap of pointers to elements that store their index, so that any
 // element can be removed in logarithmic time.
 type heap[T any] struct {
 	items    []*T
@@ -15,7 +15,7 @@
 	h.up(last)
 }
 
-// top returns the least element, or nil.
+// top returns the least element, or nil for an empty heap.
 func (h *heap[T]) top() *T {
 	if len(h.items) == 0 {
 		return nil
@@ -23,7 +23,7 @@
 	return h.items[0]
 }
 
-// remove takes out the element at index.
+// remove removes the element at index.
 func (h *heap[T]) remove(index int) {
 	last := len(h.items) - 1
 	*h.position(h.items[index]) = -1
@@ -38,7 +38,7 @@
 	}
 }
 
-// fix restores the order after the element at index changed.
+// fix restores the heap order after the element at index has changed.
 func (h *heap[T]) fix(index int) {
 	if !h.down(index) {
 		h.up(index)
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -13,31 +13,31 @@
 	DefaultGuardAfter  = 16
 )
 
-// fairnessSlack is how many weighted turns a caller may be ahead of its share
-// and still compete by deadline.
+// fairnessSlack is how many weighted turns a caller may be ahead of its share and still
+// compete by deadline.
 const fairnessSlack = 2.0
 
-// PreferenceLimit is how often an item is passed over for a preferred one, and
-// preferenceWidth how many items are looked at.
+// PreferenceLimit is how often an item may be passed over for a preferred one, and
+// preferenceWindow the number of items considered.
 const (
-	PreferenceLimit = 8
-	preferenceWidth = 16
+	PreferenceLimit  = 8
+	preferenceWindow = 16
 )
 
 // Options are the settings of a Queue; zero values mean the defaults.
 type Options struct {
-	// Limit bounds the requests in the queue.
+	// Limit limits the requests in the queue.
 	Limit int
-	// CallerLimit bounds the requests of one caller in the queue.
+	// CallerLimit limits the requests of one caller in the queue.
 	CallerLimit int
-	// GuardAfter is how many turns a waiting class is passed over before it gets one.
+	// GuardAfter is how many times a waiting class is passed over before it gets a turn.
 	GuardAfter int
-	// Weight gives a caller's share; nil means that all callers weigh 1. Values
-	// below 1 count as 1.
+	// Weight returns the weight of a caller; nil means that all callers have weight 1.
+	// Values below 1 count as 1.
 	Weight func(caller string) int
 }
 
-// Item is a request as the queue sees it.
+// Item is a queued request.
 type Item struct {
 	ID         structs.RequestID
 	Caller     string
@@ -46,45 +46,45 @@
 	DeadlineAt time.Time
 }
 
-// Verdict is the queue's answer to Push.
+// Verdict is the result of Push.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Queued: the item waits.
+	// Queued: the item was queued.
 	Queued Verdict = iota
-	// QueuedDisplacing: the item waits, and the returned batch item was shed for it.
+	// QueuedDisplacing: the item was queued and displaced the returned batch item.
 	QueuedDisplacing
-	// FullQueue: the item was not queued since the queue is full.
+	// FullQueue: the item was rejected because the queue is full.
 	FullQueue
-	// FullCaller: the item was not queued since its caller has too many waiting.
+	// FullCaller: the item was rejected because its caller has too many waiting items.
 	FullCaller
-	// Duplicate: an item with this ID waits already.
+	// Duplicate: an item with this ID is already queued.
 	Duplicate
 )
 
 // Queue is the bounded queue of one row.
 type Queue struct {
-	options Options
-	classes [structs.PriorityCount]class
-	nodes   map[structs.RequestID]*node
-	callers map[string]int
-	free    *node
+	options   Options
+	classes   [structs.PriorityCount]class
+	nodes     map[structs.RequestID]*node
+	callers   map[string]int
+	freeNodes *node
 }
 
-// node is a queued item with its places in the orders of its class.
+// node is a queued item with its positions in its class.
 type node struct {
 	Item
 	sequence uint64
 	position int
 	flow     *flow
-	// passed counts how often another item was preferred while it was this one's turn.
-	passed int
-	// newer and older link the class by arrival.
+	// passedOver counts how often another item was preferred when this one was next.
+	passedOver int
+	// newer and older link the items of the class by arrival.
 	newer, older *node
 }
 
-// NewQueue makes an empty queue.
+// NewQueue returns an empty queue.
 func NewQueue(options Options) *Queue {
 	if options.Limit <= 0 {
 		options.Limit = DefaultLimit
@@ -104,7 +104,7 @@
 	return queue
 }
 
-// Push adds an item. With QueuedDisplacing the returned item has left the queue
+// Push adds an item. With QueuedDisplacing, the returned item was removed from the queue
 // and must be refused.
 func (q *Queue) Push(item Item) (Item, Verdict) {
 	if _, exists := q.nodes[item.ID]; exists {
@@ -128,55 +128,55 @@
 	return shed, QueuedDisplacing
 }
 
-// Peek returns the item whose turn it is; Pop removes this very item when
-// nothing changes in between.
+// Peek returns the next item; Pop removes the same item if the queue does not change in
+// between.
 func (q *Queue) Peek() (Item, bool) {
-	index, ok := q.turn()
+	index, ok := q.nextClass()
 	if !ok {
 		return Item{}, false
 	}
 	return q.classes[index].next().Item, true
 }
 
-// Pop removes the item whose turn it is and counts the turn.
+// Pop removes the next item and charges the turn to its caller.
 func (q *Queue) Pop() (Item, bool) {
-	index, ok := q.turn()
+	index, ok := q.nextClass()
 	if !ok {
 		return Item{}, false
 	}
 	return q.take(index, q.classes[index].next()), true
 }
 
-// PopPreferred removes, of the next few items of the class whose turn it is, the
-// one with the highest score, and counts the turn for its caller. The item whose
-// turn it is goes if none has a higher score, or if it was passed over
-// PreferenceLimit times. Only callers that are due take part.
+// PopPreferred removes the item with the highest score among the next few items of the
+// class to serve, and charges the turn to its caller. It removes the next item if no
+// other has a higher score, or if it was passed over PreferenceLimit times. Only eligible
+// callers are considered.
 func (q *Queue) PopPreferred(score func(Item) int) (Item, bool) {
-	index, ok := q.turn()
+	index, ok := q.nextClass()
 	if !ok {
 		return Item{}, false
 	}
 	head := q.classes[index].next()
 	chosen := head
-	if head.passed < PreferenceLimit {
+	if head.passedOver < PreferenceLimit {
 		chosen = q.classes[index].preferred(head, score)
 	}
 	if chosen != head {
-		head.passed++
+		head.passedOver++
 	}
 	return q.take(index, chosen), true
 }
 
-// take removes an item of the class and counts the turn for its caller.
+// take removes an item of the class and charges the turn to its caller.
 func (q *Queue) take(index int, chosen *node) Item {
-	q.countTurn(index)
+	q.recordTurn(index)
 	item := chosen.Item
 	q.classes[index].charge(chosen.flow)
 	q.remove(chosen)
 	return item
 }
 
-// Remove takes the item out without a turn; it reports whether it was there.
+// Remove removes the item without a turn; it reports whether it was queued.
 func (q *Queue) Remove(id structs.RequestID) bool {
 	found, ok := q.nodes[id]
 	if ok {
@@ -185,10 +185,10 @@
 	return ok
 }
 
-// Len counts the items.
+// Len returns the number of items.
 func (q *Queue) Len() int { return len(q.nodes) }
 
-// countFrom counts the items of the class and of those above it.
+// countFrom returns the number of items of the class and the classes above it.
 func (q *Queue) countFrom(class int) int {
 	count := 0
 	for index := class; index < structs.PriorityCount; index++ {
@@ -197,17 +197,17 @@
 	return count
 }
 
-// AheadOf counts the items that probably go before a new item of the caller: all
-// of higher priority, the caller's own of its priority, and of each other caller
-// of that priority as many as its share of turns meanwhile.
+// AheadOf estimates the number of items served before a new item of the caller: all of
+// higher priority, the caller's own of its priority, and the fair share of each other
+// caller of that priority.
 func (q *Queue) AheadOf(priority structs.Priority, caller string) int {
 	priority = clampPriority(priority)
 	return q.countFrom(int(priority)+1) + q.classes[priority].aheadOf(caller, q.weight(caller))
 }
 
-// EachAhead calls visit for every item as Each does, with the number of items
-// that probably go before it. Items of the class for which visit returns false do
-// not count for those after them.
+// EachAhead calls visit for every item in the order of Each, with the estimated number of
+// items served before it. Items for which visit returns false are not counted for later
+// items of the class.
 func (q *Queue) EachAhead(visit func(item Item, ahead int) (stays bool)) {
 	higher := 0
 	for index := structs.PriorityCount - 1; index >= 0; index-- {
@@ -215,8 +215,8 @@
 	}
 }
 
-// Newest returns the item of the class that was queued last; ok is false for an
-// empty class.
+// Newest returns the item of the class that was queued last; ok is false for an empty
+// class.
 func (q *Queue) Newest(priority structs.Priority) (newest Item, ok bool) {
 	last := q.classes[clampPriority(priority)].newest
 	if last == nil {
@@ -225,7 +225,8 @@
 	return last.Item, true
 }
 
-// Highest returns the highest priority waiting; ok is false for an empty queue.
+// Highest returns the highest priority of the waiting items; ok is false for an empty
+// queue.
 func (q *Queue) Highest() (highest structs.Priority, ok bool) {
 	for index := structs.PriorityCount - 1; index >= 0; index-- {
 		if q.classes[index].length > 0 {
@@ -235,8 +236,8 @@
 	return 0, false
 }
 
-// Each calls visit for every item, the highest class first and the oldest of a
-// class first, until visit returns false. The queue must not change meanwhile.
+// Each calls visit for every item, highest class first and oldest first within a class,
+// until visit returns false. visit must not change the queue.
 func (q *Queue) Each(visit func(Item) bool) {
 	for index := structs.PriorityCount - 1; index >= 0; index-- {
 		for current := q.classes[index].oldest; current != nil; current = current.newer {
@@ -247,15 +248,15 @@
 	}
 }
 
-// turn chooses the class to serve: the lowest one that was passed over too
-// often, else the highest that waits.
-func (q *Queue) turn() (int, bool) {
+// nextClass returns the class to serve: the lowest one that reached GuardAfter, otherwise
+// the highest that is not empty.
+func (q *Queue) nextClass() (int, bool) {
 	highest := -1
 	for index := range q.classes {
 		if q.classes[index].length == 0 {
 			continue
 		}
-		if q.classes[index].passed >= q.options.GuardAfter {
+		if q.classes[index].passedOver >= q.options.GuardAfter {
 			return index, true
 		}
 		highest = index
@@ -263,25 +264,25 @@
 	return highest, highest >= 0
 }
 
-// countTurn notes which classes the turn of the served one passes over.
-func (q *Queue) countTurn(served int) {
+// recordTurn updates how often the classes below the served one were passed over.
+func (q *Queue) recordTurn(served int) {
 	for index := range q.classes {
 		if index == served || q.classes[index].length == 0 {
-			q.classes[index].passed = 0
+			q.classes[index].passedOver = 0
 			continue
 		}
 		if index < served {
-			q.classes[index].passed++
+			q.classes[index].passedOver++
 		}
 	}
 }
 
 func (q *Queue) insert(item Item) {
-	added := q.free
+	added := q.freeNodes
 	if added == nil {
 		added = &node{}
 	} else {
-		q.free = added.newer
+		q.freeNodes = added.newer
 		*added = node{}
 	}
 	added.Item = item
@@ -297,8 +298,8 @@
 		delete(q.callers, leaving.Caller)
 	}
 	q.classes[leaving.Priority].remove(leaving)
-	*leaving = node{newer: q.free}
-	q.free = leaving
+	*leaving = node{newer: q.freeNodes}
+	q.freeNodes = leaving
 }
 
 func (q *Queue) weight(caller string) float64 {
--- a/request/admission/queue_test.go
+++ b/request/admission/queue_test.go
@@ -51,7 +51,7 @@
 		items:   []Item{item("b1", "x", 0, 1), item("b2", "x", 0, 2), item("l1", "x", 2, 1), item("l2", "x", 2, 2), item("l3", "x", 2, 3)},
 		want:    []structs.RequestID{"l1", "l2", "b1", "l3", "b2"},
 	}, {
-		about: "a caller far ahead of its share waits in spite of early deadlines",
+		about: "a caller far ahead of its share waits despite early deadlines",
 		items: []Item{
 			item("x1", "x", 1, 1), item("x2", "x", 1, 1), item("x3", "x", 1, 1), item("x4", "x", 1, 1), item("x5", "x", 1, 1),
 			item("x6", "x", 1, 1), item("x7", "x", 1, 1), item("y1", "y", 1, 9), item("y2", "y", 1, 9),
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestRandomOperationsKeepCounts compares the queue with a plain set.
+// TestRandomOperationsKeepCounts compares the queue with a map.
 func TestRandomOperationsKeepCounts(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	queue := NewQueue(Options{Limit: 40, CallerLimit: 15})
@@ -151,7 +151,7 @@
 	qt.Assert(t, drain(queue), qt.HasLen, len(held))
 }
 
-func TestItemsAheadFollowTheFairShares(t *testing.T) {
+func TestItemsAheadFollowFairShares(t *testing.T) {
 	queue := NewQueue(Options{})
 	for number := range 20 {
 		queue.Push(item(fmt.Sprint("flood", number), "flood", 1, 30))
@@ -179,7 +179,7 @@
 	})
 	qt.Check(t, ahead["live"], qt.Equals, 0)
 	qt.Check(t, ahead["flood3"], qt.Equals, 1+3)
-	qt.Check(t, ahead["flood4"], qt.Equals, 1+3, qt.Commentf("what leaves does not count"))
+	qt.Check(t, ahead["flood4"], qt.Equals, 1+3, qt.Commentf("removed items do not count"))
 	qt.Check(t, ahead["quiet"], qt.Equals, 1+3)
 }
 
@@ -202,10 +202,10 @@
 	qt.Check(t, order[PreferenceLimit], qt.Equals, structs.RequestID("head"))
 }
 
-func TestEstimateFollowsTheTurnsTaken(t *testing.T) {
+func TestEstimateFollowsTheRateOfStarts(t *testing.T) {
 	estimator := NewEstimator(EstimatorOptions{})
 	now := start
-	for range 2 * turnsKnown {
+	for range 2 * minSamples {
 		now = now.Add(500 * time.Millisecond)
 		estimator.ObserveTurn(now, true)
 		estimator.ObserveArrival(now, structs.PriorityLive)
@@ -223,13 +223,13 @@
 	batch.Priority = structs.PriorityBatch
 	near(estimator.Start(batch), 2*time.Second)
 	batch.BusyFor = time.Hour
-	near(estimator.Start(batch), leastShareDivisor*2*time.Second)
+	near(estimator.Start(batch), minShareDivisor*2*time.Second)
 	batch.BusyFor = 17 * time.Second / busyOutlookFactor
 	near(estimator.Start(batch), 18*time.Second)
 	batch.Now = now.Add(time.Minute)
 	near(estimator.Start(batch), 2*time.Second)
 	estimator.ObserveTurn(now.Add(2*time.Hour), true)
-	qt.Check(t, estimator.Start(live) < 3*time.Second, qt.IsTrue, qt.Commentf("one long gap is no new pace"))
+	qt.Check(t, estimator.Start(live) < 3*time.Second, qt.IsTrue, qt.Commentf("one long gap does not change the estimate much"))
 	live.Free = 4
 	qt.Check(t, estimator.Finish(live), qt.Equals, time.Duration(0))
 }
@@ -248,7 +248,7 @@
 	}{
 		{"a slot is free", observed, QueueState{Slots: 2, Free: 1}, 0},
 		{"no slot is free", observed, QueueState{Slots: 2}, 2 * time.Second},
-		{"others go first", observed, QueueState{Slots: 2, Ahead: 3}, 8 * time.Second},
+		{"requests ahead", observed, QueueState{Slots: 2, Ahead: 3}, 8 * time.Second},
 		{"cold", observed, QueueState{ColdFor: 3 * time.Second}, 5 * time.Second},
 		{"cold with others ahead", observed, QueueState{Ahead: 1}, 12 * time.Second},
 		{"cold for longer than expected", observed, QueueState{ColdFor: time.Minute}, 2 * time.Second},
@@ -310,7 +310,7 @@
 	})
 }
 
-// BenchmarkEachAhead measures the review of a full queue of 16 callers.
+// BenchmarkEachAhead measures a review of a full queue with 16 callers.
 func BenchmarkEachAhead(b *testing.B) {
 	queue := NewQueue(Options{})
 	for index := range DefaultLimit {
--- a/request/admission/tokens.go
+++ b/request/admission/tokens.go
@@ -6,55 +6,56 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// TokenRate bounds tokens of prompts and answers together. The zero value bounds nothing.
+// TokenRate limits the sum of prompt and answer tokens. The zero value means no limit.
 type TokenRate struct {
-	// PerSecond is how many tokens come free in a second.
+	// PerSecond is the refill rate.
 	PerSecond float64
-	// Burst is how many may be taken at once; a single larger request is let in when
-	// all of them are free, and the next one waits for longer.
+	// Burst is the bucket size. A single larger request is admitted when the bucket is
+	// full, and the next one waits longer.
 	Burst float64
 }
 
-func (r TokenRate) bounds() bool { return r.PerSecond > 0 && r.Burst > 0 }
+func (r TokenRate) limited() bool { return r.PerSecond > 0 && r.Burst > 0 }
 
-// TokenLimits bounds the tokens of each caller in each row, and those of each row. It
-// remembers only callers and rows that have used some of theirs.
+// TokenLimits limits the tokens of each caller in each row, and of each row, with token
+// buckets. It stores buckets only for recent callers and rows. It is not safe for
+// concurrent use.
 type TokenLimits struct {
 	perCaller TokenRate
 	perRow    TokenRate
-	callers   map[callerOfRow]*tokenBucket
+	callers   map[callerKey]*tokenBucket
 	rows      map[structs.RowName]*tokenBucket
-	// sweepAt is how many buckets there may be before full ones are forgotten.
+	// sweepAt is the number of buckets at which full ones are deleted.
 	sweepAt int
 }
 
-type callerOfRow struct {
+type callerKey struct {
 	caller string
 	row    structs.RowName
 }
 
-// tokenBucket holds how many tokens were free at a time; it may owe some.
+// tokenBucket holds the number of free tokens at a time, which may be negative.
 type tokenBucket struct {
 	free     float64
 	filledAt time.Time
 }
 
-// leastSweep is the number of buckets below which none are forgotten.
-const leastSweep = 1024
+// minSweepSize is the number of buckets below which none are deleted.
+const minSweepSize = 1024
 
-// NewTokenLimits makes limits of which nothing is used.
+// NewTokenLimits returns limits with full buckets.
 func NewTokenLimits(perCaller, perRow TokenRate) *TokenLimits {
 	return &TokenLimits{
 		perCaller: perCaller,
 		perRow:    perRow,
-		callers:   make(map[callerOfRow]*tokenBucket),
+		callers:   make(map[callerKey]*tokenBucket),
 		rows:      make(map[structs.RowName]*tokenBucket),
-		sweepAt:   leastSweep,
+		sweepAt:   minSweepSize,
 	}
 }
 
-// Take takes tokens for a request, or returns after how long they will be free if
-// nobody else takes them; ok is false then, and nothing is taken.
+// Take takes tokens for a request. If there are too few, it takes none and returns ok
+// false and the time until they are free, assuming no other request takes them.
 func (l *TokenLimits) Take(now time.Time, caller string, row structs.RowName, tokens int) (wait time.Duration, ok bool) {
 	own, whole := l.buckets(now, caller, row)
 	wait = max(own.wait(l.perCaller, tokens), whole.wait(l.perRow, tokens))
@@ -66,24 +67,24 @@
 	return 0, true
 }
 
-// Return gives back tokens that were taken and not used.
+// Return returns tokens that were taken and not used.
 func (l *TokenLimits) Return(now time.Time, caller string, row structs.RowName, tokens int) {
 	own, whole := l.buckets(now, caller, row)
 	own.add(l.perCaller, float64(tokens))
 	whole.add(l.perRow, float64(tokens))
 }
 
-// buckets returns the buckets that bound the caller in the row, filled up to now; one
-// without a limit is nil.
+// buckets returns the buckets of the caller in the row and of the row, refilled up to
+// now; an unlimited one is nil.
 func (l *TokenLimits) buckets(now time.Time, caller string, row structs.RowName) (own, whole *tokenBucket) {
 	if len(l.callers)+len(l.rows) >= l.sweepAt {
 		l.sweep(now)
 	}
-	return bucketOf(l.callers, callerOfRow{caller, row}, l.perCaller, now), bucketOf(l.rows, row, l.perRow, now)
+	return bucketOf(l.callers, callerKey{caller, row}, l.perCaller, now), bucketOf(l.rows, row, l.perRow, now)
 }
 
 func bucketOf[Key comparable](known map[Key]*tokenBucket, key Key, rate TokenRate, now time.Time) *tokenBucket {
-	if !rate.bounds() {
+	if !rate.limited() {
 		return nil
 	}
 	found := known[key]
@@ -95,11 +96,11 @@
 	return found
 }
 
-// sweep forgets the buckets that are full again.
+// sweep deletes the full buckets.
 func (l *TokenLimits) sweep(now time.Time) {
 	sweepBuckets(l.callers, l.perCaller, now)
 	sweepBuckets(l.rows, l.perRow, now)
-	l.sweepAt = max(leastSweep, 2*(len(l.callers)+len(l.rows)))
+	l.sweepAt = max(minSweepSize, 2*(len(l.callers)+len(l.rows)))
 }
 
 func sweepBuckets[Key comparable](known map[Key]*tokenBucket, rate TokenRate, now time.Time) {
@@ -118,7 +119,7 @@
 	}
 }
 
-// wait is how long it takes until so many tokens are free.
+// wait returns the time until the given number of tokens is free.
 func (b *tokenBucket) wait(rate TokenRate, tokens int) time.Duration {
 	if b == nil {
 		return 0
--- a/request/admission/tokens_test.go
+++ b/request/admission/tokens_test.go
@@ -11,10 +11,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestTokensAreTakenAndComeFreeAgain(t *testing.T) {
+func TestTokensAreTakenAndRefilled(t *testing.T) {
 	perCaller := TokenRate{PerSecond: 10, Burst: 100}
 	perRow := TokenRate{PerSecond: 20, Burst: 150}
-	type taking struct {
+	type takeCall struct {
 		at     time.Duration
 		caller string
 		row    structs.RowName
@@ -24,24 +24,24 @@
 	tests := []struct {
 		about             string
 		perCaller, perRow TokenRate
-		takings           []taking
+		calls             []takeCall
 	}{
-		{"no limits", TokenRate{}, TokenRate{}, []taking{{0, "a", "r", 1 << 30, 0}, {0, "a", "r", 1 << 30, 0}}},
-		{"a burst, then the rate", perCaller, TokenRate{}, []taking{
+		{"no limits", TokenRate{}, TokenRate{}, []takeCall{{0, "a", "r", 1 << 30, 0}, {0, "a", "r", 1 << 30, 0}}},
+		{"a burst, then the rate", perCaller, TokenRate{}, []takeCall{
 			{0, "a", "r", 100, 0}, {0, "a", "r", 20, 2 * time.Second}, {time.Second, "a", "r", 20, time.Second}, {2 * time.Second, "a", "r", 20, 0},
 		}},
-		{"others and other rows have their own", perCaller, TokenRate{}, []taking{{0, "a", "r", 100, 0}, {0, "b", "r", 100, 0}, {0, "a", "s", 100, 0}}},
-		{"the row bounds all callers", perCaller, perRow, []taking{{0, "a", "r", 100, 0}, {0, "b", "r", 90, 2 * time.Second}, {0, "b", "r", 50, 0}}},
-		{"what is refused takes nothing", perCaller, perRow, []taking{{0, "a", "r", 90, 0}, {0, "a", "r", 60, 5 * time.Second}, {0, "b", "r", 60, 0}}},
-		{"larger than the burst", perCaller, TokenRate{}, []taking{
+		{"callers and rows are limited separately", perCaller, TokenRate{}, []takeCall{{0, "a", "r", 100, 0}, {0, "b", "r", 100, 0}, {0, "a", "s", 100, 0}}},
+		{"the row limits all callers together", perCaller, perRow, []takeCall{{0, "a", "r", 100, 0}, {0, "b", "r", 90, 2 * time.Second}, {0, "b", "r", 50, 0}}},
+		{"a refused request takes nothing", perCaller, perRow, []takeCall{{0, "a", "r", 90, 0}, {0, "a", "r", 60, 5 * time.Second}, {0, "b", "r", 60, 0}}},
+		{"larger than the burst", perCaller, TokenRate{}, []takeCall{
 			{0, "a", "r", 300, 0}, {0, "a", "r", 10, 21 * time.Second}, {21 * time.Second, "a", "r", 10, 0},
 		}},
-		{"larger than the burst, some used", perCaller, TokenRate{}, []taking{{0, "a", "r", 10, 0}, {0, "a", "r", 300, time.Second}, {time.Second, "a", "r", 300, 0}}},
+		{"larger than the burst, some used", perCaller, TokenRate{}, []takeCall{{0, "a", "r", 10, 0}, {0, "a", "r", 300, time.Second}, {time.Second, "a", "r", 300, 0}}},
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
 			limits := NewTokenLimits(test.perCaller, test.perRow)
-			for _, taken := range test.takings {
+			for _, taken := range test.calls {
 				wait, ok := limits.Take(start.Add(taken.at), taken.caller, taken.row, taken.tokens)
 				qt.Check(t, wait, qt.Equals, taken.wait)
 				qt.Check(t, ok, qt.Equals, taken.wait == 0)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestReturnedTokensAreFreeAndNoMoreThanTheBurst(t *testing.T) {
+func TestReturnedTokensAreFreeUpToTheBurst(t *testing.T) {
 	limits := NewTokenLimits(TokenRate{PerSecond: 1, Burst: 100}, TokenRate{PerSecond: 1, Burst: 100})
 	limits.Take(start, "a", "r", 100)
 	limits.Return(start, "a", "r", 40)
@@ -64,9 +64,9 @@
 	qt.Check(t, ok, qt.IsFalse)
 }
 
-// TestTokensTakenStayWithinTheRate also checks that callers who used nothing lately
-// are forgotten.
-func TestTokensTakenStayWithinTheRate(t *testing.T) {
+// TestTakenTokensStayWithinTheRate also checks that the buckets of inactive callers are
+// deleted.
+func TestTakenTokensStayWithinTheRate(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	rate := TokenRate{PerSecond: 50, Burst: 500}
 	limits := NewTokenLimits(rate, TokenRate{})
@@ -86,5 +86,5 @@
 		qt.Check(t, used <= rate.Burst+rate.PerSecond*elapsed, qt.IsTrue, qt.Commentf("%s: %f", caller, used))
 		qt.Check(t, used >= 0.9*rate.PerSecond*elapsed, qt.IsTrue, qt.Commentf("%s: %f", caller, used))
 	}
-	qt.Check(t, len(limits.callers) < 2*leastSweep, qt.IsTrue, qt.Commentf("%d", len(limits.callers)))
+	qt.Check(t, len(limits.callers) < 2*minSweepSize, qt.IsTrue, qt.Commentf("%d", len(limits.callers)))
 }
