--- a/request/admission/doc.go
+++ b/request/admission/doc.go
@@ -2,7 +2,7 @@
 // request that joins it would start, and token limits.
 //
 // Higher priority classes are served first, but a class that was passed over
-// Options.GuardAfter times gets one turn. Within a class, callers share turns by
+// Options.MaxPassedOver times gets one turn. Within a class, callers share turns by
 // weight: callers that are ahead of their share wait, and the others are served by
 // earliest deadline. A full queue displaces its newest batch request for a live one.
 //
--- a/request/admission/estimator.go
+++ b/request/admission/estimator.go
@@ -200,8 +200,8 @@
 const busyOutlookFactor = 2
 
 // minShareDivisor bounds the share taken by later arrivals of higher priority: a class
-// gets a turn after being passed over DefaultGuardAfter times.
-const minShareDivisor = DefaultGuardAfter + 1
+// gets a turn after being passed over DefaultMaxPassedOver times.
+const minShareDivisor = DefaultMaxPassedOver + 1
 
 // minSamples is the number of samples needed for an interval estimate.
 const minSamples = 8
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -8,9 +8,9 @@
 
 // Defaults of Options.
 const (
-	DefaultLimit       = 256
-	DefaultCallerLimit = 64
-	DefaultGuardAfter  = 16
+	DefaultLimit         = 256
+	DefaultCallerLimit   = 64
+	DefaultMaxPassedOver = 16
 )
 
 // fairnessSlack is how many weighted turns a caller may be ahead of its share and still
@@ -30,8 +30,8 @@
 	Limit int
 	// CallerLimit limits the requests of one caller in the queue.
 	CallerLimit int
-	// GuardAfter is how many times a waiting class is passed over before it gets a turn.
-	GuardAfter int
+	// MaxPassedOver is how many times a waiting class is passed over before it gets a turn.
+	MaxPassedOver int
 	// Weight returns the weight of a caller; nil means that all callers have weight 1.
 	// Values below 1 count as 1.
 	Weight func(caller string) int
@@ -92,8 +92,8 @@
 	if options.CallerLimit <= 0 {
 		options.CallerLimit = DefaultCallerLimit
 	}
-	if options.GuardAfter <= 0 {
-		options.GuardAfter = DefaultGuardAfter
+	if options.MaxPassedOver <= 0 {
+		options.MaxPassedOver = DefaultMaxPassedOver
 	}
 	queue := &Queue{options: options}
 	queue.nodes = make(map[structs.RequestID]*node)
@@ -248,7 +248,7 @@
 	}
 }
 
-// nextClass returns the class to serve: the lowest one that reached GuardAfter, otherwise
+// nextClass returns the class to serve: the lowest one that reached MaxPassedOver, otherwise
 // the highest that is not empty.
 func (q *Queue) nextClass() (int, bool) {
 	highest := -1
@@ -256,7 +256,7 @@
 		if q.classes[index].length == 0 {
 			continue
 		}
-		if q.classes[index].passedOver >= q.options.GuardAfter {
+		if q.classes[index].passedOver >= q.options.MaxPassedOver {
 			return index, true
 		}
 		highest = index
--- a/request/admission/queue_test.go
+++ b/request/admission/queue_test.go
@@ -47,7 +47,7 @@
 		want:  []structs.RequestID{"soon", "late", "standard", "batch"},
 	}, {
 		about:   "a class that was passed over gets one turn",
-		options: Options{GuardAfter: 2},
+		options: Options{MaxPassedOver: 2},
 		items:   []Item{item("b1", "x", 0, 1), item("b2", "x", 0, 2), item("l1", "x", 2, 1), item("l2", "x", 2, 2), item("l3", "x", 2, 3)},
 		want:    []structs.RequestID{"l1", "l2", "b1", "l3", "b2"},
 	}, {
--- a/request/router/core_test.go
+++ b/request/router/core_test.go
@@ -419,7 +419,7 @@
 // TestRowWithLiveRequestsDoesNotStarveAnother runs two rows on one slot.
 func TestRowWithLiveRequestsDoesNotStarveAnother(t *testing.T) {
 	s := newScript(t, func(options *Options) {
-		options.GuardAfter = 4
+		options.MaxPassedOver = 4
 		options.Routing = routing.Options{MaxBatch: 1, QueueSlack: 1}
 	})
 	view := testView(1, "row", "other")
--- a/request/router/dispatch.go
+++ b/request/router/dispatch.go
@@ -169,14 +169,14 @@
 
 // dispatchInOrder serves rows that compete for the same runners, one request at a time,
 // by the priority of their next request, then by virtual time, then by deadline. Every
-// GuardAfter-th call orders them by the longest wait instead.
+// MaxPassedOver-th call orders them by the longest wait instead.
 func (c *Core) dispatchInOrder(waiting []waitingRow) {
 	if len(waiting) == 0 {
 		return
 	}
 	c.dispatches++
 	queue := rowHeap{rows: waiting, order: byWait}
-	if c.dispatches%c.options.GuardAfter != 0 {
+	if c.dispatches%c.options.MaxPassedOver != 0 {
 		fewest := waiting[0].row.virtualTime
 		for _, candidate := range waiting {
 			fewest = min(fewest, candidate.row.virtualTime)
--- a/request/router/fairness_test.go
+++ b/request/router/fairness_test.go
@@ -96,7 +96,7 @@
 				}
 			}
 			// Turns that go to the longest wait instead of by weight.
-			const guarded = turns / admission.DefaultGuardAfter
+			const guarded = turns / admission.DefaultMaxPassedOver
 			qt.Check(t, served >= test.want-guarded && served <= test.want+guarded, qt.IsTrue, qt.Commentf("%d of %d", served, turns))
 		})
 	}
--- a/request/router/options.go
+++ b/request/router/options.go
@@ -28,9 +28,9 @@
 	QueueLimit  int
 	CallerLimit int
 	TotalLimit  int
-	// GuardAfter is how many times a waiting class or row is passed over before it gets a
+	// MaxPassedOver is how many times a waiting class or row is passed over before it gets a
 	// turn.
-	GuardAfter int
+	MaxPassedOver int
 	// CallerTokens limits the tokens of one caller in a row, RowTokens those of a row,
 	// each in this router.
 	CallerTokens admission.TokenRate
@@ -88,7 +88,7 @@
 
 func (o Options) withDefaults() Options {
 	option.Positive(&o.TotalLimit, DefaultTotalLimit)
-	option.Positive(&o.GuardAfter, admission.DefaultGuardAfter)
+	option.Positive(&o.MaxPassedOver, admission.DefaultMaxPassedOver)
 	option.Positive(&o.DefaultDeadline, DefaultDeadline)
 	option.Positive(&o.AttemptLimit, DefaultAttemptLimit)
 	option.Positive(&o.StatusLimit, DefaultStatusLimit)
--- a/request/router/row.go
+++ b/request/router/row.go
@@ -83,10 +83,10 @@
 	}
 	if target.queue == nil {
 		target.queue = admission.NewQueue(admission.Options{
-			Limit:       c.options.QueueLimit,
-			CallerLimit: c.options.CallerLimit,
-			GuardAfter:  c.options.GuardAfter,
-			Weight:      c.options.CallerWeight,
+			Limit:         c.options.QueueLimit,
+			CallerLimit:   c.options.CallerLimit,
+			MaxPassedOver: c.options.MaxPassedOver,
+			Weight:        c.options.CallerWeight,
 		})
 	}
 	c.active[target.Name] = target
