--- a/placement/zone/benchmark_test.go
+++ b/placement/zone/benchmark_test.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// newLargeState has the rows and runners of one zone at the size designed for.
+// newLargeState returns a zone state with the given numbers of runners and rows.
 func newLargeState(runners, rows int) *testMachine {
 	m := &testMachine{State: New("z")}
 	delta := &structs.TableDelta{Revision: 1, Full: true}
@@ -46,13 +46,13 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "claims/s")
 }
 
-// BenchmarkClaimKeys keeps as many keys as a zone keeps, of requests that end 131 a
-// second, and looks for keys that are not there.
+// BenchmarkClaimKeys looks up absent keys in a table of MaxClaimKeys keys whose
+// expiry times are spread at 131 keys per second.
 func BenchmarkClaimKeys(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	var kept forgottenAnswers
+	var kept keyOnlyClaims
 	random := rand.New(rand.NewPCG(1, 1))
 	for number := range MaxClaimKeys {
 		kept.add(keyHash(random.Uint64()), uint32(86_400+number/131))
--- a/placement/zone/claim.go
+++ b/placement/zone/claim.go
@@ -8,30 +8,29 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The bounds of the claims that a zone keeps. A claim that does not fit is refused
-// before its request is executed. Place is made in this order: claims whose time
-// is over go; then the finished claims that expire first are shortened to their
-// keys (see forgottenAnswers). A held claim, one with an unknown outcome, and a key
-// whose time is not over never make way.
+// Limits on the claims of a zone. A claim that does not fit is refused before its
+// request is executed. Expired claims are removed first; then the finished claims
+// with the earliest expiry are reduced to their keys (see keyOnlyClaims). Held
+// claims, claims with an unknown outcome and unexpired keys are never evicted.
 const (
-	// MaxClaims bounds the claims that are held, unknown, or finished and kept whole.
+	// MaxClaims is the maximum number of held, unknown and complete finished claims.
 	MaxClaims = 100_000
-	// MaxClaimKeys bounds the claims that are shortened to their keys.
+	// MaxClaimKeys is the maximum number of claims reduced to their keys.
 	MaxClaimKeys = 4 << 20
-	// MaxExpiredClaims bounds the whole claims that one ClaimExpireCommand removes.
+	// MaxExpiredClaims is the maximum number of complete claims removed by one
+	// ClaimExpireCommand.
 	MaxExpiredClaims = 10_000
-	// MaxReleasedRequests bounds the released requests that are remembered. A begin
-	// that comes later than that many releases holds its key again.
+	// MaxReleasedRequests is the number of released requests remembered. A begin
+	// delayed past that many later releases claims its key again.
 	MaxReleasedRequests = 16_384
-	// claimRetryAfter is when a caller may come back after a full claim table.
+	// claimRetryAfter is the retry delay returned when the claim table is full.
 	claimRetryAfter = 30 * time.Second
 )
 
-// ClaimBeginCommand claims a key for a request that may not be repeated. A
-// resend by the same request and holder gets the same claim again. The holder
-// sends it again with Attempt, Runner and what follows from it before it sends
-// the request to an engine. It is encoded as an array, so fields are only ever
-// added at its end.
+// ClaimBeginCommand claims a key for a request that must not run twice. Resending
+// it for the same request and holder returns the same claim. The holder sends it
+// again, with the fields from Attempt to EngineRequest set, before it sends the
+// request to an engine. It is encoded as an array, so new fields must be appended.
 type ClaimBeginCommand struct {
 	//lint:ignore U1000 The codec reads its tag.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -41,23 +40,23 @@
 	Digest  uint64
 	Holder  structs.DaemonID
 	Session structs.SessionID
-	// Attempt numbers the holder's choices of a runner, so that a late resend
-	// cannot bring back an earlier choice.
+	// Attempt numbers the holder's runner choices, so that a late resend cannot
+	// restore an earlier choice.
 	Attempt     uint64
 	Runner      structs.RunnerID
 	Incarnation structs.Incarnation
-	// Address is the runner's, EngineRequest the ID of the attempt at its engine.
+	// Address is the runner's address, EngineRequest the attempt's ID at its engine.
 	Address       string
 	EngineRequest structs.RequestID
-	// AnswerBytes is not read: log entries of earlier versions have it.
+	// AnswerBytes is ignored; log entries of earlier versions contain it.
 	AnswerBytes int
-	// HolderAddress is where other daemons ask the holder for the answer. Only the
-	// command that makes the claim needs it.
+	// HolderAddress is the address from which other daemons fetch the answer. It is
+	// needed only in the command that creates the claim.
 	HolderAddress string
 }
 
-// ClaimFinishCommand ends a held claim. The holder sends it, or the zone's leader
-// for a holder that died. It is encoded as an array, like ClaimBeginCommand.
+// ClaimFinishCommand ends a held claim. It is sent by the holder, or by the zone's
+// leader if the holder has died. It is encoded as an array, like ClaimBeginCommand.
 type ClaimFinishCommand struct {
 	//lint:ignore U1000 The codec reads its tag.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -66,27 +65,26 @@
 	Request structs.RequestID
 	// State is ClaimFinished or ClaimUnknown.
 	State structs.ClaimState
-	// NotRun removes the claim instead, if there is one, because the request
-	// certainly did not run and never will; State is not read. A begin of the
-	// request that comes later is refused.
+	// NotRun removes the claim, if any, because the request did not run and never
+	// will; State is ignored. A later begin of the request is refused.
 	NotRun bool
-	// EarlierAnswer is not read: log entries of earlier versions have the answer here.
+	// EarlierAnswer is ignored; log entries of earlier versions store the answer here.
 	EarlierAnswer []byte
-	// ExpiresAt is until when the key stays claimed (ClaimFinished only).
+	// ExpiresAt is when the key may be claimed again (ClaimFinished only).
 	ExpiresAt time.Time
-	// Resolve is set by a leader that ends the claim for its holder. The command
-	// then takes effect only while Choice is the holder's latest one, because what
-	// is known of one choice says nothing of the next.
+	// Resolve is set by a leader that ends the claim on behalf of its holder. The
+	// command then takes effect only if Choice is still the holder's latest choice,
+	// since the outcome of one choice does not apply to the next.
 	Resolve bool
 	Choice  uint64
-	// AnswerBytes and AnswerHash are the mark of the answer that the holder keeps
+	// AnswerBytes and AnswerHash identify the answer stored by the holder
 	// (ClaimFinished only).
 	AnswerBytes int
 	AnswerHash  uint64
 }
 
-// ClaimExpireCommand removes the finished claims whose time is over. Claims with
-// an unknown outcome are kept for good.
+// ClaimExpireCommand removes expired finished claims. Claims with an unknown
+// outcome never expire.
 type ClaimExpireCommand struct {
 	// Now is the proposing leader's clock.
 	Now time.Time
@@ -96,16 +94,16 @@
 	claim structs.Claim
 }
 
-// claimTable holds the claims on the zone's keys. Each key is in one of open,
-// finished and forgotten.
+// claimTable holds the claims on the zone's keys. Each key is in at most one of
+// open, finished and keyOnly.
 type claimTable struct {
-	// open are the claims that are held or whose outcome is unknown.
+	// open contains the claims that are held or have an unknown outcome.
 	open map[structs.ClaimKey]*claimRecord
-	// held is the part of open whose outcome is open.
-	held      map[structs.ClaimKey]*claimRecord
-	finished  finishedClaims
-	forgotten forgottenAnswers
-	released  releasedRequests
+	// held contains the claims in open that have not ended.
+	held     map[structs.ClaimKey]*claimRecord
+	finished finishedClaims
+	keyOnly  keyOnlyClaims
+	released releasedRequests
 }
 
 func newClaimTable() claimTable {
@@ -117,8 +115,8 @@
 	}
 }
 
-// begin holds a key for a request, or names the runner of its next attempt. The
-// time is the proposing leader's.
+// begin claims a key for a request, or records the runner of its next attempt. The
+// time at is the proposing leader's clock.
 func (t *claimTable) begin(command *ClaimBeginCommand, at time.Time) Result {
 	if command.Key == "" || command.Request == "" {
 		return refused(structs.ErrorInvalid, "the claim has no key or no request", "Give both.")
@@ -129,10 +127,10 @@
 	}
 	record, isOpen := t.open[command.Key]
 	if !isOpen {
-		return t.beginUnopened(command, at)
+		return t.beginNotOpen(command, at)
 	}
 	if record.claim.Digest != command.Digest {
-		return otherContent()
+		return digestMismatch()
 	}
 	own := record.claim.State == structs.ClaimHeld &&
 		record.claim.Request == command.Request &&
@@ -143,29 +141,29 @@
 	return record.choose(command, at)
 }
 
-// beginUnopened tells that the key's request has finished, or makes a claim.
-func (t *claimTable) beginUnopened(command *ClaimBeginCommand, at time.Time) Result {
+// beginNotOpen returns the finished claim on the key, or creates a claim.
+func (t *claimTable) beginNotOpen(command *ClaimBeginCommand, at time.Time) Result {
 	hash := hashKey(command.Key)
 	if known, isFinished := t.finished.get(hash); isFinished {
 		if known.digest != command.Digest {
-			return otherContent()
+			return digestMismatch()
 		}
 		return Result{Claim: t.finished.claim(command.Key, known)}
 	}
-	if t.forgotten.has(hash) {
+	if t.keyOnly.has(hash) {
 		return Result{Claim: &structs.Claim{Key: command.Key, Digest: command.Digest, State: structs.ClaimFinished}}
 	}
 	return t.create(command, at)
 }
 
-func otherContent() Result {
+func digestMismatch() Result {
 	return refused(structs.ErrorInvalid, "the idempotency key was used for another request",
 		"Use a new key for each new request.")
 }
 
 func (t *claimTable) create(command *ClaimBeginCommand, at time.Time) Result {
-	if !t.makePlace() {
-		problem := structs.NewError(structs.ErrorOverloaded, "the zone keeps as many claims as it can",
+	if !t.makeRoom() {
+		problem := structs.NewError(structs.ErrorOverloaded, "the zone's claim table is full",
 			"Send the request again later with the same key.")
 		problem.RetryAfter = claimRetryAfter
 		return Result{Error: problem}
@@ -180,17 +178,17 @@
 	return Result{Claim: record.copyClaim(), ClaimNew: true}
 }
 
-// makePlace shortens the finished claim that expires first if there is no place
-// for one more claim. It reports whether there is place now.
-func (t *claimTable) makePlace() bool {
+// makeRoom reduces the finished claim with the earliest expiry to its key if the
+// table is full. It reports whether a claim can be added.
+func (t *claimTable) makeRoom() bool {
 	if len(t.open)+t.finished.count() < MaxClaims {
 		return true
 	}
-	if t.finished.count() == 0 || t.forgotten.count >= MaxClaimKeys {
+	if t.finished.count() == 0 || t.keyOnly.count >= MaxClaimKeys {
 		return false
 	}
 	hash, oldest := t.finished.removeFirst()
-	t.forgotten.add(hash, oldest.expiresAt)
+	t.keyOnly.add(hash, oldest.expiresAt)
 	return true
 }
 
@@ -203,7 +201,7 @@
 	r.claim.ChosenAt = normalTime(at)
 }
 
-// choose names the runner of the holder's next attempt.
+// choose records the runner of the holder's next attempt.
 func (r *claimRecord) choose(command *ClaimBeginCommand, at time.Time) Result {
 	named := command.Runner != ""
 	same := r.claim.Runner == command.Runner && r.claim.Incarnation == command.Incarnation
@@ -223,7 +221,7 @@
 func (t *claimTable) finish(command *ClaimFinishCommand) Result {
 	record, isOpen := t.open[command.Key]
 	if !isOpen {
-		return t.finishUnopened(command)
+		return t.finishNotOpen(command)
 	}
 	if record.claim.Request != command.Request {
 		return t.finishUnheld(command)
@@ -232,7 +230,7 @@
 		return finishAgain(record.copyClaim(), command)
 	}
 	if command.Resolve && command.Choice != record.claim.Choice {
-		result := refused(structs.ErrorConflict, "the holder has chosen a runner since", "Decide again about the latest choice.")
+		result := refused(structs.ErrorConflict, "the holder has since chosen another runner", "Resolve the claim again for the latest choice.")
 		result.Claim = record.copyClaim()
 		return result
 	}
@@ -245,8 +243,8 @@
 	return t.store(record, command)
 }
 
-// finishUnopened ends a claim that is not open: it has finished, or was never held.
-func (t *claimTable) finishUnopened(command *ClaimFinishCommand) Result {
+// finishNotOpen handles the end of a claim that has finished or was never held.
+func (t *claimTable) finishNotOpen(command *ClaimFinishCommand) Result {
 	known, isFinished := t.finished.get(hashKey(command.Key))
 	if isFinished && known.request == hashRequest(command.Request) {
 		return finishAgain(t.finished.claim(command.Key, known), command)
@@ -254,7 +252,7 @@
 	return t.finishUnheld(command)
 }
 
-// finishUnheld ends the claim of a request that holds none.
+// finishUnheld handles the end of a claim for a request that holds none.
 func (t *claimTable) finishUnheld(command *ClaimFinishCommand) Result {
 	if command.NotRun {
 		t.released.add(command.Request)
@@ -263,7 +261,8 @@
 	return refused(structs.ErrorNotFound, "the request holds no claim on the key", "Begin a claim first.")
 }
 
-// finishAgain ends a claim that has ended before.
+// finishAgain handles a repeated end of a claim. It returns ErrorConflict if the
+// outcome differs from the recorded one.
 func finishAgain(claim *structs.Claim, command *ClaimFinishCommand) Result {
 	result := Result{Claim: claim}
 	if command.NotRun || command.State != claim.State {
@@ -281,7 +280,7 @@
 		record.claim.State = structs.ClaimUnknown
 		return Result{Claim: record.copyClaim()}
 	default:
-		return refused(structs.ErrorInvalid, "a claim ends as finished or outcome_unknown", "Name one of the two.")
+		return refused(structs.ErrorInvalid, "a claim must end as finished or outcome_unknown", "Use one of these states.")
 	}
 	delete(t.held, command.Key)
 	delete(t.open, command.Key)
@@ -298,7 +297,7 @@
 		}
 		t.finished.removeFirst()
 	}
-	t.forgotten.expire(now)
+	t.keyOnly.expire(now)
 	return Result{}
 }
 
@@ -307,7 +306,7 @@
 	return &claim
 }
 
-// Claim returns the claim under the key, and false when there is none.
+// Claim returns the claim on the key, and false if there is none.
 func (s *State) Claim(key structs.ClaimKey) (structs.Claim, bool) {
 	if record, isOpen := s.claims.open[key]; isOpen {
 		return *record.copyClaim(), true
@@ -316,13 +315,13 @@
 	if known, isFinished := s.claims.finished.get(hash); isFinished {
 		return *s.claims.finished.claim(key, known), true
 	}
-	if s.claims.forgotten.has(hash) {
+	if s.claims.keyOnly.has(hash) {
 		return structs.Claim{Key: key, State: structs.ClaimFinished}, true
 	}
 	return structs.Claim{}, false
 }
 
-// HeldClaims returns the claims whose outcome is open, ordered by key.
+// HeldClaims returns the claims that have not ended, ordered by key.
 func (s *State) HeldClaims() []structs.Claim {
 	list := make([]structs.Claim, 0, len(s.claims.held))
 	for _, key := range slices.Sorted(maps.Keys(s.claims.held)) {
@@ -331,29 +330,29 @@
 	return list
 }
 
-// ClaimCounts says how many claims a zone keeps.
+// ClaimCounts contains the numbers of a zone's claims by state.
 type ClaimCounts struct {
-	// Held and Unknown claims are kept until they end, or for good.
+	// Held claims are kept until they end; Unknown claims never expire.
 	Held, Unknown int
-	// Finished claims name who keeps the answer; Keys are shortened to their key.
+	// Finished claims record who stores the answer; Keys are reduced to their key.
 	Finished, Keys int
 }
 
-// ClaimCounts counts the kept claims.
+// ClaimCounts returns the numbers of claims by state.
 func (s *State) ClaimCounts() ClaimCounts {
 	return ClaimCounts{
 		Held:     len(s.claims.held),
 		Unknown:  len(s.claims.open) - len(s.claims.held),
 		Finished: s.claims.finished.count(),
-		Keys:     s.claims.forgotten.count,
+		Keys:     s.claims.keyOnly.count,
 	}
 }
 
-// NextClaimExpiry returns when the next finished claim expires, and false when
-// none is kept.
+// NextClaimExpiry returns when the next finished claim expires, and false if there
+// is none.
 func (s *State) NextClaimExpiry() (time.Time, bool) {
 	next, any := s.claims.finished.firstExpiry()
-	if end, anyKey := s.claims.forgotten.firstEnd(); anyKey && (!any || end < next) {
+	if end, anyKey := s.claims.keyOnly.firstEnd(); anyKey && (!any || end < next) {
 		next, any = end, true
 	}
 	return time.Unix(int64(next), 0).UTC(), any
--- a/placement/zone/claim_test.go
+++ b/placement/zone/claim_test.go
@@ -41,34 +41,34 @@
 		then   Command
 		kind   structs.ErrorKind
 		isNew  bool
-		state  structs.ClaimState // of the claim afterwards; "" when there is none
+		state  structs.ClaimState // of the claim afterwards; "" if there is none
 		runner structs.RunnerID
 	}{
 		{"first", nil, first, "", true, structs.ClaimHeld, ""},
 		{"resend", []Command{first}, first, "", true, structs.ClaimHeld, ""},
 		{"second request", []Command{first}, begin("r2", "d1", 0, ""), "", false, structs.ClaimHeld, ""},
 		{"same request of another holder", []Command{first}, begin("r1", "d2", 0, ""), "", false, structs.ClaimHeld, ""},
-		{"other content", []Command{first}, otherDigest, structs.ErrorInvalid, false, structs.ClaimHeld, ""},
+		{"other digest", []Command{first}, otherDigest, structs.ErrorInvalid, false, structs.ClaimHeld, ""},
 		{"runner named", []Command{first}, begin("r1", "d1", 1, "a"), "", true, structs.ClaimHeld, "a"},
 		{"next runner named", []Command{first, begin("r1", "d1", 1, "a")}, begin("r1", "d1", 2, "b"), "", true, structs.ClaimHeld, "b"},
 		{"late resend keeps the runner", []Command{begin("r1", "d1", 2, "b")}, first, "", true, structs.ClaimHeld, "b"},
-		{"late naming is refused", []Command{begin("r1", "d1", 2, "b")}, begin("r1", "d1", 1, "a"), structs.ErrorConflict, false, structs.ClaimHeld, "b"},
+		{"late runner choice is refused", []Command{begin("r1", "d1", 2, "b")}, begin("r1", "d1", 1, "a"), structs.ErrorConflict, false, structs.ClaimHeld, "b"},
 		{"finished", []Command{first}, finished, "", false, structs.ClaimFinished, ""},
 		{"finished twice", []Command{first, finished}, finished, "", false, structs.ClaimFinished, ""},
-		{"replayed", []Command{first, finished}, begin("r2", "d2", 0, ""), "", false, structs.ClaimFinished, ""},
+		{"other request after finished", []Command{first, finished}, begin("r2", "d2", 0, ""), "", false, structs.ClaimFinished, ""},
 		{"unknown after finished", []Command{first, finished}, unknown, structs.ErrorConflict, false, structs.ClaimFinished, ""},
 		{"finished after unknown", []Command{first, unknown}, finished, structs.ErrorConflict, false, structs.ClaimUnknown, ""},
 		{"not run after unknown", []Command{first, unknown}, notRun, structs.ErrorConflict, false, structs.ClaimUnknown, ""},
 		{"begin after unknown", []Command{first, unknown}, begin("r2", "d1", 0, ""), "", false, structs.ClaimUnknown, ""},
 		{"not run", []Command{first}, notRun, "", false, "", ""},
 		{"late begin of a released request", []Command{first, notRun}, first, structs.ErrorConflict, false, "", ""},
-		{"late naming by a released request", []Command{first, notRun}, begin("r1", "d1", 1, "a"), structs.ErrorConflict, false, "", ""},
+		{"late runner choice of a released request", []Command{first, notRun}, begin("r1", "d1", 1, "a"), structs.ErrorConflict, false, "", ""},
 		{"begin after its release", []Command{notRun}, first, structs.ErrorConflict, false, "", ""},
 		{"release while another holds the key", []Command{begin("r2", "d1", 0, ""), notRun}, first, structs.ErrorConflict, false, structs.ClaimHeld, ""},
 		{"another request after a release", []Command{first, notRun}, begin("r2", "d1", 0, ""), "", true, structs.ClaimHeld, ""},
 		{"finish by another request", []Command{first}, finish("r2", structs.ClaimFinished, ""), structs.ErrorNotFound, false, structs.ClaimHeld, ""},
 		{"finish as held", []Command{first}, finish("r1", structs.ClaimHeld, ""), structs.ErrorInvalid, false, structs.ClaimHeld, ""},
-		{"other content after finished", []Command{first, finished}, otherDigest, structs.ErrorInvalid, false, structs.ClaimFinished, ""},
+		{"other digest after finished", []Command{first, finished}, otherDigest, structs.ErrorInvalid, false, structs.ClaimFinished, ""},
 		{"finish by another request after finished", []Command{first, finished}, finish("r2", structs.ClaimFinished, ""), structs.ErrorNotFound, false, structs.ClaimFinished, ""},
 		{"not run after finished", []Command{first, finished}, notRun, structs.ErrorConflict, false, structs.ClaimFinished, ""},
 		{"kept before its expiry", []Command{first, finished}, expire(time.Hour - 1), "", false, structs.ClaimFinished, ""},
@@ -100,7 +100,7 @@
 	}
 }
 
-// claimOf makes the commands that hold and finish the claim of a numbered request.
+// claimOf returns the commands that begin and finish the claim of a numbered request.
 func claimOf(number int, life time.Duration) (held, finished Command) {
 	request := structs.RequestID(fmt.Sprint(number))
 	key := structs.ClaimKey(request)
@@ -113,7 +113,7 @@
 	return held, finished
 }
 
-func TestClaimTableFullOfOpenClaimsRefusesAndEvictsNothing(t *testing.T) {
+func TestClaimTableFullOfOpenClaimsRefusesNewClaims(t *testing.T) {
 	c := qt.New(t)
 	m := &testMachine{State: New("z")}
 	for number := range MaxClaims {
@@ -132,9 +132,9 @@
 	c.Assert(m.CheckInvariants(), qt.IsNil)
 }
 
-// TestFinishedClaimsMakePlaceInTheOrderOfExpiryAndTheirKeysStay also restores the
-// state from a snapshot and goes on with both.
-func TestFinishedClaimsMakePlaceInTheOrderOfExpiryAndTheirKeysStay(t *testing.T) {
+// TestFullClaimTableReducesFinishedClaimsToKeys checks that claims are reduced in
+// the order of expiry and that the keys stay claimed, also after a restore.
+func TestFullClaimTableReducesFinishedClaimsToKeys(t *testing.T) {
 	c := qt.New(t)
 	m := &testMachine{State: New("z")}
 	const more = 600
@@ -169,12 +169,12 @@
 			c.Assert(result.Claim.State, qt.Equals, structs.ClaimFinished)
 			c.Assert(result.Claim.Holder, qt.Equals, test.holder)
 		}
-		// A key does not run again before its time, and then it does.
+		// A key can be claimed again only after it expires.
 		last, _ := claimOf(MaxClaims-1, 0)
 		last.ClaimBegin.Request = "later"
 		machine.must(Command{ClaimExpire: &ClaimExpireCommand{Now: testTime.Add(lifeOf(MaxClaims-1) - time.Second)}})
 		c.Assert(machine.do(last).ClaimNew, qt.IsFalse)
-		over := testTime.Add(24*time.Hour + 2*forgottenSpan*time.Second)
+		over := testTime.Add(24*time.Hour + 2*keyBatchSeconds*time.Second)
 		for range MaxClaims/MaxExpiredClaims + 1 {
 			machine.must(Command{ClaimExpire: &ClaimExpireCommand{Now: over}})
 		}
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestClaimsOfAnEarlierSnapshotStay restores one that has a finished claim with its
-// answer among the others.
-func TestClaimsOfAnEarlierSnapshotStay(t *testing.T) {
+// TestRestoreClaimsOfEarlierVersion restores a snapshot in which finished claims are
+// stored with their answers among the open ones.
+func TestRestoreClaimsOfEarlierVersion(t *testing.T) {
 	c := qt.New(t)
 	data, err := encode(map[string]any{"Zone": "z", "Claims": []map[string]any{
 		{"Claim": map[string]any{"Key": "held", "Request": "r1", "Holder": "d", "State": "held"}, "Bytes": 32_768},
@@ -204,7 +204,7 @@
 	c.Assert(m.do(begin("r3", "d", 0, "")).ClaimNew, qt.IsTrue)
 }
 
-func TestNoKeyIsForgottenWhenTheKeysAreFull(t *testing.T) {
+func TestFullKeyTableRefusesNewClaims(t *testing.T) {
 	c := qt.New(t)
 	m := &testMachine{State: New("z")}
 	for number := range MaxClaims {
@@ -212,21 +212,21 @@
 		m.must(held)
 		m.must(finished)
 	}
-	m.claims.forgotten.count = MaxClaimKeys
+	m.claims.keyOnly.count = MaxClaimKeys
 	held, _ := claimOf(MaxClaims, time.Hour)
 	c.Assert(m.do(held).Error.Kind, qt.Equals, structs.ErrorOverloaded)
 	c.Assert(m.ClaimCounts().Finished, qt.Equals, MaxClaims)
 }
 
-func TestKeysOfABatchAreFoundInAnyOrder(t *testing.T) {
+func TestKeyOnlyClaimsFindUnorderedKeys(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	var kept forgottenAnswers
+	var kept keyOnlyClaims
 	var keys []keyHash
-	for range 3*forgottenRecent + 7 {
+	for range 3*maxUnsortedKeys + 7 {
 		key := keyHash(random.Uint64())
 		keys = append(keys, key)
-		kept.add(key, uint32(random.IntN(3*forgottenSpan)))
+		kept.add(key, uint32(random.IntN(3*keyBatchSeconds)))
 	}
 	for _, key := range keys {
 		c.Assert(kept.has(key), qt.IsTrue)
@@ -234,12 +234,12 @@
 	}
 	c.Assert(kept.check(), qt.IsNil)
 	c.Assert(kept.count, qt.Equals, len(keys))
-	kept.expire(2 * forgottenSpan)
-	c.Assert(len(kept.batches), qt.Equals, 1)
+	kept.expire(2 * keyBatchSeconds)
+	c.Assert(len(kept.keyBatches), qt.Equals, 1)
 	c.Assert(kept.check(), qt.IsNil)
 }
 
-func TestReleasedRequestsAreBoundedAndSurviveSnapshots(t *testing.T) {
+func TestReleasedRequestsAreBoundedAndRestored(t *testing.T) {
 	c := qt.New(t)
 	m := &testMachine{State: New("z")}
 	release := func(request structs.RequestID) Command {
--- a/placement/zone/claimbatch.go
+++ b/placement/zone/claimbatch.go
@@ -6,11 +6,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// MaxClaimOperations bounds the operations of one ClaimBatchCommand.
+// MaxClaimOperations is the maximum number of operations in a ClaimBatchCommand.
 const MaxClaimOperations = 4096
 
-// ClaimBatchCommand is several claim operations in one entry of the log. They
-// take effect in their order, and each has a result of its own in Result.Batch.
+// ClaimBatchCommand combines several claim operations in one log entry. They are
+// applied in order, each with its own result in Result.Batch.
 type ClaimBatchCommand struct {
 	// At is the proposing leader's clock.
 	At         time.Time
@@ -41,12 +41,12 @@
 	}
 	results := make([]Result, len(command.Operations))
 	for i, operation := range command.Operations {
-		results[i] = t.operate(operation, command.At)
+		results[i] = t.applyOperation(operation, command.At)
 	}
 	return Result{Batch: results}
 }
 
-func (t *claimTable) operate(operation ClaimOperation, at time.Time) Result {
+func (t *claimTable) applyOperation(operation ClaimOperation, at time.Time) Result {
 	if problem := operation.check(); problem != nil {
 		return Result{Error: problem}
 	}
--- a/placement/zone/claimbatch_test.go
+++ b/placement/zone/claimbatch_test.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// resolve ends the claim of r1 for its holder, as decided about the given choice.
+// resolve returns a leader's command that ends the claim of r1 for the given choice.
 func resolve(choice uint64, state structs.ClaimState) Command {
 	command := finish("r1", state, "")
 	command.ClaimFinish.NotRun = state == structs.ClaimReleased
@@ -18,7 +18,7 @@
 	return command
 }
 
-func TestResolutionHoldsOnlyForTheChoiceItWasDecidedAbout(t *testing.T) {
+func TestResolveAppliesOnlyToItsChoice(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		before []Command
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestBatchTakesEffectAsItsOperationsOneByOne(t *testing.T) {
+func TestBatchAppliesOperationsInOrder(t *testing.T) {
 	c := qt.New(t)
 	first := begin("r1", "d", 1, "a")
 	first.ClaimBegin.Session, first.ClaimBegin.Address, first.ClaimBegin.EngineRequest = 3, "127.0.0.1:1", "r1.1"
@@ -82,7 +82,7 @@
 	c.Check(m.CheckInvariants(), qt.IsNil)
 }
 
-// claimStages are the three operations of a claim with an answer of 400 bytes.
+// claimStages returns the three operations of a claim with a 400-byte answer.
 func claimStages(number int) []ClaimOperation {
 	held := ClaimBeginCommand{
 		Key:     structs.ClaimKey(fmt.Sprintf("weighbridge/meknes-a:lot-%06d", number)),
@@ -98,8 +98,8 @@
 	}}}
 }
 
-// BenchmarkClaimEntries takes claims through the codec and the state machine, with
-// so many operations in an entry of the log; 0 stands for commands of their own.
+// BenchmarkClaimEntries encodes, decodes and applies claims with the given number of
+// operations per log entry; 0 sends each operation as a separate command.
 func BenchmarkClaimEntries(b *testing.B) {
 	for _, size := range []int{0, 1, 4, 16, 64} {
 		b.Run(fmt.Sprintf("operations=%d", size), func(b *testing.B) {
--- a/placement/zone/claimexpiry.go
+++ b/placement/zone/claimexpiry.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// expiryEntry says when a finished claim may be forgotten, in seconds since 1970.
+// expiryEntry is the expiry of a finished claim, in Unix seconds.
 type expiryEntry struct {
 	at  uint32
 	key keyHash
--- a/placement/zone/claimsnapshot.go
+++ b/placement/zone/claimsnapshot.go
@@ -15,7 +15,7 @@
 // keyBytes is the length of a keyHash in a snapshot.
 const keyBytes = 8
 
-// save puts the claims into a snapshot, each part in its own order.
+// save writes the claims to a snapshot in a deterministic order.
 func (t *claimTable) save(data *snapshotData) {
 	for _, key := range slices.Sorted(maps.Keys(t.open)) {
 		data.Claims = append(data.Claims, snapshotClaim{Claim: saveOpen(t.open[key].claim)})
@@ -29,7 +29,7 @@
 			Bytes: known.bytes, ExpiresAt: known.expiresAt, Holder: numbers[known.holder],
 		})
 	}
-	for _, batch := range t.forgotten.batches {
+	for _, batch := range t.keyOnly.keyBatches {
 		saved := snapshotKeys{End: batch.end, Keys: make([]byte, 0, keyBytes*batch.size())}
 		for _, hash := range batch.all() {
 			saved.Keys = binary.BigEndian.AppendUint64(saved.Keys, uint64(hash))
@@ -38,11 +38,11 @@
 	}
 }
 
-// saveHolders lists the holders that claims name, in order, and returns the new
-// number of each.
+// saveHolders writes the holders that are in use, sorted, and maps their indexes to
+// those in the snapshot.
 func (f *finishedClaims) saveHolders(data *snapshotData) map[uint32]uint32 {
 	var used []uint32
-	for number, claims := range f.claims {
+	for number, claims := range f.claimsByHolder {
 		if claims > 0 {
 			used = append(used, uint32(number))
 		}
@@ -65,12 +65,12 @@
 		t.released.add(request)
 	}
 	for _, holder := range data.Holders {
-		if _, twice := t.finished.numbers[holder]; twice {
+		if _, twice := t.finished.indexByHolder[holder]; twice {
 			return corrupt("the zone snapshot names a holder of answers twice")
 		}
-		t.finished.numbers[holder] = uint32(len(t.finished.holders))
+		t.finished.indexByHolder[holder] = uint32(len(t.finished.holders))
 		t.finished.holders = append(t.finished.holders, holder)
-		t.finished.claims = append(t.finished.claims, 0)
+		t.finished.claimsByHolder = append(t.finished.claimsByHolder, 0)
 	}
 	for _, entry := range data.Finished {
 		if int(entry.Holder) >= len(t.finished.holders) {
@@ -91,8 +91,8 @@
 	return t.restoreKeys(data.Keys)
 }
 
-// snapshotOpenClaim is a structs.Claim in a snapshot. Answer is that of a finished
-// claim of an earlier version, which kept answers here.
+// snapshotOpenClaim is a structs.Claim in a snapshot. Answer is set only in snapshots
+// of earlier versions, which stored the answers of finished claims.
 type snapshotOpenClaim struct {
 	Key           structs.ClaimKey
 	Request       structs.RequestID
@@ -121,8 +121,8 @@
 	}
 }
 
-// restoreOpen takes in a claim with its key. A finished one of an earlier version
-// stays finished, and its answer is gone.
+// restoreOpen restores a claim with its key. A finished claim of an earlier version
+// stays finished, but its answer is dropped.
 func (t *claimTable) restoreOpen(saved snapshotOpenClaim) {
 	claim := structs.Claim{
 		Key: saved.Key, Request: saved.Request, Digest: saved.Digest,
@@ -144,14 +144,14 @@
 func (t *claimTable) restoreKeys(saved []snapshotKeys) error {
 	for _, entry := range saved {
 		if len(entry.Keys) == 0 || len(entry.Keys)%keyBytes != 0 {
-			return corrupt("the zone snapshot has a broken batch of keys")
+			return corrupt("the zone snapshot has an invalid batch of keys")
 		}
-		batch := forgottenBatch{end: entry.End, sorted: make([]keyHash, 0, len(entry.Keys)/keyBytes)}
+		batch := keyBatch{end: entry.End, sorted: make([]keyHash, 0, len(entry.Keys)/keyBytes)}
 		for rest := entry.Keys; len(rest) > 0; rest = rest[keyBytes:] {
 			batch.sorted = append(batch.sorted, keyHash(binary.BigEndian.Uint64(rest)))
 		}
-		t.forgotten.batches = append(t.forgotten.batches, batch)
-		t.forgotten.count += batch.size()
+		t.keyOnly.keyBatches = append(t.keyOnly.keyBatches, batch)
+		t.keyOnly.count += batch.size()
 	}
 	return nil
 }
--- a/placement/zone/command.go
+++ b/placement/zone/command.go
@@ -11,7 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxCommandBytes bounds an encoded command.
+// MaxCommandBytes is the maximum size of an encoded command.
 const MaxCommandBytes = 32 << 20
 
 // Command is one entry of the zone log. Exactly one field is set.
@@ -31,17 +31,17 @@
 	ClaimBatch  *ClaimBatchCommand
 }
 
-// RunnerCommand registers a runner or updates what is known of it.
+// RunnerCommand registers or updates a runner.
 type RunnerCommand struct {
 	Info structs.RunnerInfo
-	// Vouch is an operator's word that the incarnation in Info is gone for good:
-	// its replicas are forgotten, and the runner is used again only under a
-	// higher incarnation. Only Info.ID and Info.Incarnation are read.
+	// Vouch means that an operator confirmed that the incarnation in Info has
+	// permanently stopped: its replicas are removed, and the runner is used again
+	// only under a higher incarnation. Only Info.ID and Info.Incarnation are read.
 	Vouch bool
 }
 
-// ReserveCommand records a replica and reserves its memory. The index of the
-// command becomes the number of the load order.
+// ReserveCommand adds a replica and reserves its memory. The log index of the
+// command becomes the order number of the load.
 type ReserveCommand struct {
 	Row         structs.RowName
 	Runner      structs.RunnerID
@@ -49,49 +49,49 @@
 	At          time.Time
 }
 
-// TransitionCommand moves a replica on: from loading to ready, or from loading
-// or ready to unloading.
+// TransitionCommand changes the state of a replica from loading to ready, or from
+// loading or ready to unloading.
 type TransitionCommand struct {
 	Row    structs.RowName
 	Runner structs.RunnerID
-	// Order is the order number of the replica as the proposer saw it.
+	// Order is the replica's order number as seen by the proposer.
 	Order structs.OrderNumber
 	To    structs.ReplicaState
 	At    time.Time
 }
 
-// TouchCommand gives a loading or unloading replica a new order number, because
-// the engine has already accepted a newer order than the current one.
+// TouchCommand gives a loading or unloading replica a new order number. It is used
+// if the engine has already accepted a newer order than the current one.
 type TouchCommand struct {
 	Row    structs.RowName
 	Runner structs.RunnerID
 	Order  structs.OrderNumber
 }
 
-// RemoveCommand forgets a replica and frees its memory, after the engine
-// reported it absent and can no longer accept the order that Order names.
+// RemoveCommand removes a replica and frees its memory, after the engine has
+// reported it absent and can no longer accept the order named by Order.
 type RemoveCommand struct {
 	Row    structs.RowName
 	Runner structs.RunnerID
 	Order  structs.OrderNumber
 }
 
-// DrainCommand starts or ends the drain of a runner.
+// DrainCommand starts or stops draining a runner.
 type DrainCommand struct {
 	Runner   structs.RunnerID
 	Draining bool
 }
 
-// PrefetchCommand asks a runner to copy a row's checkpoint to its disk; it takes
-// the place of the runner's earlier one. With an empty Row it only ends that.
+// PrefetchCommand asks a runner to copy a row's checkpoint to its disk, replacing the
+// runner's earlier prefetch. An empty Row only cancels the earlier one.
 type PrefetchCommand struct {
 	Row         structs.RowName
 	Runner      structs.RunnerID
 	Incarnation structs.Incarnation
 }
 
-// EncodeCommand encodes a command for the log. It refuses a command that does
-// not have exactly one field set.
+// EncodeCommand encodes a command for the log. It returns an error unless exactly
+// one field is set.
 func EncodeCommand(command Command) ([]byte, error) {
 	if err := command.check(); err != nil {
 		return nil, err
@@ -99,9 +99,9 @@
 	return encode(command)
 }
 
-// DecodeCommand decodes a command of the log. It refuses unknown fields, trailing
-// bytes and commands that do not have exactly one field set, with an *Error of
-// kind ErrorCorrupt or ErrorInvalid.
+// DecodeCommand decodes a command from the log. Unknown fields, trailing bytes and
+// commands without exactly one field set are errors of kind ErrorCorrupt or
+// ErrorInvalid.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	if len(data) > MaxCommandBytes {
@@ -133,12 +133,11 @@
 		return nil
 	}
 	return structs.NewError(structs.ErrorInvalid, "a zone command must have exactly one field set",
-		"Propose one change a command.")
+		"Propose one change per command.")
 }
 
-// placesReplicas reports whether the command is about runners or replicas, and not
-// about the table or claims alone.
-func (c Command) placesReplicas() bool {
+// changesPlacement reports whether the command may change runners or replicas.
+func (c Command) changesPlacement() bool {
 	return c.Adopt == nil && c.AdoptPart == nil && c.ClaimBegin == nil && c.ClaimFinish == nil && c.ClaimExpire == nil && c.ClaimBatch == nil
 }
 
@@ -152,8 +151,8 @@
 	return buffer.Bytes(), nil
 }
 
-// decode recovers, because the codec panics on some malformed input, such as a
-// nil in the place of a time.
+// decode decodes one msgpack value. It recovers from panics, because the codec
+// panics on some malformed input, such as nil in place of a time.
 func decode(data []byte, value any) (err error) {
 	defer func() {
 		if problem := recover(); problem != nil {
@@ -161,7 +160,7 @@
 		}
 	}()
 	if !wellFormed(data) {
-		return corrupt("the zone data is malformed or declares more than it holds")
+		return corrupt("the zone data is malformed or has lengths beyond its end")
 	}
 	reader := bytes.NewReader(data)
 	decoder := msgpack.NewDecoder(reader)
@@ -180,5 +179,6 @@
 		"Restore this member from another member of the zone group.")
 }
 
-// normalTime drops the clock reading and the location, which differ by process.
+// normalTime strips the monotonic clock reading and the location, which differ
+// between processes.
 func normalTime(at time.Time) time.Time { return at.Round(0).UTC() }
--- a/placement/zone/doc.go
+++ b/placement/zone/doc.go
@@ -1,12 +1,11 @@
-// Package zone is the replicated state machine of one zone's group. It holds the
-// adopted part of the table, the runners, the replicas with their memory
+// Package zone implements the replicated state machine of a zone group. It holds the
+// zone's part of the table, the runners, the replicas with their memory
 // reservations, and the claims on idempotency keys.
 //
-// Apply is deterministic and pure: the same commands at the same indexes give
-// the same state and the same results on every member. Every limit is checked
-// here, against the current state, however old the plan was that led to a
-// command.
+// Apply is deterministic: the same commands at the same indexes give the same state
+// and results on every member. All limits are checked against the current state
+// when a command is applied, so commands from outdated plans are safe.
 //
-// Order numbers are indexes of the zone log, so they never repeat; a command
-// about a replica names the order it is about, so that a late one is refused.
+// Order numbers are indexes of the zone log and never repeat. A command that changes
+// a replica carries the replica's order number, so that stale commands are refused.
 package zone
--- a/placement/zone/finishedclaims.go
+++ b/placement/zone/finishedclaims.go
@@ -10,9 +10,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// keyHash stands for the key of a finished claim. It is cut from a cryptographic
-// hash, so that callers cannot make two keys meet; by chance one of four million
-// kept keys meets a new one once in 4e12 new keys, which is then refused.
+// keyHash identifies the key of a finished claim. It is a truncated SHA-256 hash, so
+// that callers cannot construct collisions. With four million stored keys, a new key
+// collides by chance with probability 1 in 4e12 and is then refused.
 type keyHash uint64
 
 func hashKey(key structs.ClaimKey) keyHash {
@@ -22,8 +22,8 @@
 
 func hashRequest(request structs.RequestID) uint64 { return uint64(hashKey(structs.ClaimKey(request))) }
 
-// finishedClaim is what is kept whole of a claim that has finished. Times are in
-// seconds since 1970, rounded up.
+// finishedClaim is the record of a finished claim. Times are in Unix seconds,
+// rounded up.
 type finishedClaim struct {
 	digest    uint64
 	request   uint64
@@ -34,24 +34,25 @@
 	holder uint32
 }
 
-// answerHolder is a daemon that keeps answers.
+// answerHolder is a daemon that stores answers.
 type answerHolder struct {
 	Daemon  structs.DaemonID
 	Address string
 }
 
-// finishedClaims holds finished claims by key and in the order of their expiry.
+// finishedClaims holds finished claims by key and ordered by expiry.
 type finishedClaims struct {
 	byKey  map[keyHash]finishedClaim
 	expiry expiryHeap
-	// holders names each daemon once; numbers finds it, claims counts its claims.
-	holders []answerHolder
-	claims  []int
-	numbers map[answerHolder]uint32
+	// holders lists each daemon once. indexByHolder is its inverse, and
+	// claimsByHolder counts the claims of each index.
+	holders        []answerHolder
+	claimsByHolder []int
+	indexByHolder  map[answerHolder]uint32
 }
 
 func newFinishedClaims() finishedClaims {
-	return finishedClaims{byKey: map[keyHash]finishedClaim{}, numbers: map[answerHolder]uint32{}}
+	return finishedClaims{byKey: map[keyHash]finishedClaim{}, indexByHolder: map[answerHolder]uint32{}}
 }
 
 func (f *finishedClaims) count() int { return len(f.byKey) }
@@ -61,49 +62,50 @@
 	return known, isFinished
 }
 
-// add takes in a claim that finishes.
+// add records a finished claim.
 func (f *finishedClaims) add(claim structs.Claim, command *ClaimFinishCommand) finishedClaim {
 	known := finishedClaim{
 		digest:    claim.Digest,
 		request:   hashRequest(claim.Request),
 		answer:    command.AnswerHash,
 		bytes:     uint32(min(max(command.AnswerBytes, 0), math.MaxUint32)),
-		expiresAt: secondsUp(command.ExpiresAt),
-		holder:    f.number(answerHolder{claim.Holder, claim.HolderAddress}),
+		expiresAt: ceilSeconds(command.ExpiresAt),
+		holder:    f.holderIndex(answerHolder{claim.Holder, claim.HolderAddress}),
 	}
 	f.put(hashKey(claim.Key), known)
 	heap.Fix(&f.expiry, len(f.expiry)-1)
 	return known
 }
 
-// put keeps a claim without ordering it.
+// put stores a claim without restoring the heap order of expiry.
 func (f *finishedClaims) put(hash keyHash, known finishedClaim) {
 	f.byKey[hash] = known
-	f.claims[known.holder]++
+	f.claimsByHolder[known.holder]++
 	f.expiry = append(f.expiry, expiryEntry{known.expiresAt, hash})
 }
 
-// number finds a holder's place, or gives it one that no claim uses.
-func (f *finishedClaims) number(holder answerHolder) uint32 {
-	if number, isKnown := f.numbers[holder]; isKnown {
+// holderIndex returns the index of a holder. A new holder reuses an index without
+// claims if there is one.
+func (f *finishedClaims) holderIndex(holder answerHolder) uint32 {
+	if number, isKnown := f.indexByHolder[holder]; isKnown {
 		return number
 	}
-	for number, claims := range f.claims {
+	for number, claims := range f.claimsByHolder {
 		if claims == 0 {
-			delete(f.numbers, f.holders[number])
+			delete(f.indexByHolder, f.holders[number])
 			f.holders[number] = holder
-			f.numbers[holder] = uint32(number)
+			f.indexByHolder[holder] = uint32(number)
 			return uint32(number)
 		}
 	}
 	number := uint32(len(f.holders))
 	f.holders = append(f.holders, holder)
-	f.claims = append(f.claims, 0)
-	f.numbers[holder] = number
+	f.claimsByHolder = append(f.claimsByHolder, 0)
+	f.indexByHolder[holder] = number
 	return number
 }
 
-// firstExpiry returns when the first claim expires, and false when there is none.
+// firstExpiry returns the earliest expiry, and false if there are no claims.
 func (f *finishedClaims) firstExpiry() (uint32, bool) {
 	if len(f.expiry) == 0 {
 		return 0, false
@@ -111,16 +113,16 @@
 	return f.expiry[0].at, true
 }
 
-// removeFirst removes the claim that expires first; there must be one.
+// removeFirst removes the claim with the earliest expiry. There must be one.
 func (f *finishedClaims) removeFirst() (keyHash, finishedClaim) {
 	entry := heap.Pop(&f.expiry).(expiryEntry)
 	known := f.byKey[entry.key]
 	delete(f.byKey, entry.key)
-	f.claims[known.holder]--
+	f.claimsByHolder[known.holder]--
 	return entry.key, known
 }
 
-// claim returns a finished claim as others see it.
+// claim converts a finished claim to a structs.Claim.
 func (f *finishedClaims) claim(key structs.ClaimKey, known finishedClaim) *structs.Claim {
 	holder := f.holders[known.holder]
 	return &structs.Claim{
@@ -131,8 +133,8 @@
 	}
 }
 
-// secondsUp returns a time in seconds since 1970, rounded up and kept in range.
-func secondsUp(at time.Time) uint32 {
+// ceilSeconds converts a time to Unix seconds, rounded up and clamped to uint32.
+func ceilSeconds(at time.Time) uint32 {
 	seconds := at.Unix()
 	if at.Nanosecond() > 0 {
 		seconds++
--- a/placement/zone/invariants.go
+++ b/placement/zone/invariants.go
@@ -7,8 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// CheckInvariants returns an error that names the first thing found that must
-// never be, or nil.
+// CheckInvariants returns an error describing the first violated invariant, or nil.
 func (s *State) CheckInvariants() error {
 	for _, check := range []func() error{
 		s.checkGrantHeld, s.checkMemory, s.checkRecords, s.checkIndexes, s.checkClaims,
@@ -20,7 +19,7 @@
 	return nil
 }
 
-// checkGrantHeld: never more replicas than the global group counts for the zone.
+// checkGrantHeld checks that no row has more replicas than are held under its grant.
 func (s *State) checkGrantHeld() error {
 	for row, records := range s.byRow {
 		if held := s.Grant(row).Held; len(records) > held {
@@ -62,7 +61,7 @@
 		orders[replica.Order] = true
 		runner, ok := s.runners[key.runner]
 		if !ok || runner.Gone || runner.Incarnation != replica.Incarnation {
-			return errors.Errorf("replica of %q on %q is of an incarnation that is gone", key.row, key.runner)
+			return errors.Errorf("replica of %q on %q has an incarnation that has ended", key.row, key.runner)
 		}
 		if err := s.checkAdapter(replica); err != nil {
 			return err
@@ -112,7 +111,7 @@
 			return errors.Errorf("open claim %q is in state %q", key, record.claim.State)
 		}
 		hash := hashKey(key)
-		if _, isFinished := s.claims.finished.get(hash); isFinished || s.claims.forgotten.has(hash) {
+		if _, isFinished := s.claims.finished.get(hash); isFinished || s.claims.keyOnly.has(hash) {
 			return errors.Errorf("claim %q is open and has finished", key)
 		}
 	}
@@ -120,15 +119,15 @@
 		return errors.Errorf("%d held claims and %d in their index", held, len(s.claims.held))
 	}
 	if whole := len(s.claims.open) + s.claims.finished.count(); whole > MaxClaims {
-		return errors.Errorf("%d claims are kept whole", whole)
+		return errors.Errorf("%d complete claims are stored", whole)
 	}
 	if err := s.claims.finished.check(); err != nil {
 		return err
 	}
-	return s.claims.forgotten.check()
+	return s.claims.keyOnly.check()
 }
 
-// check returns an error that names the first thing found that must never be.
+// check returns an error describing the first violated invariant, or nil.
 func (f *finishedClaims) check() error {
 	claims := make([]int, len(f.holders))
 	for hash, known := range f.byKey {
@@ -137,8 +136,8 @@
 		}
 		claims[known.holder]++
 	}
-	if !slices.Equal(claims, f.claims) {
-		return errors.Errorf("holders have %v finished claims and count %v", claims, f.claims)
+	if !slices.Equal(claims, f.claimsByHolder) {
+		return errors.Errorf("holders have %v finished claims and count %v", claims, f.claimsByHolder)
 	}
 	for _, entry := range f.expiry {
 		if known, isKept := f.byKey[entry.key]; !isKept || known.expiresAt != entry.at {
@@ -151,12 +150,12 @@
 	return nil
 }
 
-// check returns an error that names the first thing found that must never be.
-func (f *forgottenAnswers) check() error {
+// check returns an error describing the first violated invariant, or nil.
+func (f *keyOnlyClaims) check() error {
 	count := 0
-	for i, batch := range f.batches {
+	for i, batch := range f.keyBatches {
 		count += batch.size()
-		if !slices.IsSorted(batch.sorted) || i > 0 && f.batches[i-1].end >= batch.end {
+		if !slices.IsSorted(batch.sorted) || i > 0 && f.keyBatches[i-1].end >= batch.end {
 			return errors.Errorf("the keys that expire by %d are out of order", batch.end)
 		}
 	}
--- a/placement/zone/random_test.go
+++ b/placement/zone/random_test.go
@@ -17,11 +17,11 @@
 	drawState  = rapid.SampledFrom([]structs.ReplicaState{structs.ReplicaReady, structs.ReplicaUnloading})
 )
 
-// randomMachine applies drawn commands, each through the codec, and keeps a
-// second state that is restored from snapshots now and then.
+// randomMachine applies random commands to a state and, after encoding and decoding
+// them, to a second state that is sometimes restored from a snapshot.
 type randomMachine struct {
 	*testMachine
-	twin *State
+	restored *State
 }
 
 func (m *randomMachine) apply(t *rapid.T, command Command) Result {
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	result := m.do(command)
-	twin := m.twin.Apply(m.next, decoded)
+	twin := m.restored.Apply(m.next, decoded)
 	equal(t, twin, result)
 	return result
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-// order draws the present order of a replica, or sometimes another.
+// order draws the current order number of a replica, or sometimes a stale one.
 func (m *randomMachine) order(t *rapid.T, runner structs.RunnerID, row structs.RowName) structs.OrderNumber {
 	replica, _ := m.Replica(runner, row)
 	if rapid.IntRange(0, 9).Draw(t, "stale") == 0 {
@@ -107,25 +107,25 @@
 	}
 }
 
-func TestRandomCommandsKeepTheInvariants(t *testing.T) {
+func TestRandomCommandsPreserveInvariants(t *testing.T) {
 	qt.Assert(t, flag.Set("rapid.seed", "20260504"), qt.IsNil)
 	rapid.Check(t, func(t *rapid.T) {
-		m := &randomMachine{testMachine: newTestMachine(), twin: New("z")}
+		m := &randomMachine{testMachine: newTestMachine(), restored: New("z")}
 		restore := func(t *rapid.T) {
 			data, err := m.Snapshot()
 			equal(t, err, nil)
-			equal(t, m.twin.Restore(data), nil)
+			equal(t, m.restored.Restore(data), nil)
 		}
 		restore(t)
-		router := &follower{}
-		records := &recordsKeeper{}
+		router := &testRouter{}
+		records := &recordsChecker{}
 		t.Repeat(map[string]func(*rapid.T){
 			"adopt":    m.adopt,
 			"register": m.register,
 			"change":   m.change,
 			"claim":    m.claim,
 			"restore":  restore,
-			"follow":   func(t *rapid.T) { m.follow(t, router) },
+			"follow":   func(t *rapid.T) { m.pollView(t, router) },
 			"reserve": func(t *rapid.T) {
 				runner := drawRunner.Draw(t, "runner")
 				known, _ := m.Runner(runner)
@@ -138,11 +138,11 @@
 				m.apply(t, Command{Prefetch: &PrefetchCommand{Row: row, Runner: runner, Incarnation: known.Incarnation}})
 			},
 			"": func(t *rapid.T) {
-				records.keep(t, m.State)
+				records.check(t, m.State)
 				equal(t, m.CheckInvariants(), nil)
 				own, err := encode(m.snapshotData())
 				equal(t, err, nil)
-				twin, err := encode(m.twin.snapshotData())
+				twin, err := encode(m.restored.snapshotData())
 				equal(t, err, nil)
 				equal(t, string(twin), string(own))
 			},
@@ -150,7 +150,7 @@
 	})
 }
 
-func TestRestoreRefusesDamage(t *testing.T) {
+func TestRestoreRefusesCorruptSnapshots(t *testing.T) {
 	c := qt.New(t)
 	m := newTestMachine()
 	data, err := m.Snapshot()
@@ -200,7 +200,7 @@
 	})
 }
 
-// FuzzRestore skips the checksum, so that the fuzzer reaches what is below it.
+// FuzzRestore also bypasses the checksum, so that the fuzzer reaches the decoder.
 func FuzzRestore(f *testing.F) {
 	data, _ := encode(newTestMachine().snapshotData())
 	f.Add(data)
--- a/placement/zone/released.go
+++ b/placement/zone/released.go
@@ -2,12 +2,11 @@
 
 import "github.com/lotusferry/lotusferry/structs"
 
-// releasedRequests remembers the newest requests that were released as not run,
-// so that a begin of one of them that was delayed on its way is refused instead
-// of holding the key for good.
+// releasedRequests remembers the latest requests that were released as not run, so
+// that a delayed begin of one of them is refused instead of holding the key forever.
 type releasedRequests struct {
 	known map[structs.RequestID]bool
-	// order is a ring of the known requests; oldest is the next place to reuse.
+	// order is a ring buffer of the known requests; oldest is the next slot to reuse.
 	order  []structs.RequestID
 	oldest int
 }
--- a/placement/zone/replica.go
+++ b/placement/zone/replica.go
@@ -7,7 +7,7 @@
 func (s *State) applyReserve(number structs.OrderNumber, command *ReserveCommand) Result {
 	row, ok := s.table.rows[command.Row]
 	if !ok {
-		return limit("the table has no such row", "Plan again from the adopted table.")
+		return limitResult("the table has no such row", "Plan again from the adopted table.")
 	}
 	if problem := s.checkGrant(row); problem != nil {
 		return Result{Error: problem}
@@ -33,12 +33,12 @@
 	if row.NeedsBase() {
 		replica.Base = row.Base
 	}
-	s.record(replica)
-	s.notePlacement(command.Runner, uint64(number))
+	s.addReplica(replica)
+	s.recordPlacementChange(command.Runner, uint64(number))
 	return Result{Order: number}
 }
 
-func limit(message, remedy string) Result {
+func limitResult(message, remedy string) Result {
 	return refused(structs.ErrorLimit, message, remedy)
 }
 
@@ -68,7 +68,7 @@
 		return limitError("the runner is leaving, draining or gone", "Choose another runner.")
 	}
 	if runner.Incarnation != command.Incarnation {
-		return limitError("the runner has another incarnation", "Plan again from the runner's present incarnation.")
+		return limitError("the runner has another incarnation", "Plan again from the runner's current incarnation.")
 	}
 	if runner.Role != row.Role {
 		return limitError("the runner has another role than the row", "Choose a runner of the row's role.")
@@ -76,7 +76,7 @@
 	if _, there := s.replicas[placementKey{command.Runner, row.Name}]; there {
 		return limitError("the runner has a replica of the row already", "Choose another runner.")
 	}
-	// Written so that it cannot overflow.
+	// Subtracts, because adding to the reserved bytes could overflow.
 	if row.MemoryBytes < 0 || row.MemoryBytes > runner.MemoryBytes-s.reserved[command.Runner] {
 		return limitError("the runner has too little unreserved memory", "Unload something there, or choose another runner.")
 	}
@@ -94,8 +94,8 @@
 	return limitError("the adapter's base is not loading or ready on the runner", "Load the base there first.")
 }
 
-// find returns the replica that a command is about, if its order number is the
-// one that the command names.
+// find returns the replica of the row on the runner. It returns ErrorNotFound if
+// there is none and ErrorConflict if its order number differs.
 func (s *State) find(runner structs.RunnerID, row structs.RowName, order structs.OrderNumber) (*Replica, *structs.Error) {
 	replica, ok := s.replicas[placementKey{runner, row}]
 	if !ok {
@@ -118,7 +118,7 @@
 	case command.To == structs.ReplicaReady && replica.State == structs.ReplicaLoading:
 	case command.To == structs.ReplicaUnloading && replica.State != structs.ReplicaUnloading:
 		if s.hasAdapters(replica) {
-			return limit("adapters are on the runner's replica of the base", "Unload the adapters first.")
+			return limitResult("adapters are on the runner's replica of the base", "Unload the adapters first.")
 		}
 		replica.Order = number
 	default:
@@ -127,11 +127,11 @@
 	}
 	replica.State = command.To
 	replica.Since = normalTime(command.At)
-	s.notePlacement(command.Runner, uint64(number))
+	s.recordPlacementChange(command.Runner, uint64(number))
 	return Result{Order: replica.Order}
 }
 
-// hasAdapters reports whether replicas that need this one are on its runner.
+// hasAdapters reports whether the runner has adapter replicas that need the base.
 func (s *State) hasAdapters(base *Replica) bool {
 	for _, other := range s.byRunner[base.Runner] {
 		if other.Base == base.Row {
@@ -147,10 +147,10 @@
 		return Result{Error: problem}
 	}
 	if replica.State == structs.ReplicaReady {
-		return refused(structs.ErrorInvalid, "a ready replica has no open order", "Plan again from the current state.")
+		return refused(structs.ErrorInvalid, "a ready replica has no pending order", "Plan again from the current state.")
 	}
 	replica.Order = number
-	s.notePlacement(command.Runner, uint64(number))
+	s.recordPlacementChange(command.Runner, uint64(number))
 	return Result{Order: number}
 }
 
@@ -164,9 +164,9 @@
 			"Move it to unloading first.")
 	}
 	if s.hasAdapters(replica) {
-		return limit("adapters are on the runner's replica of the base", "Remove the adapters first.")
+		return limitResult("adapters are on the runner's replica of the base", "Remove the adapters first.")
 	}
-	s.forget(command.Runner, command.Row)
-	s.notePlacement(command.Runner, index)
+	s.removeReplica(command.Runner, command.Row)
+	s.recordPlacementChange(command.Runner, index)
 	return Result{}
 }
--- a/placement/zone/runner.go
+++ b/placement/zone/runner.go
@@ -16,23 +16,23 @@
 	}
 	if !ok {
 		s.runners[info.ID] = &Runner{RunnerInfo: info}
-		s.notePlacement(info.ID, index)
+		s.recordPlacementChange(info.ID, index)
 		return Result{}
 	}
 	if info.Incarnation < known.Incarnation {
 		return refused(structs.ErrorConflict, "a newer incarnation of the runner is known",
-			"Register the runner's present incarnation.")
+			"Register the runner's current incarnation.")
 	}
 	if info.Incarnation > known.Incarnation {
-		s.forgetReplicasOn(info.ID)
+		s.removeReplicasOn(info.ID)
 		known.Gone = false
-		known.endPrefetch()
+		known.clearPrefetch()
 	}
 	if problem := s.checkUpdate(known, info); problem != nil {
 		return Result{Error: problem}
 	}
 	known.RunnerInfo = info
-	s.notePlacement(info.ID, index)
+	s.recordPlacementChange(info.ID, index)
 	return Result{}
 }
 
@@ -53,13 +53,13 @@
 		return refused(structs.ErrorNotFound, "the runner is not known", "Check the runner's ID.")
 	}
 	if incarnation != known.Incarnation {
-		return refused(structs.ErrorConflict, "the runner has another incarnation than the one vouched for",
-			"Look at the runner again and vouch for its present incarnation, if it is gone.")
+		return refused(structs.ErrorConflict, "the runner's incarnation is not the one confirmed as stopped",
+			"Check the runner again and confirm its current incarnation if it has stopped.")
 	}
-	s.forgetReplicasOn(known.ID)
+	s.removeReplicasOn(known.ID)
 	known.Gone = true
-	known.endPrefetch()
-	s.notePlacement(known.ID, index)
+	known.clearPrefetch()
+	s.recordPlacementChange(known.ID, index)
 	return Result{}
 }
 
@@ -69,39 +69,39 @@
 		return refused(structs.ErrorNotFound, "the runner is not known", "Check the runner's ID.")
 	}
 	known.Draining = command.Draining
-	s.notePlacement(known.ID, index)
+	s.recordPlacementChange(known.ID, index)
 	return Result{}
 }
 
 func (s *State) applyPrefetch(number structs.OrderNumber, command *PrefetchCommand) Result {
 	known, ok := s.runners[command.Runner]
 	if !ok || known.Incarnation != command.Incarnation || !known.Accepting() {
-		return limit("the runner is unknown, not accepting, or of another incarnation", "Choose another runner.")
+		return limitResult("the runner is unknown, not accepting, or of another incarnation", "Choose another runner.")
 	}
 	if command.Row == "" {
-		known.endPrefetch()
+		known.clearPrefetch()
 		return Result{}
 	}
 	if _, ok := s.table.rows[command.Row]; !ok {
-		return limit("the table has no such row", "Plan again from the adopted table.")
+		return limitResult("the table has no such row", "Plan again from the adopted table.")
 	}
 	known.Prefetch = command.Row
 	known.PrefetchOrder = number
 	return Result{Order: number}
 }
 
-func (r *Runner) endPrefetch() {
+func (r *Runner) clearPrefetch() {
 	r.Prefetch = ""
 	r.PrefetchOrder = 0
 }
 
-func (s *State) forgetReplicasOn(runner structs.RunnerID) {
+func (s *State) removeReplicasOn(runner structs.RunnerID) {
 	for _, replica := range s.ReplicasOn(runner) {
-		s.forget(runner, replica.Row)
+		s.removeReplica(runner, replica.Row)
 	}
 }
 
-func (s *State) forget(runner structs.RunnerID, row structs.RowName) {
+func (s *State) removeReplica(runner structs.RunnerID, row structs.RowName) {
 	key := placementKey{runner, row}
 	replica := s.replicas[key]
 	s.reserved[runner] -= replica.MemoryBytes
@@ -117,7 +117,7 @@
 	}
 }
 
-func (s *State) record(replica *Replica) {
+func (s *State) addReplica(replica *Replica) {
 	s.replicas[placementKey{replica.Runner, replica.Row}] = replica
 	if s.byRow[replica.Row] == nil {
 		s.byRow[replica.Row] = map[structs.RunnerID]*Replica{}
--- a/placement/zone/snapshot.go
+++ b/placement/zone/snapshot.go
@@ -11,12 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// snapshotMagic begins every snapshot and names its format.
+// snapshotMagic is the prefix of every snapshot. It identifies the format version.
 var snapshotMagic = []byte("LFZ1")
 
 const (
 	snapshotChecksumBytes = 8
-	// maxSnapshotBytes bounds a decompressed snapshot.
+	// maxSnapshotBytes is the maximum size of a decompressed snapshot.
 	maxSnapshotBytes = 1 << 30
 )
 
@@ -26,14 +26,14 @@
 	Index          uint64
 	PlacementIndex uint64
 	Table          structs.TableDelta
-	// TableFloor and TableChanges let a restarted member answer readers with changes.
+	// TableFloor and TableChanges let a restarted member send deltas to readers.
 	TableFloor   uint64
 	TableChanges []snapshotChange
-	// Staged holds the parts of a table that is not in force yet.
+	// Staged holds the parts of a table delta that is not complete yet.
 	Staged   *snapshotStaged
 	Runners  []snapshotRunner
 	Replicas []snapshotReplica
-	// Claims are the open ones. In snapshots of earlier versions they are all.
+	// Claims contains the open claims; in snapshots of earlier versions, all claims.
 	Claims   []snapshotClaim
 	Released []structs.RequestID
 	Holders  []answerHolder
@@ -64,7 +64,7 @@
 
 type snapshotClaim struct {
 	Claim snapshotOpenClaim
-	// Bytes is not read: snapshots of earlier versions have it.
+	// Bytes is ignored; snapshots of earlier versions contain it.
 	Bytes int64
 }
 
@@ -82,14 +82,14 @@
 	Holder    uint32
 }
 
-// snapshotKeys is a forgottenBatch; Keys has 8 bytes a key, ordered.
+// snapshotKeys is a keyBatch; Keys contains the sorted keys, 8 bytes each.
 type snapshotKeys struct {
 	End  uint32
 	Keys []byte
 }
 
-// Snapshot encodes the state: a magic number, a checksum, and compressed
-// msgpack. Equal states give equal snapshots.
+// Snapshot encodes the state as a magic number, a checksum and compressed msgpack.
+// Equal states give equal snapshots.
 func (s *State) Snapshot() ([]byte, error) {
 	plain, err := encode(s.snapshotData())
 	if err != nil {
@@ -127,8 +127,8 @@
 	return data
 }
 
-// Restore replaces the state by that of a snapshot. On an error, of kind
-// ErrorCorrupt, the state is unchanged.
+// Restore replaces the state by that of a snapshot. It returns ErrorCorrupt and leaves
+// the state unchanged if the snapshot is invalid.
 func (s *State) Restore(data []byte) error {
 	header := len(snapshotMagic) + snapshotChecksumBytes
 	if len(data) < header || !bytes.HasPrefix(data, snapshotMagic) {
@@ -177,7 +177,7 @@
 	if d.Table.Revision > 0 {
 		d.Table.Full = true
 		if problem := s.table.adopt(d.Zone, &d.Table); problem != nil {
-			return nil, corrupt("the zone snapshot holds a bad table: " + problem.Message)
+			return nil, corrupt("the zone snapshot has an invalid table: " + problem.Message)
 		}
 	}
 	if err := s.table.restoreChanges(d.TableFloor, d.TableChanges); err != nil {
@@ -195,7 +195,7 @@
 		if _, twice := s.Replica(entry.Replica.Runner, entry.Replica.Row); twice {
 			return nil, corrupt("the zone snapshot holds a replica twice")
 		}
-		s.record(&Replica{entry.Replica, entry.Base, entry.Reserved})
+		s.addReplica(&Replica{entry.Replica, entry.Base, entry.Reserved})
 	}
 	if err := s.claims.restore(d); err != nil {
 		return nil, err
@@ -203,8 +203,8 @@
 	return s, nil
 }
 
-// changedBy returns when the runner last changed; a snapshot of an earlier version
-// does not say, and the last change of any runner stands for it.
+// changedBy returns the index at which the runner last changed. Snapshots of earlier
+// versions lack it; the last change of any runner is used instead.
 func (r *snapshotRunner) changedBy(placementIndex uint64) uint64 {
 	if r.Changed == 0 {
 		return placementIndex
@@ -212,8 +212,8 @@
 	return min(r.Changed, placementIndex)
 }
 
-// restoreChanges takes the remembered changes of a snapshot. One of an earlier
-// version has none: readers that are behind its revision then get the whole table.
+// restoreChanges restores the recorded table changes. Snapshots of earlier versions
+// have none; readers behind their revision then get the full table.
 func (t *adoptedTable) restoreChanges(floor uint64, changes []snapshotChange) error {
 	if floor == 0 && len(changes) == 0 {
 		return nil
--- a/placement/zone/state.go
+++ b/placement/zone/state.go
@@ -8,15 +8,16 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Runner is a runner as the zone group knows it.
+// Runner is a runner with the state that the zone group keeps for it.
 type Runner struct {
 	structs.RunnerInfo
-	// Draining is set by an operator and cleared by one.
+	// Draining is set and cleared by operators.
 	Draining bool
-	// Gone is set when an operator vouched for the end of this incarnation.
+	// Gone is set if an operator confirmed that this incarnation has permanently
+	// stopped.
 	Gone bool
 	// Prefetch is the row whose checkpoint the runner was last asked to copy to
-	// its disk under PrefetchOrder; empty when none is open.
+	// its disk, under the order PrefetchOrder; empty if there is none.
 	Prefetch      structs.RowName
 	PrefetchOrder structs.OrderNumber
 }
@@ -24,14 +25,13 @@
 // Accepting reports whether the runner may get new replicas and new work.
 func (r Runner) Accepting() bool { return !r.Leaving && !r.Draining && !r.Gone }
 
-// Replica is a replica with what the zone group alone needs to know of it.
+// Replica is a replica with the state that the zone group keeps for it.
 type Replica struct {
 	structs.Replica
-	// Base is the row that this replica needs on the same runner, when it is an
-	// adapter's.
+	// Base is the row that an adapter's replica needs on the same runner.
 	Base structs.RowName
-	// Reserved is the index of the command that made the record: what an engine
-	// reports under a lower order number is about an earlier replica.
+	// Reserved is the index of the command that added the replica. Engine reports
+	// with a lower order number refer to an earlier replica.
 	Reserved structs.OrderNumber
 }
 
@@ -40,14 +40,15 @@
 	row    structs.RowName
 }
 
-// State is the state of one zone's group. It is not safe for concurrent use.
+// State is the state of a zone group. It is not safe for concurrent use.
 type State struct {
 	zone           structs.ZoneID
 	index          uint64
 	placementIndex uint64
-	// recordsIndex is the index of the last command about runners and replicas.
+	// recordsIndex is the index of the last command that may have changed runners
+	// or replicas.
 	recordsIndex uint64
-	// runnerIndex holds the placementIndex at which each runner last changed.
+	// runnerIndex maps each runner to the placementIndex of its last change.
 	runnerIndex map[structs.RunnerID]uint64
 	table       adoptedTable
 	runners     map[structs.RunnerID]*Runner
@@ -58,24 +59,24 @@
 	claims      claimTable
 }
 
-// Result is what a command led to.
+// Result is the result of applying a command.
 type Result struct {
-	// Error is nil when the command took effect.
+	// Error is nil if the command took effect.
 	Error *structs.Error
-	// Order is the number of the order that the command recorded, if any.
+	// Order is the order number that the command recorded, if any.
 	Order structs.OrderNumber
-	// Claim is the claim under the key of a claim command, if there is one.
+	// Claim is the claim on the key of a claim command, if there is one.
 	Claim *structs.Claim
-	// ClaimNew is true when the claim is held by the command's own request: that
-	// request alone may be executed.
+	// ClaimNew reports whether the command's own request holds the claim; only then
+	// may the request be executed.
 	ClaimNew bool
-	// Batch has one result for each operation of a ClaimBatchCommand.
+	// Batch contains one result per operation of a ClaimBatchCommand.
 	Batch []Result
 	// TableRevision is the adopted table revision after the command.
 	TableRevision uint64
 }
 
-// New makes the empty state of a zone.
+// New returns the empty state of a zone.
 func New(zone structs.ZoneID) *State {
 	return &State{
 		zone:        zone,
@@ -90,8 +91,8 @@
 	}
 }
 
-// Apply applies the command at the given index of the zone log. A command at or
-// below the last applied index is refused, for it took effect before.
+// Apply applies the command at the given index of the zone log. Indexes at or below
+// the last applied one are refused.
 func (s *State) Apply(index uint64, command Command) Result {
 	result := s.apply(index, command)
 	if index > s.index {
@@ -110,7 +111,7 @@
 		return Result{Error: err.(*structs.Error)}
 	}
 	number := structs.OrderNumber(index)
-	if command.placesReplicas() {
+	if command.changesPlacement() {
 		s.recordsIndex = index
 	}
 	switch {
@@ -153,11 +154,11 @@
 // Index returns the index of the last applied command.
 func (s *State) Index() uint64 { return s.index }
 
-// RecordsIndex returns the index of the last command that may have changed what
-// Runners and Replicas return.
+// RecordsIndex returns the index of the last command that may have changed the
+// results of Runners and Replicas.
 func (s *State) RecordsIndex() uint64 { return s.recordsIndex }
 
-// Runner returns the runner, and false when it is not known.
+// Runner returns the runner, and false if it is not registered.
 func (s *State) Runner(id structs.RunnerID) (Runner, bool) {
 	runner, ok := s.runners[id]
 	if !ok {
@@ -176,7 +177,7 @@
 	return list
 }
 
-// Replica returns the replica of the row on the runner, and false when there is none.
+// Replica returns the replica of the row on the runner, and false if there is none.
 func (s *State) Replica(runner structs.RunnerID, row structs.RowName) (Replica, bool) {
 	replica, ok := s.replicas[placementKey{runner, row}]
 	if !ok {
@@ -221,7 +222,7 @@
 // MemoryReserved returns the bytes reserved on the runner.
 func (s *State) MemoryReserved(runner structs.RunnerID) int64 { return s.reserved[runner] }
 
-// Surplus names the rows with more replicas than their limit, ordered by row.
+// Surplus returns the rows with more replicas than their limit, ordered by row.
 func (s *State) Surplus() []structs.RowSurplus {
 	var list []structs.RowSurplus
 	for row, records := range s.byRow {
@@ -234,5 +235,5 @@
 	return list
 }
 
-// CountOf returns the number of the row's replicas, in every state.
+// CountOf returns the number of replicas of the row, in any state.
 func (s *State) CountOf(row structs.RowName) int { return len(s.byRow[row]) }
--- a/placement/zone/state_test.go
+++ b/placement/zone/state_test.go
@@ -49,15 +49,16 @@
 	return Command{Runner: &RunnerCommand{Info: info}}
 }
 
-// must applies a command of a fixture, which has to succeed.
+// must applies a command and panics if it fails.
 func (m *testMachine) must(command Command) {
 	if result := m.do(command); result.Error != nil {
 		panic(result.Error)
 	}
 }
 
-// newTestMachine has rows "model" and "big", the adapter "tuned" of "model", and
-// runners "a" and "b" of incarnation 2; "model" is loading on "a" under order 4.
+// newTestMachine returns a machine with the rows "model", "big" and "ungranted", the
+// adapter "tuned" of "model", and the runners "a" and "b" of incarnation 2; "model"
+// is loading on "a" under order 4.
 func newTestMachine() *testMachine {
 	m := &testMachine{State: New("z")}
 	adapter := testRow("tuned", 10)
@@ -113,7 +114,7 @@
 		{"unknown runner", nil, reserve("model", "x", 2), structs.ErrorLimit},
 		{"leaving runner", []Command{registration(leaving)}, reserve("model", "b", 2), structs.ErrorLimit},
 		{"draining runner", []Command{{Drain: &DrainCommand{Runner: "b", Draining: true}}}, reserve("model", "b", 2), structs.ErrorLimit},
-		{"runner vouched gone", []Command{{Runner: &RunnerCommand{Info: testRunner("b", 2), Vouch: true}}}, reserve("model", "b", 2), structs.ErrorLimit},
+		{"runner confirmed gone", []Command{{Runner: &RunnerCommand{Info: testRunner("b", 2), Vouch: true}}}, reserve("model", "b", 2), structs.ErrorLimit},
 		{"another incarnation", nil, reserve("model", "b", 1), structs.ErrorLimit},
 		{"another role", []Command{registration(other)}, reserve("model", "b", 2), structs.ErrorLimit},
 		{"row already there", nil, reserve("model", "a", 2), structs.ErrorLimit},
@@ -151,7 +152,7 @@
 	}
 }
 
-func TestReplicaLifeFreesMemoryOnlyAtItsEnd(t *testing.T) {
+func TestReplicaMemoryIsFreedOnRemoval(t *testing.T) {
 	c := qt.New(t)
 	m := newTestMachine()
 	c.Assert(m.do(transition("model", "a", 4, structs.ReplicaReady)).Order, qt.Equals, structs.OrderNumber(4))
@@ -163,7 +164,7 @@
 	m.must(reserve("big", "a", 2))
 }
 
-func TestNewIncarnationAndVouchForgetReplicas(t *testing.T) {
+func TestNewIncarnationAndVouchRemoveReplicas(t *testing.T) {
 	for _, command := range []RunnerCommand{
 		{Info: testRunner("a", 3)},
 		{Info: testRunner("a", 2), Vouch: true},
@@ -179,7 +180,7 @@
 	}
 }
 
-func TestTableRevisionNeverFallsAndViewsFollow(t *testing.T) {
+func TestTableRevisionNeverDecreasesAndViewsFollow(t *testing.T) {
 	c := qt.New(t)
 	m := newTestMachine()
 	seen := m.View(0, 0)
@@ -199,7 +200,7 @@
 	c.Assert(m.LoweredGrants(), qt.DeepEquals, []structs.Grant{testGrant("model", 0, 2)})
 }
 
-func TestCheckInvariantsFindsFaults(t *testing.T) {
+func TestCheckInvariantsReportsEachViolation(t *testing.T) {
 	for name, breakState := range map[string]func(*State){
 		"held":        func(s *State) { s.table.grants["model"] = testGrant("model", 0, 0) },
 		"memory":      func(s *State) { s.runners["a"].MemoryBytes = 59 },
@@ -215,14 +216,14 @@
 		},
 		"claim twice": func(s *State) {
 			s.claims.open["k"] = &claimRecord{claim: structs.Claim{State: structs.ClaimUnknown}}
-			s.claims.forgotten.add(hashKey("k"), 1)
+			s.claims.keyOnly.add(hashKey("k"), 1)
 		},
 		"claim expiry":    func(s *State) { s.claims.finished.expiry = append(s.claims.finished.expiry, expiryEntry{}) },
 		"claim holder":    func(s *State) { s.claims.finished.byKey[1] = finishedClaim{} },
-		"claim key count": func(s *State) { s.claims.forgotten.count++ },
+		"claim key count": func(s *State) { s.claims.keyOnly.count++ },
 		"claim key order": func(s *State) {
-			s.claims.forgotten.batches = []forgottenBatch{{end: 1, sorted: []keyHash{2, 1}}}
-			s.claims.forgotten.count = 2
+			s.claims.keyOnly.keyBatches = []keyBatch{{end: 1, sorted: []keyHash{2, 1}}}
+			s.claims.keyOnly.count = 2
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -235,7 +236,7 @@
 	}
 }
 
-func TestAdaptersAreNamedByTheirBase(t *testing.T) {
+func TestAdaptersOf(t *testing.T) {
 	s := New("z")
 	revision := uint64(0)
 	adopt := func(delta structs.TableDelta) {
--- a/placement/zone/table.go
+++ b/placement/zone/table.go
@@ -7,25 +7,25 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// adoptedTable is the table as far as the zone adopted it.
+// adoptedTable is the zone's copy of the table at the adopted revision.
 type adoptedTable struct {
 	revision  uint64
 	rows      map[structs.RowName]structs.Row
 	grants    map[structs.RowName]structs.Grant
 	elsewhere map[structs.RowName][]structs.ZoneID
-	// names are the names of the rows, in order.
+	// names contains the row names, sorted.
 	names []structs.RowName
-	// minimum holds the rows that are kept loaded without demand.
+	// minimum contains the rows with a positive MinReplicas.
 	minimum map[structs.RowName]bool
-	// adapters names the adapters of each base, in order.
+	// adapters maps each base to its adapters, sorted.
 	adapters map[structs.RowName][]structs.RowName
-	// lowered holds the rows whose grant has a limit below what is held, or is frozen.
+	// lowered contains the rows whose grant is frozen or has a limit below Held.
 	lowered map[structs.RowName]bool
-	// changes are ordered by revision; all changes after floor are there. They
-	// only serve queries.
+	// changes contains all changes after the revision floor, ordered by revision.
+	// It is used only for queries.
 	changes []tableChange
 	floor   uint64
-	// staged holds parts of a delta that are not in force.
+	// staged holds the parts of an incomplete delta.
 	staged *stagedDelta
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// adopt applies a delta. A delta that brings nothing new succeeds without effect.
+// adopt applies a delta. A delta that is not newer than the table has no effect.
 func (t *adoptedTable) adopt(zone structs.ZoneID, delta *structs.TableDelta) *structs.Error {
 	if problem := checkDelta(zone, delta); problem != nil {
 		return problem
@@ -73,10 +73,10 @@
 		t.setElsewhere(zones)
 	}
 	t.revision = delta.Revision
-	t.note(delta)
-	t.indexNames(delta)
+	t.recordChanges(delta)
+	t.updateNames(delta)
 	t.dropStaged()
-	t.trim()
+	t.trimChanges()
 	return nil
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// addAdapter names the row among the adapters of its base, if it has one.
+// addAdapter adds the row to the adapters of its base, if it has one.
 func (t *adoptedTable) addAdapter(row structs.Row) {
 	if row.Base == "" {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-// removeAdapter takes the row from the adapters of the base that it has so far.
+// removeAdapter removes the row from the adapters of its current base.
 func (t *adoptedTable) removeAdapter(name structs.RowName) {
 	base := t.rows[name].Base
 	names := t.adapters[base]
@@ -182,7 +182,7 @@
 // TableRevision returns the adopted table revision.
 func (s *State) TableRevision() uint64 { return s.table.revision }
 
-// Row returns the row, and false when the table has none of that name.
+// Row returns the row, and false if the table has none of that name.
 func (s *State) Row(name structs.RowName) (structs.Row, bool) {
 	row, ok := s.table.rows[name]
 	return row, ok
@@ -191,21 +191,20 @@
 // Rows returns all rows, ordered by name.
 func (s *State) Rows() []structs.Row { return s.table.sortedRows() }
 
-// RowsWithMinimum returns the names of the rows that are kept loaded without
-// demand, ordered by name.
+// RowsWithMinimum returns the sorted names of the rows with a positive MinReplicas.
 func (s *State) RowsWithMinimum() []structs.RowName {
 	return slices.Sorted(maps.Keys(s.table.minimum))
 }
 
-// AdaptersOf returns the names of the base's adapters, in order, until the next Apply. It is not to be
-// changed.
+// AdaptersOf returns the sorted names of the base's adapters. The slice must not be
+// modified and is valid until the next Apply.
 func (s *State) AdaptersOf(base structs.RowName) []structs.RowName { return s.table.adapters[base] }
 
-// Grant returns the zone's grant for the row; without one its limit is zero.
+// Grant returns the zone's grant for the row, with limit zero if there is none.
 func (s *State) Grant(row structs.RowName) structs.Grant { return s.table.grant(s.zone, row) }
 
-// LoweredGrants returns the grants with a limit below what is held and the frozen
-// ones, ordered by row.
+// LoweredGrants returns the grants that are frozen or have a limit below Held, ordered
+// by row.
 func (s *State) LoweredGrants() []structs.Grant {
 	var list []structs.Grant
 	for _, row := range slices.Sorted(maps.Keys(s.table.lowered)) {
@@ -217,7 +216,7 @@
 // Grants returns all grants, ordered by row.
 func (s *State) Grants() []structs.Grant { return s.table.full().Grants }
 
-// Elsewhere returns the zones with a positive limit for the row.
+// Elsewhere returns all zones with a positive limit for the row.
 func (s *State) Elsewhere(row structs.RowName) []structs.ZoneID {
 	return slices.Clone(s.table.elsewhere[row])
 }
--- a/placement/zone/tablechanges.go
+++ b/placement/zone/tablechanges.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// maxTableChanges bounds the remembered changes; who is further behind gets the
-	// whole table.
+	// maxTableChanges is the maximum number of recorded changes. Readers that are
+	// further behind get the full table.
 	maxTableChanges = 1 << 14
-	// maxDeltaChanges bounds the changes of one delta, some 140 bytes each, but for
-	// those of its last revision; a reader that is further behind asks again.
+	// maxDeltaChanges limits the changes in one delta, of about 140 bytes each. The
+	// changes of the last revision may exceed it. Readers that are further behind
+	// request another delta.
 	maxDeltaChanges = 1 << 11
-	// maxNamesInserted is up to how many rows are put into the ordered names one by
-	// one; more are sorted in.
+	// maxNamesInserted is the largest delta whose names are inserted one by one; for
+	// larger deltas all names are sorted again.
 	maxNamesInserted = 32
 )
 
-// tableChange says that the row, its grant or its zones changed at the revision.
+// tableChange records that the row, its grant or its zones changed at the revision.
 type tableChange struct {
 	revision uint64
 	row      structs.RowName
 }
 
-// note remembers the changes of a delta for later ones, each row once; a full delta
-// is a floor instead.
-func (t *adoptedTable) note(delta *structs.TableDelta) {
+// recordChanges records the changes of a delta, each row once. A full delta is not
+// recorded; it sets the floor instead.
+func (t *adoptedTable) recordChanges(delta *structs.TableDelta) {
 	if delta.Full {
 		return
 	}
@@ -53,7 +54,7 @@
 	}
 }
 
-func (t *adoptedTable) trim() {
+func (t *adoptedTable) trimChanges() {
 	if len(t.changes) <= maxTableChanges {
 		return
 	}
@@ -65,19 +66,19 @@
 	t.changes = slices.Clone(t.changes[cut:])
 }
 
-// needsWhole reports whether the changes after the revision are not remembered.
-func (t *adoptedTable) needsWhole(revision uint64) bool {
+// needsFullTable reports whether the changes after the revision are no longer recorded.
+func (t *adoptedTable) needsFullTable(revision uint64) bool {
 	return revision < t.revision && (revision < t.floor || revision == 0)
 }
 
-// since builds the delta for a reader that has the table at revision. One with many
-// changes ends at an earlier revision than the table's: what it lists may be newer
-// than that, and comes again with the changes that follow.
+// since returns the delta for a reader that has the table at the given revision. A
+// large delta ends before the table's revision; its contents may then be newer than
+// its revision and are repeated in the next delta.
 func (t *adoptedTable) since(zone structs.ZoneID, revision uint64) structs.TableDelta {
 	if revision >= t.revision {
 		return structs.TableDelta{SinceRevision: t.revision, Revision: t.revision}
 	}
-	if t.needsWhole(revision) {
+	if t.needsFullTable(revision) {
 		return t.full()
 	}
 	changes, last := t.changesAfter(revision)
@@ -98,8 +99,8 @@
 	return delta
 }
 
-// changesAfter returns the changes after the revision, or the first of them up to a
-// later revision, and that revision.
+// changesAfter returns the changes after the revision, limited by maxDeltaChanges, and
+// the revision that they lead to.
 func (t *adoptedTable) changesAfter(revision uint64) ([]tableChange, uint64) {
 	first := sort.Search(len(t.changes), func(i int) bool { return t.changes[i].revision > revision })
 	changes := t.changes[first:]
@@ -114,22 +115,22 @@
 	return changes[:end], last
 }
 
-// indexNames brings the ordered names up to date with an adopted delta.
-func (t *adoptedTable) indexNames(delta *structs.TableDelta) {
+// updateNames updates the sorted names after a delta.
+func (t *adoptedTable) updateNames(delta *structs.TableDelta) {
 	if len(delta.Rows)+len(delta.Deleted) > maxNamesInserted {
 		t.names = slices.Sorted(maps.Keys(t.rows))
 		return
 	}
 	for _, row := range delta.Rows {
-		t.indexName(row.Name)
+		t.updateName(row.Name)
 	}
 	for _, name := range delta.Deleted {
-		t.indexName(name)
+		t.updateName(name)
 	}
 }
 
-// indexName puts the name in or takes it out, as the table has its row or not.
-func (t *adoptedTable) indexName(name structs.RowName) {
+// updateName inserts or removes the name, depending on whether the table has its row.
+func (t *adoptedTable) updateName(name structs.RowName) {
 	_, exists := t.rows[name]
 	at, listed := slices.BinarySearch(t.names, name)
 	switch {
--- a/placement/zone/tablepart.go
+++ b/placement/zone/tablepart.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// MaxPartChanges bounds the changes of one log entry that adopts a table: rows,
-	// deletions, grants and lists of zones together. A part then has about 1 MB.
+	// MaxPartChanges is the maximum number of rows, deletions, grants and zone lists
+	// in one log entry that adopts a table, about 1 MB in all.
 	MaxPartChanges = 8192
-	// maxParts bounds the parts of one delta.
+	// maxParts is the maximum number of parts of a delta.
 	maxParts = 4096
 )
 
-// AdoptPartCommand adopts a delta that is too large for one entry. Its parts follow
-// each other in the log; the last one brings all of them into force at once. A part
-// that does not follow the one before is refused, and the delta begins again.
+// AdoptPartCommand carries a part of a delta that is too large for one log entry. The
+// last part adopts the whole delta atomically. A part that is out of sequence is
+// refused, and the delta must be sent again from its first part.
 type AdoptPartCommand struct {
-	// Part counts from 0 to Parts-1.
+	// Part is the index of the part, from 0 to Parts-1.
 	Part  int
 	Parts int
-	// Delta has the revisions of the whole delta, and this part of its changes.
+	// Delta contains the revisions of the whole delta and this part's changes.
 	Delta structs.TableDelta
 }
 
-// stagedDelta holds the parts of a delta that is not in force yet.
+// stagedDelta holds the parts of an incomplete delta.
 type stagedDelta struct {
 	delta structs.TableDelta
 	parts int
 	next  int
 }
 
-// AdoptCommands returns the commands that adopt the delta, with at most changes each
-// (MaxPartChanges but in tests): one Adopt, or parts in their order.
+// AdoptCommands returns the commands that adopt the delta, each with at most the given
+// number of changes: one Adopt command, or AdoptPart commands in order.
 func AdoptCommands(delta structs.TableDelta, changes int) []Command {
 	if countChanges(delta) <= changes {
 		return []Command{{Adopt: &delta}}
@@ -59,14 +59,14 @@
 	return len(delta.Rows) + len(delta.Deleted) + len(delta.Grants) + len(delta.Elsewhere)
 }
 
-// takeChanges takes as many of the changes as there is room for.
+// takeChanges splits the list after at most *room changes and reduces *room by them.
 func takeChanges[T any](list []T, room *int) (taken, rest []T) {
 	count := min(*room, len(list))
 	*room -= count
 	return list[:count:count], list[count:]
 }
 
-// adoptPart stages a part. The last one adopts the whole delta.
+// adoptPart stages a part of a delta and adopts the delta with its last part.
 func (t *adoptedTable) adoptPart(zone structs.ZoneID, command *AdoptPartCommand) *structs.Error {
 	delta := &command.Delta
 	if problem := checkDelta(zone, delta); problem != nil {
@@ -74,7 +74,7 @@
 	}
 	if command.Parts < 1 || command.Parts > maxParts || command.Part < 0 || command.Part >= command.Parts {
 		return structs.NewError(structs.ErrorInvalid,
-			fmt.Sprintf("part %d of %d of a table delta cannot be", command.Part, command.Parts),
+			fmt.Sprintf("part %d of %d of a table delta is out of range", command.Part, command.Parts),
 			"Count the parts from 0.")
 	}
 	if delta.Revision <= t.revision {
@@ -112,14 +112,14 @@
 	s.next++
 }
 
-// dropStaged forgets parts of a delta that brings nothing new any more.
+// dropStaged discards a staged delta that is not newer than the table.
 func (t *adoptedTable) dropStaged() {
 	if t.staged != nil && t.staged.delta.Revision <= t.revision {
 		t.staged = nil
 	}
 }
 
-// snapshotStaged is a stagedDelta.
+// snapshotStaged is a stagedDelta in a snapshot.
 type snapshotStaged struct {
 	Delta structs.TableDelta
 	Parts int
@@ -139,7 +139,7 @@
 	}
 	isSound := saved.Parts <= maxParts && saved.Next > 0 && saved.Next < saved.Parts && saved.Delta.Revision > t.revision
 	if !isSound || checkDelta(zone, &saved.Delta) != nil {
-		return corrupt("the zone snapshot holds bad parts of a table")
+		return corrupt("the zone snapshot has invalid parts of a table")
 	}
 	t.staged = &stagedDelta{delta: saved.Delta, parts: saved.Parts, next: saved.Next}
 	return nil
--- a/placement/zone/tablepart_test.go
+++ b/placement/zone/tablepart_test.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// wideDelta has rows, deletions, grants and lists of zones.
+// wideDelta returns a delta with rows, deletions, grants and zone lists.
 func wideDelta(revision uint64, full bool) structs.TableDelta {
 	// The runner "a" has a replica of "model".
 	delta := structs.TableDelta{
@@ -27,8 +27,8 @@
 	return delta
 }
 
-// crash continues with what a restarted member has from a snapshot.
-func (m *testMachine) crash(c *qt.C) {
+// restart replaces the state by one restored from its snapshot.
+func (m *testMachine) restart(c *qt.C) {
 	data, err := m.Snapshot()
 	c.Assert(err, qt.IsNil)
 	restored := New("z")
@@ -45,7 +45,7 @@
 	return string(encoded)
 }
 
-func TestPartsComeIntoForceTogetherThroughCrashes(t *testing.T) {
+func TestDeltaPartsAreAdoptedAtomicallyAcrossRestarts(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		for changes := 1; changes <= 9; changes++ {
 			t.Run(fmt.Sprintf("full=%t, %d changes a part", full, changes), func(t *testing.T) {
@@ -58,11 +58,11 @@
 				for number, command := range commands {
 					c.Assert(countChanges(command.AdoptPart.Delta) <= changes, qt.IsTrue)
 					c.Assert(asError(parted.do(command).Error), qt.IsNil)
-					parted.crash(c)
+					parted.restart(c)
 					if number == len(commands)-1 {
 						break
 					}
-					// Nothing of the new table is in force yet.
+					// The new table must not be visible yet.
 					c.Assert(parted.TableRevision(), qt.Equals, uint64(5))
 					c.Assert(asError(parted.do(reserve("row-9-0", "b", 2)).Error), qt.IsNotNil)
 					staged := parted.table.staged
@@ -88,12 +88,12 @@
 	c.Assert(kindOf(newer[2]), qt.Equals, structs.ErrorConflict) // of another delta
 	c.Assert(kindOf(older[1]), qt.Equals, structs.ErrorConflict) // twice
 	for _, command := range newer {
-		m.must(command) // another leader begins anew
+		m.must(command) // another leader starts again
 	}
 	c.Assert(m.TableRevision(), qt.Equals, uint64(9))
 	c.Assert(m.Rows(), qt.HasLen, 8)
 	for _, command := range older[2:] {
-		m.must(command) // brings nothing new
+		m.must(command) // not newer than the table
 	}
 	c.Assert(m.TableRevision(), qt.Equals, uint64(9))
 	c.Assert(m.table.staged, qt.IsNil)
@@ -102,7 +102,7 @@
 	c.Assert(kindOf(Command{AdoptPart: &bad}), qt.Equals, structs.ErrorInvalid)
 }
 
-func TestStagedPartsGoOnceAWholeDeltaIsNewer(t *testing.T) {
+func TestNewerDeltaDiscardsStagedParts(t *testing.T) {
 	c := qt.New(t)
 	m := newTestMachine()
 	m.must(AdoptCommands(wideDelta(8, true), 5)[0])
--- a/placement/zone/view.go
+++ b/placement/zone/view.go
@@ -6,8 +6,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// View returns what changed for a router that has the table at sinceTable and
-// the placement as of sinceIndex (0 for none). The caller sets the Epoch.
+// View returns the changes for a router that has the table at revision sinceTable and
+// the placement at sinceIndex (0 for none). The caller sets Epoch.
 func (s *State) View(sinceTable, sinceIndex uint64) structs.ZoneView {
 	return structs.ZoneView{
 		Index:      s.index,
@@ -17,8 +17,8 @@
 	}
 }
 
-// placementSince lists the runners that changed after the index with all of their
-// replicas, all runners for index 0, and nil when none changed.
+// placementSince returns the runners that changed after the index with all their
+// replicas; for index 0, all runners. It returns nil if nothing changed.
 func (s *State) placementSince(index uint64) *structs.Placement {
 	if index > 0 && index >= s.placementIndex {
 		return nil
@@ -48,10 +48,9 @@
 	return changed
 }
 
-// notePlacement remembers that the command at the index changed the runner or a
-// replica on it. It serves queries only and is not part of a snapshot: after a
-// restore every runner counts as changed at the last such index.
-func (s *State) notePlacement(runner structs.RunnerID, index uint64) {
+// recordPlacementChange records that the command at the index changed the runner or a
+// replica on it. The index of each runner is used only for views.
+func (s *State) recordPlacementChange(runner structs.RunnerID, index uint64) {
 	s.placementIndex = index
 	s.runnerIndex[runner] = index
 }
--- a/placement/zone/view_test.go
+++ b/placement/zone/view_test.go
@@ -9,21 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-// follower keeps a placement up to date by views, as a router does.
-type follower struct {
+// testRouter maintains a placement from views, as a router does.
+type testRouter struct {
 	index    uint64
 	runners  map[structs.RunnerID]structs.RunnerInfo
 	replicas map[structs.RunnerID][]structs.Replica
 }
 
-// recordsKeeper holds the records of the state at its recordsIndex.
-type recordsKeeper struct {
+// recordsChecker checks that records change only together with RecordsIndex.
+type recordsChecker struct {
 	recordsIndex uint64
 	records      []any
 }
 
-// keep compares the records with those kept at the same RecordsIndex.
-func (f *recordsKeeper) keep(t *rapid.T, s *State) {
+// check compares the records with those last seen at the same RecordsIndex.
+func (f *recordsChecker) check(t *rapid.T, s *State) {
 	records := []any{s.Runners(), s.Replicas()}
 	if f.records != nil && f.recordsIndex == s.RecordsIndex() {
 		equal(t, records, f.records)
@@ -32,7 +32,7 @@
 	f.records = records
 }
 
-func (f *follower) adopt(view structs.ZoneView) {
+func (f *testRouter) adopt(view structs.ZoneView) {
 	f.index = view.Index
 	if view.Placement == nil {
 		return
@@ -50,21 +50,21 @@
 	}
 }
 
-// follow polls the machine or its twin, whose change indexes a restore made
-// coarser, and compares what the follower knows with the whole placement.
-func (m *randomMachine) follow(t *rapid.T, f *follower) {
+// pollView updates the router from the machine or the restored state and compares its
+// placement with the full one.
+func (m *randomMachine) pollView(t *rapid.T, f *testRouter) {
 	source := m.State
 	if rapid.Bool().Draw(t, "twin") {
-		source = m.twin
+		source = m.restored
 	}
 	f.adopt(source.View(0, f.index))
-	whole := &follower{}
+	whole := &testRouter{}
 	whole.adopt(m.View(0, 0))
 	equal(t, f.runners, whole.runners)
 	equal(t, f.replicas, whole.replicas)
 }
 
-func TestAViewNamesOnlyTheRunnersThatChanged(t *testing.T) {
+func TestViewContainsOnlyChangedRunners(t *testing.T) {
 	c := qt.New(t)
 	m := newTestMachine()
 	seen := m.View(0, 0)
@@ -78,8 +78,8 @@
 	c.Assert(view.Placement.Replicas, qt.HasLen, 0)
 }
 
-// BenchmarkViewOfOneChange makes the view that a router gets after one of the
-// zone's runners changed, beside the whole placement.
+// BenchmarkViewOfOneChange compares the view of one changed runner with that of the
+// whole placement.
 func BenchmarkViewOfOneChange(b *testing.B) {
 	m := newLargeState(420, 58_000)
 	before := m.Index()
@@ -97,7 +97,7 @@
 	}
 }
 
-// countingWriter counts what is written to it.
+// countingWriter counts the bytes written to it.
 type countingWriter int
 
 func (w *countingWriter) Write(data []byte) (int, error) {
--- a/placement/zone/viewpart.go
+++ b/placement/zone/viewpart.go
@@ -6,17 +6,18 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// maxPartRows bounds the rows of one part of the table, some 140 bytes each.
+// maxPartRows is the maximum number of rows in a part of the table, of about 140
+// bytes each.
 const maxPartRows = 1 << 10
 
-// AnswersPart reports whether the answer to the request is a part of the whole table:
-// the reader asks for one, has no table, or is behind the changes that are remembered.
+// AnswersPart reports whether the request is answered with a part of the full table:
+// the reader asks for it, has no table, or is behind the recorded changes.
 func (s *State) AnswersPart(request structs.ViewRequest) bool {
-	return request.Whole || s.table.needsWhole(request.SinceTable)
+	return request.Whole || s.table.needsFullTable(request.SinceTable)
 }
 
-// ViewFor answers a reader that takes a whole table in parts: with a part of it, or
-// with what changed.
+// ViewFor returns the view for a reader that accepts the full table in parts: a part,
+// or the changes.
 func (s *State) ViewFor(request structs.ViewRequest) structs.ZoneView {
 	if s.AnswersPart(request) {
 		return s.ViewPart(request.After, request.SinceIndex)
@@ -24,9 +25,9 @@
 	return s.View(request.SinceTable, request.SinceIndex)
 }
 
-// ViewPart is View with a part of the whole table instead of its changes: the rows
-// that follow the name after, in order, and what belongs to them. The first part
-// follows the empty name.
+// ViewPart is like View, with a part of the full table instead of its changes: the
+// next rows in name order after the given name, with their grants and zones. An empty
+// name selects the first part.
 func (s *State) ViewPart(after structs.RowName, sinceIndex uint64) structs.ZoneView {
 	first, found := slices.BinarySearch(s.table.names, after)
 	if found {
@@ -50,7 +51,7 @@
 	return view
 }
 
-// part lists the rows with their grants and zones.
+// part returns a full delta of the named rows with their grants and zones.
 func (t *adoptedTable) part(names []structs.RowName) structs.TableDelta {
 	delta := structs.TableDelta{Revision: t.revision, Full: true, Rows: make([]structs.Row, 0, len(names))}
 	for _, name := range names {
--- a/placement/zone/wellformed.go
+++ b/placement/zone/wellformed.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// maxNesting bounds how deep encoded values are nested.
+	// maxNesting is the maximum nesting depth of encoded values.
 	maxNesting = 16
-	// maxElements bounds the elements of all arrays and maps together, because
-	// decoding an element can take far more memory than its encoded bytes.
+	// maxElements is the maximum total number of array and map elements. A decoded
+	// element can take far more memory than its encoding.
 	maxElements = 4 << 20
 )
 
-// scanner walks over msgpack without decoding it. The codec allocates what a
-// header declares before it looks whether so much is there, so declared lengths
-// are checked first.
+// scanner validates msgpack without decoding it. The codec allocates the length
+// declared by a header without checking it against the data, so lengths are checked
+// beforehand.
 type scanner struct {
 	rest     []byte
 	elements uint64
 }
 
-// wellFormed reports whether the data begins with one whole value whose declared
-// lengths fit into the data and the bounds.
+// wellFormed reports whether the data begins with a complete value whose declared
+// lengths are within the data and the limits.
 func wellFormed(data []byte) bool {
 	s := scanner{rest: data}
 	return s.value(maxNesting)
@@ -51,7 +51,7 @@
 	return s.scalar(code)
 }
 
-// scalar skips the rest of a value without elements.
+// scalar skips the rest of a value that is not an array or a map.
 func (s *scanner) scalar(code byte) bool {
 	switch {
 	case code == 0xc0 || code == 0xc2 || code == 0xc3: // nil, false, true
@@ -95,8 +95,8 @@
 	return true
 }
 
-// length reads a length of the given number of bytes; one that is cut off counts
-// as larger than any data.
+// length reads a length of the given number of bytes. It returns math.MaxUint32 if
+// the data is truncated.
 func (s *scanner) length(size int) uint64 {
 	if len(s.rest) < size {
 		return math.MaxUint32
