--- a/placement/table/adapter_test.go
+++ b/placement/table/adapter_test.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// servingZonesOf lists the zones with a positive limit, as a router learns them.
+// servingZonesOf returns the zones with a positive limit, as routers see them.
 func servingZonesOf(state *State, row string) string {
 	text := ""
 	for _, grant := range state.Grants(structs.RowName(row)) {
@@ -19,7 +19,7 @@
 	return text
 }
 
-// minimumsOf writes what each zone is to keep loaded as "a:count".
+// minimumsOf formats the positive minimums of the zones as "a:count".
 func minimumsOf(state *State, row string) string {
 	text := ""
 	for _, grant := range state.Grants(structs.RowName(row)) {
@@ -35,7 +35,7 @@
 	return row
 }
 
-func TestAdapterIsServedOnlyWhereItsBaseIs(t *testing.T) {
+func TestAdapterIsServedOnlyInZonesOfItsBase(t *testing.T) {
 	state := stateWith(4)
 	var changes []structs.RowChange
 	for i := range 40 {
@@ -55,16 +55,16 @@
 	}
 }
 
-func TestAdapterFollowsItsBase(t *testing.T) {
+func TestAdapterMovesWithItsBase(t *testing.T) {
 	state := stateWith(2)
 	mustApply(t, state, editOf("make", put(modelRow("m", 1), 0), put(adapterRow("x", "m", 2), 0)))
 	from := servingZonesOf(state, "m")
 	to := map[string]string{"a": "b", "b": "a"}[from]
 	qt.Assert(t, limitsOf(state, "x"), qt.Equals, from+":2/2 ")
-	// Zone `to` wishes the adapter: that alone brings it nothing.
+	// A wish for the adapter alone does not move it to the zone `to`.
 	mustApply(t, state, wishOf(to, "x", 1))
 	qt.Assert(t, servingZonesOf(state, "x"), qt.Equals, from)
-	// The base moves, and the adapter with it as far as it was given back.
+	// The base moves, and the adapter follows once its replicas are released.
 	mustApply(t, state, wishOf(to, "m", 1))
 	qt.Assert(t, servingZonesOf(state, "m")+servingZonesOf(state, "x"), qt.Equals, "")
 	qt.Assert(t, grantOf(state, "x", from).Held, qt.Equals, 2)
@@ -95,7 +95,7 @@
 	qt.Assert(t, limitsOf(state, "x"), qt.Equals, "a:1/1 b:1/1 ")
 }
 
-func TestAdapterChangesBaseOrIsMadeAgain(t *testing.T) {
+func TestAdapterIsRebasedOrRecreated(t *testing.T) {
 	state := stateWith(2)
 	mustApply(t, state, editOf("make", put(modelRow("m", 1), 0), put(modelRow("n", 0), 0), put(adapterRow("x", "m", 1), 0)))
 	zone := servingZonesOf(state, "m")
@@ -105,7 +105,7 @@
 	mustApply(t, state, editOf("delete", remove("x", state.rows["x"].row.Revision), remove("n", state.rows["n"].row.Revision)))
 	mustApply(t, state, editOf("again", put(adapterRow("x", "m", 1), 0)))
 	qt.Assert(t, limitsOf(state, "x"), qt.Equals, zone+":1/1 ")
-	// A version is loaded alone: it goes where it wants.
+	// A version is loaded without its base, so it is not limited to the base's zones.
 	version := adapterRow("v", "m", 2)
 	version.Kind = structs.RowVersion
 	mustApply(t, state, editOf("version", put(version, 0)))
@@ -134,10 +134,10 @@
 	qt.Assert(t, []int{sum("m"), sum("x"), sum("n")}, qt.DeepEquals, []int{2, 3, 0})
 	kept := minimumsOf(state, "m")
 	sequence := grantOf(state, "m", "a").Sequence
-	// Limits that move elsewhere leave the minimums where they are.
+	// Moving limits between zones keeps the minimums.
 	mustApply(t, state, wishOf("a", "m", 2))
 	qt.Assert(t, minimumsOf(state, "m"), qt.Equals, kept)
-	// The base is down to one replica: so is what can be kept of the adapter.
+	// The adapter's minimum is capped by the base's single replica.
 	mustApply(t, state, editOf("lower", put(withMinimum(modelRow("m", 1), 1), state.rows["m"].row.Revision)))
 	qt.Assert(t, []int{sum("m"), sum("x")}, qt.DeepEquals, []int{1, 1})
 	qt.Assert(t, minimumsOf(state, "x"), qt.Equals, minimumsOf(state, "m"))
@@ -146,9 +146,8 @@
 	qt.Assert(t, []int{sum("m"), sum("x")}, qt.DeepEquals, []int{0, 0})
 }
 
-// Zones register one after the other while the row exists already: in the end each
-// keeps its part, though the first had all of it.
-func TestMinimumIsLevelledAsZonesCome(t *testing.T) {
+// The minimums of existing zones must move to zones that are added later.
+func TestMinimumIsRebalancedWhenZonesAreAdded(t *testing.T) {
 	state := stateWith(2)
 	mustApply(t, state, editOf("make", put(withMinimum(modelRow("m", 8), 4), 0)))
 	qt.Assert(t, minimumsOf(state, "m"), qt.Equals, "a:2 b:2 ")
@@ -162,7 +161,7 @@
 	qt.Assert(t, minimumsOf(state, "m"), qt.Equals, "a:1 b:1 c:1 d:1 ")
 }
 
-func TestMinimumAloneReachesZones(t *testing.T) {
+func TestMinimumChangeAloneIsSentToZones(t *testing.T) {
 	state := stateWith(2)
 	mustApply(t, state, editOf("make", put(modelRow("m", 4), 0)))
 	since := state.Revision()
--- a/placement/table/answer.go
+++ b/placement/table/answer.go
@@ -8,19 +8,19 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// editDigest is the hash of an edit's content.
+// editDigest is a truncated SHA-256 hash of an edit's content.
 type editDigest [16]byte
 
-// answerRecord is the first answer to an edit, with the edit's digest.
+// answerRecord is the recorded result of an edit, with the edit's digest.
 type answerRecord struct {
 	digest editDigest
 	result structs.EditResult
 }
 
-// answerLog keeps the first answers to the newest EditResultRetention edit IDs.
+// answerLog records the results of the latest EditResultRetention edit IDs.
 type answerLog struct {
 	byID map[structs.EditID]answerRecord
-	// order lists the IDs from the oldest on.
+	// order lists the IDs, oldest first.
 	order []structs.EditID
 }
 
@@ -33,7 +33,8 @@
 	return record, found
 }
 
-// add keeps an answer whose ID is not in the log, and forgets the oldest.
+// add records an answer whose ID is not in the log, and evicts the oldest one if the
+// log is full.
 func (l *answerLog) add(record answerRecord) {
 	l.byID[record.result.ID] = record
 	l.order = append(l.order, record.result.ID)
@@ -44,8 +45,7 @@
 	}
 }
 
-// cloneResult copies an answer, so that what the caller does with it stays out of
-// the log.
+// cloneResult returns a deep copy of a result.
 func cloneResult(result structs.EditResult) structs.EditResult {
 	result.Problems = slices.Clone(result.Problems)
 	result.Conflicts = slices.Clone(result.Conflicts)
@@ -58,8 +58,8 @@
 	return result
 }
 
-// digestOf hashes what counts of an edit: not Row.Revision, which the table sets,
-// and of a deletion only the name.
+// digestOf hashes the content of an edit. It ignores Row.Revision, which the table
+// sets, and all fields of deleted rows but the name.
 func digestOf(edit structs.Edit) editDigest {
 	edit.Changes = slices.Clone(edit.Changes)
 	for i := range edit.Changes {
@@ -70,7 +70,7 @@
 		}
 	}
 	hash := sha256.New()
-	// Neither the hash nor a struct of strings and integers can fail to encode.
+	// Cannot fail: hashes accept all writes, and the struct has only encodable fields.
 	if err := msgpack.NewEncoder(hash).Encode(&edit); err != nil {
 		panic(err)
 	}
--- a/placement/table/benchmark_test.go
+++ b/placement/table/benchmark_test.go
@@ -16,8 +16,8 @@
 	benchmarkZones    = 24
 )
 
-// benchmarkState has 58,000 rows over 24 zones. Every zone has a grant entry on
-// every row when full is set, as after demand from everywhere.
+// benchmarkState returns a state of 58,000 rows and 24 zones. If full is set, every
+// zone has wished for every row and so has a grant entry for it.
 func benchmarkState(b *testing.B, full bool) *State {
 	b.Helper()
 	state := stateWith(benchmarkZones)
@@ -122,9 +122,8 @@
 	}
 }
 
-// BenchmarkBaseMovesWithItsAdapters moves a base, which its adapters all follow,
-// between two zones: each iteration is the wish that moves it and the releases of
-// the base, after which it is split among all zones again.
+// BenchmarkBaseMovesWithItsAdapters moves a base and its adapters between two zones.
+// Each iteration applies the wishes that move the base and the releases of the base.
 func BenchmarkBaseMovesWithItsAdapters(b *testing.B) {
 	for _, adapters := range []int{0, 58, 232, 928} {
 		b.Run(fmt.Sprintf("adapters=%d", adapters), func(b *testing.B) {
--- a/placement/table/codec_test.go
+++ b/placement/table/codec_test.go
@@ -10,7 +10,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// sampleState has a zone, a removed zone, rows, a tombstone and refused edits.
+// sampleState returns a state with zones, a removed zone, a row, a tombstone and
+// refused edits.
 func sampleState(t testing.TB) *State {
 	state := stateWith(3)
 	mustApply(t, state, editOf("e1", put(modelRow("m", 4), 0), put(adapterRow("x", "m", 2), 0)))
@@ -88,7 +89,7 @@
 	qt.Assert(t, restored.History(0), qt.DeepEquals, state.History(0))
 }
 
-func TestDamagedSnapshotLeavesStateAsItWas(t *testing.T) {
+func TestCorruptSnapshotLeavesStateUnchanged(t *testing.T) {
 	good, err := sampleState(t).Snapshot()
 	qt.Assert(t, err, qt.IsNil)
 	state := sampleState(t)
@@ -127,8 +128,8 @@
 	})
 }
 
-// The fuzzer works on the plain content, which a checksum otherwise hides; what
-// it finds acceptable must survive commands. The bytes also go in as they are.
+// FuzzRestore feeds the data both to Restore and, bypassing the checksum, to
+// restorePlain. A restored state must accept commands.
 func FuzzRestore(f *testing.F) {
 	var plain bytes.Buffer
 	writer := snapshotWriter{encoder: msgpack.NewEncoder(&plain)}
--- a/placement/table/command.go
+++ b/placement/table/command.go
@@ -20,12 +20,12 @@
 // EditCommand applies an operator's edit.
 type EditCommand struct {
 	Edit structs.Edit
-	// At is the leader's clock; it is only recorded.
+	// At is the leader's clock, recorded in the history.
 	At time.Time
 }
 
-// WishCommand replaces the wishes of a zone for the rows it names. Rows that are
-// not in the table are passed over.
+// WishCommand replaces a zone's wishes, the numbers of replicas it wants, for the
+// named rows. Rows that are not in the table are ignored.
 type WishCommand struct {
 	Zone   structs.ZoneID
 	Wishes []structs.GrantWish
@@ -34,13 +34,14 @@
 // ZoneCommand adds a zone, sets its weight, or removes it.
 type ZoneCommand struct {
 	Zone structs.ZoneID
-	// Weight is the zone's share of limits that no zone wishes, 1 to 1000.
+	// Weight is the zone's relative share of limits that no zone wishes for, from 1
+	// to MaxZoneWeight.
 	Weight int
-	// Remove takes the zone's limits away. What it holds stays counted until it
-	// releases it.
+	// Remove sets the zone's limits to zero. Replicas that it holds are counted until
+	// it releases them.
 	Remove bool
-	// Force, with Remove, is the operator's word that the zone's runners are off:
-	// what the zone holds is freed at once.
+	// Force, with Remove, means that an operator confirmed that the zone's runners
+	// are off: the replicas that the zone holds are freed at once.
 	Force bool
 }
 
@@ -51,16 +52,16 @@
 	Revision uint64
 }
 
-// Result is the answer to a Command. Edit is set for every edit that was
-// decided, accepted or not; Error is set when the command itself was refused.
-// Both are nil for other commands that were applied or had nothing to do.
+// Result is the result of a Command. Edit is set for every edit that was checked,
+// accepted or not. Error is set if the command itself was refused. Both are nil for
+// other commands that succeeded, with or without effect.
 type Result struct {
 	Edit  *structs.EditResult
 	Error *structs.Error
 }
 
-// EncodeCommand encodes a command with msgpack. A command with no field or more
-// than one field set is refused with ErrorInvalid.
+// EncodeCommand encodes a command with msgpack. It returns ErrorInvalid unless exactly
+// one field is set.
 func EncodeCommand(command Command) ([]byte, error) {
 	if refusal := command.check(); refusal != nil {
 		return nil, refusal
@@ -74,9 +75,9 @@
 	return buffer.Bytes(), nil
 }
 
-// DecodeCommand decodes what EncodeCommand made. Unknown fields, lengths beyond
-// the data, trailing bytes, and commands with no field or more than one field
-// set are refused with ErrorCorrupt. It never panics.
+// DecodeCommand decodes the output of EncodeCommand. It returns ErrorCorrupt for
+// unknown fields, lengths beyond the data, trailing bytes, and commands without
+// exactly one field set. It never panics.
 func DecodeCommand(data []byte) (Command, error) {
 	if err := checkWellFormed(data); err != nil {
 		return Command{}, corruptCommand(err.Error())
@@ -101,7 +102,7 @@
 		"Check that all members of the global group run the same version.")
 }
 
-// check reports whether exactly one field is set.
+// check returns ErrorInvalid unless exactly one field is set.
 func (c Command) check() *structs.Error {
 	count := 0
 	for _, set := range []bool{c.Edit != nil, c.Release != nil, c.Wish != nil, c.Zone != nil, c.InForce != nil} {
--- a/placement/table/settle_test.go
+++ b/placement/table/convergence_test.go
@@ -8,9 +8,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// After wishes stop and zones release what they must, an adapter's limits are
-// whole wherever its base has any.
-func TestAdaptersSettleWithTheirBase(t *testing.T) {
+// Without new wishes, after all releases, an adapter's limits must add up to its
+// maximum unless its base has no replicas.
+func TestAdapterLimitsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := stateWith(rapid.IntRange(1, 6).Draw(t, "zones"))
 		baseMax := rapid.IntRange(0, 6).Draw(t, "base max")
@@ -29,7 +29,7 @@
 		sum := 0
 		for _, grant := range state.Grants("x") {
 			if grant.Held != grant.Limit {
-				t.Fatalf("not settled: %s", limitsOf(state, "x"))
+				t.Fatalf("not converged: %s", limitsOf(state, "x"))
 			}
 			sum += grant.Limit
 		}
@@ -43,9 +43,9 @@
 	})
 }
 
-// After wishes stop and zones release what they must, the limits are whole and
-// nothing moves any more.
-func TestGrantsSettle(t *testing.T) {
+// Without new wishes, after all releases, the limits must add up to the maximum and
+// stop changing.
+func TestLimitsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := stateWith(rapid.IntRange(1, 6).Draw(t, "zones"))
 		maxReplicas := rapid.IntRange(0, 20).Draw(t, "max")
@@ -58,7 +58,7 @@
 		sum := 0
 		for _, grant := range state.Grants("m") {
 			if grant.Held != grant.Limit {
-				t.Fatalf("not settled: %s", limitsOf(state, "m"))
+				t.Fatalf("not converged: %s", limitsOf(state, "m"))
 			}
 			sum += grant.Limit
 		}
--- a/placement/table/delta.go
+++ b/placement/table/delta.go
@@ -7,14 +7,14 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// noZone is the index of a zone that has no grants.
+// noZone is the index used for unknown zones, which have no grants.
 const noZone = math.MaxUint16
 
-// Delta returns what changed after the revision since, for the zone: rows,
-// deletions, the zone's grants, and the zones that may serve the changed rows.
-// Its cost depends on what changed. The delta is full when since is 0, newer than
-// the table, or older than the deletions that are remembered; a full one has the
-// zone's grants of deleted rows too, while the zone still holds replicas of them.
+// Delta returns the changes after the revision since for the zone: rows, deletions,
+// the zone's grants, and the zones that may serve the changed rows. Its cost is
+// proportional to the number of changed rows. The delta is full if since is 0, newer
+// than the table, or older than the recorded deletions. A full delta includes the
+// zone's grants of deleted rows of which the zone still holds replicas.
 func (s *State) Delta(zone structs.ZoneID, since uint64) structs.TableDelta {
 	delta := structs.TableDelta{SinceRevision: since, Revision: s.revision}
 	if since == 0 || since > s.revision || since < s.floor {
@@ -31,8 +31,7 @@
 	return delta
 }
 
-// Changes returns the rows and deletions after the revision since, as Delta does,
-// without grants.
+// Changes returns the rows and deletions of Delta, without grants.
 func (s *State) Changes(since uint64) structs.TableDelta {
 	delta := structs.TableDelta{SinceRevision: since, Revision: s.revision}
 	if since == 0 || since > s.revision || since < s.floor {
@@ -51,10 +50,10 @@
 	return delta
 }
 
-// changedAfter lists the rows and tombstones changed after since, oldest first.
+// changedAfter returns the rows and tombstones changed after since, oldest first.
 func (s *State) changedAfter(since uint64) []*rowState {
 	var changed []*rowState
-	for row := s.changes.newest; row != nil && row.changed > since; row = row.previous {
+	for row := s.changes.newest; row != nil && row.changed > since; row = row.prev {
 		changed = append(changed, row)
 	}
 	slices.Reverse(changed)
@@ -73,7 +72,7 @@
 		grant := row.grants[position]
 		isEmpty := grant.limit == 0 && grant.held == 0
 		if grant.sequence > since && !(delta.Full && isEmpty) {
-			delta.Grants = append(delta.Grants, s.export(row, grant))
+			delta.Grants = append(delta.Grants, s.exportGrant(row, grant))
 		}
 	}
 	if !row.deleted && (isChanged || row.zonesChanged > since) {
@@ -81,7 +80,7 @@
 	}
 }
 
-// servingZones lists the zones with a positive limit, sorted by name.
+// servingZones returns the zones with a positive limit, sorted by name.
 func (s *State) servingZones(row *rowState) []structs.ZoneID {
 	var zones []structs.ZoneID
 	for i := range row.grants {
--- a/placement/table/edit.go
+++ b/placement/table/edit.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// MaxProblems is how many problems, and how many conflicts, one answer lists.
+	// MaxProblems is the maximum number of problems, and of conflicts, in a result.
 	MaxProblems = 1000
-	// maxCommentBytes bounds the author and the comment of an edit.
+	// maxCommentBytes is the maximum size of the author and the comment of an edit.
 	maxCommentBytes = 2000
 )
 
-// applyEdit judges an edit and applies it whole or not at all. The answer is kept
-// under the edit's ID.
+// applyEdit checks an edit and applies it atomically. The result is recorded under
+// the edit's ID.
 func (s *State) applyEdit(command EditCommand) Result {
 	edit := command.Edit
-	if problem := textProblem(string(edit.ID)); problem != "" {
+	if problem := nameProblem(string(edit.ID)); problem != "" {
 		return Result{Error: structs.NewError(structs.ErrorInvalid, fmt.Sprintf("edit ID %q %s", edit.ID, problem),
 			"Make a new random ID for each edit.")}
 	}
@@ -30,17 +30,17 @@
 		answer := cloneResult(known.result)
 		return Result{Edit: &answer}
 	}
-	answer := s.judge(edit)
+	answer := s.checkEdit(edit)
 	if answer.Accepted {
-		s.accept(command)
+		s.commitEdit(command)
 		answer.Revision = s.revision
 	}
 	s.answers.add(answerRecord{digest: digest, result: cloneResult(answer)})
 	return Result{Edit: &answer}
 }
 
-// Check says how an edit would be answered now, without applying it. An edit ID
-// is not needed; one that was used for another edit is reported as a problem.
+// Check returns the result that an edit would have now, without applying it. The edit
+// ID may be empty; one that was used for another edit is reported as a problem.
 func (s *State) Check(edit structs.Edit) structs.EditResult {
 	if known, isKnown := s.answers.find(edit.ID); isKnown && known.digest == digestOf(edit) {
 		return cloneResult(known.result)
@@ -50,49 +50,49 @@
 			Remedy: "Make a new random ID for each edit.",
 		}}}
 	}
-	answer := s.judge(edit)
+	answer := s.checkEdit(edit)
 	if answer.Accepted {
 		answer.Revision = s.revision + 1
 	}
 	return answer
 }
 
-// judge finds the problems and conflicts of an edit.
-func (s *State) judge(edit structs.Edit) structs.EditResult {
-	judgement := judgement{state: s, wanted: make(map[structs.RowName]*structs.RowChange, len(edit.Changes))}
-	judgement.judgeHeader(edit)
+// checkEdit returns the result of an edit with its problems and conflicts.
+func (s *State) checkEdit(edit structs.Edit) structs.EditResult {
+	check := editCheck{state: s, wanted: make(map[structs.RowName]*structs.RowChange, len(edit.Changes))}
+	check.checkHeader(edit)
 	for i := range edit.Changes {
-		judgement.add(&edit.Changes[i])
+		check.addChange(&edit.Changes[i])
 	}
 	for i := range edit.Changes {
-		judgement.judgeChange(&edit.Changes[i])
+		check.checkChange(&edit.Changes[i])
 	}
-	judgement.judgeDependents(edit.Changes)
+	check.checkDependents(edit.Changes)
 	return structs.EditResult{
 		ID:        edit.ID,
-		Accepted:  len(judgement.problems) == 0 && len(judgement.conflicts) == 0,
+		Accepted:  len(check.problems) == 0 && len(check.conflicts) == 0,
 		Revision:  s.revision,
-		Problems:  judgement.problems[:min(len(judgement.problems), MaxProblems)],
-		Conflicts: judgement.conflicts[:min(len(judgement.conflicts), MaxProblems)],
+		Problems:  check.problems[:min(len(check.problems), MaxProblems)],
+		Conflicts: check.conflicts[:min(len(check.conflicts), MaxProblems)],
 	}
 }
 
-// judgement gathers what is wrong with an edit. wanted is the edit laid over the
-// table.
-type judgement struct {
+// editCheck collects the problems and conflicts of an edit. wanted contains the edit's
+// changes by row.
+type editCheck struct {
 	state     *State
 	wanted    map[structs.RowName]*structs.RowChange
 	problems  []structs.RowProblem
 	conflicts []structs.RowConflict
 }
 
-func (j *judgement) report(row structs.RowName, column, value, problem, remedy string) {
+func (j *editCheck) report(row structs.RowName, column, value, problem, remedy string) {
 	j.problems = append(j.problems, structs.RowProblem{
 		Row: row, Column: column, Value: value, Problem: problem, Remedy: remedy,
 	})
 }
 
-func (j *judgement) judgeHeader(edit structs.Edit) {
+func (j *editCheck) checkHeader(edit structs.Edit) {
 	if len(edit.Changes) == 0 {
 		j.report("", "changes", "", "is empty", "Name at least one row to change.")
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func (j *judgement) add(change *structs.RowChange) {
+func (j *editCheck) addChange(change *structs.RowChange) {
 	name := change.Row.Name
 	if _, isTwice := j.wanted[name]; isTwice {
 		j.report(name, "name", string(name), "is changed twice in this edit", "Keep one change for each row.")
@@ -113,7 +113,7 @@
 	j.wanted[name] = change
 }
 
-func (j *judgement) judgeChange(change *structs.RowChange) {
+func (j *editCheck) checkChange(change *structs.RowChange) {
 	name := change.Row.Name
 	current, isThere := j.state.Row(name)
 	if change.Delete && !isThere && change.BaseRevision == 0 {
@@ -132,16 +132,16 @@
 	}
 }
 
-// lookup finds a row in the table as it would be after the edit.
-func (j *judgement) lookup(name structs.RowName) (structs.Row, bool) {
+// lookup returns a row of the table as it would be after the edit.
+func (j *editCheck) lookup(name structs.RowName) (structs.Row, bool) {
 	if change := j.wanted[name]; change != nil {
 		return change.Row, !change.Delete
 	}
 	return j.state.Row(name)
 }
 
-// judgeDependents refuses to take away a model that rows are left depending on.
-func (j *judgement) judgeDependents(changes []structs.RowChange) {
+// checkDependents reports models that the edit removes although rows depend on them.
+func (j *editCheck) checkDependents(changes []structs.RowChange) {
 	moved := make(map[structs.RowName]int)
 	for name, change := range j.wanted {
 		if current, isThere := j.state.Row(name); isThere && current.Base != "" {
@@ -167,27 +167,27 @@
 	}
 }
 
-// accept puts a judged edit into the table, splits the limits of its rows, and
-// records it in the history.
-func (s *State) accept(command EditCommand) {
+// commitEdit applies a checked edit to the table, splits the limits of its rows, and
+// adds it to the history.
+func (s *State) commitEdit(command EditCommand) {
 	edit := command.Edit
 	names := make([]structs.RowName, 0, len(edit.Changes))
 	for i := range edit.Changes {
-		s.countBase(edit.Changes[i].Row.Name, -1)
+		s.adjustDependents(edit.Changes[i].Row.Name, -1)
 	}
 	for i := range edit.Changes {
 		s.setRow(edit.Changes[i])
 		names = append(names, edit.Changes[i].Row.Name)
 	}
 	for _, name := range names {
-		s.countBase(name, 1)
+		s.adjustDependents(name, 1)
 	}
 	rows := make([]*rowState, 0, len(names))
 	for _, name := range names {
 		rows = append(rows, s.rows[name])
 	}
 	for _, row := range basesFirst(rows) {
-		s.regrant(row, false)
+		s.reallocate(row, false)
 	}
 	s.history = append(s.history, structs.HistoryEntry{
 		Revision: s.revision,
@@ -204,9 +204,9 @@
 	s.pruneTombstones()
 }
 
-// countBase adds to the dependents of the named row's base, when it has one, and
-// enters or strikes off the row as an adapter of it.
-func (s *State) countBase(name structs.RowName, difference int) {
+// adjustDependents changes the dependents count of the named row's base, if it has one,
+// and adds the row to, or removes it from, the base's adapters.
+func (s *State) adjustDependents(name structs.RowName, difference int) {
 	row := s.rows[name]
 	if row == nil || row.deleted || row.row.Base == "" {
 		return
@@ -223,7 +223,7 @@
 	}
 }
 
-// setRow writes one change into the table.
+// setRow applies one change to the table.
 func (s *State) setRow(change structs.RowChange) {
 	name := change.Row.Name
 	row := s.rows[name]
@@ -244,6 +244,6 @@
 		}
 	}
 	row.row.Revision = s.next
-	s.noteHeld(row)
+	s.updateFrozen(row)
 	s.markChanged(row)
 }
--- a/placement/table/edit_test.go
+++ b/placement/table/edit_test.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestEditsWithEqualVersionsHaveOneWinner(t *testing.T) {
+func TestSecondEditOfSameRevisionConflicts(t *testing.T) {
 	state := New()
 	mustApply(t, state, editOf("make", put(modelRow("m", 1), 0)))
 	first := state.Apply(editOf("first", put(modelRow("m", 2), 1))).Edit
@@ -24,7 +24,7 @@
 	qt.Assert(t, state.History(1)[0].EditID, qt.Equals, structs.EditID("first"))
 }
 
-func TestResendAfterRestoreGetsFirstAnswer(t *testing.T) {
+func TestResendAfterRestoreReturnsRecordedResult(t *testing.T) {
 	state := New()
 	commands := []Command{
 		editOf("accepted", put(modelRow("m", 1), 0)),
@@ -43,7 +43,7 @@
 	for i, command := range commands {
 		qt.Assert(t, *restored.Apply(command).Edit, qt.DeepEquals, first[i])
 	}
-	// The table sets Row.Revision, so what a client sends there doesn't count.
+	// The table sets Row.Revision, so a client's value is ignored.
 	commands[0].Edit.Edit.Changes[0].Row.Revision = 3
 	qt.Assert(t, *restored.Apply(commands[0]).Edit, qt.DeepEquals, first[0])
 	other := restored.Apply(editOf("accepted", put(modelRow("m", 2), 0)))
@@ -65,7 +65,7 @@
 	qt.Assert(t, state.CheckInvariants(), qt.IsNil)
 }
 
-func TestEditsAreRefusedWithRowColumnAndRemedy(t *testing.T) {
+func TestInvalidEditsReportColumnAndRemedy(t *testing.T) {
 	state := New()
 	mustApply(t, state, editOf("make", put(modelRow("m", 1), 0), put(adapterRow("x", "m", 1), 0)))
 	row := func(change func(*structs.Row)) structs.RowChange {
@@ -120,12 +120,12 @@
 			qt.Assert(t, state.Revision(), qt.Equals, revision)
 		})
 	}
-	// A model goes together with its adapters, and comes with them in any order.
+	// A model may be deleted or created in one edit with its adapters, in any order.
 	mustApply(t, state, editOf("delete-both", remove("m", 1), remove("x", 1)))
 	mustApply(t, state, editOf("make-both", put(adapterRow("x", "m", 1), 0), put(modelRow("m", 1), 0)))
 }
 
-func TestDeltaIsFullOnceTombstonesAreForgotten(t *testing.T) {
+func TestDeltaIsFullAfterTombstonesArePruned(t *testing.T) {
 	state := stateWith(1)
 	mustApply(t, state, editOf("hold", put(modelRow("held", 1), 0)), editOf("drop", remove("held", 1)))
 	count := TombstoneRetention + tombstonePruneBatch - 1
--- a/placement/table/grant.go
+++ b/placement/table/grant.go
@@ -9,20 +9,19 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// regrant splits the row's limit again and lets held grow where there is room.
-// Without rebalance limits stay where there is no need to move them. The adapters
-// of the row follow its limits.
-func (s *State) regrant(row *rowState, rebalance bool) {
+// reallocate splits the limit of the row again, raises held as far as possible, and
+// updates the row's adapters. Without rebalance, limits move only if necessary.
+func (s *State) reallocate(row *rowState, rebalance bool) {
 	isSetChanged, isLimitChanged := s.splitRow(row, rebalance)
 	if isLimitChanged {
-		s.regrantAdapters(row, isSetChanged)
+		s.reallocateAdapters(row, isSetChanged)
 	}
 }
 
-// regrantAdapters splits the limits of the row's adapters again after the row's
-// own limits changed. When no zone got its first or lost its last replica, only
-// the adapters with a minimum are concerned.
-func (s *State) regrantAdapters(base *rowState, isSetChanged bool) {
+// reallocateAdapters splits the limits of the base's adapters again after the base's
+// limits changed. If the set of zones with a positive limit is the same, only adapters
+// with a minimum are affected.
+func (s *State) reallocateAdapters(base *rowState, isSetChanged bool) {
 	for _, adapter := range base.adapters {
 		if isSetChanged || adapter.row.MinReplicas > 0 {
 			s.splitRow(adapter, false)
@@ -30,15 +29,15 @@
 	}
 }
 
-// regrantAll splits all limits afresh.
-func (s *State) regrantAll() {
+// reallocateAll splits the limits of all rows again, with rebalance.
+func (s *State) reallocateAll() {
 	for _, row := range basesFirst(s.allRows()) {
 		s.splitRow(row, true)
 	}
 }
 
-// basesFirst puts the rows that need a base behind the others, so that a base's
-// limits are there before its adapters follow them.
+// basesFirst sorts the rows that need a base after the others, so that the limits of
+// bases are set before those of their adapters.
 func basesFirst(rows []*rowState) []*rowState {
 	slices.SortStableFunc(rows, func(a, b *rowState) int {
 		return cmp.Compare(needsBase(a), needsBase(b))
@@ -53,8 +52,8 @@
 	return 0
 }
 
-// splitRow splits the limit of one row. It reports whether the set of zones with
-// a positive limit changed, and whether any limit did.
+// splitRow splits the limit of one row. It reports whether the set of zones with a
+// positive limit changed, and whether any limit changed.
 func (s *State) splitRow(row *rowState, rebalance bool) (isSetChanged, isLimitChanged bool) {
 	total := row.maxReplicas()
 	shares := s.sharesOf(row)
@@ -86,7 +85,7 @@
 	return isSetChanged, isLimitChanged
 }
 
-// baseOf returns the row that this one needs on its runners, or nil.
+// baseOf returns the row that the given row needs on its runners, or nil.
 func (s *State) baseOf(row *rowState) *rowState {
 	if row.deleted || !row.row.NeedsBase() {
 		return nil
@@ -94,8 +93,8 @@
 	return s.rows[row.row.Base]
 }
 
-// mayServe reports whether the zone may have limits of a row with the base: it is
-// not removed, and it may load the base, if there is one.
+// mayServe reports whether the zone may have a limit for a row with the given base:
+// the zone is not removed, and it may load the base, if there is one.
 func (s *State) mayServe(base *rowState, zone uint16) bool {
 	if s.zones[zone].Removed {
 		return false
@@ -103,7 +102,8 @@
 	return base == nil || base.limitIn(zone) > 0
 }
 
-// sharesOf fills the scratch space with a share for each zone that may serve the row.
+// sharesOf returns a share for each zone that may serve the row. The slice is valid
+// until the next call.
 func (s *State) sharesOf(row *rowState) []share {
 	rowHash := xxhash.Sum64String(string(row.row.Name))
 	base := s.baseOf(row)
@@ -128,19 +128,19 @@
 	return s.shares
 }
 
-// setGrowth hands the room out to the zones whose next limit is above what they
-// hold, in proportion to what they lack.
+// setGrowth distributes the room over the zones that hold less than their next limit,
+// in proportion to their shortfall.
 func setGrowth(room int, shares []share) {
-	lacking := 0
+	totalShortfall := 0
 	for i := range shares {
-		lacking += lack(&shares[i])
+		totalShortfall += shortfall(&shares[i])
 	}
-	apportion(min(room, lacking), shares, lack, func(zone *share, count int) { zone.growth = count })
+	apportion(min(room, totalShortfall), shares, shortfall, func(zone *share, count int) { zone.growth = count })
 }
 
-func lack(zone *share) int { return max(zone.next-zone.held, 0) }
+func shortfall(zone *share) int { return max(zone.next-zone.held, 0) }
 
-// setGrant changes a grant and marks the row changed; equal values change nothing.
+// setGrant sets a grant and marks the row changed if the values differ.
 func (s *State) setGrant(row *rowState, grant *grantState, limit, held int) {
 	if int(grant.limit) == limit && int(grant.held) == held {
 		return
@@ -155,8 +155,8 @@
 	}
 }
 
-// applyRelease lowers what a zone holds. A release for a row or zone that is not
-// known, or with an older sequence, changes nothing.
+// applyRelease lowers the number of replicas that a zone holds. A release for an
+// unknown row or zone, or with another sequence, has no effect.
 func (s *State) applyRelease(release structs.GrantRelease) *structs.Error {
 	if release.Limit < 0 {
 		return structs.NewError(structs.ErrorInvalid,
@@ -180,8 +180,9 @@
 	return nil
 }
 
-// lowerHeld lowers what a zone holds to what it still has. It may load up to its
-// limit again, so that much stays held, unless the grant is frozen.
+// lowerHeld lowers the number of replicas that a zone holds to those it has loaded.
+// Unless the grant is frozen, it stays at least the limit, up to which the zone may
+// load again.
 func (s *State) lowerHeld(row *rowState, grant *grantState, loaded int) {
 	held := loaded
 	if !row.isFrozen() {
@@ -192,14 +193,14 @@
 	}
 	isLimitChanged := held < int(grant.limit)
 	s.setGrant(row, grant, min(int(grant.limit), held), held)
-	s.noteHeld(row)
-	s.regrant(row, false)
+	s.updateFrozen(row)
+	s.reallocate(row, false)
 	if isLimitChanged {
-		s.regrantAdapters(row, true)
+		s.reallocateAdapters(row, true)
 	}
 }
 
-// mixHash spreads the bits of a hash (the finalizer of SplitMix64).
+// mixHash is the finalizer of SplitMix64.
 func mixHash(hash uint64) uint64 {
 	hash ^= hash >> 30
 	hash *= 0xbf58476d1ce4e5b9
--- a/placement/table/grant_test.go
+++ b/placement/table/grant_test.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestSplitOfLimit(t *testing.T) {
+func TestSplitLimits(t *testing.T) {
 	tests := []struct {
 		about   string
 		total   int
@@ -21,11 +21,11 @@
 		{"wishes fit: rest by weight", 8, []int{1, 1, 2}, []int{4, 0, 0}, []int{0, 0, 0}, []int{5, 1, 2}},
 		{"wishes in proportion", 8, []int{1, 1, 1}, []int{6, 6, 12}, []int{0, 0, 0}, []int{2, 2, 4}},
 		{"largest remainder", 10, []int{1, 1, 1}, []int{10, 20, 34}, []int{0, 0, 0}, []int{2, 3, 5}},
-		{"fewer than zones: most wished", 1, []int{9, 1, 1}, []int{1, 2, 3}, []int{0, 0, 0}, []int{0, 0, 1}},
+		{"fewer replicas than zones: highest wish", 1, []int{9, 1, 1}, []int{1, 2, 3}, []int{0, 0, 0}, []int{0, 0, 1}},
 		{"idle limits stay", 4, []int{1, 1}, []int{0, 0}, []int{4, 0}, []int{4, 0}},
 		{"unused limits move to a wish", 4, []int{1, 1}, []int{0, 3}, []int{4, 0}, []int{1, 3}},
 		{"near-equal wishes stay", 1, []int{1, 1}, []int{5, 6}, []int{1, 0}, []int{1, 0}},
-		{"much higher wish takes", 1, []int{1, 1}, []int{1, 10}, []int{1, 0}, []int{0, 1}},
+		{"much higher wish moves", 1, []int{1, 1}, []int{1, 10}, []int{1, 0}, []int{0, 1}},
 		{"contested and balanced stays", 10, []int{1, 1}, []int{40, 60}, []int{5, 5}, []int{5, 5}},
 		{"contested and unbalanced moves", 10, []int{1, 1}, []int{30, 70}, []int{5, 5}, []int{3, 7}},
 		{"contested but idle moves", 20, []int{1, 1}, []int{9, 13}, []int{10, 10}, []int{8, 12}},
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestRowsSmallerThanZonesSpreadByWeight(t *testing.T) {
+func TestRowsWithFewerReplicasThanZonesSpreadByWeight(t *testing.T) {
 	state := stateWith(7)
 	mustApply(t, state, Command{Zone: &ZoneCommand{Zone: "h", Weight: 3}})
 	const rows = 2000
@@ -89,22 +89,22 @@
 	qt.Assert(t, state.History(0), qt.HasLen, 1)
 	mustApply(t, state, releaseOf(stale))
 	qt.Assert(t, limitsOf(state, "m"), qt.Equals, "a:1/4 ")
-	// Down to 3 of a limit of 1: what is released is granted, no more.
+	// A partial release to 3, still above the limit of 1, grants one replica to b.
 	partial := releaseOf(grantOf(state, "m", "a"))
 	partial.Release.Limit = 3
 	mustApply(t, state, partial)
 	qt.Assert(t, limitsOf(state, "m"), qt.Equals, "a:1/3 b:1/1 ")
-	// A zone that is down to less than its limit may load up to the limit again.
+	// A zone that has loaded less than its limit still holds the limit.
 	below := releaseOf(grantOf(state, "m", "a"))
 	below.Release.Limit = 0
 	mustApply(t, state, below)
 	qt.Assert(t, limitsOf(state, "m"), qt.Equals, "a:1/1 b:3/3 ")
 }
 
-// What a lowered limit left over may still be loaded in some zone, so no zone may
-// begin a load until the zones hold no more than the limit. What a zone has not
-// loaded by then it gives up, so that a zone that is cut off does not stop the rest.
-func TestLoweredLimitFreezesWhileMoreIsHeld(t *testing.T) {
+// While more replicas are held than a lowered limit allows, grants are frozen, and
+// zones release what they have not loaded, so that a disconnected zone does not block
+// the others.
+func TestLoweredLimitFreezesGrantsUntilReleased(t *testing.T) {
 	state := stateWith(3)
 	mustApply(t, state, editOf("make", put(modelRow("m", 6), 0)))
 	frozen := func() string {
@@ -135,21 +135,20 @@
 	qt.Assert(t, frozen(), qt.Equals, "a:1/1 b:1/1 c:1/1 a:false b:false c:false ")
 }
 
-// Raising the limit again above what is held thaws as well.
-func TestRaisedLimitThaws(t *testing.T) {
+func TestRaisedLimitUnfreezesGrants(t *testing.T) {
 	state := stateWith(2)
 	mustApply(t, state, editOf("make", put(modelRow("m", 4), 0)), editOf("lower", put(modelRow("m", 2), 1)))
-	follower := &replica{}
-	follower.follow(state.Delta("a", 0))
+	follower := &deltaFollower{}
+	follower.apply(state.Delta("a", 0))
 	qt.Assert(t, follower.grants["m"].Frozen, qt.IsTrue)
 	mustApply(t, state, editOf("raise", put(modelRow("m", 4), state.Revision())))
-	follower.follow(state.Delta("a", follower.revision))
+	follower.apply(state.Delta("a", follower.revision))
 	qt.Assert(t, follower.grants["m"].Frozen, qt.IsFalse)
 }
 
-// What a zone gave up below its limit while other zones were above theirs comes
-// back as soon as those have released it.
-func TestReleaseBelowFrozenLimitComesBack(t *testing.T) {
+// A zone that released below its frozen limit is granted its limit again once the
+// other zones have released their surplus.
+func TestReleaseBelowFrozenLimitIsGrantedAgain(t *testing.T) {
 	state := stateWith(2)
 	mustApply(t, state, editOf("make", put(modelRow("m", 8), 0)), wishOf("a", "m", 2))
 	mustApply(t, state, releaseOf(grantOf(state, "m", "b")))
@@ -164,7 +163,7 @@
 	qt.Assert(t, limitsOf(state, "m"), qt.Equals, "a:2/2 ")
 }
 
-func TestRowMadeAgainCountsWhatIsStillHeld(t *testing.T) {
+func TestRecreatedRowCountsHeldReplicas(t *testing.T) {
 	state := stateWith(2)
 	mustApply(t, state, editOf("make", put(modelRow("m", 4), 0)), wishOf("a", "m", 2))
 	mustApply(t, state, editOf("delete", remove("m", state.Revision())))
@@ -195,9 +194,9 @@
 	mustApply(t, state, Command{Zone: &ZoneCommand{Zone: "b", Weight: 1}})
 	qt.Assert(t, limitsOf(state, "m"), qt.Equals, "a:2/4 ")
 	mustApply(t, state, editOf("lower", put(modelRow("m", 1), 1)))
-	qt.Assert(t, state.rows["m"].heldBefore, qt.Equals, 4)
+	qt.Assert(t, state.rows["m"].heldOverLimit, qt.Equals, 4)
 	mustApply(t, state, Command{Zone: &ZoneCommand{Zone: "a", Remove: true, Force: true}})
-	qt.Assert(t, state.rows["m"].heldBefore, qt.Equals, 0)
+	qt.Assert(t, state.rows["m"].heldOverLimit, qt.Equals, 0)
 	qt.Assert(t, limitsOf(state, "m"), qt.Equals, "b:1/1 ")
 }
 
@@ -210,7 +209,7 @@
 	qt.Assert(t, state.Apply(Command{InForce: &InForceCommand{Zone: "z", Revision: 1}}).Error.Kind, qt.Equals, structs.ErrorNotFound)
 }
 
-func TestWrongCommandsChangeNothing(t *testing.T) {
+func TestInvalidCommandsLeaveStateUnchanged(t *testing.T) {
 	state := stateWith(1)
 	mustApply(t, state, editOf("make", put(modelRow("m", 4), 0)))
 	before, err := state.Snapshot()
--- a/placement/table/helpers_test.go
+++ b/placement/table/helpers_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The property tests run from one seed unless -rapid.seed names another.
+// TestMain fixes the seed of the property tests unless -rapid.seed is given.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20260611"); err != nil {
 		panic(err)
@@ -58,7 +58,7 @@
 	return Command{Release: &structs.GrantRelease{Row: grant.Row, Zone: grant.Zone, Sequence: grant.Sequence, Limit: grant.Limit}}
 }
 
-// stateWith makes a state with zones a, b, ... of weight 1.
+// stateWith returns a state with the zones a, b, ... of weight 1.
 func stateWith(zones int) *State {
 	state := New()
 	for i := range zones {
@@ -67,7 +67,7 @@
 	return state
 }
 
-// mustApply applies commands that have to be accepted.
+// mustApply applies commands and fails the test unless they are accepted.
 func mustApply(t testing.TB, state *State, commands ...Command) {
 	t.Helper()
 	for _, command := range commands {
@@ -80,7 +80,7 @@
 	}
 }
 
-// grantOf returns the zone's grant, zero when it has none.
+// grantOf returns the zone's grant, or the zero grant if it has none.
 func grantOf(state *State, row, zone string) structs.Grant {
 	for _, grant := range state.Grants(structs.RowName(row)) {
 		if grant.Zone == structs.ZoneID(zone) {
@@ -90,7 +90,7 @@
 	return structs.Grant{}
 }
 
-// limitsOf writes the grants as "a:limit/held".
+// limitsOf formats the grants as "a:limit/held".
 func limitsOf(state *State, row string) string {
 	text := ""
 	for _, grant := range state.Grants(structs.RowName(row)) {
--- a/placement/table/invariant.go
+++ b/placement/table/invariant.go
@@ -4,9 +4,9 @@
 	"github.com/pkg/errors"
 )
 
-// CheckInvariants returns an error that names the first thing found in the state
-// that must never be. Its cost is that of the whole table; it is for simulators
-// and for restored snapshots.
+// CheckInvariants returns an error describing the first violated invariant, or nil.
+// Its cost is linear in the size of the table; it is used by simulators and for
+// restored snapshots.
 func (s *State) CheckInvariants() error {
 	if err := s.checkRows(); err != nil {
 		return err
@@ -20,17 +20,17 @@
 	return s.checkAnswers()
 }
 
-// checkRows checks each row, and that the list of changes is in order and whole.
+// checkRows checks each row, and that the list of changes is ordered and complete.
 func (s *State) checkRows() error {
 	listed, tombstones := 0, 0
 	dependents := make(map[*rowState]int)
 	adapters := make(map[*rowState]int)
-	for row := s.changes.oldest; row != nil; row = row.following {
+	for row := s.changes.oldest; row != nil; row = row.next {
 		listed++
 		if s.rows[row.row.Name] != row {
 			return errors.Errorf("row %q is listed twice or under another name", row.row.Name)
 		}
-		if row.following != nil && row.following.changed < row.changed {
+		if row.next != nil && row.next.changed < row.changed {
 			return errors.Errorf("row %q is out of order in the list of changes", row.row.Name)
 		}
 		if row.deleted {
@@ -73,7 +73,7 @@
 	if limit := row.maxReplicas(); limit < 0 || limit > MaxReplicasLimit {
 		return errors.Errorf("row %q has max_replicas %d", name, limit)
 	}
-	allowed := max(row.maxReplicas(), row.heldBefore)
+	allowed := max(row.maxReplicas(), row.heldOverLimit)
 	if held := row.held(); held > allowed {
 		return errors.Errorf("row %q: zones hold %d replicas of %d allowed", name, held, allowed)
 	}
@@ -102,7 +102,7 @@
 	return s.checkServable(row)
 }
 
-// checkAdapters checks that the row lists its count adapters, in order.
+// checkAdapters checks that the row lists count adapters, sorted by name.
 func checkAdapters(row *rowState, count int) error {
 	if len(row.adapters) != count {
 		return errors.Errorf("row %q lists %d adapters instead of %d", row.row.Name, len(row.adapters), count)
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// checkServable checks that no zone may load an adapter without its base, and
-// that the zones' minimums are whole.
+// checkServable checks that no zone may load an adapter without its base, and that
+// the zones' minimums add up to the row's.
 func (s *State) checkServable(row *rowState) error {
 	base := s.baseOf(row)
 	allowed, kept := 0, 0
--- a/placement/table/invariant_test.go
+++ b/placement/table/invariant_test.go
@@ -7,8 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Each case breaks one thing that CheckInvariants must see.
-func TestEachInvariantCheckCanFail(t *testing.T) {
+func TestCheckInvariantsReportsEachViolation(t *testing.T) {
 	tests := []struct {
 		about   string
 		corrupt func(*State)
@@ -30,10 +29,10 @@
 		{"wish out of range", func(s *State) { s.rows["m"].grants[0].wish = MaxReplicasLimit + 1 }, `.*a zone wishes 10001`},
 		{"sequence beyond change", func(s *State) { s.rows["m"].grants[0].sequence = 9 }, `.*sequence 9 is beyond.*`},
 		{"removed zone with limit", func(s *State) { s.zones[0].Removed = true }, `.*removed zone has the limit 2`},
-		{"limits beyond max", func(s *State) { s.rows["m"].heldBefore = 4; s.rows["m"].row.MaxReplicas = 3 }, `.*limits sum to 4 of 3`},
+		{"limits beyond max", func(s *State) { s.rows["m"].heldOverLimit = 4; s.rows["m"].row.MaxReplicas = 3 }, `.*limits sum to 4 of 3`},
 		{"adapter without base", func(s *State) { s.rows["m"].grants[0].limit = 0 }, `.*has the limit 2 without its base`},
 		{"minimum above limit", func(s *State) { s.rows["m"].minimums = map[uint16]uint16{0: 3} }, `.*to keep 3 replicas and may have 2`},
-		{"minimum not whole", func(s *State) { s.rows["m"].minimums = map[uint16]uint16{0: 1} }, `.*to keep 1 replicas instead of 0`},
+		{"minimums do not add up", func(s *State) { s.rows["m"].minimums = map[uint16]uint16{0: 1} }, `.*to keep 1 replicas instead of 0`},
 		{"adapter not listed", func(s *State) { s.rows["m"].adapters = nil }, `.*lists 0 adapters instead of 1`},
 		{"another's adapter", func(s *State) { s.rows["m"].adapters[0] = s.rows["m"] }, `.*lists the adapter "m" wrongly`},
 		{"zone names", func(s *State) { delete(s.zoneIndex, "a") }, `2 zones have 1 names`},
--- a/placement/table/minimum.go
+++ b/placement/table/minimum.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// splitMinimum splits the row's MinReplicas over the zones that serve it. A zone
-// keeps its part as long as its limit allows and the parts are level, so that
-// nothing is loaded or unloaded without need.
+// splitMinimum splits the row's MinReplicas over the zones that serve it. A zone keeps
+// its part as long as its limit allows and the parts are balanced, to avoid
+// unnecessary loads and unloads.
 func (s *State) splitMinimum(row, base *rowState, shares []share) {
 	wanted := row.minReplicas()
 	if wanted == 0 && len(row.minimums) == 0 {
@@ -22,51 +22,51 @@
 	}
 	apportion(sum-wanted, shares, func(zone *share) int { return zone.minimum },
 		func(zone *share, count int) { zone.minimum -= count })
-	lacking := 0
+	totalHeadroom := 0
 	for i := range shares {
-		lacking += spare(&shares[i])
+		totalHeadroom += minimumHeadroom(&shares[i])
 	}
-	apportion(min(wanted-sum, lacking), shares, spare, func(zone *share, count int) { zone.minimum += count })
-	levelMinimums(shares)
+	apportion(min(wanted-sum, totalHeadroom), shares, minimumHeadroom, func(zone *share, count int) { zone.minimum += count })
+	balanceMinimums(shares)
 	s.setMinimums(row, shares)
 }
 
-// levelMinimums moves parts, one replica each time, from a zone that has more than
-// its weight calls for to one that has less, such as a zone that came later or got
-// its limit later. A part moves only if the receiver is then no fuller than the
-// giver, so that no part moves back.
-func levelMinimums(shares []share) {
+// balanceMinimums moves the minimums, one replica at a time, from the zone with the
+// highest ratio of minimum to weight to the one with the lowest, such as a zone that
+// was added later. A replica moves only if the receiver's ratio is then not above the
+// donor's, so that it does not move back.
+func balanceMinimums(shares []share) {
 	for {
-		giver, receiver := -1, -1
+		donor, receiver := -1, -1
 		for i := range shares {
-			if giver < 0 || isFuller(shares[i].minimum, &shares[i], shares[giver].minimum, &shares[giver]) {
-				giver = i
+			if donor < 0 || hasHigherRatio(shares[i].minimum, &shares[i], shares[donor].minimum, &shares[donor]) {
+				donor = i
 			}
-			if spare(&shares[i]) <= 0 {
+			if minimumHeadroom(&shares[i]) <= 0 {
 				continue
 			}
-			if receiver < 0 || isFuller(shares[receiver].minimum, &shares[receiver], shares[i].minimum, &shares[i]) {
+			if receiver < 0 || hasHigherRatio(shares[receiver].minimum, &shares[receiver], shares[i].minimum, &shares[i]) {
 				receiver = i
 			}
 		}
-		if receiver < 0 || giver == receiver ||
-			isFuller(shares[receiver].minimum+1, &shares[receiver], shares[giver].minimum-1, &shares[giver]) {
+		if receiver < 0 || donor == receiver ||
+			hasHigherRatio(shares[receiver].minimum+1, &shares[receiver], shares[donor].minimum-1, &shares[donor]) {
 			return
 		}
-		shares[giver].minimum--
+		shares[donor].minimum--
 		shares[receiver].minimum++
 	}
 }
 
-// isFuller reports whether one count is more of its zone's weight than the other.
-func isFuller(count int, zone *share, otherCount int, other *share) bool {
+// hasHigherRatio reports whether count/zone.weight > otherCount/other.weight.
+func hasHigherRatio(count int, zone *share, otherCount int, other *share) bool {
 	return count*max(other.weight, 1) > otherCount*max(zone.weight, 1)
 }
 
-func spare(zone *share) int { return zone.cap - zone.minimum }
+func minimumHeadroom(zone *share) int { return zone.cap - zone.minimum }
 
-// minimumCap is the most that a zone can be asked to keep loaded: an adapter's
-// replicas each need one of the base.
+// minimumCap returns the maximum of a zone's minimum. Each replica of an adapter needs
+// one of the base.
 func minimumCap(limit int, base *rowState, zone uint16) int {
 	if base == nil {
 		return limit
@@ -74,7 +74,7 @@
 	return min(limit, base.limitIn(zone))
 }
 
-// setMinimums records the parts and marks the grants that changed.
+// setMinimums stores the parts and marks the changed grants.
 func (s *State) setMinimums(row *rowState, shares []share) {
 	former := row.minimums
 	row.minimums = nil
--- a/placement/table/property_test.go
+++ b/placement/table/property_test.go
@@ -18,15 +18,15 @@
 	testZones    = []string{"a", "b", "c", "d"}
 )
 
-// replica follows a state by deltas, as a zone does.
-type replica struct {
+// deltaFollower maintains a copy of a state from deltas, as a zone does.
+type deltaFollower struct {
 	revision  uint64
 	rows      map[structs.RowName]structs.Row
 	grants    map[structs.RowName]structs.Grant
 	elsewhere map[structs.RowName][]structs.ZoneID
 }
 
-func (r *replica) follow(delta structs.TableDelta) {
+func (r *deltaFollower) apply(delta structs.TableDelta) {
 	if delta.Full {
 		r.rows = map[structs.RowName]structs.Row{}
 		r.grants = map[structs.RowName]structs.Grant{}
@@ -51,18 +51,19 @@
 	}
 }
 
-// tableMachine drives a state beside an oracle of its rows.
+// tableMachine applies random commands to a state and compares it with an oracle of
+// its rows.
 type tableMachine struct {
-	state    *State
-	oracle   map[structs.RowName]structs.Row
-	answers  map[structs.EditID]structs.EditResult
-	edits    []Command
-	stale    []structs.Grant
-	replicas map[string]*replica
+	state     *State
+	oracle    map[structs.RowName]structs.Row
+	answers   map[structs.EditID]structs.EditResult
+	edits     []Command
+	stale     []structs.Grant
+	followers map[string]*deltaFollower
 }
 
-// apply sends a command through its encoding and checks what must hold of every
-// command, without relying on CheckInvariants.
+// apply applies a command after encoding and decoding it. It checks the revision and
+// the held replicas independently of CheckInvariants.
 func (m *tableMachine) apply(t *rapid.T, command Command) Result {
 	data, err := EncodeCommand(command)
 	if err != nil {
@@ -99,12 +100,12 @@
 func (m *tableMachine) edit(t *rapid.T) {
 	wanted := maps.Clone(m.oracle)
 	var changes []structs.RowChange
-	isRight := true
+	isValid := true
 	names := rapid.SliceOfNDistinct(rapid.SampledFrom(slices.Concat(testModels, testAdapters)), 1, 3, rapid.ID).Draw(t, "names")
 	for _, name := range names {
 		change := m.drawChange(t, name)
 		current, isThere := m.oracle[change.Row.Name]
-		isRight = isRight && change.BaseRevision == current.Revision && (isThere || !change.Delete)
+		isValid = isValid && change.BaseRevision == current.Revision && (isThere || !change.Delete)
 		delete(wanted, change.Row.Name)
 		if !change.Delete {
 			wanted[change.Row.Name] = withRevision(change.Row, m.state.Revision()+1)
@@ -113,16 +114,16 @@
 	}
 	for _, row := range wanted {
 		if _, found := wanted[row.Base]; row.Base != "" && !found {
-			isRight = false
+			isValid = false
 		}
 	}
 	command := editOf(fmt.Sprintf("e%d", len(m.edits)), changes...)
-	forecast := m.state.Check(command.Edit.Edit)
+	predicted := m.state.Check(command.Edit.Edit)
 	answer := m.apply(t, command).Edit
-	if answer.Accepted != isRight || !reflect.DeepEqual(forecast, *answer) {
-		t.Fatalf("answered %+v, forecast %+v, oracle accepts: %v", answer, forecast, isRight)
+	if answer.Accepted != isValid || !reflect.DeepEqual(predicted, *answer) {
+		t.Fatalf("answered %+v, predicted %+v, oracle accepts: %v", answer, predicted, isValid)
 	}
-	if isRight {
+	if isValid {
 		m.oracle = wanted
 	}
 	m.edits = append(m.edits, command)
@@ -223,11 +224,11 @@
 	m.state = restored
 }
 
-// delta brings one zone's replica up to date and compares it with the state.
+// delta updates one zone's follower and compares it with the state.
 func (m *tableMachine) delta(t *rapid.T) {
 	zone := rapid.SampledFrom(testZones).Draw(t, "zone")
-	follower := m.replicas[zone]
-	follower.follow(m.state.Delta(structs.ZoneID(zone), follower.revision))
+	follower := m.followers[zone]
+	follower.apply(m.state.Delta(structs.ZoneID(zone), follower.revision))
 	grants := map[structs.RowName]structs.Grant{}
 	elsewhere := map[structs.RowName][]structs.ZoneID{}
 	for _, name := range slices.Concat(testModels, testAdapters) {
@@ -244,7 +245,7 @@
 		}
 	}
 	if !maps.Equal(follower.rows, m.oracle) || !maps.Equal(follower.grants, grants) || !reflect.DeepEqual(follower.elsewhere, elsewhere) {
-		t.Fatalf("replica has\n%+v, table\n%+v\n%+v\n%+v", follower, m.oracle, grants, elsewhere)
+		t.Fatalf("follower has\n%+v, table\n%+v\n%+v\n%+v", follower, m.oracle, grants, elsewhere)
 	}
 }
 
@@ -274,8 +275,8 @@
 	}
 }
 
-// checkFrozen checks that exactly the rows are frozen of which more is held than
-// their limit.
+// checkFrozen checks that a row is frozen exactly if more replicas are held than its
+// limit.
 func (m *tableMachine) checkFrozen(t *rapid.T) {
 	for name, held := range m.held() {
 		for _, grant := range m.state.Grants(name) {
@@ -286,8 +287,8 @@
 	}
 }
 
-// checkServable checks, from the grants as zones see them, that an adapter is
-// served only where its base is, and that the minimums are whole.
+// checkServable checks from the exported grants that an adapter is served only in the
+// zones of its base, and that the minimums add up to the row's.
 func (m *tableMachine) checkServable(t *rapid.T) {
 	limits := make(map[structs.RowName]map[structs.ZoneID]int)
 	for _, name := range slices.Concat(testModels, testAdapters) {
@@ -319,16 +320,16 @@
 	}
 }
 
-func TestTableFollowsOracleUnderRandomCommands(t *testing.T) {
+func TestRandomCommandsMatchOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &tableMachine{
-			state:    New(),
-			oracle:   map[structs.RowName]structs.Row{},
-			answers:  map[structs.EditID]structs.EditResult{},
-			replicas: map[string]*replica{},
+			state:     New(),
+			oracle:    map[structs.RowName]structs.Row{},
+			answers:   map[structs.EditID]structs.EditResult{},
+			followers: map[string]*deltaFollower{},
 		}
 		for _, zone := range testZones {
-			machine.replicas[zone] = &replica{}
+			machine.followers[zone] = &deltaFollower{}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"edit": machine.edit, "resend": machine.resend, "wish": machine.wish, "release": machine.release,
--- a/placement/table/row.go
+++ b/placement/table/row.go
@@ -7,9 +7,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// rowState is a row with its grants. A deleted row stays as a tombstone.
+// rowState is a row with its grants. A deleted row is kept as a tombstone.
 type rowState struct {
-	// row keeps Name and Revision when the row is deleted.
+	// row has only Name and Revision if the row is deleted.
 	row     structs.Row
 	deleted bool
 	// changed is the revision of the last change of the row or of a grant.
@@ -19,24 +19,22 @@
 	zonesChanged uint64
 	// dependents counts the rows in the table whose Base is this row.
 	dependents int
-	// adapters are those of the dependents that need this row on their runner,
-	// sorted by name.
+	// adapters are the dependents that need this row on their runner, sorted by name.
 	adapters []*rowState
-	// minimums is each zone's part of MinReplicas, by zone index; parts of 0 are
-	// left out, so that it is nil for most rows.
+	// minimums contains each zone's positive part of MinReplicas, by zone index. It is
+	// nil for most rows.
 	minimums map[uint16]uint16
-	// heldBefore is the sum of held when a lowering left it above the limit; it
-	// follows the sum down and is 0 when the sum is within the limit.
-	heldBefore int
+	// heldOverLimit is the sum of held while it exceeds a lowered limit, otherwise 0.
+	heldOverLimit int
 	// grants is sorted by zone index.
-	grants    []grantState
-	previous  *rowState
-	following *rowState
+	grants []grantState
+	prev   *rowState
+	next   *rowState
 }
 
-// grantState is a zone's grant of a row, with the zone's wish. There may be one
-// for each row and zone, so it is kept small: no number exceeds
-// MaxReplicasLimit, and no zone index MaxZones.
+// grantState is a zone's grant of a row, with the zone's wish. There may be one for
+// each row and zone, so it is small: counts are at most MaxReplicasLimit and zone
+// indexes less than MaxZones.
 type grantState struct {
 	sequence uint64
 	zone     uint16
@@ -45,7 +43,7 @@
 	wish     uint16
 }
 
-// maxReplicas is the limit over all zones: 0 for a deleted row.
+// maxReplicas returns the limit over all zones, 0 for a deleted row.
 func (r *rowState) maxReplicas() int {
 	if r.deleted {
 		return 0
@@ -53,7 +51,7 @@
 	return r.row.MaxReplicas
 }
 
-// minReplicas is what all zones together keep loaded: 0 for a deleted row.
+// minReplicas returns the minimum over all zones, 0 for a deleted row.
 func (r *rowState) minReplicas() int {
 	if r.deleted {
 		return 0
@@ -61,7 +59,7 @@
 	return r.row.MinReplicas
 }
 
-// held is the sum of what all zones hold.
+// held returns the number of replicas held by all zones.
 func (r *rowState) held() int {
 	sum := 0
 	for i := range r.grants {
@@ -70,18 +68,18 @@
 	return sum
 }
 
-// isFrozen reports whether zones may have more replicas than the limit: no zone
-// may begin a load then.
-func (r *rowState) isFrozen() bool { return r.heldBefore > 0 }
+// isFrozen reports whether the zones hold more replicas than the limit. No zone may
+// start a load then.
+func (r *rowState) isFrozen() bool { return r.heldOverLimit > 0 }
 
-// noteHeld records by how much held exceeds a lowered limit, and marks the grants
-// that this freezes or thaws. It is called where the limit changes or held
-// shrinks, never where held grows.
-func (s *State) noteHeld(row *rowState) {
+// updateFrozen updates heldOverLimit and marks the grants that become frozen or
+// unfrozen as changed. It must be called when the limit changes or held decreases, but
+// not when held increases.
+func (s *State) updateFrozen(row *rowState) {
 	wasFrozen := row.isFrozen()
-	row.heldBefore = 0
+	row.heldOverLimit = 0
 	if held := row.held(); held > row.maxReplicas() {
-		row.heldBefore = held
+		row.heldOverLimit = held
 	}
 	if row.isFrozen() == wasFrozen {
 		return
@@ -109,8 +107,8 @@
 	})
 }
 
-// grant returns the zone's grant, making an empty one when there is none. The
-// pointer is valid until the next call.
+// grant returns the zone's grant, inserting an empty one if there is none. The pointer
+// is valid until the next call.
 func (r *rowState) grant(zone uint16) *grantState {
 	position, found := r.findGrant(zone)
 	if !found {
@@ -119,41 +117,40 @@
 	return &r.grants[position]
 }
 
-// changeList lists all rows and tombstones by the revision of their last change,
-// oldest first, so that a delta costs no more than what changed.
+// changeList is a linked list of all rows and tombstones, ordered by the revision of
+// their last change, so that the cost of a delta depends only on the changed rows.
 type changeList struct {
 	oldest *rowState
 	newest *rowState
 }
 
-// append adds a row that is not in the list as the newest.
+// append adds a row as the newest. It must not be in the list.
 func (l *changeList) append(row *rowState) {
-	row.previous, row.following = l.newest, nil
+	row.prev, row.next = l.newest, nil
 	if l.newest == nil {
 		l.oldest = row
 	} else {
-		l.newest.following = row
+		l.newest.next = row
 	}
 	l.newest = row
 }
 
-// remove takes a row out of the list.
+// remove removes a row from the list.
 func (l *changeList) remove(row *rowState) {
-	if row.previous == nil {
-		l.oldest = row.following
+	if row.prev == nil {
+		l.oldest = row.next
 	} else {
-		row.previous.following = row.following
+		row.prev.next = row.next
 	}
-	if row.following == nil {
-		l.newest = row.previous
+	if row.next == nil {
+		l.newest = row.prev
 	} else {
-		row.following.previous = row.previous
+		row.next.prev = row.prev
 	}
-	row.previous, row.following = nil, nil
+	row.prev, row.next = nil, nil
 }
 
-// markChanged gives the row the revision of the command being applied and makes
-// it the newest change.
+// markChanged sets the row's last change to the revision of the current command.
 func (s *State) markChanged(row *rowState) {
 	s.revision = s.next
 	if row.changed == s.next {
@@ -164,20 +161,20 @@
 	s.changes.append(row)
 }
 
-// pruneTombstones forgets the oldest tombstones that no zone holds replicas of.
+// pruneTombstones removes the oldest tombstones of which no zone holds replicas.
 func (s *State) pruneTombstones() {
 	if s.tombstones < s.pruneAt {
 		return
 	}
 	for row := s.changes.oldest; row != nil && s.tombstones > TombstoneRetention; {
-		following := row.following
+		next := row.next
 		if row.deleted && row.held() == 0 {
 			s.changes.remove(row)
 			delete(s.rows, row.row.Name)
 			s.tombstones--
 			s.floor = max(s.floor, row.changed)
 		}
-		row = following
+		row = next
 	}
 	s.pruneAt = max(s.tombstones, TombstoneRetention) + tombstonePruneBatch
 }
--- a/placement/table/snapshot.go
+++ b/placement/table/snapshot.go
@@ -12,15 +12,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A snapshot is the magic, the xxhash64 of the rest, and the zstd-compressed
-// msgpack of the state.
+// A snapshot consists of the magic, the xxHash64 checksum of the payload, and the
+// payload, the zstd-compressed msgpack of the state.
 const (
 	snapshotMagic  = "lftable2"
 	checksumBytes  = 8
 	snapshotHeader = len(snapshotMagic) + checksumBytes
 	snapshotWindow = 1 << 20
 	bufferBytes    = 64 << 10
-	// maxSnapshotBytes bounds what a snapshot may decompress to.
+	// maxSnapshotBytes is the maximum size of a decompressed snapshot.
 	maxSnapshotBytes = 1 << 30
 )
 
@@ -37,8 +37,8 @@
 	return snapshot, nil
 }
 
-// writeCompressed streams the state, so that it never stands uncompressed in
-// memory as a whole.
+// writeCompressed streams the compressed state, without buffering all of it
+// uncompressed.
 func (s *State) writeCompressed(target io.Writer) error {
 	compressor, err := zstd.NewWriter(target, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(snapshotWindow))
 	if err != nil {
@@ -47,17 +47,16 @@
 	buffered := bufio.NewWriterSize(compressor, bufferBytes)
 	writer := snapshotWriter{encoder: msgpack.NewEncoder(buffered)}
 	writer.state(s)
-	writer.keep(buffered.Flush())
-	writer.keep(compressor.Close())
+	writer.setError(buffered.Flush())
+	writer.setError(compressor.Close())
 	return writer.err
 }
 
-// Restore replaces the state by a snapshot. A snapshot that fails its checksum or
-// whose content breaks an invariant is refused with ErrorCorrupt, and the state
-// stays as it was.
+// Restore replaces the state by that of a snapshot. It returns ErrorCorrupt and leaves
+// the state unchanged if the checksum fails or an invariant is violated.
 func (s *State) Restore(data []byte) error {
 	if len(data) < snapshotHeader || string(data[:len(snapshotMagic)]) != snapshotMagic {
-		return corruptSnapshot("it does not begin as a table snapshot does")
+		return corruptSnapshot("it has no table snapshot header")
 	}
 	payload := data[snapshotHeader:]
 	if binary.BigEndian.Uint64(data[len(snapshotMagic):]) != xxhash.Sum64(payload) {
@@ -77,7 +76,7 @@
 	return nil
 }
 
-// restorePlain builds a state from the msgpack of a snapshot and checks it.
+// restorePlain decodes a state from uncompressed msgpack and checks its invariants.
 func restorePlain(source io.Reader) (*State, error) {
 	buffered := bufio.NewReaderSize(io.LimitReader(source, maxSnapshotBytes), bufferBytes)
 	reader := snapshotReader{decoder: msgpack.NewDecoder(buffered), names: make(map[string]string)}
--- a/placement/table/snapshot_read.go
+++ b/placement/table/snapshot_read.go
@@ -11,15 +11,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxPreallocated bounds what is allocated on the word of a length alone.
+// maxPreallocated is the maximum number of elements allocated for an unverified length.
 const maxPreallocated = 1024
 
-// snapshotReader reads what snapshotWriter wrote. The first error sticks, and
-// everything read after it is zero.
+// snapshotReader reads the output of snapshotWriter. After the first error, all values
+// read are zero.
 type snapshotReader struct {
 	decoder *msgpack.Decoder
 	err     error
-	// names shares the memory of texts that recur in many rows.
+	// names interns strings that occur in many rows.
 	names map[string]string
 }
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// read returns what decode gives, or zero once there was an error.
+// read returns the value decoded by decode, or zero after an error.
 func read[T any](r *snapshotReader, decode func() (T, error)) T {
 	var zero T
 	if r.err != nil {
@@ -48,7 +48,7 @@
 func (r *snapshotReader) flag() bool       { return read(r, r.decoder.DecodeBool) }
 func (r *snapshotReader) integer() int     { return int(read(r, r.decoder.DecodeInt64)) }
 
-// count reads a length; the loops over it end at the first error.
+// count reads a length. Loops over it must end at the first error.
 func (r *snapshotReader) count() int {
 	count := read(r, r.decoder.DecodeArrayLen)
 	if count < 0 {
@@ -57,7 +57,7 @@
 	return max(count, 0)
 }
 
-// small reads an integer that fits the numbers of a grant.
+// small reads an integer of a grant.
 func (r *snapshotReader) small() uint16 {
 	value := r.integer()
 	if value < 0 || value > math.MaxUint16 {
@@ -67,7 +67,7 @@
 	return uint16(value)
 }
 
-// name reads a text that recurs in many rows.
+// name reads and interns a string.
 func (r *snapshotReader) name() string {
 	text := r.text()
 	if shared, found := r.names[text]; found {
@@ -77,7 +77,7 @@
 	return text
 }
 
-// list reads count values, as long as there is no error.
+// list reads a list, up to the first error.
 func list[T any](r *snapshotReader, one func() T) []T {
 	count := r.count()
 	if count == 0 {
@@ -115,7 +115,7 @@
 	r.countDependents(s)
 }
 
-// countDependents rebuilds what the snapshot leaves out: who depends on whom.
+// countDependents rebuilds the dependents and adapters, which are not in the snapshot.
 func (r *snapshotReader) countDependents(s *State) {
 	for _, row := range s.rows {
 		if row.deleted || row.row.Base == "" {
@@ -155,11 +155,11 @@
 
 func (r *snapshotReader) rowState(zones int) *rowState {
 	state := &rowState{
-		row:          r.row(),
-		deleted:      r.flag(),
-		changed:      r.unsigned(),
-		zonesChanged: r.unsigned(),
-		heldBefore:   r.integer(),
+		row:           r.row(),
+		deleted:       r.flag(),
+		changed:       r.unsigned(),
+		zonesChanged:  r.unsigned(),
+		heldOverLimit: r.integer(),
 	}
 	count := r.count()
 	state.grants = make([]grantState, 0, min(count, maxPreallocated))
@@ -179,7 +179,7 @@
 	return state
 }
 
-// grant reads a zone's grant and its part of the row's minimum.
+// grant reads a zone's grant and minimum.
 func (r *snapshotReader) grant() (grant grantState, minimum uint16) {
 	grant.zone = r.small()
 	grant.limit = r.small()
--- a/placement/table/snapshot_write.go
+++ b/placement/table/snapshot_write.go
@@ -5,23 +5,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// snapshotWriter writes a state; the first error sticks.
+// snapshotWriter writes a state and keeps the first error.
 type snapshotWriter struct {
 	encoder *msgpack.Encoder
 	err     error
 }
 
-func (w *snapshotWriter) keep(err error) {
+func (w *snapshotWriter) setError(err error) {
 	if w.err == nil {
 		w.err = err
 	}
 }
 
-func (w *snapshotWriter) unsigned(value uint64) { w.keep(w.encoder.EncodeUint(value)) }
-func (w *snapshotWriter) integer(value int64)   { w.keep(w.encoder.EncodeInt(value)) }
-func (w *snapshotWriter) count(value int)       { w.keep(w.encoder.EncodeArrayLen(value)) }
-func (w *snapshotWriter) text(value string)     { w.keep(w.encoder.EncodeString(value)) }
-func (w *snapshotWriter) flag(value bool)       { w.keep(w.encoder.EncodeBool(value)) }
+func (w *snapshotWriter) unsigned(value uint64) { w.setError(w.encoder.EncodeUint(value)) }
+func (w *snapshotWriter) integer(value int64)   { w.setError(w.encoder.EncodeInt(value)) }
+func (w *snapshotWriter) count(value int)       { w.setError(w.encoder.EncodeArrayLen(value)) }
+func (w *snapshotWriter) text(value string)     { w.setError(w.encoder.EncodeString(value)) }
+func (w *snapshotWriter) flag(value bool)       { w.setError(w.encoder.EncodeBool(value)) }
 
 func (w *snapshotWriter) state(s *State) {
 	w.unsigned(s.revision)
@@ -32,7 +32,7 @@
 		w.zone(zone)
 	}
 	w.count(len(s.rows))
-	for row := s.changes.oldest; row != nil; row = row.following {
+	for row := s.changes.oldest; row != nil; row = row.next {
 		w.rowState(row)
 	}
 	w.count(len(s.history))
@@ -57,7 +57,7 @@
 	w.flag(state.deleted)
 	w.unsigned(state.changed)
 	w.unsigned(state.zonesChanged)
-	w.integer(int64(state.heldBefore))
+	w.integer(int64(state.heldOverLimit))
 	w.count(len(state.grants))
 	for i := range state.grants {
 		grant := &state.grants[i]
@@ -86,7 +86,7 @@
 
 func (w *snapshotWriter) historyEntry(entry *structs.HistoryEntry) {
 	w.unsigned(entry.Revision)
-	w.keep(w.encoder.EncodeTime(entry.At))
+	w.setError(w.encoder.EncodeTime(entry.At))
 	w.text(entry.Author)
 	w.text(entry.Comment)
 	w.text(string(entry.EditID))
@@ -99,7 +99,7 @@
 func (w *snapshotWriter) answer(record answerRecord) {
 	result := &record.result
 	w.text(string(result.ID))
-	w.keep(w.encoder.EncodeBytes(record.digest[:]))
+	w.setError(w.encoder.EncodeBytes(record.digest[:]))
 	w.flag(result.Accepted)
 	w.unsigned(result.Revision)
 	w.count(len(result.Problems))
--- a/placement/table/split.go
+++ b/placement/table/split.go
@@ -2,45 +2,43 @@
 
 import "math/bits"
 
-// Hysteresis of contested rows, as the fraction stayNumerator/stayDenominator: a
-// limit moves from one zone to another only when the other's demand for each
-// replica, after the move, is still at least that many times the first one's.
+// Hysteresis for rows whose wishes exceed the limit: a replica moves only if the
+// receiver's wish per replica after the move is at least
+// hysteresisNumerator/hysteresisDenominator times the donor's before the move.
 const (
-	stayNumerator   = 3
-	stayDenominator = 2
+	hysteresisNumerator   = 3
+	hysteresisDenominator = 2
 )
 
-// share is one active zone's part in the split of a row's limit.
+// share is the part of one active zone in the split of a row's limit.
 type share struct {
 	zone   uint16
 	weight int
-	// rank orders zones that are equal otherwise; it is a hash of row and zone.
+	// rank is a hash of row and zone that breaks ties.
 	rank uint64
 	// limit, held and wish are the zone's grant before the split.
 	limit int
 	held  int
 	wish  int
-	// demand is the part of the limit that the zone's wish earns it.
+	// demand is the part of the row's limit assigned by the zone's wish.
 	demand int
-	// target is the ideal split: demand plus a share by weight of what is left.
+	// target is the ideal limit: demand plus a part of the remainder by weight.
 	target int
-	// next is the split to be reached, close to limit.
+	// next is the new limit. It differs from limit only as far as necessary.
 	next int
-	// growth is how much held may grow now.
+	// growth is the number of replicas by which held may grow now.
 	growth int
 
-	// cap is the most that minimum may be; minimum is the zone's part of
-	// MinReplicas.
+	// minimum is the zone's part of MinReplicas, at most cap.
 	cap     int
 	minimum int
 
 	remainder int
-	seated    bool
+	roundedUp bool
 }
 
-// splitLimits sets next in all shares so that they sum to total (when there is
-// any share). With rebalance it is the ideal split; without, the current limits
-// stay but for what must move.
+// splitLimits sets next in all shares so that they sum to total, if there are any
+// shares. With rebalance, next is the target; without, limits move only if necessary.
 func splitLimits(total int, shares []share, rebalance bool) {
 	setTargets(total, shares)
 	if rebalance {
@@ -59,8 +57,8 @@
 		}
 		sum += zone.next
 	}
-	// The targets sum to total, so the zones above them exceed total by at least
-	// as much as the sum does, and likewise for the zones below.
+	// The targets sum to total, so the zones above their targets exceed them by at
+	// least sum-total in all, and likewise for the zones below.
 	if sum > total {
 		apportion(sum-total, shares, aboveTarget, func(zone *share, count int) { zone.next -= count })
 	}
@@ -72,9 +70,9 @@
 func aboveTarget(zone *share) int { return max(zone.next-zone.target, 0) }
 func belowTarget(zone *share) int { return max(zone.target-zone.next, 0) }
 
-// setTargets computes demand and target: wishes first, in proportion when they
-// exceed the total, then what is left by weight. When there are fewer replicas
-// than zones, what is left goes one by one to zones without any, picked by rank.
+// setTargets computes demand and target: wishes first, scaled down if they exceed the
+// total, then the remainder by weight. If there are fewer replicas than zones, the
+// remainder is assigned one by one, by rank, to zones without any.
 func setTargets(total int, shares []share) {
 	wished := 0
 	for i := range shares {
@@ -94,16 +92,16 @@
 		left -= zone.demand
 	}
 	if total < len(shares) {
-		scatter(left, shares)
+		assignByRank(left, shares)
 		return
 	}
 	apportion(left, shares, func(zone *share) int { return zone.weight },
 		func(zone *share, count int) { zone.target += count })
 }
 
-// scatter gives one replica each to count zones that have no target yet: those
-// with the lowest rank for their weight, so that rows spread over the zones.
-func scatter(count int, shares []share) {
+// assignByRank sets a target of one replica for count zones without any: those with
+// the lowest rank/weight, so that rows spread over the zones.
+func assignByRank(count int, shares []share) {
 	for ; count > 0; count-- {
 		var best *share
 		for i := range shares {
@@ -119,7 +117,7 @@
 	}
 }
 
-// lowerRank compares rank/weight without rounding.
+// lowerRank reports whether a.rank/a.weight < b.rank/b.weight, without rounding.
 func lowerRank(a, b *share) bool {
 	aHigh, aLow := bits.Mul64(a.rank, uint64(b.weight))
 	bHigh, bLow := bits.Mul64(b.rank, uint64(a.weight))
@@ -129,31 +127,31 @@
 	return aLow < bLow
 }
 
-// needsMove reports whether a zone lacks limits that its wish earns it while
-// another has some that it doesn't use or has much less demand for.
+// needsMove reports whether some zone's limit is below its demand while another zone
+// has limits that it does not use or has much less demand for.
 func needsMove(shares []share) bool {
-	var neediest, idlest *share
+	var receiver, donor *share
 	for i := range shares {
 		zone := &shares[i]
-		if zone.limit < zone.demand && (neediest == nil || zone.wish*(neediest.limit+1) > neediest.wish*(zone.limit+1)) {
-			neediest = zone
+		if zone.limit < zone.demand && (receiver == nil || zone.wish*(receiver.limit+1) > receiver.wish*(zone.limit+1)) {
+			receiver = zone
 		}
-		if zone.limit > zone.demand && (idlest == nil || zone.wish*idlest.limit < idlest.wish*zone.limit) {
-			idlest = zone
+		if zone.limit > zone.demand && (donor == nil || zone.wish*donor.limit < donor.wish*zone.limit) {
+			donor = zone
 		}
 	}
-	if neediest == nil {
+	if receiver == nil {
 		return false
 	}
-	if idlest == nil || idlest.limit > idlest.wish {
+	if donor == nil || donor.limit > donor.wish {
 		return true
 	}
-	return stayDenominator*neediest.wish*idlest.limit >= stayNumerator*idlest.wish*(neediest.limit+1)
+	return hysteresisDenominator*receiver.wish*donor.limit >= hysteresisNumerator*donor.wish*(receiver.limit+1)
 }
 
-// apportion hands out total in proportion to weight by largest remainder, ties to
-// the lower rank. It hands out nothing when all weights are 0. When total is not
-// above the sum of weights, no share gets more than its weight.
+// apportion distributes total in proportion to weight by the largest remainder method,
+// with ties broken by the lower rank. It distributes nothing if all weights are 0. If
+// total is at most the sum of weights, no share gets more than its weight.
 func apportion(total int, shares []share, weight func(*share) int, give func(*share, int)) {
 	sum := 0
 	for i := range shares {
@@ -162,32 +160,32 @@
 	if sum == 0 || total <= 0 {
 		return
 	}
-	seats := total
+	unassigned := total
 	for i := range shares {
 		zone := &shares[i]
 		product := total * weight(zone)
 		zone.remainder = product % sum
-		zone.seated = false
-		seats -= product / sum
+		zone.roundedUp = false
+		unassigned -= product / sum
 	}
-	for ; seats > 0; seats-- {
-		seatLargestRemainder(shares)
+	for ; unassigned > 0; unassigned-- {
+		roundUpLargestRemainder(shares)
 	}
 	for i := range shares {
 		zone := &shares[i]
 		count := total * weight(zone) / sum
-		if zone.seated {
+		if zone.roundedUp {
 			count++
 		}
 		give(zone, count)
 	}
 }
 
-func seatLargestRemainder(shares []share) {
+func roundUpLargestRemainder(shares []share) {
 	var best *share
 	for i := range shares {
 		zone := &shares[i]
-		if zone.seated {
+		if zone.roundedUp {
 			continue
 		}
 		isBetter := best == nil || zone.remainder > best.remainder ||
@@ -196,5 +194,5 @@
 			best = zone
 		}
 	}
-	best.seated = true
+	best.roundedUp = true
 }
--- a/placement/table/state.go
+++ b/placement/table/state.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// EditResultRetention is how many edit IDs keep their first answer. An edit
-	// resent later is judged again: its BaseRevisions are then older than the rows
-	// it changed, so it conflicts. (A creation resent after that many edits finds
-	// its row free again if the row was deleted meanwhile.)
+	// EditResultRetention is the number of edit IDs whose results are recorded. An
+	// edit resent later is checked again and conflicts, because its BaseRevisions are
+	// outdated. The exception is a creation whose row was deleted meanwhile, which is
+	// applied again.
 	EditResultRetention = 50_000
-	// HistoryRetention is how many accepted edits the history lists.
+	// HistoryRetention is the maximum number of edits in the history.
 	HistoryRetention = 50_000
-	// TombstoneRetention is about how many deleted rows are remembered for deltas.
-	// Deleted rows that zones still hold replicas of are kept beside them.
+	// TombstoneRetention is the approximate number of deleted rows kept for deltas.
+	// Deleted rows of which zones still hold replicas are kept in addition.
 	TombstoneRetention = 20_000
-	// tombstonePruneBatch is how many more tombstones gather before the oldest go.
+	// tombstonePruneBatch is the number of surplus tombstones that triggers pruning.
 	tombstonePruneBatch = TombstoneRetention / 8
 )
 
-// State is the state of the global group. New makes an empty one.
+// State is the state of the global group. Use New to create one.
 type State struct {
 	revision uint64
-	// next is the revision that the command being applied gives to its changes.
+	// next is the revision of the changes of the command being applied.
 	next    uint64
 	rows    map[structs.RowName]*rowState
 	changes changeList
-	// tombstones counts the deleted rows in rows; pruneAt is the count at which
-	// the oldest are forgotten; floor is the newest revision so forgotten.
+	// tombstones counts the deleted rows in rows; pruneAt is the count at which the
+	// oldest are pruned; floor is the newest revision of a pruned tombstone.
 	tombstones int
 	pruneAt    int
 	floor      uint64
@@ -40,16 +40,16 @@
 	zoneRanks []uint64
 	history   []structs.HistoryEntry
 	answers   answerLog
-	// shares is scratch space of regrant.
+	// shares is scratch space of sharesOf.
 	shares []share
 }
 
-// ZoneState is what the global group knows of a zone.
+// ZoneState is a zone as known to the global group.
 type ZoneState struct {
 	Zone structs.ZoneID
-	// Weight is the zone's share of limits that no zone wishes.
+	// Weight is the zone's relative share of limits that no zone wishes for.
 	Weight int
-	// Removed zones get no limits; what they hold stays counted.
+	// Removed zones get no limits, but the replicas that they hold are counted.
 	Removed bool
 	// InForce is the newest table revision that the zone reported as adopted.
 	InForce uint64
@@ -65,8 +65,8 @@
 	}
 }
 
-// Apply applies one committed command. A command that is refused changes nothing
-// but, for an edit, the record of its answer.
+// Apply applies one committed command. A refused command changes nothing, except that
+// the result of a refused edit is recorded.
 func (s *State) Apply(command Command) Result {
 	if refusal := command.check(); refusal != nil {
 		return Result{Error: refusal}
@@ -112,9 +112,8 @@
 	return state.row, true
 }
 
-// History returns the newest accepted edits, newest first, at most limit of them;
-// a limit of 0 or less means all that are kept. The entries are shared: they must
-// not be changed.
+// History returns up to limit accepted edits, newest first, or all recorded edits if
+// limit is 0 or less. The entries are shared and must not be modified.
 func (s *State) History(limit int) []structs.HistoryEntry {
 	if limit <= 0 || limit > len(s.history) {
 		limit = len(s.history)
@@ -124,8 +123,8 @@
 	return newest
 }
 
-// Grants returns the row's grants that are not all zero, sorted by zone. For a
-// deleted row it returns what zones still hold.
+// Grants returns the row's nonzero grants, sorted by zone. For a deleted row, these are
+// the replicas that zones still hold.
 func (s *State) Grants(name structs.RowName) []structs.Grant {
 	state := s.rows[name]
 	if state == nil {
@@ -134,7 +133,7 @@
 	var grants []structs.Grant
 	for _, grant := range state.grants {
 		if grant.limit > 0 || grant.held > 0 {
-			grants = append(grants, s.export(state, grant))
+			grants = append(grants, s.exportGrant(state, grant))
 		}
 	}
 	slices.SortFunc(grants, func(a, b structs.Grant) int {
@@ -143,7 +142,7 @@
 	return grants
 }
 
-// Zones returns all zones, removed ones among them, sorted by name.
+// Zones returns all zones, including removed ones, sorted by name.
 func (s *State) Zones() []ZoneState {
 	zones := make([]ZoneState, 0, len(s.zones))
 	for _, zone := range s.zones {
@@ -155,7 +154,7 @@
 	return zones
 }
 
-func (s *State) export(state *rowState, grant grantState) structs.Grant {
+func (s *State) exportGrant(state *rowState, grant grantState) structs.Grant {
 	return structs.Grant{
 		Row:      state.row.Name,
 		Zone:     s.zones[grant.zone].Zone,
--- a/placement/table/validate.go
+++ b/placement/table/validate.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// MaxNameBytes is the longest name of a row, role or zone.
+	// MaxNameBytes is the maximum length of the name of a row, role or zone.
 	MaxNameBytes = 200
-	// MaxRowWeight is the highest weight of a row.
+	// MaxRowWeight is the maximum weight of a row.
 	MaxRowWeight = 1000
-	// MaxReplicasLimit is the highest MaxReplicas of a row.
+	// MaxReplicasLimit is the maximum of a row's MaxReplicas.
 	MaxReplicasLimit = 10_000
 )
 
-// ValidateRow returns what is wrong with a row, nil when nothing is. lookup finds
-// the other rows of the table as it would be with the row in it.
+// ValidateRow returns the problems of a row, or nil if it is valid. The lookup function
+// returns rows of the table as it would be with the row in it.
 func ValidateRow(row structs.Row, lookup func(structs.RowName) (structs.Row, bool)) []structs.RowProblem {
 	check := rowCheck{row: row}
 	check.name()
@@ -42,7 +42,7 @@
 }
 
 func (c *rowCheck) name() {
-	if problem := textProblem(string(c.row.Name)); problem != "" {
+	if problem := nameProblem(string(c.row.Name)); problem != "" {
 		c.report("name", string(c.row.Name), problem, nameRemedy)
 	}
 }
@@ -101,7 +101,7 @@
 }
 
 func (c *rowCheck) role() {
-	if problem := textProblem(string(c.row.Role)); problem != "" {
+	if problem := nameProblem(string(c.row.Role)); problem != "" {
 		c.report("role", string(c.row.Role), problem, "Name the role of the runners that serve the row, as in answers.")
 	}
 }
@@ -114,8 +114,8 @@
 	}
 }
 
-// textProblem says what is wrong with a name; it is empty when nothing is.
-func textProblem(text string) string {
+// nameProblem returns the problem of a name, or the empty string if it is valid.
+func nameProblem(text string) string {
 	if text == "" {
 		return "is empty"
 	}
--- a/placement/table/wellformed.go
+++ b/placement/table/wellformed.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth bounds how deeply a command's msgpack values may be nested.
+// maxDepth is the maximum nesting depth of a command's msgpack values.
 const maxDepth = 16
 
 var (
@@ -17,8 +17,8 @@
 	errBadCode   = errors.New("a value has a kind that commands don't use")
 )
 
-// checkWellFormed checks that data is exactly one msgpack value whose lengths fit
-// the data, so that decoding it can neither allocate beyond it nor recurse far.
+// checkWellFormed checks that data is exactly one msgpack value whose lengths are within
+// the data, so that decoding it allocates and recurses only within limits.
 func checkWellFormed(data []byte) error {
 	rest, err := skipValue(data, maxDepth)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// skipValue returns what follows the first value of data.
+// skipValue returns the data after its first value.
 func skipValue(data []byte, depth int) ([]byte, error) {
 	if depth == 0 {
 		return nil, errTooDeep
@@ -85,8 +85,9 @@
 	return skipBytes(data, length+scale)
 }
 
-// lengthLayout returns how many bytes of length follow the code. For containers
-// scale is the values an entry has, for others the bytes beside the length.
+// lengthLayout returns the width in bytes of the length that follows the code. For
+// containers, scale is the number of values per entry; for others, the number of
+// extra bytes.
 func lengthLayout(code byte) (width int, scale uint64, isContainer bool) {
 	switch code {
 	case msgpcode.Str8, msgpcode.Bin8:
--- a/placement/table/zone.go
+++ b/placement/table/zone.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// MaxZoneWeight is the highest weight of a zone.
+	// MaxZoneWeight is the maximum weight of a zone.
 	MaxZoneWeight = 1000
-	// MaxZones bounds the zones that a site ever names.
+	// MaxZones is the maximum number of zones, including removed ones.
 	MaxZones = 1000
 )
 
-// applyZone adds, weighs or removes a zone and splits every row's limit again.
-// Asking for what already is changes nothing.
+// applyZone adds, changes or removes a zone and splits every row's limit again, unless
+// nothing changes.
 func (s *State) applyZone(command ZoneCommand) *structs.Error {
 	index, isKnown := s.zoneIndex[command.Zone]
 	if command.Remove {
@@ -37,12 +37,12 @@
 	}
 	zone.Removed = false
 	zone.Weight = command.Weight
-	s.regrantAll()
+	s.reallocateAll()
 	return nil
 }
 
 func (s *State) checkZone(command ZoneCommand, isKnown bool) *structs.Error {
-	if problem := textProblem(string(command.Zone)); problem != "" {
+	if problem := nameProblem(string(command.Zone)); problem != "" {
 		return structs.NewError(structs.ErrorInvalid, fmt.Sprintf("zone name %q %s", command.Zone, problem),
 			"Choose a name of letters, digits and dashes.")
 	}
@@ -66,8 +66,8 @@
 	return index
 }
 
-// removeZone takes the zone's limits and wishes away, and with force also what it
-// holds, then splits the limits of all rows over the zones that are left.
+// removeZone removes the zone's limits and wishes, with force also its held replicas,
+// and splits the limits of all rows over the remaining zones.
 func (s *State) removeZone(index uint16, force bool) {
 	zone := s.zones[index]
 	if zone.Removed && !force {
@@ -80,24 +80,24 @@
 			grant.wish = 0
 			if force {
 				s.setGrant(row, grant, 0, 0)
-				s.noteHeld(row)
+				s.updateFrozen(row)
 			}
 		}
 	}
-	s.regrantAll()
+	s.reallocateAll()
 }
 
-// allRows lists all rows and tombstones in the order of their last change. It is
-// a copy, so that the caller may change rows.
+// allRows returns all rows and tombstones in the order of their last change. The slice
+// is a copy, because changing a row moves it in the list of changes.
 func (s *State) allRows() []*rowState {
 	rows := make([]*rowState, 0, len(s.rows))
-	for row := s.changes.oldest; row != nil; row = row.following {
+	for row := s.changes.oldest; row != nil; row = row.next {
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-// activeZone returns the index of a zone that is known and not removed.
+// activeZone returns the index of a zone, or ErrorNotFound if it is unknown or removed.
 func (s *State) activeZone(zone structs.ZoneID) (uint16, *structs.Error) {
 	index, isKnown := s.zoneIndex[zone]
 	if !isKnown || s.zones[index].Removed {
@@ -111,8 +111,8 @@
 		"Add the zone first, or correct its name.")
 }
 
-// applyWishes records a zone's wishes and splits the limits of the named rows.
-// A wish that is wrong refuses the command whole.
+// applyWishes records a zone's wishes and splits the limits of the named rows. An
+// invalid wish refuses the whole command.
 func (s *State) applyWishes(command WishCommand) *structs.Error {
 	index, refusal := s.activeZone(command.Zone)
 	if refusal != nil {
@@ -128,13 +128,13 @@
 	}
 	for _, wish := range command.Wishes {
 		if row := s.rows[wish.Row]; row != nil && !row.deleted {
-			s.regrant(row, false)
+			s.reallocate(row, false)
 		}
 	}
 	return nil
 }
 
-// setWish records a wish; the last one for a row counts.
+// setWish records a wish, replacing an earlier one for the row.
 func (s *State) setWish(zone uint16, wish structs.GrantWish) {
 	row := s.rows[wish.Row]
 	if row == nil || row.deleted {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// applyInForce raises the revision that a zone is known to have adopted.
+// applyInForce raises the recorded revision that a zone has adopted.
 func (s *State) applyInForce(command InForceCommand) *structs.Error {
 	index, refusal := s.activeZone(command.Zone)
 	if refusal != nil {
