--- a/placement/tablefile/csv.go
+++ b/placement/tablefile/csv.go
@@ -13,13 +13,13 @@
 	"github.com/pkg/errors"
 )
 
-// optionalEmpty are the columns whose empty cell means that there is no value.
-var optionalEmpty = []string{columnBase, columnMinReplicas, columnObjective, columnRevision}
+// optionalColumns are the columns in which an empty cell means no value.
+var optionalColumns = []string{columnBase, columnMinReplicas, columnObjective, columnRevision}
 
-// readCSV reads the records under a header line.
+// readCSV reads the records of a CSV file with a header line.
 func readCSV(data []byte) ([]record, error) {
 	reader := csv.NewReader(bytes.NewReader(data))
-	reader.Comma = separatorOf(data)
+	reader.Comma = detectSeparator(data)
 	reader.FieldsPerRecord = -1
 	header, err := reader.Read()
 	if err == io.EOF {
@@ -52,9 +52,9 @@
 	}
 }
 
-// separatorOf tells by the header line whether cells end with a comma or, as
-// spreadsheets do where the comma is the decimal sign, with a semicolon.
-func separatorOf(data []byte) rune {
+// detectSeparator returns the separator used by the header line: a comma, or a
+// semicolon as written by spreadsheets in locales with a decimal comma.
+func detectSeparator(data []byte) rune {
 	header, _, _ := bytes.Cut(data, []byte("\n"))
 	if bytes.IndexByte(header, ',') < 0 && bytes.IndexByte(header, ';') >= 0 {
 		return ';'
@@ -66,7 +66,8 @@
 	return invalid("the file is not CSV: "+err.Error(), "Save the table as CSV again.")
 }
 
-// checkHeader refuses unknown, repeated and missing columns.
+// checkHeader normalizes the column names in place. It returns an error for unknown,
+// repeated and missing columns.
 func checkHeader(header []string) error {
 	var seen []string
 	for i, column := range header {
@@ -104,7 +105,7 @@
 		if i < len(cells) {
 			cell = cells[i]
 		}
-		if cell == "" && slices.Contains(optionalEmpty, column) {
+		if cell == "" && slices.Contains(optionalColumns, column) {
 			continue
 		}
 		record.values = append(record.values, value{column: column, text: cell})
@@ -122,7 +123,7 @@
 	return errors.Wrap(writer.WriteAll(lines), "writing the table as CSV")
 }
 
-// csvCells lists the row's cells in the order of columns.
+// csvCells returns the row's cells in the order of columns.
 func csvCells(row structs.Row) []string {
 	return []string{
 		string(row.Name),
--- a/placement/tablefile/diff.go
+++ b/placement/tablefile/diff.go
@@ -7,12 +7,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Diff returns the changes that lead from current to wanted: the rows that are
-// new or different, in the order of wanted, then with prune the deletions of the
-// rows that wanted lacks, by name. The base revision of a change is the wanted
-// row's own revision where it has one, so that an edit made against an older
-// table conflicts, and otherwise that of the current row. A row that already is
-// as wanted needs no change, whatever its revision.
+// Diff returns the changes from current to wanted: new and different rows in the
+// order of wanted and, if prune is set, deletions of the rows missing in wanted,
+// sorted by name. The base revision of a change is the revision of the wanted row,
+// so that an edit of an outdated table conflicts, or that of the current row if the
+// wanted one has none. Rows that differ only in their revision are not changed.
 func Diff(current, wanted []structs.Row, prune bool) []structs.RowChange {
 	present := make(map[structs.RowName]structs.Row, len(current))
 	for _, row := range current {
--- a/placement/tablefile/format.go
+++ b/placement/tablefile/format.go
@@ -12,17 +12,17 @@
 // Format names a file format.
 type Format string
 
-// The formats.
+// Supported formats.
 const (
 	FormatCSV  Format = "csv"
 	FormatYAML Format = "yaml"
 	FormatJSON Format = "json"
 )
 
-// MaxFileBytes is the size of the largest file that Decode reads.
+// MaxFileBytes is the maximum size of a file that Decode reads.
 const MaxFileBytes = 64 << 20
 
-// FormatOf tells the format by the file name's extension.
+// FormatOf returns the format for the extension of the file name.
 func FormatOf(fileName string) (Format, error) {
 	switch strings.ToLower(filepath.Ext(fileName)) {
 	case ".csv":
@@ -35,9 +35,9 @@
 	return "", invalid(fmt.Sprintf("the format of %q is not known", fileName), "Name the file .csv, .yaml or .json.")
 }
 
-// Decode reads a table. It returns the rows in the order of the file, the values
-// that could not be read, and an ErrorInvalid when the file as a whole could not
-// be. When there are problems, the rows named in them are not to be used.
+// Decode reads a table. It returns the readable rows in file order and the problems of
+// invalid values. Rows named in a problem must not be used. It returns ErrorInvalid if
+// the file as a whole is not a table.
 func Decode(format Format, source io.Reader) ([]structs.Row, []structs.RowProblem, error) {
 	data, err := io.ReadAll(io.LimitReader(source, MaxFileBytes+1))
 	if err != nil {
@@ -65,8 +65,7 @@
 	return rows, problems, nil
 }
 
-// Encode writes rows so that Decode reads them back unchanged, revisions
-// included.
+// Encode writes rows so that Decode returns them unchanged, including revisions.
 func Encode(format Format, target io.Writer, rows []structs.Row) error {
 	switch format {
 	case FormatCSV:
@@ -79,7 +78,7 @@
 	return unknownFormat(format)
 }
 
-// byteOrderMark begins files of some spreadsheets.
+// byteOrderMark is written at the start of files by some spreadsheets.
 const byteOrderMark = "\uFEFF"
 
 func unknownFormat(format Format) *structs.Error {
--- a/placement/tablefile/json.go
+++ b/placement/tablefile/json.go
@@ -10,11 +10,11 @@
 	"github.com/pkg/errors"
 )
 
-// readJSON reads the records of one JSON object. It goes by tokens, so that a
-// repeated or unknown key is seen.
+// readJSON reads the records of one JSON object. It reads tokens, so that repeated and
+// unknown keys are detected.
 func readJSON(data []byte) ([]record, error) {
 	if !json.Valid(data) {
-		return nil, jsonError(syntaxOf(data))
+		return nil, jsonError(syntaxErrorText(data))
 	}
 	reader := jsonReader{decoder: json.NewDecoder(bytes.NewReader(data)), data: data}
 	reader.decoder.UseNumber()
@@ -37,7 +37,7 @@
 	return invalid("the file is not a table in JSON: "+reason, "Write one object with a list of rows under the key rows.")
 }
 
-func syntaxOf(data []byte) string {
+func syntaxErrorText(data []byte) string {
 	var discarded json.RawMessage
 	if err := json.Unmarshal(data, &discarded); err != nil {
 		return err.Error()
@@ -45,14 +45,14 @@
 	return "it has a syntax error"
 }
 
-// jsonReader reads tokens; the first error sticks.
+// jsonReader reads tokens and keeps the first error.
 type jsonReader struct {
 	decoder *json.Decoder
 	data    []byte
 	err     error
-	// line and counted are the line at the offset counted.
-	line    int
-	counted int64
+	// line is the line number at lineOffset, from 0 on.
+	line       int
+	lineOffset int64
 }
 
 func (r *jsonReader) fail(reason string) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// token returns the next token, nil after an error.
+// token returns the next token, or nil after an error.
 func (r *jsonReader) token() json.Token {
 	if r.err != nil {
 		return nil
@@ -82,17 +82,17 @@
 
 func (r *jsonReader) more() bool { return r.err == nil && r.decoder.More() }
 
-// lineNow returns the line of the last token, from 1 on.
-func (r *jsonReader) lineNow() int {
+// currentLine returns the line number of the last token, from 1 on.
+func (r *jsonReader) currentLine() int {
 	offset := r.decoder.InputOffset()
-	r.line += bytes.Count(r.data[r.counted:offset], []byte("\n"))
-	r.counted = offset
+	r.line += bytes.Count(r.data[r.lineOffset:offset], []byte("\n"))
+	r.lineOffset = offset
 	return r.line + 1
 }
 
 func (r *jsonReader) record() record {
-	r.expect(json.Delim('{'), fmt.Sprintf("the row after line %d is not an object", r.lineNow()))
-	record := record{line: r.lineNow()}
+	r.expect(json.Delim('{'), fmt.Sprintf("the row after line %d is not an object", r.currentLine()))
+	record := record{line: r.currentLine()}
 	for r.more() {
 		column, _ := r.token().(string)
 		record.values = append(record.values, r.value(column))
@@ -101,7 +101,7 @@
 	return record
 }
 
-// value reads a value whole; lists, objects, true, false and null are no values.
+// value reads a value. Lists, objects, true, false and null have kind valueOther.
 func (r *jsonReader) value(column string) value {
 	var raw json.RawMessage
 	if r.err == nil {
@@ -125,5 +125,5 @@
 	encoder := json.NewEncoder(target)
 	encoder.SetIndent("", "  ")
 	encoder.SetEscapeHTML(false)
-	return errors.Wrap(encoder.Encode(document{Rows: emptyNotNil(rows)}), "writing the table as JSON")
+	return errors.Wrap(encoder.Encode(document{Rows: nonNilRows(rows)}), "writing the table as JSON")
 }
--- a/placement/tablefile/record.go
+++ b/placement/tablefile/record.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The columns of a row.
+// Column names.
 const (
 	columnName        = "name"
 	columnKind        = "kind"
@@ -22,25 +22,25 @@
 	columnRevision    = "revision"
 )
 
-// memoryAlias is the name of the memory column in structs.Row.
+// memoryAlias is an alternative name of the memory column, used by structs.Row.
 const memoryAlias = "memory_bytes"
 
-// columns lists all columns in the order they are written.
+// columns contains all columns in the order in which they are written.
 var columns = []string{
 	columnName, columnKind, columnBase, columnWeight, columnPriority, columnMinReplicas,
 	columnMaxReplicas, columnMemory, columnRole, columnObjective, columnRevision,
 }
 
-// requiredColumns must be in every row.
+// requiredColumns are the columns that every row must have.
 var requiredColumns = []string{
 	columnName, columnKind, columnWeight, columnPriority, columnMaxReplicas, columnMemory, columnRole,
 }
 
-// valueKind tells how a format wrote a value.
+// valueKind is the type of a value in a file.
 type valueKind int
 
 const (
-	// valuePlain may be a number or a text: the format doesn't tell.
+	// valuePlain is a number or a text, which the format does not distinguish.
 	valuePlain valueKind = iota
 	valueNumber
 	valueText
@@ -48,7 +48,7 @@
 	valueOther
 )
 
-// value is one value of a record as the file has it.
+// value is an unparsed value of a record.
 type value struct {
 	column string
 	text   string
@@ -61,8 +61,8 @@
 	values []value
 }
 
-// ColumnName returns the name under which operators know a column that may be given
-// by an alias, such as a field of structs.Row.
+// ColumnName returns the canonical name of a column that may be given by an alias,
+// such as a field name of structs.Row.
 func ColumnName(column string) string {
 	if column == memoryAlias {
 		return columnMemory
@@ -70,7 +70,7 @@
 	return column
 }
 
-// buildRows turns records into rows. A row with a problem is left out.
+// buildRows converts records to rows. Rows with problems are left out.
 func buildRows(records []record) ([]structs.Row, []structs.RowProblem) {
 	var rows []structs.Row
 	var problems []structs.RowProblem
@@ -84,7 +84,7 @@
 				"Keep one row for each name.")
 		}
 		lines[name] = record.line
-		problems = append(problems, builder.named(record.line)...)
+		problems = append(problems, builder.labeledProblems(record.line)...)
 		if len(builder.problems) == 0 {
 			rows = append(rows, builder.row)
 		}
@@ -92,7 +92,7 @@
 	return rows, problems
 }
 
-// rowBuilder reads the values of one record.
+// rowBuilder parses the values of one record.
 type rowBuilder struct {
 	row      structs.Row
 	seen     map[string]bool
@@ -103,8 +103,9 @@
 	b.problems = append(b.problems, structs.RowProblem{Column: column, Value: text, Problem: problem, Remedy: remedy})
 }
 
-// named gives the problems the row's name, and the line where there is none.
-func (b *rowBuilder) named(line int) []structs.RowProblem {
+// labeledProblems returns the problems with the row's name or, if it has none, with the
+// line number.
+func (b *rowBuilder) labeledProblems(line int) []structs.RowProblem {
 	for i := range b.problems {
 		b.problems[i].Row = b.row.Name
 		if b.row.Name == "" {
--- a/placement/tablefile/tablefile_test.go
+++ b/placement/tablefile/tablefile_test.go
@@ -29,7 +29,7 @@
 	return buffer.Bytes()
 }
 
-func TestRowsRoundTripExactly(t *testing.T) {
+func TestRowsRoundTrip(t *testing.T) {
 	for _, format := range formats {
 		for _, rows := range [][]structs.Row{sampleRows(), nil} {
 			decoded, problems, err := Decode(format, bytes.NewReader(encode(t, format, rows)))
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestFilesAsPeopleWriteThem(t *testing.T) {
+func TestDecodeCommonFiles(t *testing.T) {
 	want := []structs.Row{{Name: "m", Kind: structs.RowModel, Weight: 2, Priority: structs.PriorityLive,
 		MaxReplicas: 3, MemoryBytes: 24 << 30, Role: "answers"}}
 	tests := []struct {
@@ -50,7 +50,7 @@
 	}{
 		{"spreadsheet", FormatCSV, "\uFEFFrole,memory,name,kind,weight,priority,max_replicas\r\nanswers,24GiB,m,model,2,live,3\r\n,,,,,,\r\n"},
 		{"semicolons", FormatCSV, "name;kind;base;weight;priority;min_replicas;max_replicas;memory;role;revision\nm;model;;2;2;;3;25769803776;answers;\n"},
-		{"cells cut off", FormatCSV, "name,kind,weight,priority,max_replicas,memory_bytes,role,objective\nm,model,2,live,3,24 GiB,answers\n"},
+		{"missing trailing cells", FormatCSV, "name,kind,weight,priority,max_replicas,memory_bytes,role,objective\nm,model,2,live,3,24 GiB,answers\n"},
 		{"YAML", FormatYAML, "rows:\n- {name: m, kind: model, weight: 2, priority: live, max_replicas: 3, memory: 24GiB, role: answers}\n"},
 		{"JSON", FormatJSON, `{"rows":[{"name":"m","kind":"model","weight":2,"priority":2,"max_replicas":3,"memory_bytes":25769803776,"role":"answers"}]}`},
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestFilesThatAreNoTableAreRefused(t *testing.T) {
+func TestDecodeRefusesInvalidFiles(t *testing.T) {
 	const header = "name,kind,weight,priority,max_replicas,memory,role"
 	tests := []struct {
 		about  string
@@ -81,16 +81,16 @@
 		{"bare quote", FormatCSV, header + "\nm\"x,model\n", ".*not CSV.*"},
 		{"YAML list", FormatYAML, "- a\n", ".*not a mapping.*"},
 		{"YAML other key", FormatYAML, "rows: []\nmore: 1\n", ".*one key.*"},
-		{"YAML rows no list", FormatYAML, "rows: 3\n", ".*not a list.*"},
-		{"YAML row no mapping", FormatYAML, "rows: [3]\n", ".*line 1 is not a mapping.*"},
+		{"YAML rows not a list", FormatYAML, "rows: 3\n", ".*not a list.*"},
+		{"YAML row not a mapping", FormatYAML, "rows: [3]\n", ".*line 1 is not a mapping.*"},
 		{"YAML two documents", FormatYAML, "rows: []\n---\nrows: []\n", ".*more than one document.*"},
 		{"YAML broken", FormatYAML, "rows: [", ".*not a table in YAML.*"},
 		{"JSON broken", FormatJSON, "{", ".*not a table in JSON.*"},
 		{"JSON list", FormatJSON, "[]", ".*not an object.*"},
 		{"JSON other key", FormatJSON, `{"lines":[]}`, ".*one key.*"},
 		{"JSON second key", FormatJSON, `{"rows":[],"rows":[]}`, ".*one key.*"},
-		{"JSON rows no list", FormatJSON, `{"rows":{}}`, ".*not a list.*"},
-		{"JSON row no object", FormatJSON, `{"rows":[1]}`, ".*not an object.*"},
+		{"JSON rows not a list", FormatJSON, `{"rows":{}}`, ".*not a list.*"},
+		{"JSON row not an object", FormatJSON, `{"rows":[1]}`, ".*not an object.*"},
 		{"JSON trailing", FormatJSON, `{"rows":[]} 1`, ".*not a table in JSON.*"},
 		{"unknown format", "xls", "", ".*not known.*"},
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// Each value is put into an otherwise right row of each format, as is.
-func TestValuesThatCannotBeReadAreNamed(t *testing.T) {
+// Inserts each value unquoted into an otherwise valid row of each format.
+func TestDecodeReportsInvalidValues(t *testing.T) {
 	tests := []struct{ column, csv, yaml, json string }{
 		{"weight", "heavy", "heavy", `"heavy"`},
 		{"weight", "1.5", "'1'", `"1"`},
@@ -133,7 +133,7 @@
 	}
 }
 
-// fileWith writes a file of one row with the given value in a column.
+// fileWith returns a file of one row with the given value in a column.
 func fileWith(format Format, column, text string) string {
 	values := map[string]string{columnName: "m", columnKind: "model", columnWeight: "1", columnPriority: "1",
 		columnMaxReplicas: "1", columnMemory: "1", columnRole: "answers", columnRevision: "1"}
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestKeysAndNamesAreStrict(t *testing.T) {
+func TestDecodeReportsUnknownAndRepeatedNames(t *testing.T) {
 	tests := []struct {
 		about   string
 		format  Format
@@ -217,7 +217,7 @@
 	qt.Assert(t, structs.KindOf(err), qt.Equals, structs.ErrorInvalid)
 }
 
-// fuzzFormat checks that valid rows read from any input survive all formats.
+// fuzzFormat checks that valid rows decoded from any input round-trip in all formats.
 func fuzzFormat(f *testing.F, format Format) {
 	f.Add(encode(f, format, sampleRows()))
 	f.Add([]byte(fileWith(format, columnMemory, "24GiB")))
@@ -235,7 +235,7 @@
 	})
 }
 
-// isValid reports whether the rows, and the names of their bases, are valid.
+// isValid reports whether the rows and the names of their bases are valid.
 func isValid(rows []structs.Row) bool {
 	noBase := func(structs.RowName) (structs.Row, bool) { return structs.Row{}, false }
 	hasBase := func(name structs.RowName) (structs.Row, bool) {
--- a/placement/tablefile/unit.go
+++ b/placement/tablefile/unit.go
@@ -8,21 +8,21 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// priorityNames names the priorities by their number.
+// priorityNames contains the names of the priorities by number.
 var priorityNames = [structs.PriorityCount]string{"batch", "standard", "live"}
 
-// memoryUnit is a unit of memory and its size in bytes.
+// memoryUnit is a memory unit with its size in bytes.
 type memoryUnit struct {
 	name  string
 	bytes int64
 }
 
-// memoryUnits lists the units, largest first.
+// memoryUnits contains the units, largest first.
 var memoryUnits = []memoryUnit{
 	{"TiB", 1 << 40}, {"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10},
 }
 
-// formatMemory writes a size with the largest unit that divides it.
+// formatMemory formats a size with the largest unit that divides it.
 func formatMemory(size int64) string {
 	for _, unit := range memoryUnits {
 		if size != 0 && size%unit.bytes == 0 {
@@ -32,7 +32,7 @@
 	return strconv.FormatInt(size, 10)
 }
 
-// parseMemory reads bytes or a whole number with a unit.
+// parseMemory parses a number of bytes or an integer with a unit.
 func parseMemory(text string) (int64, bool) {
 	scale := int64(1)
 	for _, unit := range memoryUnits {
@@ -48,7 +48,7 @@
 	return number * scale, true
 }
 
-// formatPriority writes a priority's name, or its number when it has none.
+// formatPriority returns the name of a priority, or its number if it has none.
 func formatPriority(priority structs.Priority) string {
 	if priority >= 0 && int(priority) < len(priorityNames) {
 		return priorityNames[priority]
--- a/placement/tablefile/yaml.go
+++ b/placement/tablefile/yaml.go
@@ -10,10 +10,10 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// rowsKey is the one key of a YAML or JSON file.
+// rowsKey is the only top-level key of a YAML or JSON file.
 const rowsKey = "rows"
 
-// document is a whole YAML or JSON file.
+// document is the content of a YAML or JSON file.
 type document struct {
 	Rows []structs.Row `json:"rows" yaml:"rows"`
 }
@@ -65,8 +65,8 @@
 	return record, nil
 }
 
-// yamlValue keeps the text of a scalar as written, so that a name such as 1.10
-// is not read as a number. Lists, mappings, aliases and null are no values.
+// yamlValue returns the text of a scalar as written, so that a name such as 1.10 is
+// not read as a number. Lists, mappings, aliases and null have kind valueOther.
 func yamlValue(column string, node *yaml.Node) value {
 	isText := node.Style&(yaml.DoubleQuotedStyle|yaml.SingleQuotedStyle|yaml.LiteralStyle|yaml.FoldedStyle) != 0
 	switch {
@@ -82,14 +82,14 @@
 func writeYAML(target io.Writer, rows []structs.Row) error {
 	encoder := yaml.NewEncoder(target)
 	encoder.SetIndent(2)
-	if err := encoder.Encode(document{Rows: emptyNotNil(rows)}); err != nil {
+	if err := encoder.Encode(document{Rows: nonNilRows(rows)}); err != nil {
 		return errors.Wrap(err, "writing the table as YAML")
 	}
 	return errors.Wrap(encoder.Close(), "writing the table as YAML")
 }
 
-// emptyNotNil makes an empty table a list instead of null.
-func emptyNotNil(rows []structs.Row) []structs.Row {
+// nonNilRows replaces nil by an empty slice, which is encoded as a list instead of null.
+func nonNilRows(rows []structs.Row) []structs.Row {
 	if rows == nil {
 		return []structs.Row{}
 	}
