--- a/placement/weightstore/doc.go
+++ b/placement/weightstore/doc.go
@@ -1,8 +1,7 @@
-// Package weightstore decides when a load from a weight store may begin. A store allows
-// so many loads to begin in a time, and serves so many at once at full speed; beyond
-// that number each takes longer. The first bound is announced, the second is learned
-// from how long loads take. Copies that runners have on their own disks or in memory
-// are no concern of the store.
+// Package weightstore limits the rate and the concurrency of loads from a weight store.
+// The rate at which loads may start is configured. The number of concurrent loads that
+// the store serves at full speed is estimated from the durations of loads. Loads from
+// copies on a runner's disk or in its memory are not counted.
 //
-// The package is pure: time comes in as an argument.
+// The package does not read the clock: times are passed as arguments.
 package weightstore
--- a/placement/weightstore/limiter_test.go
+++ b/placement/weightstore/limiter_test.go
@@ -15,96 +15,96 @@
 	step    = 20 * time.Millisecond
 )
 
-// simulatedStore serves as many loads at once as it can at full speed; beyond that
-// number all take proportionally longer, or only those that begin then.
+// simulatedStore serves a fixed number of concurrent loads at full speed. Beyond that,
+// either all loads or only those that start then are slowed down in proportion.
 type simulatedStore struct {
-	atOnce int
-	// isFixed stores give a load its speed when it begins.
-	isFixed bool
-	now     time.Time
-	left    map[Key]time.Duration
-	done    map[Key]bool
-	ended   int
-	most    int
-	begun   []time.Time
+	capacity int
+	// fixesSpeedAtStart is set if the speed of a load is fixed when it starts.
+	fixesSpeedAtStart bool
+	now               time.Time
+	remaining         map[Key]time.Duration
+	done              map[Key]bool
+	ended             int
+	peak              int
+	startTimes        []time.Time
 }
 
-func newSimulatedStore(atOnce int) *simulatedStore {
-	return &simulatedStore{atOnce: atOnce, now: start, left: make(map[Key]time.Duration), done: make(map[Key]bool)}
+func newSimulatedStore(capacity int) *simulatedStore {
+	return &simulatedStore{capacity: capacity, now: start, remaining: make(map[Key]time.Duration), done: make(map[Key]bool)}
 }
 
 func (s *simulatedStore) advance() {
 	s.now = s.now.Add(step)
 	progress := step
-	if len(s.left) > s.atOnce && !s.isFixed {
-		progress = time.Duration(float64(step) * float64(s.atOnce) / float64(len(s.left)))
+	if len(s.remaining) > s.capacity && !s.fixesSpeedAtStart {
+		progress = time.Duration(float64(step) * float64(s.capacity) / float64(len(s.remaining)))
 	}
-	for key := range s.left {
-		s.left[key] -= progress
-		if s.left[key] <= 0 {
-			delete(s.left, key)
+	for key := range s.remaining {
+		s.remaining[key] -= progress
+		if s.remaining[key] <= 0 {
+			delete(s.remaining, key)
 			s.done[key] = true
 			s.ended++
 		}
 	}
 }
 
-// begin begins a load at the store.
+// begin starts a load.
 func (s *simulatedStore) begin(load Load) {
-	s.left[load.Key] = nominal
-	if s.isFixed {
-		s.left[load.Key] = time.Duration(float64(nominal) * max(1, float64(len(s.left))/float64(s.atOnce)))
+	s.remaining[load.Key] = nominal
+	if s.fixesSpeedAtStart {
+		s.remaining[load.Key] = time.Duration(float64(nominal) * max(1, float64(len(s.remaining))/float64(s.capacity)))
 	}
 }
 
-// follow lets time pass, and the limiter know which loads are under way.
-func (s *simulatedStore) follow(l *Limiter, length time.Duration) {
+// observe advances the time and updates the limiter with the loads in progress.
+func (s *simulatedStore) observe(l *Limiter, length time.Duration) {
 	for end := s.now.Add(length); s.now.Before(end); {
 		s.advance()
 		var underWay []Load
-		for key := range s.left {
+		for key := range s.remaining {
 			underWay = append(underWay, Load{Key: key, Nominal: nominal})
 		}
 		l.Update(s.now, underWay, func(key Key) bool { return s.done[key] })
 	}
 }
 
-// run keeps the store as busy as the limiter allows.
+// run advances the time and starts loads whenever the limiter allows.
 func (s *simulatedStore) run(l *Limiter, length time.Duration) {
 	for end := s.now.Add(length); s.now.Before(end); {
-		s.follow(l, step)
+		s.observe(l, step)
 		for l.MayBegin(s.now, 0) {
-			load := Load{Key: Key{Instance: "r", Model: fmt.Sprint(len(s.begun))}, Nominal: nominal}
+			load := Load{Key: Key{Instance: "r", Model: fmt.Sprint(len(s.startTimes))}, Nominal: nominal}
 			l.Begin(s.now, load)
 			s.begin(load)
-			s.begun = append(s.begun, s.now)
+			s.startTimes = append(s.startTimes, s.now)
 		}
-		s.most = max(s.most, len(s.left))
+		s.peak = max(s.peak, len(s.remaining))
 	}
 }
 
-func TestConcurrencyIsLearned(t *testing.T) {
-	for _, atOnce := range []int{1, 2, 4, 9, 20, 60} {
-		t.Run(fmt.Sprint(atOnce), func(t *testing.T) {
+func TestLimitConvergesToCapacity(t *testing.T) {
+	for _, capacity := range []int{1, 2, 4, 9, 20, 60} {
+		t.Run(fmt.Sprint(capacity), func(t *testing.T) {
 			c := qt.New(t)
-			store := newSimulatedStore(atOnce)
+			store := newSimulatedStore(capacity)
 			l := New(5*time.Second, 100)
 			store.run(l, 60*time.Second)
 			before := store.ended
 			store.run(l, 120*time.Second)
-			best := float64(atOnce) * 120 / nominal.Seconds()
+			best := float64(capacity) * 120 / nominal.Seconds()
 			c.Assert(float64(store.ended-before) >= 0.8*best, qt.IsTrue,
 				qt.Commentf("%d loads of %.0f, limit %d", store.ended-before, best, l.Limit()))
-			// Loads that take a little longer than announced do not count as slow.
+			// The limit may exceed the capacity by what the tolerance for slow loads hides.
 			unnoticed := slowFactor + slowSlack.Seconds()/nominal.Seconds()
-			most := max(float64(atOnce+1), unnoticed*float64(atOnce))
+			most := max(float64(capacity+1), unnoticed*float64(capacity))
 			c.Assert(float64(l.Limit()) <= most, qt.IsTrue, qt.Commentf("limit %d of %.1f", l.Limit(), most))
 		})
 	}
 }
 
-// A store that bears many must not be held back for long.
-func TestLargeStoreIsKnownSoon(t *testing.T) {
+// A high capacity must be found within three rounds of loads.
+func TestLimitOfLargeStoreIsReachedQuickly(t *testing.T) {
 	c := qt.New(t)
 	store := newSimulatedStore(148)
 	l := New(5*time.Second, 210)
@@ -112,7 +112,7 @@
 	c.Assert(l.Limit() >= 100, qt.IsTrue, qt.Commentf("limit %d", l.Limit()))
 }
 
-func TestWhatWasLearnedOutlivesTheLimiter(t *testing.T) {
+func TestRecallRestoresLearnedLimit(t *testing.T) {
 	c := qt.New(t)
 	store := newSimulatedStore(4)
 	l := New(5*time.Second, 100)
@@ -126,34 +126,34 @@
 	next.Recall(store.now, limit, isCrowded)
 	next.Expect(50)
 	c.Assert(next.Limit(), qt.Equals, l.Limit())
-	store.most = 0
-	store.run(next, probePause-time.Second)
-	c.Assert(store.most <= 5, qt.IsTrue, qt.Commentf("%d at once", store.most))
+	store.peak = 0
+	store.run(next, probeInterval-time.Second)
+	c.Assert(store.peak <= 5, qt.IsTrue, qt.Commentf("%d concurrent loads", store.peak))
 }
 
-func TestStoreThatSlowsIsFollowed(t *testing.T) {
+func TestLimitFollowsChangingCapacity(t *testing.T) {
 	c := qt.New(t)
 	store := newSimulatedStore(8)
 	l := New(5*time.Second, 100)
 	store.run(l, 60*time.Second)
 	c.Assert(l.Limit() >= 7, qt.IsTrue, qt.Commentf("limit %d", l.Limit()))
-	store.atOnce = 2
+	store.capacity = 2
 	store.run(l, 90*time.Second)
 	c.Assert(l.Limit() <= 3, qt.IsTrue, qt.Commentf("limit %d", l.Limit()))
-	store.atOnce = 8
+	store.capacity = 8
 	store.run(l, 150*time.Second)
 	c.Assert(l.Limit() >= 6, qt.IsTrue, qt.Commentf("limit %d", l.Limit()))
 }
 
-func TestBeginningsStayWithinTheRate(t *testing.T) {
+func TestStartsStayWithinRate(t *testing.T) {
 	c := qt.New(t)
 	store := newSimulatedStore(50)
 	l := New(5*time.Second, 4)
 	store.run(l, 60*time.Second)
-	for first := range store.begun {
+	for first := range store.startTimes {
 		count := 0
-		for _, at := range store.begun[first:] {
-			if at.Sub(store.begun[first]) <= 5*time.Second {
+		for _, at := range store.startTimes[first:] {
+			if at.Sub(store.startTimes[first]) <= 5*time.Second {
 				count++
 			}
 		}
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestOneLateReportProvesNothing(t *testing.T) {
+func TestSingleSlowLoadKeepsLimit(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
 	now := start
@@ -171,19 +171,19 @@
 		l.Update(now, nil, func(Key) bool { return true })
 	}
 	end(2 * nominal)
-	c.Assert(l.Limit(), qt.Equals, firstConcurrency)
+	c.Assert(l.Limit(), qt.Equals, initialConcurrency)
 	end(2 * nominal)
-	c.Assert(l.Limit() < firstConcurrency, qt.IsTrue)
+	c.Assert(l.Limit() < initialConcurrency, qt.IsTrue)
 }
 
-func TestKeptPlacesCount(t *testing.T) {
+func TestReservedLoadsCountAgainstLimit(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
-	c.Assert(l.MayBegin(start, firstConcurrency-1), qt.IsTrue)
-	c.Assert(l.MayBegin(start, firstConcurrency), qt.IsFalse)
+	c.Assert(l.MayBegin(start, initialConcurrency-1), qt.IsTrue)
+	c.Assert(l.MayBegin(start, initialConcurrency), qt.IsFalse)
 }
 
-func TestLoadsThatAreGivenUpTeachNothing(t *testing.T) {
+func TestAbortedLoadsKeepLimit(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
 	for i := range 8 {
@@ -191,12 +191,12 @@
 		l.Begin(at, Load{Key: Key{Instance: "r", Model: fmt.Sprint(i)}, Nominal: nominal})
 		l.Update(at.Add(50*time.Second), nil, func(Key) bool { return false })
 	}
-	c.Assert(l.Limit(), qt.Equals, firstConcurrency)
+	c.Assert(l.Limit(), qt.Equals, initialConcurrency)
 }
 
-// After a change of the leader it is not known yet which machines have copies, so that a load
-// from a copy passes for one from the store. It ends far too soon to be one.
-func TestLoadFromACopyTeachesNothing(t *testing.T) {
+// A load from an unknown copy, as after a change of leader, ends too early to be a load
+// from the store and must not affect the limit.
+func TestLoadFromCopyIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
 	l.Expect(24)
@@ -211,61 +211,61 @@
 	c.Assert(limit, qt.Equals, 0)
 }
 
-func TestUrgentLoadsMayExceedTheLimit(t *testing.T) {
+func TestUrgentLoadsMayExceedLimit(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
-	for i := range firstConcurrency {
+	for i := range initialConcurrency {
 		l.Begin(start, Load{Key: Key{Instance: "r", Model: fmt.Sprint(i)}, Nominal: nominal})
 	}
 	c.Assert(l.MayBegin(start, 0), qt.IsFalse)
 	c.Assert(l.MayBeginUrgent(start, 0), qt.IsTrue)
-	c.Assert(l.MayBeginUrgent(start, 2), qt.IsFalse, qt.Commentf("the places that are kept count"))
-	l.SetRate(firstConcurrency)
-	c.Assert(l.MayBeginUrgent(start, 0), qt.IsFalse, qt.Commentf("the rate of the store holds"))
+	c.Assert(l.MayBeginUrgent(start, 2), qt.IsFalse, qt.Commentf("reserved loads count"))
+	l.SetRate(initialConcurrency)
+	c.Assert(l.MayBeginUrgent(start, 0), qt.IsFalse, qt.Commentf("the rate limit applies to urgent loads"))
 }
 
-// Of many loads that begin together at a store that gives each its speed when it begins, the
-// first ones end in time. That proves what was under way when they began, no more.
-func TestFirstLoadsOfManyProveLittle(t *testing.T) {
+// At a store that fixes speeds at the start, the first of many simultaneous loads end on
+// time, which must prove only the concurrency at their start.
+func TestFirstOfSimultaneousLoadsProveOnlyStartConcurrency(t *testing.T) {
 	for _, first := range []int{12, 24} {
 		t.Run(fmt.Sprint(first), func(t *testing.T) {
 			c := qt.New(t)
 			store := newSimulatedStore(10)
-			store.isFixed = true
+			store.fixesSpeedAtStart = true
 			l := New(5*time.Second, 300)
 			l.Expect(first)
 			store.run(l, 40*time.Second)
-			c.Assert(store.most <= 24, qt.IsTrue, qt.Commentf("%d loads at once", store.most))
+			c.Assert(store.peak <= 24, qt.IsTrue, qt.Commentf("%d loads at once", store.peak))
 			c.Assert(l.Limit() >= 8 && l.Limit() <= 13, qt.IsTrue, qt.Commentf("limit %d", l.Limit()))
 		})
 	}
 }
 
-// While the number of loads under way rises, its average over a load is far from what it was
-// when the load began. Which of the two decides is told by which explains all loads alike.
-func TestLimitIsLearnedWhileTheLoadsIncrease(t *testing.T) {
+// While concurrency increases, its average during a load differs from that at its start.
+// The limit must be learned for both kinds of stores.
+func TestLimitIsLearnedWhileConcurrencyIncreases(t *testing.T) {
 	for _, isFixed := range []bool{false, true} {
 		t.Run(fmt.Sprint("fixed ", isFixed), func(t *testing.T) {
 			c := qt.New(t)
 			store := newSimulatedStore(10)
-			store.isFixed = isFixed
+			store.fixesSpeedAtStart = isFixed
 			l := New(5*time.Second, 300)
 			l.Expect(34)
 			for i := range 34 {
 				load := Load{Key: Key{Instance: "r", Model: fmt.Sprint("begun", i)}, Nominal: nominal}
 				l.Begin(store.now, load)
 				store.begin(load)
-				store.follow(l, 250*time.Millisecond)
+				store.observe(l, 250*time.Millisecond)
 			}
-			store.follow(l, 40*time.Second)
+			store.observe(l, 40*time.Second)
 			c.Assert(l.Limit() >= 8 && l.Limit() <= 13, qt.IsTrue, qt.Commentf("limit %d", l.Limit()))
 		})
 	}
 }
 
-// Seven loads begin at once at a store that serves one. Only the first ends in time; that the others
-// are overdue tells long before they end.
-func TestOverdueLoadsTellOfACrowdedStore(t *testing.T) {
+// Seven loads start at a store with a capacity of one. The overdue loads must lower the
+// limit before they end.
+func TestOverdueLoadsLowerLimit(t *testing.T) {
 	for _, isFixed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("fixed speed %v", isFixed), func(t *testing.T) {
 			c := qt.New(t)
@@ -295,7 +295,7 @@
 	}
 }
 
-func TestOneOverdueLoadProvesNothing(t *testing.T) {
+func TestSingleOverdueLoadKeepsLimit(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
 	load := Load{Key: Key{Instance: "r"}, Nominal: nominal}
@@ -305,9 +305,8 @@
 	c.Assert(isCrowded, qt.IsFalse)
 }
 
-// A load that should have ended is not about to: it is expected to take as long again as it is
-// overdue.
-func TestOverdueLoadIsNotExpectedAtOnce(t *testing.T) {
+// An overdue load is expected to take as long again as it is overdue.
+func TestRemainingOfOverdueLoad(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
 	load := Load{Key: Key{Instance: "r"}, Nominal: nominal}
@@ -316,8 +315,8 @@
 	c.Assert(l.Remaining(start.Add(nominal+5*time.Second), load.Key), qt.Equals, 5*time.Second)
 }
 
-// One more load than a store serves at once makes all of few end later than one after the other.
-func TestUrgentLoadsExceedTheLimitOfALargeStoreOnly(t *testing.T) {
+// At a small store, an additional load delays the others more than running it after them.
+func TestUrgentLoadsExceedOnlyLargeLimits(t *testing.T) {
 	for _, test := range []struct{ limit, urgent int }{{1, 1}, {2, 2}, {3, 3}, {4, 6}, {10, 15}} {
 		t.Run(fmt.Sprint(test.limit), func(t *testing.T) {
 			limiter := New(5*time.Second, 100)
@@ -331,7 +330,7 @@
 	}
 }
 
-func TestOneLoadInTimeLetsTwoBeTried(t *testing.T) {
+func TestLoadOnTimeRaisesLimitToTwo(t *testing.T) {
 	limiter := New(5*time.Second, 100)
 	limiter.Expect(1)
 	limiter.Update(start, nil, nil)
@@ -340,9 +339,8 @@
 	qt.Assert(t, limiter.Limit(), qt.Equals, 2)
 }
 
-// A store that serves two at once is not asked for eight after two ended in time: each of eight would
-// take four times as long, and so would all that wait for one of them.
-func TestSmallStoreIsTriedByOneMore(t *testing.T) {
+// Small limits must be raised by one, since overloading a small store delays all loads.
+func TestSmallLimitIsRaisedByOne(t *testing.T) {
 	for _, test := range []struct{ proved, tried int }{{1, 2}, {2, 3}, {3, 4}} {
 		t.Run(fmt.Sprint(test.proved), func(t *testing.T) {
 			limiter := New(5*time.Second, 100)
