--- a/placement/table/grant_test.go
+++ b/placement/table/grant_test.go
@@ -200,7 +200,7 @@
 	qt.Assert(t, limitsOf(state, "m"), qt.Equals, "b:1/1 ")
 }
 
-func TestRevisionInForceNeverFalls(t *testing.T) {
+func TestRevisionInForceNeverDecreases(t *testing.T) {
 	state := stateWith(1)
 	mustApply(t, state, editOf("make", put(modelRow("m", 4), 0)), editOf("other", put(modelRow("n", 4), 0)))
 	mustApply(t, state, Command{InForce: &InForceCommand{Zone: "a", Revision: 2}}, Command{InForce: &InForceCommand{Zone: "a", Revision: 1}})
