--- a/placement/domain/command.go
+++ b/placement/domain/command.go
@@ -10,76 +10,75 @@
 	"github.com/lotusferry/lotusferry/placement/quota"
 )
 
-// Document is a site document as its operator sent it.
+// Document is a site document as submitted by an operator.
 type Document struct {
 	Version uint64
-	// Source is the text of the document, compressed by Compress.
+	// Source is the document text, compressed by Compress.
 	Source []byte
 }
 
-// Departure says that a runner is leaving, or has left.
+// Departure records that a runner is leaving or has left its service.
 type Departure struct {
-	// Instance names one life of a runner.
+	// Instance identifies one incarnation of a runner.
 	Instance string
-	// Gone runners have said that they are no longer members of their service.
+	// Gone is set once the runner has left its service; until then it is leaving.
 	Gone bool
 }
 
-// Registration is what seldom changes of a runner. It lets a new leader know the
-// runners before their next heartbeats.
+// Registration holds the rarely changing properties of a runner, so that a new
+// leader knows the runners before their next heartbeats.
 type Registration struct {
 	Instance string
 	Service  string
 	Address  string
 	Zone     string
 	Slots    int
-	// IsSlow is set if the runner was found to be slower than others.
+	// IsSlow is set if the runner is slower than its peers.
 	IsSlow bool
 }
 
-// StoreLimit is what a leader has learned of the weight store of a service.
+// StoreLimit is the load concurrency learned for the weight store of a service.
 type StoreLimit struct {
 	Service string
-	// AtOnce is how many loads at once the store serves at full speed; IsCrowded is set if
-	// that was found by loads that were slow.
+	// AtOnce is the number of concurrent loads that the store serves at full speed.
+	// IsCrowded is set if it was lowered because loads were slow.
 	AtOnce    int
 	IsCrowded bool
 }
 
-// Reservation is what a leader may grant of tenants' limits in the moments after it.
+// Reservation is the part of tenants' limits that a leader may grant until its next reservation.
 type Reservation struct {
-	// Since is how long before it was decided the one before it was, at least.
+	// Since is a lower bound of the time since the previous reservation.
 	Since time.Duration
-	// Keep is how long reservations must be remembered.
+	// Keep is how long reservations are retained.
 	Keep  time.Duration
 	Parts []quota.Part
 }
 
-// Command is a change of the state.
+// Command is one entry of the replicated log.
 type Command struct {
 	Put    *Document
 	Depart *Departure
-	// Registrations lists runners that are new or have changed.
+	// Registrations lists new or changed runners.
 	Registrations []Registration
-	// Silent names instances that have been silent for long.
+	// Silent lists instances to unregister because their heartbeats stopped.
 	Silent []string
-	// StoreLimits lists what was learned anew of weight stores.
+	// StoreLimits lists new or changed limits.
 	StoreLimits []StoreLimit
-	// Reserve is nil for nothing.
-	Reserve *Reservation
-	// Suspects lists what is new about requests that may crash runners.
+	Reserve     *Reservation
+	// Suspects lists updates on requests that may crash runners.
 	Suspects []poison.Record
-	// Drain is an operator's order about a zone; nil for none.
+	// Drain starts or ends the drain of a zone.
 	Drain *ZoneDrain
 }
 
-// Result is what Apply returns.
+// Result is the result of Machine.Apply.
 type Result struct {
-	// Version is that of the document in force after the command.
+	// Version is the version of the current document after the command.
 	Version uint64
 }
 
-// State is the whole replicated state.
+// State is the snapshot of a Machine.
 type State struct {
 	Document      Document
 	Departures    []Departure
@@ -91,8 +90,8 @@
 	Drained []string
 }
 
-// Encode returns the command as bytes for a proposal.
+// Encode returns the msgpack encoding of the command.
 func (c Command) Encode() ([]byte, error) {
 	data, err := msgpack.Marshal(&c)
-	return data, errors.Wrap(err, "encode command of the domain")
+	return data, errors.Wrap(err, "encode domain command")
 }
--- a/placement/domain/compress_test.go
+++ b/placement/domain/compress_test.go
@@ -8,11 +8,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestTooLargeADocumentNamesItsRemedy(t *testing.T) {
+func TestExpandRejectsOversizedDocument(t *testing.T) {
 	c := qt.New(t)
-	packed, err := Compress(make([]byte, maxSourceBytes+1))
+	compressed, err := Compress(make([]byte, maxSourceBytes+1))
 	c.Assert(err, qt.IsNil)
-	_, err = Expand(packed)
+	_, err = Expand(compressed)
 	c.Assert(structs.KindOf(err), qt.Equals, structs.ErrorInvalid)
 	c.Assert(err, qt.ErrorMatches, ".*larger than 32 MiB.*Split the site.*")
 }
--- a/placement/domain/doc.go
+++ b/placement/domain/doc.go
@@ -1,7 +1,7 @@
-// Package domain is the replicated state of one placement domain: the site document
-// in force and the runners that said that they are leaving. The controllers of all
-// zones of the domain form one raft group over it, because a zone with one disk
-// could not bear the loss of it.
+// Package domain implements the replicated state of a placement domain: the current
+// site document, runner registrations and departures, reservations of tenants' limits,
+// suspected requests and drained zones. The controllers of all zones form one raft
+// group, so the state survives the loss of a zone's disk.
 //
-// The package is a pure state machine: Apply depends on nothing but the commands.
+// The state machine is deterministic: Apply depends only on the commands.
 package domain
--- a/placement/domain/drain.go
+++ b/placement/domain/drain.go
@@ -6,19 +6,18 @@
 	"strings"
 )
 
-// ZoneDrain is an operator's order that the runners of a zone get no new requests, or its withdrawal.
-// The last one in the log holds.
+// ZoneDrain is an operator's order to start or end the drain of a zone. The runners of
+// a drained zone get no new requests. The latest order in the log takes effect.
 type ZoneDrain struct {
 	Zone string
-	// IsDrained is false for a withdrawal.
+	// IsDrained is false to end the drain.
 	IsDrained bool
 }
 
-// maxDrained bounds the zones that are drained at a time, far above what a site has.
+// maxDrained bounds the zones drained at the same time.
 const maxDrained = 256
 
-// drain takes an operator's order about a zone.
-func (m *Machine) drain(order ZoneDrain) {
+func (m *Machine) setDrain(order ZoneDrain) {
 	switch {
 	case !order.IsDrained:
 		delete(m.drained, order.Zone)
@@ -27,18 +26,18 @@
 	}
 }
 
-// IsDrained reports whether the runners of a zone get no new requests.
+// IsDrained reports whether a zone is drained.
 func (m *Machine) IsDrained(zone string) bool {
 	_, isDrained := m.drained[zone]
 	return isDrained
 }
 
-// Drained lists the zones whose runners get no new requests, sorted.
+// Drained returns the drained zones, sorted.
 func (m *Machine) Drained() []string {
 	return slices.SortedFunc(maps.Keys(m.drained), strings.Compare)
 }
 
-// restoreDrained takes the drained zones of a snapshot.
+// restoreDrained replaces the drained zones by those of a snapshot.
 func (m *Machine) restoreDrained(zones []string) {
 	clear(m.drained)
 	for _, zone := range zones {
--- a/placement/domain/drain_test.go
+++ b/placement/domain/drain_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestLastOrderAboutAZoneHolds(t *testing.T) {
+func TestLatestZoneDrainTakesEffect(t *testing.T) {
 	c := qt.New(t)
 	m := NewMachine()
 	for _, step := range []struct {
--- a/placement/domain/machine.go
+++ b/placement/domain/machine.go
@@ -15,89 +15,89 @@
 	"github.com/lotusferry/lotusferry/placement/quota"
 )
 
-// maxDepartures bounds the departures that are remembered; the oldest go first.
-// Instances are never reused, so that only those of the last minutes matter.
+// maxDepartures bounds the departures retained; the oldest are evicted first.
+// Instances are never reused, so only recent departures matter.
 const maxDepartures = 2048
 
-// maxStoreLimits bounds the services whose weight stores are remembered.
+// maxStoreLimits bounds the services with a store limit.
 const maxStoreLimits = 64
 
-// maxReservations bounds the reservations that are remembered. Beyond it the oldest two count
-// as one, as young as the second of them.
+// maxReservations bounds the reservations retained. Beyond it the oldest two are merged,
+// with the age of the later one.
 const maxReservations = 1024
 
-// Machine is the state machine. Its methods must not run at the same time, as
-// group.Group provides.
+// Machine is the replicated state machine of a domain. It is not safe for concurrent
+// use; group.Group serializes the calls.
 type Machine struct {
 	document Document
-	// departures is in the order of arrival; index finds an instance in it.
-	departures []Departure
-	index      map[string]int
-	// registrations is by instance.
+	// departures is in log order; departureIndex maps an instance to its position.
+	departures     []Departure
+	departureIndex map[string]int
+	// registrations is keyed by instance.
 	registrations map[string]Registration
-	// addresses names the instance that is registered at each address.
-	addresses map[string]string
-	// lives names the instance that is registered under each ID.
-	lives map[string]string
-	// storeLimits is by service.
+	// instanceByAddress maps an address to the instance registered there.
+	instanceByAddress map[string]string
+	// instanceByID maps a runner ID to its registered instance.
+	instanceByID map[string]string
+	// storeLimits is keyed by service.
 	storeLimits map[string]StoreLimit
-	// reservations is in the order of the log.
+	// reservations is in log order.
 	reservations []Reservation
-	// suspects is in the order of their last records.
+	// suspects is in the order of the last updates.
 	suspects []poison.Record
-	// drained holds the zones whose runners get no new requests.
+	// drained is the set of drained zones.
 	drained map[string]struct{}
 }
 
 var _ group.StateMachine = (*Machine)(nil)
 
-// NewMachine makes an empty state machine.
+// NewMachine returns an empty Machine.
 func NewMachine() *Machine {
 	return &Machine{
-		index:         make(map[string]int),
-		registrations: make(map[string]Registration),
-		addresses:     make(map[string]string),
-		lives:         make(map[string]string),
-		storeLimits:   make(map[string]StoreLimit),
-		drained:       make(map[string]struct{}),
+		departureIndex:    make(map[string]int),
+		registrations:     make(map[string]Registration),
+		instanceByAddress: make(map[string]string),
+		instanceByID:      make(map[string]string),
+		storeLimits:       make(map[string]StoreLimit),
+		drained:           make(map[string]struct{}),
 	}
 }
 
-// Apply implements group.StateMachine. The result is a Result, or an error for a
-// command that cannot be decoded.
+// Apply implements group.StateMachine. It returns a Result, or an error if the command
+// cannot be decoded.
 func (m *Machine) Apply(_, _ uint64, command []byte) any {
 	var decoded Command
 	if err := msgpack.Unmarshal(command, &decoded); err != nil {
-		return errors.Wrap(err, "decode command of the domain")
+		return errors.Wrap(err, "decode domain command")
 	}
 	switch {
 	case decoded.Put != nil:
 		m.put(*decoded.Put)
 	case decoded.Depart != nil:
-		m.depart(*decoded.Depart)
+		m.recordDeparture(*decoded.Depart)
 	case decoded.Drain != nil:
-		m.drain(*decoded.Drain)
+		m.setDrain(*decoded.Drain)
 	}
 	for _, registration := range decoded.Registrations {
 		m.register(registration)
 	}
 	for _, instance := range decoded.Silent {
-		m.forget(instance)
+		m.unregister(instance)
 	}
 	for _, limit := range decoded.StoreLimits {
-		m.limitStore(limit)
+		m.setStoreLimit(limit)
 	}
 	if decoded.Reserve != nil {
 		m.reserve(*decoded.Reserve)
 	}
 	for _, record := range decoded.Suspects {
-		m.suspect(record)
+		m.updateSuspect(record)
 	}
 	return Result{Version: m.document.Version}
 }
 
-// put takes a document only if its version is above the one in force: other content
-// under the same version never replaces what was acknowledged.
+// put replaces the document if the version is higher. Different content under the same
+// version must not replace an acknowledged document.
 func (m *Machine) put(document Document) {
 	if document.Version <= m.document.Version {
 		return
@@ -105,45 +105,45 @@
 	m.document = document
 }
 
-// register notes a runner. An address has one runner, and a runner one life: who was registered there before, or
-// under the same ID, has ended.
+// register adds or updates a runner and unregisters any other instance with the same
+// address or ID. Departed and older incarnations are ignored.
 func (m *Machine) register(registration Registration) {
 	if departure, known := m.Departure(registration.Instance); known && departure.Gone {
 		return
 	}
-	id, born := fleet.SplitIncarnation(registration.Instance)
-	if _, registeredBorn := fleet.SplitIncarnation(m.lives[id]); registeredBorn > born {
+	id, startedAt := fleet.SplitIncarnation(registration.Instance)
+	if _, registeredStartedAt := fleet.SplitIncarnation(m.instanceByID[id]); registeredStartedAt > startedAt {
 		return
 	}
-	m.forget(m.addresses[registration.Address])
-	m.forget(m.lives[id])
+	m.unregister(m.instanceByAddress[registration.Address])
+	m.unregister(m.instanceByID[id])
 	m.add(registration)
 }
 
 func (m *Machine) add(registration Registration) {
 	m.registrations[registration.Instance] = registration
-	m.addresses[registration.Address] = registration.Instance
-	m.lives[fleet.IDOf(registration.Instance)] = registration.Instance
+	m.instanceByAddress[registration.Address] = registration.Instance
+	m.instanceByID[fleet.IDOf(registration.Instance)] = registration.Instance
 }
 
-func (m *Machine) forget(instance string) {
+func (m *Machine) unregister(instance string) {
 	known, isKnown := m.registrations[instance]
 	if !isKnown {
 		return
 	}
 	delete(m.registrations, instance)
-	delete(m.addresses, known.Address)
-	delete(m.lives, fleet.IDOf(instance))
+	delete(m.instanceByAddress, known.Address)
+	delete(m.instanceByID, fleet.IDOf(instance))
 }
 
-// limitStore notes what was learned of a weight store, the least of which is lost.
-func (m *Machine) limitStore(limit StoreLimit) {
+// setStoreLimit records a store limit. Limits of further services beyond maxStoreLimits are dropped.
+func (m *Machine) setStoreLimit(limit StoreLimit) {
 	if _, isKnown := m.storeLimits[limit.Service]; isKnown || len(m.storeLimits) < maxStoreLimits {
 		m.storeLimits[limit.Service] = limit
 	}
 }
 
-// reserve remembers a reservation, and forgets those that nobody needs any more.
+// reserve appends a reservation and drops those older than its Keep.
 func (m *Machine) reserve(reservation Reservation) {
 	m.reservations = append(m.reservations, reservation)
 	age, first := time.Duration(0), len(m.reservations)-1
@@ -161,12 +161,11 @@
 	}
 }
 
-// maxSuspects bounds the requests that are remembered as suspects; those of which nothing was
-// heard for longest go first.
+// maxSuspects bounds the suspects retained; the least recently updated are evicted first.
 const maxSuspects = 1024
 
-// suspect notes what is new about a request that may crash runners.
-func (m *Machine) suspect(record poison.Record) {
+// updateSuspect updates or clears the record of a request that may crash runners.
+func (m *Machine) updateSuspect(record poison.Record) {
 	m.suspects = slices.DeleteFunc(m.suspects, func(known poison.Record) bool { return known.Digest == record.Digest })
 	if record.IsCleared {
 		return
@@ -177,11 +176,11 @@
 	}
 }
 
-// Suspects lists the requests that may crash runners, those that were heard of last at the end.
+// Suspects returns the requests that may crash runners, the least recently updated first.
 func (m *Machine) Suspects() []poison.Record { return slices.Clone(m.suspects) }
 
-// Reservations lists the reservations that count for a leader that begins now, each with its
-// least age.
+// Reservations returns the retained reservations, each with a lower bound of its age, for
+// a new leader.
 func (m *Machine) Reservations() []quota.Reservation {
 	listed := make([]quota.Reservation, len(m.reservations))
 	age := time.Duration(0)
@@ -192,26 +191,26 @@
 	return listed
 }
 
-// StoreLimit returns what was learned of the weight store of a service.
+// StoreLimit returns the store limit of a service.
 func (m *Machine) StoreLimit(service string) (StoreLimit, bool) {
 	limit, isKnown := m.storeLimits[service]
 	return limit, isKnown
 }
 
-// StoreLimits lists what was learned of weight stores by service.
+// StoreLimits returns the store limits, sorted by service.
 func (m *Machine) StoreLimits() []StoreLimit {
 	return slices.SortedFunc(maps.Values(m.storeLimits), func(a, b StoreLimit) int {
 		return strings.Compare(a.Service, b.Service)
 	})
 }
 
-// depart is final: a runner that is leaving never becomes ready again under the
-// same instance, and one that is gone is not leaving again.
-func (m *Machine) depart(departure Departure) {
+// recordDeparture records a departure. It is final: a leaving instance never becomes ready again,
+// and a gone one never becomes leaving.
+func (m *Machine) recordDeparture(departure Departure) {
 	if departure.Gone {
-		m.forget(departure.Instance)
+		m.unregister(departure.Instance)
 	}
-	if at, known := m.index[departure.Instance]; known {
+	if at, known := m.departureIndex[departure.Instance]; known {
 		if departure.Gone && !m.departures[at].Gone {
 			m.departures[at].Gone = true
 		}
@@ -225,25 +224,25 @@
 }
 
 func (m *Machine) reindex() {
-	clear(m.index)
+	clear(m.departureIndex)
 	for at, departure := range m.departures {
-		m.index[departure.Instance] = at
+		m.departureIndex[departure.Instance] = at
 	}
 }
 
-// Document returns the document in force; its version is 0 before the first.
+// Document returns the current document; its version is 0 if there is none.
 func (m *Machine) Document() Document { return m.document }
 
-// Departure returns the departure of an instance.
+// Departure returns the departure of an instance, if there is one.
 func (m *Machine) Departure(instance string) (Departure, bool) {
-	at, known := m.index[instance]
+	at, known := m.departureIndex[instance]
 	if !known {
 		return Departure{}, false
 	}
 	return m.departures[at], true
 }
 
-// Departures returns the instances that are leaving or gone.
+// Departures maps each departed instance to whether it is gone rather than leaving.
 func (m *Machine) Departures() map[string]bool {
 	departures := make(map[string]bool, len(m.departures))
 	for _, departure := range m.departures {
@@ -252,21 +251,21 @@
 	return departures
 }
 
-// Registrations lists the registered runners by instance.
+// Registrations returns the registered runners, sorted by instance.
 func (m *Machine) Registrations() []Registration {
 	return slices.SortedFunc(maps.Values(m.registrations), func(a, b Registration) int {
 		return strings.Compare(a.Instance, b.Instance)
 	})
 }
 
-// Registered returns the registration of an instance.
+// Registered returns the registration of an instance, if there is one.
 func (m *Machine) Registered(instance string) (Registration, bool) {
 	registration, known := m.registrations[instance]
 	return registration, known
 }
 
-// IsRegistered reports whether a life of the runner with the ID is registered.
-func (m *Machine) IsRegistered(id string) bool { return m.lives[id] != "" }
+// IsRegistered reports whether an instance of the runner with the ID is registered.
+func (m *Machine) IsRegistered(id string) bool { return m.instanceByID[id] != "" }
 
 // Snapshot implements group.StateMachine.
 func (m *Machine) Snapshot() ([]byte, error) {
@@ -274,14 +273,14 @@
 		Document: m.document, Departures: m.departures, Registrations: m.Registrations(), StoreLimits: m.StoreLimits(),
 		Reservations: m.reservations, Suspects: m.suspects, Drained: m.Drained(),
 	})
-	return data, errors.Wrap(err, "encode state of the domain")
+	return data, errors.Wrap(err, "encode domain state")
 }
 
 // Restore implements group.StateMachine.
 func (m *Machine) Restore(data []byte) error {
 	var state State
 	if err := msgpack.Unmarshal(data, &state); err != nil {
-		return errors.Wrap(err, "decode state of the domain")
+		return errors.Wrap(err, "decode domain state")
 	}
 	m.document = state.Document
 	m.departures = state.Departures
@@ -290,8 +289,8 @@
 	m.restoreDrained(state.Drained)
 	m.reindex()
 	clear(m.registrations)
-	clear(m.addresses)
-	clear(m.lives)
+	clear(m.instanceByAddress)
+	clear(m.instanceByID)
 	for _, registration := range state.Registrations {
 		m.add(registration)
 	}
@@ -306,7 +305,7 @@
 func (m *Machine) Equal(other *Machine) bool {
 	return m.document.Version == other.document.Version &&
 		slices.Equal(m.document.Source, other.document.Source) &&
-		slices.Equal(m.departures, other.departures) && maps.Equal(m.index, other.index) &&
+		slices.Equal(m.departures, other.departures) && maps.Equal(m.departureIndex, other.departureIndex) &&
 		maps.Equal(m.registrations, other.registrations) && maps.Equal(m.storeLimits, other.storeLimits) &&
 		slices.Equal(m.suspects, other.suspects) && maps.Equal(m.drained, other.drained) &&
 		slices.EqualFunc(m.reservations, other.reservations, func(a, b Reservation) bool {
--- a/placement/domain/machine_test.go
+++ b/placement/domain/machine_test.go
@@ -17,7 +17,7 @@
 	return result
 }
 
-func TestHighestVersionHolds(t *testing.T) {
+func TestOnlyHigherVersionReplacesDocument(t *testing.T) {
 	c := qt.New(t)
 	m := NewMachine()
 	for _, step := range []struct {
@@ -47,7 +47,7 @@
 	c.Assert(m.Departures(), qt.DeepEquals, map[string]bool{"a": true, "b": true})
 }
 
-func TestSnapshotRestoresTheWholeState(t *testing.T) {
+func TestSnapshotRestoresState(t *testing.T) {
 	c := qt.New(t)
 	m := NewMachine()
 	apply(c, m, Command{Put: &Document{Version: 4, Source: []byte("four")}})
@@ -78,7 +78,7 @@
 	c.Assert(limit.AtOnce, qt.Equals, 9)
 }
 
-func TestCompressedDocumentsExpand(t *testing.T) {
+func TestExpandReversesCompress(t *testing.T) {
 	c := qt.New(t)
 	packed, err := Compress([]byte(`{"version":7}`))
 	c.Assert(err, qt.IsNil)
@@ -89,27 +89,27 @@
 	c.Assert(err, qt.IsNotNil)
 }
 
-func TestAnAddressHasOneRegistration(t *testing.T) {
+func TestOneRegistrationPerAddress(t *testing.T) {
 	c := qt.New(t)
 	m := NewMachine()
 	apply(c, m, Command{Registrations: []Registration{{Instance: "old", Address: "10.0.0.1:1"}}})
 	apply(c, m, Command{Registrations: []Registration{{Instance: "new", Address: "10.0.0.1:1"}}})
 	c.Assert(m.Registrations(), qt.DeepEquals, []Registration{{Instance: "new", Address: "10.0.0.1:1"}})
 	apply(c, m, Command{Depart: &Departure{Instance: "new"}})
-	c.Assert(m.Registrations(), qt.HasLen, 1, qt.Commentf("it still serves"))
+	c.Assert(m.Registrations(), qt.HasLen, 1, qt.Commentf("a leaving runner stays registered"))
 	apply(c, m, Command{Depart: &Departure{Instance: "new", Gone: true}})
 	apply(c, m, Command{Registrations: []Registration{{Instance: "new", Address: "10.0.0.1:1"}}})
-	c.Assert(m.Registrations(), qt.HasLen, 0, qt.Commentf("a heartbeat that was late"))
+	c.Assert(m.Registrations(), qt.HasLen, 0, qt.Commentf("late heartbeat of a gone runner"))
 	apply(c, m, Command{Registrations: []Registration{{Instance: "third", Address: "10.0.0.1:1"}}})
 	apply(c, m, Command{Silent: []string{"third"}})
 	c.Assert(m.Registrations(), qt.HasLen, 0)
 }
 
-func TestLaterLifeOfARunnerIsRegisteredAlone(t *testing.T) {
+func TestOnlyLatestIncarnationIsRegistered(t *testing.T) {
 	c := qt.New(t)
 	m := NewMachine()
-	at := func(born int64, address string) Registration {
-		return Registration{Instance: fleet.Incarnation("r", born), Address: address}
+	at := func(startedAt int64, address string) Registration {
+		return Registration{Instance: fleet.Incarnation("r", startedAt), Address: address}
 	}
 	apply(c, m, Command{Registrations: []Registration{at(100, "10.0.0.1:1")}})
 	apply(c, m, Command{Registrations: []Registration{at(200, "10.0.0.2:1")}})
