--- a/placement/domainapi/messages.go
+++ b/placement/domainapi/messages.go
@@ -1,6 +1,5 @@
-// Package domainapi holds the messages that the processes of one placement domain
-// exchange over net/rpc: controllers among themselves, and routers with the leader of
-// the controllers.
+// Package domainapi defines the net/rpc messages of a placement domain, exchanged
+// among controllers and between routers and the leading controller.
 package domainapi
 
 import (
@@ -19,11 +18,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// ServiceName is the net/rpc service of every controller.
+// ServiceName is the name of the net/rpc service of a controller.
 const ServiceName = "Domain"
 
-// The methods of the service. All but Describe and Found are answered by the leader;
-// others refuse with ErrorNotLeader, which names the leader if it is known.
+// Methods of the service. Only the leader serves methods other than Describe and Found;
+// other controllers return ErrorNotLeader with the leader's address, if known.
 const (
 	MethodDescribe   = ServiceName + ".Describe"
 	MethodFound      = ServiceName + ".Found"
@@ -42,58 +41,59 @@
 	MethodWarmUp     = ServiceName + ".WarmUp"
 )
 
-// Reply carries a typed error, because net/rpc itself carries only strings.
+// Reply carries a typed error, because net/rpc transmits errors as strings.
 type Reply struct{ Error *structs.Error }
 
 // Failure implements leadercall.Reply.
 func (r *Reply) Failure() *structs.Error { return r.Error }
 
-// DescribeArguments ask a controller about its member of the group.
+// DescribeArguments are the arguments of Describe.
 type DescribeArguments struct{}
 
-// DescribeReply describes a member of the group.
+// DescribeReply describes a controller's member of the raft group.
 type DescribeReply struct {
 	Reply
 	Member group.Member
-	// Held members belong to no group yet.
+	// Held is set while the member belongs to no group.
 	Held bool
-	// Voters are those of the membership in force at the member, with addresses.
+	// Voters are the voters of the member's latest membership.
 	Voters []group.Member
-	// Committed is the membership at the applied index; HasLeader tells whether the
-	// member follows or is a leader.
+	// Committed is the membership at the applied index.
 	Committed raft.Membership
 	Applied   uint64
+	// HasLeader is set if the member is or knows a leader.
 	HasLeader bool
-	// HasOrdered is set if the process has sent orders to runners and may send more, and
-	// SinceOrder is how long ago it sent the last.
+	// HasOrdered is set if the process has sent orders to runners and may send more.
+	// SinceOrder is the time since the last one.
 	HasOrdered bool
 	SinceOrder time.Duration
 }
 
-// FoundArguments give a member the founding members of a new group.
+// FoundArguments list the initial members of a new group.
 type FoundArguments struct{ Members []group.Member }
 
-// JoinArguments ask the leader to take a member into the group.
+// JoinArguments ask the leader to add a member to the group.
 type JoinArguments struct{ Member group.Member }
 
-// StoppingArguments tell the leader that a member makes a planned stop.
+// StoppingArguments announce the planned stop of a member.
 type StoppingArguments struct{ Node raft.NodeID }
 
-// HeartbeatsArguments pass on heartbeats of runners.
+// HeartbeatsArguments carry a batch of runner heartbeats.
 type HeartbeatsArguments struct{ Heartbeats []fleet.Heartbeat }
 
-// DepartArguments pass on that a runner is leaving or gone.
+// DepartArguments report that a runner is leaving or gone.
 type DepartArguments struct {
-	// Departure names the runner by its ID.
+	// Departure holds the runner's ID in place of its instance.
 	Departure domain.Departure
-	// Born tells which life of the runner departs, in Unix milliseconds; 0 for the latest that is known.
+	// Born is the start time of the runner's process in Unix milliseconds; 0 means its
+	// latest known incarnation.
 	Born int64
 }
 
-// PutArguments pass on a valid document.
+// PutArguments carry a validated document.
 type PutArguments struct{ Document domain.Document }
 
-// DrainArguments pass on an operator's order about a zone.
+// DrainArguments carry an operator's order to start or end the drain of a zone.
 type DrainArguments struct{ Drain domain.ZoneDrain }
 
 // DrainedReply lists the drained zones, sorted.
@@ -102,7 +102,7 @@
 	Zones []string
 }
 
-// ReadArguments ask for the document in force.
+// ReadArguments are the arguments of Read and Drained.
 type ReadArguments struct{}
 
 // DocumentReply carries a document.
@@ -111,129 +111,130 @@
 	Document domain.Document
 }
 
-// WatchArguments ask for what has changed since what a router knows.
+// WatchArguments ask for changes since the state known to a router.
 type WatchArguments struct {
 	Router string
-	// Version is that of the document that the router works by; 0 for none.
+	// Version is the version of the router's document; 0 if it has none.
 	Version uint64
-	// Term and Revision name the view that the router knows.
+	// Term and Revision identify the router's view.
 	Term     uint64
 	Revision uint64
-	// Suspects is the revision of the list of suspects that the router knows of the term.
+	// Suspects is the revision, within Term, of the router's list of suspects.
 	Suspects uint64
-	// MaxHold is the longest that the router waits for a reply; 0 for one of the version before, which waits
-	// for LeastHold.
+	// MaxHold is the longest time that the router waits for a reply. The previous release
+	// sends 0 and waits for LeastHold.
 	MaxHold time.Duration
 }
 
 const (
-	// LeastHold is the shortest time that a leader holds a watch without news. MostHold is the longest: the loss
-	// of a leader is noticed some time after it.
+	// LeastHold and MostHold bound the time that a leader holds a watch without changes.
+	// Routers detect the loss of a leader only after the hold time.
 	LeastHold = 500 * time.Millisecond
 	MostHold  = time.Second
 )
 
-// WatchReply comes when something has changed, or after Hold.
+// WatchReply is sent when something has changed, or after the hold time.
 type WatchReply struct {
 	Reply
 	Term     uint64
 	Revision uint64
-	// Hold is how long the leader holds the next watch without news; 0 from one of the version before.
+	// Hold is how long the leader holds this router's watches without changes; 0 from the
+	// previous release.
 	Hold time.Duration
-	// Document is nil if the router's is in force.
+	// Document is nil if the router's document is current.
 	Document *domain.Document
-	// Confirmed is the version of the document that was the newest at some time after the
-	// router asked; 0 from a leader that does not say, which confirms nothing.
+	// Confirmed is the document version that was current at some time after the router
+	// asked; 0 if the leader confirms none.
 	Confirmed uint64
-	// View is nil if the router's is in force.
+	// View is nil if the router's view is current.
 	View *fleet.EncodedView
-	// Loads lists the runners with many requests, of all routers together.
+	// Loads lists the runners with many requests, summed over all routers.
 	Loads []fleet.Load
-	// Suspects lists the requests that may crash runners; nil if the router knows the list.
+	// Suspects lists the requests that may crash runners; nil if the router's list is current.
 	Suspects *poison.List
-	// Shares names the tenants that are above their shares over all routers.
+	// Shares lists the tenants above their shares, over all routers.
 	Shares shares.Word
-	// Routers is how many routers share what the leader grants to all together.
+	// Routers is the number of routers that share the leader's grants.
 	Routers int
-	// Controllers are the addresses of the members of the group.
+	// Controllers are the addresses of the group's members.
 	Controllers []string
 }
 
-// DemandArguments report what a router saw since its last report.
+// DemandArguments report what a router observed since its last report.
 type DemandArguments struct {
 	Router string
-	// Zone is that of the router; empty if it has none, or is of a version before.
+	// Zone is the router's zone; empty if it has none or does not report it.
 	Zone    string
 	Demands []residency.Demand
-	// Doubted are runners that refused what they were thought to hold.
+	// Doubted lists runners that rejected a model or adapter listed in the view.
 	Doubted []string
-	// Unreachable are runners that could not be reached, or said nothing for too long.
+	// Unreachable lists runners that refused connections or timed out.
 	Unreachable []string
-	// Paces are those of streams that have ended.
+	// Paces are measurements of ended streams.
 	Paces []residency.Pace
-	// Attempts tell how attempts at runners ended.
+	// Attempts counts the outcomes of attempts at runners.
 	Attempts []fleet.Attempts
-	// Losses tell which requests were under way at runners whose connections broke.
+	// Losses lists requests in flight at runners whose connections broke.
 	Losses []poison.Report
-	// Endings tell how requests ended that were tried, or were under way at a loss before.
+	// Endings lists the outcomes of trials and of requests in flight at an earlier loss.
 	Endings []poison.Ending
-	// Works tell what was let in for each tenant, and who waits.
+	// Works reports the admitted and waiting work of each tenant.
 	Works []shares.Work
-	// Limits tell what was heard of the rate limits of runners.
+	// Limits reports rate limits announced by runners.
 	Limits []ratelimit.Report
-	// Notices tell which runners asked the router for rest, or say that they are leaving.
+	// Notices reports runners that asked for a pause or announced that they are leaving.
 	Notices []notice.Report
 }
 
-// DemandReply tells what is known about the rows for which requests wait.
+// DemandReply holds forecasts for the rows for which requests wait.
 type DemandReply struct {
 	Reply
 	Forecasts []residency.Forecast
 }
 
-// DrawArguments ask for parts of tenants' limits.
+// DrawArguments ask for shares of tenants' limits.
 type DrawArguments struct {
 	Router string
 	Wants  []quota.Want
-	// Session names one life of the router's process, and Question numbers its questions in their
-	// order.
+	// Session identifies the router's process; Question is the sequence number of the
+	// request within the session.
 	Session  uint64
 	Question uint64
 }
 
-// DrawReply grants parts of limits. A tenant that the leader's document does not limit is left
-// out.
+// DrawReply grants shares of limits. Tenants without a limit in the leader's document
+// are omitted.
 type DrawReply struct {
 	Reply
 	Grants []quota.Grant
 }
 
-// WarmUpArguments ask for requests that may be sent to runners that bear few a second; only cold ones did when the
-// method got its name.
+// WarmUpArguments ask for tokens to send requests to rate-limited runners: cold ones and
+// those that announce a limit.
 type WarmUpArguments struct {
 	Router string
 	Wants  []ratelimit.Want
 }
 
-// WarmUpReply grants some of them, each to be sent within ratelimit.TokenLife of the question.
+// WarmUpReply grants tokens. Each expires ratelimit.TokenLife after the router asked.
 type WarmUpReply struct {
 	Reply
 	Grants []ratelimit.Grant
 }
 
-// TryArguments ask whether a request that may crash runners may be sent to one.
+// TryArguments ask for permission to send a request that may crash runners.
 type TryArguments struct {
 	Router string
 	Digest poison.Digest
-	// Asker names the request, so that it may ask again if the answer was lost.
+	// Asker identifies the request, so that retries after a lost reply are idempotent.
 	Asker    string
 	Instance string
 }
 
-// TryReply gives the leader's word.
+// TryReply holds the leader's decision.
 type TryReply struct {
 	Reply
 	Permission poison.Permission
-	// ComeBackIn is when another try may be allowed.
+	// ComeBackIn is the time until another trial may be allowed.
 	ComeBackIn time.Duration
 }
