--- a/placement/domainnode/announcer.go
+++ b/placement/domainnode/announcer.go
@@ -6,31 +6,31 @@
 	"github.com/lotusferry/lotusferry/internal/wake"
 )
 
-// announcePausePerRouter times the number of routers is the shortest pause between two
-// announcements to all routers: an answer to one router takes the leader a fifth of a
-// millisecond of its share of a core, so that they take a fifth of it at most.
-const announcePausePerRouter = time.Millisecond
+// announceIntervalPerRouter times the number of routers is the minimum interval between
+// two announcements to all routers. A reply takes the leader about 0.2 ms of CPU time, so
+// replies to announcements take at most a fifth of a core.
+const announceIntervalPerRouter = time.Millisecond
 
-// news is what routers are told of.
-type news struct {
-	// revision is that of the view, document the version of the document, suspects the
-	// revision of the list of requests that may crash runners.
-	revision uint64
+// stateVersions identifies the state that routers are notified of.
+type stateVersions struct {
+	// view is the revision of the view, document the version of the document, suspects the
+	// revision of the list of suspected requests.
+	view     uint64
 	document uint64
 	suspects uint64
 }
 
-// announcer decides when routers are told of a newer view or document. All of them learn of
-// changes now and then, as each costs an answer to each router: of documents that follow each
-// other quickly only the last. Those with requests that a view helps at once learn of it at
-// once.
+// announcer decides when routers are notified of a new view or document. Announcements
+// to all routers are rate-limited, because each costs a reply per router; of several
+// documents in quick succession only the last is announced. A router with requests
+// waiting for a change is notified immediately.
 type announcer struct {
-	// told is the newest of which all routers were told, at the time at.
-	told news
-	at   time.Time
-	// changed is closed and replaced when all routers are told.
+	// announced holds the latest versions announced to all routers, at announcedAt.
+	announced   stateVersions
+	announcedAt time.Time
+	// changed is closed and replaced on each announcement.
 	changed chan struct{}
-	// notifications has, by router, a channel with room for one.
+	// notifications holds a channel of capacity one per router.
 	notifications map[string]chan struct{}
 }
 
@@ -38,32 +38,32 @@
 	return &announcer{changed: make(chan struct{}), notifications: make(map[string]chan struct{})}
 }
 
-// announce tells all routers of news, however short ago they were told last.
-func (a *announcer) announce(at time.Time, newest news) {
-	a.told, a.at = newest, at
+// announce notifies all routers regardless of the rate limit.
+func (a *announcer) announce(at time.Time, newest stateVersions) {
+	a.announced, a.announcedAt = newest, at
 	a.wakeAll()
 }
 
-// offer tells all routers of news if they were not told too short ago. It returns after how
-// long they should be offered again, or 0.
-func (a *announcer) offer(at time.Time, newest news, routers int) time.Duration {
-	if newest == a.told {
+// announceIfDue notifies all routers of changed versions unless the rate limit forbids it.
+// It returns the remaining wait, or 0 if nothing is left to announce.
+func (a *announcer) announceIfDue(at time.Time, newest stateVersions, routers int) time.Duration {
+	if newest == a.announced {
 		return 0
 	}
-	left := time.Duration(routers)*announcePausePerRouter - at.Sub(a.at)
-	if left > 0 && !a.at.IsZero() {
+	left := time.Duration(routers)*announceIntervalPerRouter - at.Sub(a.announcedAt)
+	if left > 0 && !a.announcedAt.IsZero() {
 		return left
 	}
 	a.announce(at, newest)
 	return 0
 }
 
-// notify tells one router at once.
+// notify notifies a single router immediately.
 func (a *announcer) notify(router string) {
 	wake.Up(a.notification(router))
 }
 
-// notification is the channel that tells a router to ask for the newest view at once.
+// notification returns the channel that signals a router's watch to return immediately.
 func (a *announcer) notification(router string) chan struct{} {
 	known := a.notifications[router]
 	if known == nil {
@@ -73,10 +73,9 @@
 	return known
 }
 
-// forget drops what is kept of a router.
 func (a *announcer) forget(router string) { delete(a.notifications, router) }
 
-// wakeAll wakes whoever waits for a change.
+// wakeAll wakes all waiting watches.
 func (a *announcer) wakeAll() {
 	close(a.changed)
 	a.changed = make(chan struct{})
--- a/placement/domainnode/announcer_test.go
+++ b/placement/domainnode/announcer_test.go
@@ -15,22 +15,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestManyRoutersAreToldLessOften(t *testing.T) {
+func TestAnnouncementsAreRateLimitedByRouterCount(t *testing.T) {
 	c := qt.New(t)
 	a := newAnnouncer()
 	start := time.Unix(1000, 0)
-	c.Assert(a.offer(start, news{revision: 1, document: 5}, 300), qt.Equals, time.Duration(0), qt.Commentf("the first is told at once"))
-	c.Assert(a.offer(start.Add(100*time.Millisecond), news{revision: 2, document: 5}, 300), qt.Equals, 200*time.Millisecond)
-	c.Assert(a.told, qt.Equals, news{revision: 1, document: 5})
-	c.Assert(a.offer(start.Add(200*time.Millisecond), news{revision: 2, document: 6}, 300), qt.Equals, 100*time.Millisecond, qt.Commentf("documents wait, too"))
-	c.Assert(a.offer(start.Add(300*time.Millisecond), news{revision: 3, document: 7}, 300), qt.Equals, time.Duration(0))
-	c.Assert(a.told, qt.Equals, news{revision: 3, document: 7})
-	c.Assert(a.offer(start.Add(400*time.Millisecond), news{revision: 3, document: 7}, 300), qt.Equals, time.Duration(0), qt.Commentf("nothing is new"))
-	a.announce(start.Add(410*time.Millisecond), news{revision: 4, document: 7})
-	c.Assert(a.told, qt.Equals, news{revision: 4, document: 7}, qt.Commentf("departures do not wait"))
+	c.Assert(a.announceIfDue(start, stateVersions{view: 1, document: 5}, 300), qt.Equals, time.Duration(0), qt.Commentf("the first announcement is immediate"))
+	c.Assert(a.announceIfDue(start.Add(100*time.Millisecond), stateVersions{view: 2, document: 5}, 300), qt.Equals, 200*time.Millisecond)
+	c.Assert(a.announced, qt.Equals, stateVersions{view: 1, document: 5})
+	c.Assert(a.announceIfDue(start.Add(200*time.Millisecond), stateVersions{view: 2, document: 6}, 300), qt.Equals, 100*time.Millisecond, qt.Commentf("documents are rate-limited as well"))
+	c.Assert(a.announceIfDue(start.Add(300*time.Millisecond), stateVersions{view: 3, document: 7}, 300), qt.Equals, time.Duration(0))
+	c.Assert(a.announced, qt.Equals, stateVersions{view: 3, document: 7})
+	c.Assert(a.announceIfDue(start.Add(400*time.Millisecond), stateVersions{view: 3, document: 7}, 300), qt.Equals, time.Duration(0), qt.Commentf("no change"))
+	a.announce(start.Add(410*time.Millisecond), stateVersions{view: 4, document: 7})
+	c.Assert(a.announced, qt.Equals, stateVersions{view: 4, document: 7}, qt.Commentf("departures are not rate-limited"))
 }
 
-func TestHurriedRouterIsToldAlone(t *testing.T) {
+func TestNotifySignalsOneRouter(t *testing.T) {
 	c := qt.New(t)
 	a := newAnnouncer()
 	a.notify("one")
@@ -39,13 +39,13 @@
 	c.Assert(a.notification("other"), qt.HasLen, 0)
 }
 
-// On a site with hundreds of routers, a request that waits for an adapter is served as soon
-// as on a small one, though not every router is told of every change.
-func TestWaitingRouterSoonKnowsOfItsAdapter(t *testing.T) {
+// The announcement interval for hundreds of routers must not delay a router with a request
+// waiting for an adapter.
+func TestWaitingRouterLearnsOfAdapterQuickly(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
 		held := []fleet.LoadedModel{{Name: "m"}}
 		d.engines.report = residency.Report{Models: held}
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		document := []byte(`{"Version":3,"Services":[{"Name":"s","Engine":{"WeightsMB":1000,"MaxAdapters":8,"LoadsPerSecond":9,` +
 			`"Models":[{"Name":"m","SizeMB":1,"Adapters":50}]}}]}`)
 		d.await("the document", func() bool { return d.nodes[0].PutDocument(d.ctx, document) == nil })
@@ -53,22 +53,22 @@
 		heartbeat := fleet.Heartbeat{Instance: "r", Service: "s", Address: "10.9.9.9:1", Sequence: 1, Models: held}
 		d.await("a heartbeat", func() bool { return leading.Heartbeat(d.ctx, heartbeat) == nil })
 		pause.For(d.ctx, 5*time.Second)
-		joined, err := leading.current()
+		m, err := leading.current()
 		d.c.Assert(err, qt.IsNil)
 		for i := range 300 {
-			joined.leads().contact(fmt.Sprint("router-", i), 1, domainapi.MostHold)
+			m.currentLeadership().recordContact(fmt.Sprint("router-", i), 1, domainapi.MostHold)
 		}
 		for adapter := range 8 {
-			took := d.untilKnown(leading, fmt.Sprint("a", adapter))
+			took := d.adapterLatency(leading, fmt.Sprint("a", adapter))
 			d.c.Assert(took < 200*time.Millisecond, qt.IsTrue, qt.Commentf("adapter %d: %v", adapter, took))
 			pause.For(d.ctx, 137*time.Millisecond)
 		}
 	})
 }
 
-// untilKnown is how long it takes from a router's report of a request for an adapter until
-// its view says that a runner has it.
-func (d *testDomain) untilKnown(leading *runningNode, adapter string) time.Duration {
+// adapterLatency returns the time from a router's report of a waiting request until its view
+// lists a runner with the adapter.
+func (d *testDomain) adapterLatency(leading *runningNode, adapter string) time.Duration {
 	calls := &service{node: leading.Node}
 	row := residency.Row{Service: "s", Model: "m", Adapter: adapter}
 	began := time.Now()
--- a/placement/domainnode/benchmark_test.go
+++ b/placement/domainnode/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/placement/residency"
 )
 
-// benchmarkLeadership is a leader's memory of so many runners, each of which has sent a heartbeat.
+// benchmarkLeadership returns a leadership with the given number of runners and their heartbeats.
 func benchmarkLeadership(runners int, at time.Time) (*leadership, []fleet.Heartbeat) {
 	options := Options{Heartbeat: 5 * time.Second, Now: func() time.Time { return at }}
 	l := &leadership{
@@ -30,8 +30,7 @@
 	return l, heartbeats
 }
 
-// BenchmarkRefresh measures the leader's look at all runners of which one has sent a heartbeat since the last, with the
-// view that routers are told.
+// BenchmarkRefresh measures a refresh of the runners and view after one heartbeat.
 func BenchmarkRefresh(b *testing.B) {
 	for _, runners := range []int{300, 1000, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(runners), func(b *testing.B) {
--- a/placement/domainnode/doc.go
+++ b/placement/domainnode/doc.go
@@ -1,18 +1,16 @@
-// Package domainnode runs a controller of a placement domain: a member of the raft
-// group over package domain, and, while it leads, the registry of the runners, the
-// planner of loads and the source of the routers' views.
+// Package domainnode implements a controller of a placement domain: a member of the raft
+// group that replicates package domain. The leader also tracks the runners, plans model
+// loads and serves views to the routers.
 //
-// # What is acknowledged
+// # Acknowledgements
 //
-// A document and a departure are acknowledged once a quorum has synced them. A
-// heartbeat is acknowledged by the leader only, and only while its lease holds. A
-// departure is acknowledged once the routers that are in contact know of it as well,
-// or after a bound.
+// A document or departure is acknowledged once a quorum has synced it to disk. A departure
+// is acknowledged only after the active routers have received it or a timeout has passed.
+// A heartbeat is acknowledged by the leader while its lease holds.
 //
-// # Failure
+// # Failures
 //
-// When the disk fails, the member closes its store and opens it again until the disk
-// works; meanwhile it takes no part, and what waits is refused as unavailable. A
-// member that finds that its group has removed it starts again with an empty store
-// under a new identity.
+// On a disk failure the member closes its store and reopens it until that succeeds.
+// Meanwhile it does not participate, and waiting calls fail as unavailable. A member
+// removed from the group rejoins with an empty store and a new identity.
 package domainnode
--- a/placement/domainnode/domain_test.go
+++ b/placement/domainnode/domain_test.go
@@ -32,19 +32,19 @@
 	c       *qt.C
 	ctx     context.Context
 	network *networktest.Memory
-	// seeds are read by the nodes while a test changes them.
+	// seeds may change while nodes read them.
 	seeds atomic.Pointer[[]string]
-	// nodesMutex guards nodes while the test, which alone changes them, and its runners use them.
+	// nodesMutex guards nodes. Only the test itself changes them.
 	nodesMutex sync.RWMutex
 	nodes      map[int]*runningNode
 	base       string
 	folders    map[int]string
 	engines    *fakeEngines
-	// started is set once the domain has been founded.
-	founded bool
-	// suspended is for how many nanoseconds the machine of each node was suspended.
+	// isBootstrapped is set once the group exists.
+	isBootstrapped bool
+	// suspended is how many nanoseconds each node's clock is ahead due to suspensions.
 	suspended [maxTestNodes]atomic.Int64
-	// fences says that runners refuse old fencing tokens.
+	// fences enables FencesEnforced.
 	fences bool
 }
 
@@ -57,13 +57,13 @@
 	done chan struct{}
 }
 
-// fakeEngines notes orders and accepts them. All runners give the same report.
+// fakeEngines records and accepts all orders. All runners return the same report.
 type fakeEngines struct {
 	mutex  sync.Mutex
 	orders []sentOrder
 	report residency.Report
-	// says is what the answers of a runner tell of it.
-	says map[string]notice.Notice
+	// notices maps a runner to the notice in its responses.
+	notices map[string]notice.Notice
 }
 
 type sentOrder struct {
@@ -75,13 +75,13 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.orders = append(e.orders, sentOrder{holder, time.Now()})
-	return residency.OutcomeAccepted, e.says[order.Instance]
+	return residency.OutcomeAccepted, e.notices[order.Instance]
 }
 
 func (e *fakeEngines) Report(_ context.Context, runner fleet.Heartbeat) (residency.Report, notice.Notice, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.report, e.says[runner.Instance], nil
+	return e.report, e.notices[runner.Instance], nil
 }
 
 func (e *fakeEngines) sent() []sentOrder {
@@ -128,7 +128,7 @@
 		}
 		node, err := New(Options{
 			Logger: log.NewNopLogger(), Name: fmt.Sprint("node-", index), Address: address(index),
-			Seeds: func() []string { return *d.seeds.Load() }, Bootstrap: !d.founded, DataFolder: d.folders[index], Voters: 3,
+			Seeds: func() []string { return *d.seeds.Load() }, Bootstrap: !d.isBootstrapped, DataFolder: d.folders[index], Voters: 3,
 			OrderLease: 3 * time.Second, Decoder: decodeTestDocument, Engines: d.engines, Network: d.network, Seed: uint64(index) + 1,
 			FencesEnforced: d.fences, Zones: []string{"zone-0", "zone-1"},
 			Now: func() time.Time { return time.Now().Add(time.Duration(d.suspended[index].Load())) },
@@ -146,14 +146,14 @@
 	}
 }
 
-// node is a node that runs; nil if it does not.
+// node returns a running node, or nil.
 func (d *testDomain) node(index int) *runningNode {
 	d.nodesMutex.RLock()
 	defer d.nodesMutex.RUnlock()
 	return d.nodes[index]
 }
 
-// kill ends a node without handing anything over.
+// kill stops a node without a planned stop.
 func (d *testDomain) kill(index int) {
 	d.nodesMutex.Lock()
 	running := d.nodes[index]
@@ -163,7 +163,7 @@
 	<-running.done
 }
 
-// wipe kills a node, if it runs, and empties its disk.
+// wipe kills a running node and removes its store.
 func (d *testDomain) wipe(index int) {
 	if d.nodes[index] != nil {
 		d.kill(index)
@@ -174,7 +174,7 @@
 func (d *testDomain) await(what string, holds func() bool) {
 	for !holds() {
 		if !pause.For(d.ctx, 10*time.Millisecond) {
-			d.c.Fatalf("%s never came", what)
+			d.c.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -184,11 +184,11 @@
 	if running == nil {
 		return group.Status{}, false
 	}
-	joined, err := running.current()
+	m, err := running.current()
 	if err != nil {
 		return group.Status{}, false
 	}
-	return joined.group.Status(), true
+	return m.group.Status(), true
 }
 
 // leader returns the index of the node that leads with a valid lease, or -1.
@@ -206,7 +206,7 @@
 	return d.leader()
 }
 
-// awaitVoters waits until the group's voters are the stores of the nodes.
+// awaitVoters waits until the group's voters are exactly the given nodes.
 func (d *testDomain) awaitVoters(indexes ...int) {
 	d.await(fmt.Sprint("voters ", indexes), func() bool {
 		leader := d.leader()
@@ -227,17 +227,17 @@
 	})
 }
 
-func (d *testDomain) found(indexes ...int) {
+func (d *testDomain) bootstrap(indexes ...int) {
 	d.start(indexes...)
 	d.awaitVoters(0, 1, 2)
-	d.founded = true
+	d.isBootstrapped = true
 }
 
 func source(version int) []byte {
 	return fmt.Appendf(nil, `{"Version":%d,"Limits":{"MaxBodyBytes":1}}`, version)
 }
 
-// put sends a document to any node until it is acknowledged.
+// put submits a document to all nodes in turn until one acknowledges it.
 func (d *testDomain) put(version int) {
 	d.await(fmt.Sprint("the acknowledgement of version ", version), func() bool {
 		for _, running := range d.nodes {
@@ -249,7 +249,7 @@
 	})
 }
 
-// read reads the document at a node until it answers.
+// read returns the document from a node, retrying errors.
 func (d *testDomain) read(index int) string {
 	var found []byte
 	d.await("a read", func() bool {
@@ -266,7 +266,7 @@
 	synctest.Test(t, func(t *testing.T) { test(newTestDomain(t)) })
 }
 
-func TestSeedsFoundTheGroupAndOthersJoinIt(t *testing.T) {
+func TestSeedsBootstrapGroupAndOthersJoin(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
 		d.start(3, 2, 1, 0)
 		d.awaitVoters(0, 1, 2)
@@ -281,9 +281,9 @@
 	})
 }
 
-func TestSameOrOlderVersionsAreAcknowledgedAndChangeNothing(t *testing.T) {
+func TestPutIgnoresSameOrOlderVersions(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(5)
 		d.put(3)
 		other := []byte(`{"Version":5,"Limits":{"MaxBodyBytes":99}}`)
@@ -295,9 +295,9 @@
 	})
 }
 
-func TestMinorityAnswersNothing(t *testing.T) {
+func TestMinorityRejectsCalls(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(1)
 		d.kill(1)
 		d.kill(2)
@@ -312,7 +312,7 @@
 
 func TestStandbyTakesThePlaceOfALostVoterAndTheLostOneJoinsAnew(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2, 3)
+		d.bootstrap(0, 1, 2, 3)
 		d.put(1)
 		d.kill(0)
 		d.awaitVoters(1, 2, 3)
@@ -329,9 +329,9 @@
 	})
 }
 
-func TestDisksMayBeLostOneAfterTheOther(t *testing.T) {
+func TestSuccessiveDiskLossesKeepDocument(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		for round := 1; round <= 6; round++ {
 			d.put(round)
 			victim := round % 3
@@ -344,10 +344,10 @@
 	})
 }
 
-// The disk of one is lost right after an acknowledgement, and all others restart.
-func TestLostDiskAndPowerLossOfAllLoseNothing(t *testing.T) {
+// One disk is lost right after an acknowledgement, and all other nodes restart.
+func TestDiskLossAndFullRestartKeepDocument(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		for round := 1; round <= 6; round++ {
 			d.put(round)
 			victim := d.leader()
@@ -367,10 +367,10 @@
 	})
 }
 
-// A member that missed a change and one that lost its disk are no quorum.
-func TestStaleMemberAndEmptyDiskAreNoQuorum(t *testing.T) {
+// A member that missed a commit and one that lost its disk must not elect a leader.
+func TestStaleMemberAndEmptyDiskFormNoQuorum(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(1)
 		d.kill(2)
 		d.put(2)
@@ -385,13 +385,13 @@
 	})
 }
 
-func TestControllerGoneForGoodIsReplacedByAnEmptyOne(t *testing.T) {
+func TestLostControllerIsReplacedByEmptyOne(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(1)
 		for next := 3; next < 6; next++ {
 			d.kill(next - 3)
-			// A new machine is told of controllers that live.
+			// A new node is configured with running controllers.
 			d.setSeeds([]string{address(next - 2), address(next - 1)})
 			d.start(next)
 			d.awaitVoters(next-2, next-1, next)
@@ -401,9 +401,9 @@
 	})
 }
 
-func TestEmptyDisksFoundNoSecondGroup(t *testing.T) {
+func TestEmptyDisksCreateNoSecondGroup(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(1)
 		d.wipe(0)
 		d.kill(1)
@@ -419,57 +419,57 @@
 	})
 }
 
-func TestDepartureOutlivesItsLeader(t *testing.T) {
+func TestDepartureSurvivesLeaderChange(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		leader := d.awaitLeader()
 		d.await("the departure", func() bool { return d.nodes[leader].Depart(d.ctx, "r", 0) == nil })
 		d.kill(leader)
 		next := d.awaitLeader()
-		d.await("a heartbeat that was late", func() bool {
+		d.await("a late heartbeat", func() bool {
 			return d.nodes[next].Heartbeat(d.ctx, fleet.Heartbeat{Instance: "r", Address: "10.9.9.9:1", Sequence: 9}) == nil
 		})
-		joined, err := d.nodes[next].current()
+		m, err := d.nodes[next].current()
 		d.c.Assert(err, qt.IsNil)
-		joined.leads().mutex.Lock()
-		defer joined.leads().mutex.Unlock()
-		d.c.Assert(joined.leads().registry.Runners(time.Now()), qt.HasLen, 0)
+		m.currentLeadership().mutex.Lock()
+		defer m.currentLeadership().mutex.Unlock()
+		d.c.Assert(m.currentLeadership().registry.Runners(time.Now()), qt.HasLen, 0)
 	})
 }
 
 func TestNewLeaderKnowsTheRunners(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		leader := d.awaitLeader()
 		heartbeat := fleet.Heartbeat{Instance: "r", Service: "s", Address: "10.9.9.9:1", Slots: 4, Sequence: 1}
 		d.await("a heartbeat", func() bool { return d.nodes[leader].Heartbeat(d.ctx, heartbeat) == nil })
 		pause.For(d.ctx, time.Second)
 		d.kill(leader)
 		next := d.awaitLeader()
-		joined, err := d.nodes[next].current()
+		m, err := d.nodes[next].current()
 		d.c.Assert(err, qt.IsNil)
-		d.await("the leadership", func() bool { return joined.leads() != nil })
-		joined.leads().mutex.Lock()
-		defer joined.leads().mutex.Unlock()
-		runners := joined.leads().registry.Runners(time.Now())
+		d.await("the leadership", func() bool { return m.currentLeadership() != nil })
+		m.currentLeadership().mutex.Lock()
+		defer m.currentLeadership().mutex.Unlock()
+		runners := m.currentLeadership().registry.Runners(time.Now())
 		d.c.Assert(runners, qt.HasLen, 1)
 		d.c.Assert(runners[0].Recalled, qt.IsTrue)
 	})
 }
 
-func TestLeadersLeaveTheLeaseBetweenTheirOrders(t *testing.T) {
+func TestOrdersOfSuccessiveLeadersAreOneLeaseApart(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		document := []byte(`{"Version":3,"Services":[{"Name":"s","Engine":{"WeightsMB":1000,"MaxAdapters":8,"LoadsPerSecond":9,` +
 			`"Models":[{"Name":"m","SizeMB":1,"Adapters":50}]}}]}`)
 		d.await("the document", func() bool { return d.nodes[0].PutDocument(d.ctx, document) == nil })
 		work := func(seconds int) {
 			for step := range seconds * 5 {
 				leader := d.awaitLeader()
-				joined, err := d.nodes[leader].current()
+				m, err := d.nodes[leader].current()
 				if err == nil {
-					if current := joined.leads(); current != nil {
-						current.heard(fleet.Heartbeat{
+					if current := m.currentLeadership(); current != nil {
+						current.receiveHeartbeat(fleet.Heartbeat{
 							Instance: "r", Service: "s", Address: "10.9.9.9:1", Sequence: uint64(time.Now().UnixMilli()),
 							Models: []fleet.LoadedModel{{Name: "m"}},
 						})
--- a/placement/domainnode/drains.go
+++ b/placement/domainnode/drains.go
@@ -15,19 +15,19 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// soleReplicaGrace is how long after the order a drained zone's runners still take requests for models
-// that no runner elsewhere holds, while these are loaded elsewhere. It is half of the shortest time that
-// operators give a drain, 5 s; routers learn of its end within domainapi.MostHold.
+// soleReplicaGrace is how long after a drain order a drained zone's runners still take
+// requests for models loaded on no other runner, while those are loaded elsewhere. It is
+// half of the shortest drain time, 5 s; routers learn of its end within domainapi.MostHold.
 const soleReplicaGrace = 2500 * time.Millisecond
 
-// DrainZone takes an operator's order that the runners of a zone get no new requests, or its withdrawal. It
-// returns once the order is durable and the routers in contact know of it, or have had the time to. The error
-// is of kind ErrorNotFound for a zone that the site does not have; others say that the outcome is unknown.
+// DrainZone starts or ends the drain of a zone. It returns once the order is durable and the
+// active routers have received it or a timeout has passed. The error is of kind
+// ErrorNotFound if the site has no such zone; after other errors the outcome is unknown.
 func (n *Node) DrainZone(ctx context.Context, order domain.ZoneDrain) error {
 	if !slices.Contains(n.options.Zones, order.Zone) {
 		err := structs.NewError(structs.ErrorNotFound, fmt.Sprintf("the site has no zone %q", order.Zone),
 			fmt.Sprintf("Name one of %q.", n.options.Zones))
-		level.Info(n.logger).Log("msg", "An order about an unknown zone was refused.", "zone", order.Zone, "drained", order.IsDrained)
+		level.Info(n.logger).Log("msg", "A drain order was rejected: unknown zone.", "zone", order.Zone, "drained", order.IsDrained)
 		n.metrics.drains.WithLabelValues("invalid").Inc()
 		return err
 	}
@@ -35,11 +35,11 @@
 	defer cancel()
 	_, err := leadercall.Call(ctx, n.caller, domainapi.MethodDrain, domainapi.DrainArguments{Drain: order}, newReply)
 	n.metrics.drains.WithLabelValues(outcomeName(err)).Inc()
-	level.Info(n.logger).Log("msg", "An order about a zone was given.", "zone", order.Zone, "drained", order.IsDrained, "err", err)
+	level.Info(n.logger).Log("msg", "A drain order was submitted.", "zone", order.Zone, "drained", order.IsDrained, "err", err)
 	return err
 }
 
-// DrainedZones lists the drained zones, as new as any order that was acknowledged before.
+// DrainedZones returns the drained zones, sorted. The read is linearizable.
 func (n *Node) DrainedZones(ctx context.Context) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
@@ -51,62 +51,62 @@
 	return reply.Zones, nil
 }
 
-// Drain makes an order about a zone durable and known to the routers.
+// Drain commits a drain order and notifies the routers.
 func (s *service) Drain(arguments *domainapi.DrainArguments, reply *domainapi.Reply) error {
-	joined, current, err := s.leader()
+	m, current, err := s.leader()
 	if err == nil {
-		err = drain(joined, current, arguments.Drain)
+		err = proposeDrain(m, current, arguments.Drain)
 	}
 	reply.Error = structs.AsTyped(err)
 	return nil
 }
 
-func drain(joined *member, current *leadership, order domain.ZoneDrain) error {
+func proposeDrain(m *member, current *leadership, order domain.ZoneDrain) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	// An order that repeats what holds goes into the log as well: one that contradicts it may be under way.
+	// Append repeated orders as well: a contradicting order may be in flight.
 	command, err := domain.Command{Drain: &order}.Encode()
 	if err != nil {
 		return err
 	}
-	if _, err := joined.group.Propose(ctx, command); err != nil {
+	if _, err := m.group.Propose(ctx, command); err != nil {
 		return err
 	}
 	current.mutex.Lock()
-	current.adoptDrains()
+	current.updateDrains()
 	current.refresh(current.now())
 	revision := current.views.Revision()
-	current.announcer.announce(current.now(), current.news())
+	current.announcer.announce(current.now(), current.currentVersions())
 	current.mutex.Unlock()
 	current.wakePlan()
-	current.awaitTold(ctx, revision)
+	current.awaitRouters(ctx, revision)
 	if !current.isValid() {
-		return notLeaderError(joined)
+		return notLeaderError(m)
 	}
 	return nil
 }
 
-// Drained lists the drained zones.
+// Drained returns the drained zones.
 func (s *service) Drained(_ *domainapi.ReadArguments, reply *domainapi.DrainedReply) error {
-	joined, _, err := s.leader()
+	m, _, err := s.leader()
 	if err == nil {
 		ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 		defer cancel()
-		err = joined.group.Read(ctx)
+		err = m.group.Read(ctx)
 	}
 	if err == nil {
-		joined.group.View(func() { reply.Zones = joined.machine.Drained() })
+		m.group.View(func() { reply.Zones = m.machine.Drained() })
 	}
 	reply.Error = structs.AsTyped(err)
 	return nil
 }
 
-// drains are the drained zones as a leader knows them.
+// drains holds the leader's copy of the drained zones.
 type drains struct {
-	// since is when this leader learned that each zone is drained; the zero time for one that was drained
-	// before it led.
+	// since maps a drained zone to when this leader learned of the drain; the zero time if it
+	// began before this leadership.
 	since map[string]time.Time
-	// endedAt is when it learned that a zone is drained no more.
+	// endedAt maps a zone to when this leader learned that its drain ended.
 	endedAt map[string]time.Time
 }
 
@@ -118,8 +118,8 @@
 	return made
 }
 
-// adopt takes which zones are drained now. It returns those that were not before, and those that were.
-func (d *drains) adopt(at time.Time, zones []string) (begun, ended []string) {
+// update sets the drained zones and returns the zones whose drain began or ended.
+func (d *drains) update(at time.Time, zones []string) (begun, ended []string) {
 	for _, zone := range zones {
 		if _, isKnown := d.since[zone]; !isKnown {
 			d.since[zone] = at
@@ -138,23 +138,23 @@
 	return begun, ended
 }
 
-// isDrained reports whether the runners of a zone get no new requests.
 func (d *drains) isDrained(zone string) bool {
 	_, isDrained := d.since[zone]
 	return isDrained
 }
 
-// isInGrace reports whether the runners of a drained zone still take requests for what nobody else holds.
+// isInGrace reports whether the runners of a drained zone still take requests for models
+// loaded nowhere else.
 func (d *drains) isInGrace(at time.Time, zone string) bool {
 	since, isDrained := d.since[zone]
 	return isDrained && !since.IsZero() && at.Sub(since) < soleReplicaGrace
 }
 
-// adoptDrains takes the drained zones from the log. It runs under the mutex.
-func (l *leadership) adoptDrains() {
+// updateDrains reads the drained zones from the state machine. The caller holds the mutex.
+func (l *leadership) updateDrains() {
 	var zones []string
 	l.member.group.View(func() { zones = l.member.machine.Drained() })
-	begun, ended := l.drains.adopt(l.now(), zones)
+	begun, ended := l.drains.update(l.now(), zones)
 	for _, zone := range begun {
 		level.Info(l.logger).Log("msg", "A zone is drained.", "zone", zone, "sole_replicas_for", soleReplicaGrace)
 	}
@@ -164,8 +164,8 @@
 	l.node.metrics.drained.Set(float64(len(zones)))
 }
 
-// drainStatuses marks the runners of drained zones. It runs under the mutex.
-func (l *leadership) drainStatuses(statuses []fleet.Status) {
+// markDrained marks the runners of drained zones. The caller holds the mutex.
+func (l *leadership) markDrained(statuses []fleet.Status) {
 	if len(l.drains.since) == 0 {
 		return
 	}
@@ -174,9 +174,9 @@
 	}
 }
 
-// drainRunners has the runners of drained zones leave, but for the models that no other runner holds while
-// these may still be served there. It runs under the mutex.
-func (l *leadership) drainRunners(at time.Time, runners []fleet.Runner) {
+// drainView marks the runners of drained zones as leaving in a view. During the grace time
+// they stay listed with the models that no other runner holds. The caller holds the mutex.
+func (l *leadership) drainView(at time.Time, runners []fleet.Runner) {
 	if len(l.drains.since) == 0 {
 		return
 	}
--- a/placement/domainnode/drains_test.go
+++ b/placement/domainnode/drains_test.go
@@ -14,12 +14,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// drainDocument has a service with two models.
 const drainDocument = `{"Version":3,"Services":[{"Name":"s","ColdRate":4,"Engine":{"WeightsMB":1000,"MaxAdapters":8,"LoadsPerSecond":9,` +
 	`"Models":[{"Name":"both","SizeMB":1},{"Name":"sole","SizeMB":1}]}}]}`
 
-// drainRunnersOf are two runners, of which only the one in zone-0 holds the model "sole".
-func drainRunnersOf(sequence uint64) []fleet.Heartbeat {
+// drainHeartbeats returns the heartbeats of two runners; only the one in zone-0 holds the model "sole".
+func drainHeartbeats(sequence uint64) []fleet.Heartbeat {
 	return []fleet.Heartbeat{
 		{Instance: "r0", Service: "s", Address: "10.9.9.1:1", Zone: "zone-0", Slots: 4, Sequence: sequence,
 			Models: []fleet.LoadedModel{{Name: "both"}, {Name: "sole"}}},
@@ -28,21 +27,21 @@
 	}
 }
 
-// beat has the runners of drainRunnersOf send heartbeats until the domain ends.
-func (d *testDomain) beat() {
+// startHeartbeats sends the heartbeats of drainHeartbeats until the domain ends.
+func (d *testDomain) startHeartbeats() {
 	go func() {
 		for sequence := uint64(1); pause.For(d.ctx, 300*time.Millisecond); sequence++ {
 			running := d.node(d.leader())
 			if running == nil {
 				continue
 			}
-			joined, err := running.current()
+			m, err := running.current()
 			if err != nil {
 				continue
 			}
-			if current := joined.leads(); current != nil {
-				for _, heartbeat := range drainRunnersOf(sequence) {
-					current.heard(heartbeat)
+			if current := m.currentLeadership(); current != nil {
+				for _, heartbeat := range drainHeartbeats(sequence) {
+					current.receiveHeartbeat(heartbeat)
 				}
 				current.wakePlan()
 			}
@@ -50,17 +49,17 @@
 	}()
 }
 
-// runner returns what routers are told of a runner now; nil if it is not listed.
+// runner returns a runner from the leader's view, or nil if it is not listed.
 func (d *testDomain) runner(instance string) *fleet.Runner {
 	leader := d.leader()
 	if leader < 0 {
 		return nil
 	}
-	joined, err := d.nodes[leader].current()
-	if err != nil || joined.leads() == nil {
+	m, err := d.nodes[leader].current()
+	if err != nil || m.currentLeadership() == nil {
 		return nil
 	}
-	current := joined.leads()
+	current := m.currentLeadership()
 	current.mutex.Lock()
 	defer current.mutex.Unlock()
 	for _, listed := range current.views.Since(0).Runners {
@@ -76,26 +75,26 @@
 	return found != nil && found.Leaving
 }
 
-// drain gives an order about zone-0 to a node until it is acknowledged.
+// drain starts or ends the drain of zone-0 through a node, retrying errors.
 func (d *testDomain) drain(index int, isDrained bool) {
-	d.await("the acknowledgement of an order about a zone", func() bool {
+	d.await("the acknowledgement of a drain order", func() bool {
 		return d.nodes[index].DrainZone(d.ctx, domain.ZoneDrain{Zone: "zone-0", IsDrained: isDrained}) == nil
 	})
 }
 
-func (d *testDomain) foundWithRunners() {
-	d.found(0, 1, 2)
+func (d *testDomain) bootstrapWithRunners() {
+	d.bootstrap(0, 1, 2)
 	d.await("the document", func() bool { return d.nodes[0].PutDocument(d.ctx, []byte(drainDocument)) == nil })
-	d.beat()
+	d.startHeartbeats()
 	d.await("both runners", func() bool {
 		found := d.runner("r0")
 		return found != nil && len(found.Models) == 2 && d.runner("r1") != nil
 	})
 }
 
-func TestDrainedZoneServesWhatNobodyElseHoldsForAWhile(t *testing.T) {
+func TestDrainedZoneServesSoleReplicasDuringGrace(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.foundWithRunners()
+		d.bootstrapWithRunners()
 		d.drain(1, true)
 		found := d.runner("r0")
 		d.c.Assert(found.Leaving, qt.IsFalse)
@@ -109,9 +108,9 @@
 	})
 }
 
-func TestDrainOutlivesItsLeaderAndARestartOfAll(t *testing.T) {
+func TestDrainSurvivesLeaderChangeAndFullRestart(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.foundWithRunners()
+		d.bootstrapWithRunners()
 		leader := d.awaitLeader()
 		d.drain(leader, true)
 		d.kill(leader)
@@ -129,10 +128,10 @@
 	})
 }
 
-// The answer to the first order is lost, and it is given again elsewhere; then another operator gives it too.
-func TestRepeatedOrdersAboutAZoneChangeNothing(t *testing.T) {
+// Orders are repeated at other nodes, as after a lost reply.
+func TestDrainOrdersAreIdempotent(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.foundWithRunners()
+		d.bootstrapWithRunners()
 		var both sync.WaitGroup
 		for index := range 3 {
 			both.Go(func() { d.drain(index, true) })
@@ -151,19 +150,18 @@
 	})
 }
 
-func TestOrderAboutAnUnknownZoneIsRefused(t *testing.T) {
+func TestDrainOfUnknownZoneIsRejected(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		err := d.nodes[0].DrainZone(d.ctx, domain.ZoneDrain{Zone: "elsewhere", IsDrained: true})
 		d.c.Assert(structs.KindOf(err), qt.Equals, structs.ErrorNotFound)
 		d.c.Assert(fmt.Sprint(err), qt.Contains, "zone-0")
 	})
 }
 
-// Orders that a minority takes are not acknowledged.
-func TestOrderAboutAZoneNeedsAQuorum(t *testing.T) {
+func TestDrainNeedsQuorum(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.foundWithRunners()
+		d.bootstrapWithRunners()
 		d.kill(1)
 		d.kill(2)
 		pause.For(d.ctx, 5*time.Second)
--- a/placement/domainnode/failing.go
+++ b/placement/domainnode/failing.go
@@ -9,8 +9,8 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// observeAttempts takes how a router's attempts ended. Routers learn with the next view of a runner
-// that fails. It runs under the mutex.
+// observeAttempts records the outcomes of a router's attempts. The next view lists failing
+// runners. The caller holds the mutex.
 func (l *leadership) observeAttempts(at time.Time, arguments *domainapi.DemandArguments) {
 	for _, ended := range arguments.Attempts {
 		if !l.failing.Observe(at, arguments.Router, ended) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// forgetFailing drops what is known of runners that have ended. It runs under the mutex.
+// forgetFailing drops the records of unlisted runners. The caller holds the mutex.
 func (l *leadership) forgetFailing(at time.Time, statuses []fleet.Status) {
 	if l.failing.IsEmpty() {
 		return
--- a/placement/domainnode/heartbeats.go
+++ b/placement/domainnode/heartbeats.go
@@ -13,58 +13,57 @@
 )
 
 const (
-	// gatherPause separates two calls that pass heartbeats on to the leader, so that on
-	// a large site each carries many.
-	gatherPause = 25 * time.Millisecond
-	// idleGatherPause is the same while they tell nothing but that their runners live. On the largest sites
-	// that is true of nearly all of two thousand a second; their senders wait for a second, and the leader's
-	// answer takes some tens of milliseconds.
-	idleGatherPause = 250 * time.Millisecond
-	// gatherAlone is how many heartbeats a call carries up to which those to come are as soon told one by one.
-	gatherAlone = 4
-	// maxForwarded bounds the heartbeats in one call.
-	maxForwarded = 256
-	// maxRemembered bounds the runners of which this controller knows what they said last.
-	maxRemembered = 4096
+	// batchInterval is the pause between two calls to the leader, so that each carries many
+	// heartbeats on a large site.
+	batchInterval = 25 * time.Millisecond
+	// idleBatchInterval is the interval while heartbeats report no change. Runners wait up to
+	// a second for the acknowledgement.
+	idleBatchInterval = 250 * time.Millisecond
+	// smallBatch is the largest batch after which idleBatchInterval is not applied.
+	smallBatch = 4
+	// maxBatch bounds the heartbeats in one call.
+	maxBatch = 256
+	// maxDelivered bounds the number of runners whose last heartbeat is retained.
+	maxDelivered = 4096
 )
 
-// forwarder passes heartbeats on to the leader: the first at once, those that come
-// meanwhile together in the next call. Where many come that tell nothing new, calls wait for more of them; one
-// that tells something new ends such a wait.
+// forwarder forwards heartbeats to the leader in batches. Heartbeats that arrive during a
+// call share the next one. If many arrive without changes, calls are delayed by up to
+// idleBatchInterval; a heartbeat with a change ends the delay.
 type forwarder struct {
 	send func(ctx context.Context, heartbeats []fleet.Heartbeat) error
-	// wake and hasNews have room for one.
-	wake    chan struct{}
-	hasNews chan struct{}
+	// wake and hasChange have a capacity of one.
+	wake      chan struct{}
+	hasChange chan struct{}
 
 	mutex   sync.Mutex
-	waiting []waitingHeartbeat
-	// said is what each runner said last that the leader has.
-	said map[string]fleet.Heartbeat
+	pending []pendingHeartbeat
+	// delivered holds the last heartbeat of each runner that the leader acknowledged.
+	delivered map[string]fleet.Heartbeat
 }
 
-type waitingHeartbeat struct {
+type pendingHeartbeat struct {
 	heartbeat fleet.Heartbeat
-	// done gets the outcome; it has room for one.
+	// done has a capacity of one.
 	done chan error
 }
 
 func newForwarder(send func(ctx context.Context, heartbeats []fleet.Heartbeat) error) *forwarder {
 	return &forwarder{
-		send: send, wake: make(chan struct{}, 1), hasNews: make(chan struct{}, 1), said: make(map[string]fleet.Heartbeat),
+		send: send, wake: make(chan struct{}, 1), hasChange: make(chan struct{}, 1), delivered: make(map[string]fleet.Heartbeat),
 	}
 }
 
-// forward returns once the leader has the heartbeat, or with the reason why it has not.
+// forward returns once the leader has acknowledged the heartbeat, or with an error.
 func (f *forwarder) forward(ctx context.Context, heartbeat fleet.Heartbeat) error {
 	done := make(chan error, 1)
 	f.mutex.Lock()
-	f.waiting = append(f.waiting, waitingHeartbeat{heartbeat, done})
-	said, isKnown := f.said[heartbeat.Instance]
+	f.pending = append(f.pending, pendingHeartbeat{heartbeat, done})
+	last, isKnown := f.delivered[heartbeat.Instance]
 	f.mutex.Unlock()
 	wake.Up(f.wake)
-	if !isKnown || !said.IsRepeatedBy(heartbeat) {
-		wake.Up(f.hasNews)
+	if !isKnown || !last.IsRepeatedBy(heartbeat) {
+		wake.Up(f.hasChange)
 	}
 	select {
 	case err := <-done:
@@ -74,7 +73,7 @@
 	}
 }
 
-// run sends what waits until ctx ends.
+// run sends pending heartbeats until ctx ends.
 func (f *forwarder) run(ctx context.Context) {
 	for {
 		select {
@@ -82,28 +81,28 @@
 		case <-ctx.Done():
 			return
 		}
-		for batch := f.take(); len(batch) > 0; batch = f.take() {
+		for batch := f.nextBatch(); len(batch) > 0; batch = f.nextBatch() {
 			f.sendBatch(ctx, batch)
-			pause.For(ctx, gatherPause)
-			if len(batch) > gatherAlone {
-				f.awaitNews(ctx)
+			pause.For(ctx, batchInterval)
+			if len(batch) > smallBatch {
+				f.awaitChange(ctx)
 			}
 		}
 	}
 }
 
-// awaitNews waits for a heartbeat that tells something new, at most for the rest of idleGatherPause.
-func (f *forwarder) awaitNews(ctx context.Context) {
-	timer := time.NewTimer(idleGatherPause - gatherPause)
+// awaitChange waits for a heartbeat with a change, at most for the rest of idleBatchInterval.
+func (f *forwarder) awaitChange(ctx context.Context) {
+	timer := time.NewTimer(idleBatchInterval - batchInterval)
 	defer timer.Stop()
 	select {
-	case <-f.hasNews:
+	case <-f.hasChange:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-func (f *forwarder) sendBatch(ctx context.Context, batch []waitingHeartbeat) {
+func (f *forwarder) sendBatch(ctx context.Context, batch []pendingHeartbeat) {
 	heartbeats := make([]fleet.Heartbeat, len(batch))
 	for i, each := range batch {
 		heartbeats[i] = each.heartbeat
@@ -111,46 +110,46 @@
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
 	err := f.send(ctx, heartbeats)
-	f.remember(heartbeats, err == nil)
+	f.recordDelivery(heartbeats, err == nil)
 	for _, each := range batch {
 		each.done <- err
 	}
 }
 
-// remember notes what runners said that the leader has, or may not have.
-func (f *forwarder) remember(heartbeats []fleet.Heartbeat, isHeard bool) {
+// recordDelivery retains acknowledged heartbeats and drops those whose outcome is unknown.
+func (f *forwarder) recordDelivery(heartbeats []fleet.Heartbeat, isAcknowledged bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.said) > maxRemembered {
-		clear(f.said)
+	if len(f.delivered) > maxDelivered {
+		clear(f.delivered)
 	}
 	for _, heartbeat := range heartbeats {
-		if isHeard {
-			f.said[heartbeat.Instance] = heartbeat
+		if isAcknowledged {
+			f.delivered[heartbeat.Instance] = heartbeat
 		} else {
-			delete(f.said, heartbeat.Instance)
+			delete(f.delivered, heartbeat.Instance)
 		}
 	}
 }
 
-// take hands out the next batch.
-func (f *forwarder) take() []waitingHeartbeat {
+// nextBatch removes and returns the next batch.
+func (f *forwarder) nextBatch() []pendingHeartbeat {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	count := min(len(f.waiting), maxForwarded)
-	if count == len(f.waiting) {
-		// What is new is in this batch.
+	count := min(len(f.pending), maxBatch)
+	if count == len(f.pending) {
+		// The batch contains all pending heartbeats, hence all changes.
 		select {
-		case <-f.hasNews:
+		case <-f.hasChange:
 		default:
 		}
 	}
-	batch := f.waiting[:count:count]
-	f.waiting = f.waiting[count:]
+	batch := f.pending[:count:count]
+	f.pending = f.pending[count:]
 	return batch
 }
 
-// sendHeartbeats passes heartbeats on to the leader.
+// sendHeartbeats sends heartbeats to the leader.
 func (n *Node) sendHeartbeats(ctx context.Context, heartbeats []fleet.Heartbeat) error {
 	arguments := domainapi.HeartbeatsArguments{Heartbeats: heartbeats}
 	_, err := leadercall.Call(ctx, n.caller, domainapi.MethodHeartbeats, arguments, newReply)
--- a/placement/domainnode/heartbeats_test.go
+++ b/placement/domainnode/heartbeats_test.go
@@ -15,15 +15,15 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// recordedCalls stands in for the leader.
-type recordedCalls struct {
+// fakeLeader records the batch sizes sent to the leader.
+type fakeLeader struct {
 	mutex sync.Mutex
 	sizes []int
 	err   error
 	took  time.Duration
 }
 
-func (r *recordedCalls) send(ctx context.Context, heartbeats []fleet.Heartbeat) error {
+func (r *fakeLeader) send(ctx context.Context, heartbeats []fleet.Heartbeat) error {
 	select {
 	case <-time.After(r.took):
 	case <-ctx.Done():
@@ -35,7 +35,7 @@
 	return r.err
 }
 
-func runForwarder(t *testing.T, leader *recordedCalls) *forwarder {
+func runForwarder(t *testing.T, leader *fakeLeader) *forwarder {
 	f := newForwarder(leader.send)
 	go f.run(t.Context())
 	return f
@@ -59,21 +59,21 @@
 func TestHeartbeatsThatComeTogetherShareACall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		leader := &recordedCalls{took: 5 * time.Millisecond}
+		leader := &fakeLeader{took: 5 * time.Millisecond}
 		f := runForwarder(t, leader)
 		began := time.Now()
-		for _, err := range forwardMany(f, maxForwarded+50) {
+		for _, err := range forwardMany(f, maxBatch+50) {
 			c.Assert(err, qt.IsNil)
 		}
-		c.Assert(leader.sizes, qt.DeepEquals, []int{1, maxForwarded, 49})
+		c.Assert(leader.sizes, qt.DeepEquals, []int{1, maxBatch, 49})
 		c.Assert(time.Since(began) < 100*time.Millisecond, qt.IsTrue)
 	})
 }
 
-func TestEveryHeartbeatOfACallLearnsItsFailure(t *testing.T) {
+func TestFailedBatchFailsEveryHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		leader := &recordedCalls{err: errors.New("no leader")}
+		leader := &fakeLeader{err: errors.New("no leader")}
 		f := runForwarder(t, leader)
 		for _, err := range forwardMany(f, 10) {
 			c.Assert(err, qt.ErrorMatches, "no leader")
@@ -81,10 +81,10 @@
 	})
 }
 
-func TestHungLeaderHoldsNoHeartbeatBeyondItsTime(t *testing.T) {
+func TestHungLeaderTimesOutHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		leader := &recordedCalls{took: time.Hour}
+		leader := &fakeLeader{took: time.Hour}
 		f := runForwarder(t, leader)
 		began := time.Now()
 		for _, err := range forwardMany(f, 10) {
@@ -93,13 +93,13 @@
 		c.Assert(time.Since(began) <= callerTimeout, qt.IsTrue)
 		leader.took = 0
 		for _, err := range forwardMany(f, 1) {
-			c.Assert(err, qt.IsNil, qt.Commentf("the next ones go on"))
+			c.Assert(err, qt.IsNil, qt.Commentf("later heartbeats succeed"))
 		}
 	})
 }
 
-// liveBeats are heartbeats of many runners that tell nothing new but their count.
-func liveBeats(f *forwarder, sequence uint64, count int) {
+// forwardUnchanged forwards heartbeats of many runners that change only their sequence numbers.
+func forwardUnchanged(f *forwarder, sequence uint64, count int) {
 	for i := range count {
 		go func() {
 			heartbeat := fleet.Heartbeat{Instance: fmt.Sprint("r", i), Sequence: sequence, Models: []fleet.LoadedModel{{Name: "m"}}}
@@ -108,14 +108,13 @@
 	}
 }
 
-// Hundreds of runners a second that only live on share a few calls; one that tells of a load that has ended is
-// passed on as soon as ever.
-func TestHeartbeatsThatTellNothingNewWaitForOthers(t *testing.T) {
+// Many unchanged heartbeats share few calls, while one with a change is forwarded without delay.
+func TestUnchangedHeartbeatsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		leader := &recordedCalls{took: time.Millisecond}
+		leader := &fakeLeader{took: time.Millisecond}
 		f := runForwarder(t, leader)
-		liveBeats(f, 1, 100)
+		forwardUnchanged(f, 1, 100)
 		pause.For(t.Context(), time.Second)
 		calls := func() int {
 			leader.mutex.Lock()
@@ -124,16 +123,16 @@
 		}
 		before := calls()
 		for step := range uint64(100) {
-			liveBeats(f, 2+step, 10)
+			forwardUnchanged(f, 2+step, 10)
 			pause.For(t.Context(), 10*time.Millisecond)
 		}
 		c.Assert(calls()-before <= 6, qt.IsTrue, qt.Commentf("%d calls", calls()-before))
 		for range 5 {
-			liveBeats(f, 200, 10)
+			forwardUnchanged(f, 200, 10)
 			pause.For(t.Context(), 70*time.Millisecond)
 			began := time.Now()
 			c.Assert(f.forward(t.Context(), fleet.Heartbeat{Instance: "r1", Sequence: 300, Models: []fleet.LoadedModel{{Name: "other"}}}), qt.IsNil)
-			c.Assert(time.Since(began) <= gatherPause+2*leader.took, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+			c.Assert(time.Since(began) <= batchInterval+2*leader.took, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 			c.Assert(f.forward(t.Context(), fleet.Heartbeat{Instance: "r1", Sequence: 301, Models: []fleet.LoadedModel{{Name: "m"}}}), qt.IsNil)
 		}
 	})
--- a/placement/domainnode/leadership.go
+++ b/placement/domainnode/leadership.go
@@ -25,107 +25,104 @@
 )
 
 const (
-	// minStepPause is the shortest pause between two steps, for what comes meanwhile to share
-	// the next. stepRest times what a step took is the shortest as well, so that steps
-	// take a quarter of the leader's time at most, however large the site is. maxStepPause
-	// bounds that, as a step that took long may have been held up by a frozen machine.
-	minStepPause = 15 * time.Millisecond
-	stepRest     = 3
-	maxStepPause = 300 * time.Millisecond
-	// planInterval is the longest pause between two looks at what to load.
+	// minStepPause is the minimum pause between two steps, so that events arriving meanwhile
+	// share a step. The pause is also at least stepPauseFactor times the duration of the last
+	// step, so that steps take at most a quarter of the leader's time. maxStepPause bounds it,
+	// as a long step may be due to a suspended machine.
+	minStepPause    = 15 * time.Millisecond
+	stepPauseFactor = 3
+	maxStepPause    = 300 * time.Millisecond
+	// planInterval is the maximum time between two steps.
 	planInterval = 100 * time.Millisecond
-	// routerLife is how long a router that has gone silent keeps its part of what is
-	// granted to all.
-	routerLife = 25 * time.Second
-	// contactMargin is how long after its watch should have ended a router still counts as in contact.
+	// routerExpiry is how long a silent router keeps its share of the grants.
+	routerExpiry = 25 * time.Second
+	// contactMargin is how long after the end of its watch a router still counts as active.
 	contactMargin = time.Second
-	// tellTimeout bounds the wait until routers know of a departure.
-	tellTimeout = 600 * time.Millisecond
-	// orderTimeout bounds one order or question to a runner.
+	// routerAckTimeout bounds the wait until routers have received a change.
+	routerAckTimeout = 600 * time.Millisecond
+	// orderTimeout bounds an order or report request to a runner.
 	orderTimeout = time.Second
-	// stoppingLife is how long an announced stop counts.
-	stoppingLife = 15 * time.Second
+	// stopNoticeExpiry is how long an announced stop is taken into account.
+	stopNoticeExpiry = 15 * time.Second
 )
 
-// leadership is what a member holds in memory while it leads, in one term.
+// leadership is the in-memory state of a leader in one term.
 type leadership struct {
-	node    *Node
-	logger  log.Logger
-	options Options
-	member  *member
-	term    structs.Epoch
-	// beganAt is when the leadership began.
-	beganAt time.Time
-	// wake asks the plan loop for a look now.
+	node      *Node
+	logger    log.Logger
+	options   Options
+	member    *member
+	term      structs.Epoch
+	startedAt time.Time
+	// wake triggers a step.
 	wake chan struct{}
 
 	mutex    sync.Mutex
 	registry *fleet.Registry
 	planner  *residency.Planner
-	// views numbers the views for routers, of the runners as they stood at the last look.
+	// views holds the numbered views for routers, and statuses the runners as of the last refresh.
 	views    *fleet.Publisher
 	statuses []fleet.Status
-	// refreshedAt is when the last look ended, and refreshTook how long it took.
-	refreshedAt time.Time
-	refreshTook time.Duration
-	// answers spreads the answers to watches.
-	answers *pacer
-	// wholeViews gives turns to routers of a large fleet that know the view of the leader before.
-	wholeViews *pacer
-	// limits divides the limits of tenants over routers; reserving puts what it may grant in
-	// the log.
-	limits    *quota.Divider
-	reserving *reserving
-	// shares adds up what is done for each tenant.
+	// refreshedAt is when the last refresh ended, and refreshDuration how long it took.
+	refreshedAt     time.Time
+	refreshDuration time.Duration
+	// replyPacer paces the replies to watches.
+	replyPacer *pacer
+	// fullViewPacer paces full views to routers of a large fleet that have the previous leader's view.
+	fullViewPacer *pacer
+	// limits divides the tenants' limits among the routers; reservation signals the loop that
+	// logs reservations.
+	limits      *quota.Divider
+	reservation *reservationSignal
+	// shares sums the work of each tenant over all routers.
 	shares *shares.Book
-	// document is the one that the planner works by.
+	// document is the version of the planner's document.
 	document  uint64
 	announcer *announcer
-	// poison finds the requests that crash runners.
+	// poison tracks requests that may crash runners.
 	poison *poison.Tracker
-	// failing finds the runners that fail what they are sent.
+	// failing tracks runners that fail requests.
 	failing *fleet.Failing
-	// lost are the runners that are taken for lost.
+	// lost is the set of unreachable runners.
 	lost map[string]bool
-	// loads are those of the last step.
+	// loads are the loads of the last step.
 	loads []fleet.Load
 	// planned is closed and replaced after each plan.
 	planned  chan struct{}
 	routers  map[string]routerContact
 	stopping map[raft.NodeID]time.Time
-	// tokens lends requests to runners that bear few a second: cold ones, which bear coldRates of their service,
-	// and those that name a limit.
+	// tokens grants requests to rate-limited runners: cold ones, limited to the coldRates of
+	// their service, and those that announce a limit.
 	tokens       *ratelimit.Pacer
 	coldRates    map[string]float64
 	cold         map[string]bool
 	runnerLimits *ratelimit.Limits
-	// loggedLimits bounds the log lines about them.
+	// loggedLimits limits the log lines about rate limits.
 	loggedLimits *asynclog.Limiter
-	// loggedNotices bounds those about what runners said to routers.
+	// loggedNotices limits the log lines about notices of runners.
 	loggedNotices *asynclog.Limiter
-	// drains are the zones whose runners get no new requests.
-	drains drains
-	ended  bool
-	// unrecorded are registrations that are to be put in the log.
-	unrecorded map[string]domain.Registration
-	// unrecordedSuspects are news of requests that may crash runners, for the same.
-	unrecordedSuspects []poison.Record
-	isRecording        bool
-	// summedUpAt is when the demand was last logged.
-	summedUpAt time.Time
+	drains        drains
+	ended         bool
+	// pendingRegistrations are registrations to be proposed, keyed by instance.
+	pendingRegistrations map[string]domain.Registration
+	// pendingSuspects are updates on suspected requests to be proposed.
+	pendingSuspects []poison.Record
+	isProposing     bool
+	// summarizedAt is when the demand was last logged.
+	summarizedAt time.Time
 }
 
-// leadershipLoop begins and ends the leadership as the group's lease says.
-func (n *Node) leadershipLoop(ctx context.Context, joined *member) {
+// leadershipLoop starts and ends the leadership as the group's lease is gained and lost.
+func (n *Node) leadershipLoop(ctx context.Context, m *member) {
 	for ctx.Err() == nil {
-		changed := joined.group.Applied()
-		term, isValid := joined.group.LeaderLease()
-		current := joined.leads()
+		changed := m.group.Applied()
+		term, isValid := m.group.LeaderLease()
+		current := m.currentLeadership()
 		switch {
 		case isValid && (current == nil || current.term != term):
-			n.beginLeadership(ctx, joined, term)
-		case current != nil && (!joined.group.Status().IsLeader || current.term != term):
-			joined.endLeadership()
+			n.beginLeadership(ctx, m, term)
+		case current != nil && (!m.group.Status().IsLeader || current.term != term):
+			m.endLeadership()
 			level.Info(n.logger).Log("msg", "This controller leads no more.", "term", current.term)
 		}
 		select {
@@ -135,71 +132,70 @@
 	}
 }
 
-func (n *Node) beginLeadership(ctx context.Context, joined *member, term structs.Epoch) {
+func (n *Node) beginLeadership(ctx context.Context, m *member, term structs.Epoch) {
 	at := n.now()
 	l := &leadership{
-		node:      n,
-		logger:    log.With(n.logger, "term", term),
-		options:   n.options,
-		member:    joined,
-		term:      term,
-		beganAt:   at,
-		wake:      make(chan struct{}, 1),
-		registry:  fleet.NewRegistry(at, n.options.timing()),
-		planner:   residency.NewPlanner(n.options.Planner, at.Add(n.options.OrderLease)),
-		views:     fleet.NewPublisher(),
-		reserving: newReserving(),
-		shares:    shares.New(at),
-		announcer: newAnnouncer(),
-		poison:    poison.New(),
-		failing:   fleet.NewFailing(),
-		tokens:    ratelimit.New(at),
-		cold:      make(map[string]bool),
+		node:        n,
+		logger:      log.With(n.logger, "term", term),
+		options:     n.options,
+		member:      m,
+		term:        term,
+		startedAt:   at,
+		wake:        make(chan struct{}, 1),
+		registry:    fleet.NewRegistry(at, n.options.timing()),
+		planner:     residency.NewPlanner(n.options.Planner, at.Add(n.options.OrderLease)),
+		views:       fleet.NewPublisher(),
+		reservation: newReservationSignal(),
+		shares:      shares.New(at),
+		announcer:   newAnnouncer(),
+		poison:      poison.New(),
+		failing:     fleet.NewFailing(),
+		tokens:      ratelimit.New(at),
+		cold:        make(map[string]bool),
 
 		runnerLimits: ratelimit.NewLimits(),
-		loggedLimits: asynclog.NewLimiter(maxLimitLines),
+		loggedLimits: asynclog.NewLimiter(maxLimitLogLines),
 
-		loggedNotices: asynclog.NewLimiter(maxNoticeLines),
-		answers:       newPacer(n.options.LinkBytes * linkShare),
-		wholeViews:    newPacer(n.options.LinkBytes * wholeViewShare),
-		planned:       make(chan struct{}),
-		routers:       make(map[string]routerContact),
-		lost:          make(map[string]bool),
-		unrecorded:    make(map[string]domain.Registration),
-		stopping:      make(map[raft.NodeID]time.Time),
+		loggedNotices:        asynclog.NewLimiter(maxNoticeLogLines),
+		replyPacer:           newPacer(n.options.LinkBytes * replyLinkShare),
+		fullViewPacer:        newPacer(n.options.LinkBytes * fullViewLinkShare),
+		planned:              make(chan struct{}),
+		routers:              make(map[string]routerContact),
+		lost:                 make(map[string]bool),
+		pendingRegistrations: make(map[string]domain.Registration),
+		stopping:             make(map[raft.NodeID]time.Time),
 	}
-	joined.group.View(func() {
-		for instance, isGone := range joined.machine.Departures() {
+	m.group.View(func() {
+		for instance, isGone := range m.machine.Departures() {
 			l.registry.Depart(at, instance, isGone)
 		}
-		l.drains = newDrains(joined.machine.Drained())
-		l.poison.Recall(at, joined.machine.Suspects())
-		l.limits = quota.New(at, n.options.Limits, joined.machine.Reservations())
-		for _, each := range joined.machine.StoreLimits() {
+		l.drains = newDrains(m.machine.Drained())
+		l.poison.Recall(at, m.machine.Suspects())
+		l.limits = quota.New(at, n.options.Limits, m.machine.Reservations())
+		for _, each := range m.machine.StoreLimits() {
 			l.planner.RecallStore(at, each.Service, each.AtOnce, each.IsCrowded)
 		}
-		for _, each := range joined.machine.Registrations() {
+		for _, each := range m.machine.Registrations() {
 			l.planner.RecallSpeed(each.Service, each.Address, each.IsSlow)
 			l.registry.Recall(at, fleet.Heartbeat{
 				Instance: each.Instance, Service: each.Service, Address: each.Address, Zone: each.Zone, Slots: each.Slots,
 			})
 		}
 	})
-	joined.mutex.Lock()
-	joined.leadership = l
-	joined.mutex.Unlock()
+	m.mutex.Lock()
+	m.leadership = l
+	m.mutex.Unlock()
 	n.metrics.leads.Set(1)
-	n.metrics.changes.Inc()
+	n.metrics.leaderships.Inc()
 	level.Info(l.logger).Log("msg", "This controller leads.", "orders_in", n.options.OrderLease)
-	go l.findOrdersFrom(ctx)
+	go l.setFirstOrderTime(ctx)
 	go l.run(ctx)
 	go l.reserveLoop(ctx)
 }
 
-// now is the time that decisions are made by.
 func (l *leadership) now() time.Time { return l.node.now() }
 
-func (m *member) leads() *leadership {
+func (m *member) currentLeadership() *leadership {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.leadership
@@ -218,16 +214,16 @@
 	defer ending.mutex.Unlock()
 	ending.ended = true
 	ending.announcer.wakeAll()
-	ending.reserving.wakeUp()
+	ending.reservation.wakeUp()
 }
 
-// isValid reports whether no other controller can lead now.
+// isValid reports whether the lease of the term still holds.
 func (l *leadership) isValid() bool {
 	term, isValid := l.member.group.LeaderLease()
 	return isValid && term == l.term
 }
 
-// run plans until the leadership ends.
+// run executes steps until the leadership ends.
 func (l *leadership) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -250,21 +246,21 @@
 		}
 		took := l.now().Sub(began)
 		l.node.metrics.stepTime.Observe(took.Seconds())
-		rest := min(maxStepPause, max(minStepPause, stepRest*took))
+		rest := min(maxStepPause, max(minStepPause, stepPauseFactor*took))
 		pause.For(ctx, rest)
 		timer.Reset(max(0, next-rest))
 	}
 }
 
-// step looks once at what the runners hold and what is demanded, and sends orders. It returns
-// after how long the next step is due if nothing else happens.
+// step updates the runners, plans loads and sends orders. It returns the time until the
+// next step is due.
 func (l *leadership) step(ctx context.Context) time.Duration {
-	l.adoptDocument()
+	l.applyDocument()
 	l.mutex.Lock()
 	at := l.now()
 	l.registry.Expire(at)
 	l.poison.Expire(at)
-	l.adoptDrains()
+	l.updateDrains()
 	l.refresh(at)
 	questions := l.planner.Questions(at)
 	orders := l.planner.Plan(at)
@@ -272,36 +268,36 @@
 	l.planned = make(chan struct{})
 	l.publish(at)
 	l.loads = l.planner.Loads(at)
-	next := l.tellRouters(at)
+	next := l.notifyRouters(at)
 	judged := l.planner.TakeJudgements()
 	ended := l.planner.TakeEndedLoads()
-	l.recordNews()
-	l.sumUp(at)
+	l.proposePending()
+	l.logSummary(at)
 	l.mutex.Unlock()
-	l.noteEndedLoads(ended)
+	l.recordEndedLoads(ended)
 	for _, found := range judged {
 		level.Info(l.logger).Log("msg", "A runner's speed was judged.", "runner", found.Instance,
 			"slow", found.IsSlow, "pauses", found.Pauses, "slowness", fmt.Sprintf("%.2f", found.Slowness),
 			"tokens_per_s", found.Pace.PromptRate, "event", found.Pace.Event, "bears", fmt.Sprintf("%.1f", found.Borne))
 	}
 	for _, status := range questions {
-		go l.ask(ctx, status)
+		go l.requestReport(ctx, status)
 	}
 	for _, order := range orders {
-		go l.send(ctx, order)
+		go l.sendOrder(ctx, order)
 	}
 	return next
 }
 
-// tellRouters lets the routers know of the newest view: at once those with requests that wait
-// for what has become ready, the others when it is their time. It returns after how long
-// the next step is due. It runs under the mutex.
-func (l *leadership) tellRouters(at time.Time) time.Duration {
+// notifyRouters announces the latest view: immediately to routers with requests waiting for
+// a model that has become ready, to the others at the announcement interval. It returns the
+// time until the next step is due. The caller holds the mutex.
+func (l *leadership) notifyRouters(at time.Time) time.Duration {
 	for _, router := range l.planner.WaitingRouters(at, l.planner.TakeArrived()) {
 		l.notify(router)
 	}
 	next := planInterval
-	if left := l.announcer.offer(at, l.news(), len(l.routers)); left > 0 {
+	if left := l.announcer.announceIfDue(at, l.currentVersions(), len(l.routers)); left > 0 {
 		next = min(next, left)
 	}
 	if in, isKnown := l.planner.NextArrival(at); isKnown {
@@ -310,27 +306,26 @@
 	return next
 }
 
-// news is what routers should know. It runs under the mutex.
-func (l *leadership) news() news {
-	return news{revision: l.views.Revision(), document: l.document, suspects: l.poison.Revision()}
+// currentVersions returns the latest versions. The caller holds the mutex.
+func (l *leadership) currentVersions() stateVersions {
+	return stateVersions{view: l.views.Revision(), document: l.document, suspects: l.poison.Revision()}
 }
 
-// notify lets a router know of the newest view at once, unless it does already. It runs under
-// the mutex.
+// notify notifies a router of the latest view unless it has it. The caller holds the mutex.
 func (l *leadership) notify(router string) {
 	known := l.routers[router]
-	if known.isBehind {
-		known.wantsWhole = true
+	if known.lacksFullView {
+		known.wantsFullView = true
 		l.routers[router] = known
 	}
-	if known.wantsWhole || known.revision < l.views.Revision() {
+	if known.wantsFullView || known.revision < l.views.Revision() {
 		l.node.metrics.earlyViews.Inc()
 		l.announcer.notify(router)
 	}
 }
 
-// adoptDocument gives the planner the document in force.
-func (l *leadership) adoptDocument() {
+// applyDocument passes the current document to the planner if it has changed.
+func (l *leadership) applyDocument() {
 	var current domain.Document
 	l.member.group.View(func() { current = l.member.machine.Document() })
 	l.mutex.Lock()
@@ -341,7 +336,7 @@
 	}
 	document, err := l.options.documentOf(current)
 	if err != nil {
-		level.Error(l.logger).Log("msg", "The document in force cannot be decoded.", "version", current.Version, "err", err)
+		level.Error(l.logger).Log("msg", "The current document cannot be decoded.", "version", current.Version, "err", err)
 		return
 	}
 	l.mutex.Lock()
@@ -357,7 +352,7 @@
 	}
 }
 
-// wakePlan asks for a look at what to load now.
+// wakePlan triggers a step.
 func (l *leadership) wakePlan() {
 	wake.Up(l.wake)
 }
@@ -366,15 +361,15 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	at, known := l.stopping[node]
-	return known && l.now().Sub(at) < stoppingLife
+	return known && l.now().Sub(at) < stopNoticeExpiry
 }
 
-// heard takes a heartbeat. A runner that is not registered is put in the log, for the
-// leaders to come; nobody waits for that.
-func (l *leadership) heard(heartbeat fleet.Heartbeat) {
+// receiveHeartbeat applies a heartbeat. A new or changed registration is queued for the log
+// without waiting for its commit.
+func (l *leadership) receiveHeartbeat(heartbeat fleet.Heartbeat) {
 	l.mutex.Lock()
 	heartbeat = l.registry.Resolve(heartbeat)
-	isTaken := l.hear(l.now(), heartbeat)
+	isTaken := l.applyHeartbeat(l.now(), heartbeat)
 	isSlow := l.planner.IsSlowPlace(heartbeat.Instance)
 	l.mutex.Unlock()
 	if !isTaken {
@@ -388,7 +383,7 @@
 	l.member.group.View(func() { known, _ = l.member.machine.Registered(heartbeat.Instance) })
 	if known != registration {
 		l.mutex.Lock()
-		l.unrecorded[heartbeat.Instance] = registration
+		l.pendingRegistrations[heartbeat.Instance] = registration
 		l.mutex.Unlock()
 	}
 }
--- a/placement/domainnode/limits_test.go
+++ b/placement/domainnode/limits_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/placement/quota"
 )
 
-// limitSource limits a tenant to 1000 units in each window of the default length, nearly all of
+// limitSource limits a tenant to 1000 units per window of the default length, nearly all of
 // which may be granted at once.
 const limitSource = `{"Version":3,"RequiresKeys":true,"Tenants":[{"Name":"t","Limit":{"Unit":1,"Rate":1,"Burst":992}}]}`
 
@@ -19,7 +19,7 @@
 	d.await("the limits", func() bool { return d.nodes[d.awaitLeader()].PutDocument(d.ctx, []byte(limitSource)) == nil })
 }
 
-// draw asks the leader until it answers.
+// draw asks the leader for a grant, retrying errors.
 func (d *testDomain) draw(want quota.Want) quota.Grant {
 	want.Tenant = "t"
 	var reply domainapi.DrawReply
@@ -34,7 +34,7 @@
 
 func TestLimitHoldsOverAChangeOfLeaders(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.putLimits()
 		d.c.Assert(d.draw(quota.Want{Waiting: []float64{400, 400}}).Amount, qt.Equals, 800.0)
 		for range 2 {
@@ -54,7 +54,7 @@
 
 func TestLimitHoldsOverThePowerLossOfAll(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.putLimits()
 		d.c.Assert(d.draw(quota.Want{Waiting: []float64{400, 400}}).Amount, qt.Equals, 800.0)
 		for index := range 3 {
@@ -67,7 +67,7 @@
 
 func TestMinorityGrantsAndConfirmsNothing(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.putLimits()
 		leader := d.awaitLeader()
 		running := &service{node: d.nodes[leader].Node}
@@ -82,7 +82,7 @@
 				d.kill(index)
 			}
 		}
-		// Until its lease ends, no other can lead.
+		// No other node can lead before the lease expires.
 		pause.For(d.ctx, time.Second)
 		reply := watch()
 		d.c.Assert(reply.Error != nil, qt.IsTrue)
--- a/placement/domainnode/lost.go
+++ b/placement/domainnode/lost.go
@@ -6,9 +6,9 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// noteLost logs and counts the runners that are taken for lost, and those that are not any
-// more. It runs under the mutex.
-func (l *leadership) noteLost(statuses []fleet.Status) {
+// updateLost logs and counts runners that became unreachable or reachable again. The caller
+// holds the mutex.
+func (l *leadership) updateLost(statuses []fleet.Status) {
 	lost := make(map[string]bool)
 	for i := range statuses {
 		status := &statuses[i]
--- a/placement/domainnode/membership.go
+++ b/placement/domainnode/membership.go
@@ -20,43 +20,42 @@
 	membershipInterval = 100 * time.Millisecond
 	describeTimeout    = 500 * time.Millisecond
 	changeTimeout      = 2 * time.Second
-	// replaceAfter is how long a voter must be silent before a learner that has the
-	// whole log takes its place.
+	// replaceAfter is how long a voter must be unresponsive before a caught-up learner replaces it.
 	replaceAfter = 1500 * time.Millisecond
 	// replaceStoppedAfter is the same for a voter that announced its stop.
 	replaceStoppedAfter = 1200 * time.Millisecond
-	// forgetAfter is how long a learner must be silent before it is removed.
-	forgetAfter = 10 * time.Second
-	// lostAfter is how long a member hears of no leader before it asks the others
+	// removeLearnerAfter is how long a learner must be unresponsive before it is removed.
+	removeLearnerAfter = 10 * time.Second
+	// noLeaderTimeout is how long a member sees no leader before it asks the other members
 	// whether it was removed.
-	lostAfter = 2 * time.Second
+	noLeaderTimeout = 2 * time.Second
 )
 
-// membershipLoop brings the member into its group, keeps the group whole while the
-// member leads, and finds out when the group has removed it.
-func (n *Node) membershipLoop(ctx context.Context, stop func(), joined *member) {
-	n.enter(ctx, joined)
-	keeper := newKeeper(n, joined)
+// membershipLoop brings the member into the group, manages the membership while the member
+// leads, and calls stop when the group has removed the member.
+func (n *Node) membershipLoop(ctx context.Context, stop func(), m *member) {
+	n.enterGroup(ctx, m)
+	manager := newMembershipManager(n, m)
 	leaderSeen := n.now()
 	for pause.For(ctx, membershipInterval) {
 		n.refreshAddresses()
-		status := joined.group.Status()
+		status := m.group.Status()
 		switch {
-		case n.isRemoved(joined, status):
-			joined.removed = true
+		case n.isRemoved(m, status):
+			m.removed = true
 			stop()
 			return
 		case status.IsLeader:
 			leaderSeen = n.now()
-			n.learnMembers(status)
-			keeper.keep(ctx, status)
+			n.setKnownAddresses(status)
+			manager.reconcile(ctx, status)
 		case status.LeaderNode != raft.None:
 			leaderSeen = n.now()
-			n.learnMembers(status)
-		case n.now().Sub(leaderSeen) > lostAfter:
+			n.setKnownAddresses(status)
+		case n.now().Sub(leaderSeen) > noLeaderTimeout:
 			leaderSeen = n.now()
 			if n.wasRemoved(ctx, status) {
-				joined.removed = true
+				m.removed = true
 				stop()
 				return
 			}
@@ -64,75 +63,75 @@
 	}
 }
 
-// isRemoved reports whether the member's own log holds its removal. A member that is
-// still receiving the log may see memberships from before it joined, so that one that
-// does not list it counts only after one that did.
-func (n *Node) isRemoved(joined *member, status group.Status) bool {
+// isRemoved reports whether the member's own log contains its removal. A member that is
+// catching up may see memberships from before it joined, so a membership without it counts
+// only after one that listed it.
+func (n *Node) isRemoved(m *member, status group.Status) bool {
 	committed := status.CommittedMembership
 	switch {
 	case status.Held || len(committed.Voters) == 0:
 		return false
 	case committed.Has(status.Node):
-		joined.wasMember = true
+		m.wasMember = true
 		return false
 	}
-	return joined.wasMember
+	return m.wasMember
 }
 
-// enter tries until the member takes part. What it waits for is logged on change.
-func (n *Node) enter(ctx context.Context, joined *member) {
+// enterGroup retries until the member has entered the group. It logs the reason for waiting
+// when that changes.
+func (n *Node) enterGroup(ctx context.Context, m *member) {
 	waits := ""
-	for joined.group.Status().Held && ctx.Err() == nil {
-		err := n.enterOnce(ctx, joined)
+	for m.group.Status().Held && ctx.Err() == nil {
+		err := n.tryEnterGroup(ctx, m)
 		if err == nil {
-			level.Info(n.logger).Log("msg", "The member takes part.", "node", joined.self.Node)
+			level.Info(n.logger).Log("msg", "The member takes part.", "node", m.self.Node)
 			return
 		}
 		if err.Error() != waits {
 			waits = err.Error()
-			level.Warn(n.logger).Log("msg", "The member does not take part yet.", "node", joined.self.Node, "reason", waits)
+			level.Warn(n.logger).Log("msg", "The member does not take part yet.", "node", m.self.Node, "reason", waits)
 		}
 		pause.For(ctx, membershipInterval)
 		n.refreshAddresses()
 	}
 }
 
-// enterOnce looks for the group among the known controllers. It enters one that
-// exists, and founds one only if the settings allow it and every other seed has said
-// that it belongs to none: behind silence may be a group that this member voted in
-// before it lost its disk.
-func (n *Node) enterOnce(ctx context.Context, joined *member) error {
+// tryEnterGroup joins the group of the known controllers. If there is none, it bootstraps one
+// only if the settings allow it and every other seed has replied that it belongs to no group:
+// an unreachable seed may be in a group in which this member voted before it lost its disk.
+func (n *Node) tryEnterGroup(ctx context.Context, m *member) error {
 	replies, silent := n.describeOthers(ctx)
 	for _, reply := range replies {
 		if len(reply.Voters) == 0 {
 			continue
 		}
-		if slices.ContainsFunc(reply.Voters, func(voter group.Member) bool { return voter.Node == joined.self.Node }) && reply.Applied == 0 {
-			// The node never took part, so it has no vote to forget.
-			return joined.group.Found(ctx, reply.Voters)
+		if slices.ContainsFunc(reply.Voters, func(voter group.Member) bool { return voter.Node == m.self.Node }) && reply.Applied == 0 {
+			// The node has never participated, so it has no lost vote.
+			return m.group.Found(ctx, reply.Voters)
 		}
-		return n.join(ctx, joined)
+		return n.join(ctx, m)
 	}
 	seeds := slices.Sorted(slices.Values(n.options.Seeds()))
 	switch {
 	case !n.options.Bootstrap:
-		return structs.NewError(structs.ErrorUnavailable, "no controller that answers belongs to the group",
-			"Start the others. Only at the first start of the whole domain may the settings allow to found it.")
+		return structs.NewError(structs.ErrorUnavailable, "no reachable controller belongs to a group",
+			"Start the other controllers. Enable bootstrap only for the first start of the whole domain.")
 	case len(seeds) == 0 || seeds[0] != n.options.Address:
-		return structs.NewError(structs.ErrorUnavailable, "the group is not founded yet",
-			"Start the controller that the seeds list first in order.")
+		return structs.NewError(structs.ErrorUnavailable, "the group is not bootstrapped yet",
+			"Start the seed whose address sorts first.")
 	case len(silent) > 0:
-		return structs.NewError(structs.ErrorUnavailable, "the group is founded once all seeds answer",
+		return structs.NewError(structs.ErrorUnavailable, "bootstrap waits for all seeds to respond",
 			"Start all seeds.")
 	}
-	return n.found(ctx, joined, seeds, replies)
+	return n.bootstrap(ctx, m, seeds, replies)
 }
 
-// found gives every other seed the founding members before this one takes them.
-func (n *Node) found(ctx context.Context, joined *member, seeds []string, replies []domainapi.DescribeReply) error {
+// bootstrap distributes the initial members to every other seed before applying them locally.
+func (n *Node) bootstrap(ctx context.Context, m *member, seeds []string, replies []domainapi.DescribeReply) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	members := []group.Member{joined.self}
+	members := []group.Member{m.self}
 	for _, reply := range replies {
 		if slices.Contains(seeds, reply.Member.Address) {
 			members = append(members, reply.Member)
@@ -148,7 +147,7 @@
 			return err
 		}
 	}
-	if err := joined.group.Found(ctx, members); err != nil {
+	if err := m.group.Found(ctx, members); err != nil {
 		return err
 	}
 	level.Info(n.logger).Log("msg", "The group is founded.", "members", len(members))
@@ -156,18 +155,18 @@
 }
 
 // join asks the leader to add the member as a learner.
-func (n *Node) join(ctx context.Context, joined *member) error {
+func (n *Node) join(ctx context.Context, m *member) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	arguments := domainapi.JoinArguments{Member: joined.self}
+	arguments := domainapi.JoinArguments{Member: m.self}
 	if _, err := leadercall.Call(ctx, n.caller, domainapi.MethodJoin, arguments, newReply); err != nil {
 		return err
 	}
-	return joined.group.Admit(ctx)
+	return m.group.Admit(ctx)
 }
 
-// describeOthers asks the other known controllers about the group, all at once.
-// silent lists those that did not answer.
+// describeOthers queries the other known controllers concurrently. silent lists the
+// addresses that failed to reply.
 func (n *Node) describeOthers(ctx context.Context) (replies []domainapi.DescribeReply, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, describeTimeout)
 	defer cancel()
@@ -193,8 +192,8 @@
 	return replies, silent
 }
 
-// wasRemoved reports whether another member that has a leader, and has applied all
-// that this one knows of the membership, lists this node no more.
+// wasRemoved reports whether another member that has a leader and is at least as up to date
+// no longer lists this node.
 func (n *Node) wasRemoved(ctx context.Context, own group.Status) bool {
 	replies, _ := n.describeOthers(ctx)
 	for _, reply := range replies {
@@ -206,36 +205,37 @@
 	return false
 }
 
-// keeper changes the membership while its member leads.
-type keeper struct {
+// membershipManager changes the group's membership while its member leads.
+type membershipManager struct {
 	node   *Node
-	joined *member
-	// silentSince is since when each member has not answered.
+	member *member
+	// silentSince holds when each unresponsive member stopped responding.
 	silentSince map[raft.NodeID]time.Time
 	term        uint64
 }
 
-func newKeeper(node *Node, joined *member) *keeper {
-	return &keeper{node: node, joined: joined, silentSince: make(map[raft.NodeID]time.Time)}
+func newMembershipManager(node *Node, m *member) *membershipManager {
+	return &membershipManager{node: node, member: m, silentSince: make(map[raft.NodeID]time.Time)}
 }
 
-// keep makes the one change, if any, that brings the group closest to being whole.
-func (k *keeper) keep(ctx context.Context, status group.Status) {
+// reconcile makes at most one membership change towards the configured number of
+// responsive voters.
+func (k *membershipManager) reconcile(ctx context.Context, status group.Status) {
 	k.observe(status)
 	if status.AppliedIndex < status.MembershipIndex || !status.LeaseValid {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	change, err := k.change(ctx, status)
+	change, err := k.changeMembership(ctx, status)
 	if change != "" {
 		k.node.metrics.membership.WithLabelValues(change).Inc()
-		level.Info(k.node.logger).Log("msg", "The membership was changed.", "change", change,
+		level.Info(k.node.logger).Log("msg", "A membership change was attempted.", "change", change,
 			"voters", len(status.Membership.Voters), "learners", len(status.Membership.Learners), "err", err)
 	}
 }
 
-func (k *keeper) observe(status group.Status) {
+func (k *membershipManager) observe(status group.Status) {
 	if k.term != status.Term {
 		k.term = status.Term
 		clear(k.silentSince)
@@ -250,7 +250,7 @@
 	}
 }
 
-func (k *keeper) silentFor(id raft.NodeID) time.Duration {
+func (k *membershipManager) silentFor(id raft.NodeID) time.Duration {
 	since, isSilent := k.silentSince[id]
 	if !isSilent {
 		return 0
@@ -258,28 +258,28 @@
 	return k.node.now().Sub(since)
 }
 
-func (k *keeper) change(ctx context.Context, status group.Status) (string, error) {
+func (k *membershipManager) changeMembership(ctx context.Context, status group.Status) (string, error) {
 	for _, learner := range status.Membership.Learners {
 		if !status.Progress[learner].CaughtUp || k.silentFor(learner) > 0 {
 			continue
 		}
-		if change, err := k.useLearner(ctx, status, learner); change != "" {
+		if change, err := k.promoteLearner(ctx, status, learner); change != "" {
 			return change, err
 		}
 	}
 	for _, learner := range status.Membership.Learners {
-		if k.silentFor(learner) > forgetAfter {
-			return "forget learner", k.joined.group.Remove(ctx, group.Member{Node: learner})
+		if k.silentFor(learner) > removeLearnerAfter {
+			return "forget learner", k.member.group.Remove(ctx, group.Member{Node: learner})
 		}
 	}
 	return "", nil
 }
 
-// useLearner puts a learner in the place of a voter that is lost, or adds it as a
-// voter when there are too few.
-func (k *keeper) useLearner(ctx context.Context, status group.Status, learner raft.NodeID) (string, error) {
+// promoteLearner replaces an unresponsive voter by a learner, or promotes the learner if
+// there are too few voters.
+func (k *membershipManager) promoteLearner(ctx context.Context, status group.Status, learner raft.NodeID) (string, error) {
 	if len(status.Membership.Voters) < k.node.options.Voters {
-		return "promote", k.joined.group.Promote(ctx, group.Member{Node: learner})
+		return "promote", k.member.group.Promote(ctx, group.Member{Node: learner})
 	}
 	for _, voter := range status.Membership.Voters {
 		if voter == status.Node || k.silentFor(voter) == 0 {
@@ -287,23 +287,22 @@
 		}
 		isSame := status.Names[voter] == status.Names[learner]
 		limit := replaceAfter
-		if k.joined.isStopping(voter) {
+		if k.member.isStopping(voter) {
 			limit = replaceStoppedAfter
 		}
 		if !isSame && k.silentFor(voter) < limit || !k.hasMajorityWithout(status, voter) {
 			continue
 		}
-		if err := k.joined.group.Remove(ctx, group.Member{Node: voter}); err != nil {
+		if err := k.member.group.Remove(ctx, group.Member{Node: voter}); err != nil {
 			return "remove voter", err
 		}
-		return "replace voter", k.joined.group.Promote(ctx, group.Member{Node: learner})
+		return "replace voter", k.member.group.Promote(ctx, group.Member{Node: learner})
 	}
 	return "", nil
 }
 
-// hasMajorityWithout reports whether the other voters reach a majority among
-// themselves without the one removed.
-func (k *keeper) hasMajorityWithout(status group.Status, removed raft.NodeID) bool {
+// hasMajorityWithout reports whether a majority of the voters other than removed is responsive.
+func (k *membershipManager) hasMajorityWithout(status group.Status, removed raft.NodeID) bool {
 	remaining, active := 0, 0
 	for _, voter := range status.Membership.Voters {
 		if voter == removed {
@@ -317,7 +316,7 @@
 	return active > remaining/2
 }
 
-// isStopping reports whether a member announced its planned stop lately.
+// isStopping reports whether a member recently announced a planned stop.
 func (m *member) isStopping(node raft.NodeID) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/placement/domainnode/metrics.go
+++ b/placement/domainnode/metrics.go
@@ -2,54 +2,54 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are a controller's counters.
+// metrics holds the Prometheus metrics of a controller.
 type metrics struct {
-	leads      prometheus.Gauge
-	changes    prometheus.Counter
-	heartbeats *prometheus.CounterVec
-	puts       *prometheus.CounterVec
-	departures *prometheus.CounterVec
-	drains     *prometheus.CounterVec
-	drained    prometheus.Gauge
-	cold       prometheus.Gauge
-	limited    prometheus.Gauge
-	warmups    *prometheus.CounterVec
-	orders     *prometheus.CounterVec
-	orderTime  prometheus.Histogram
-	reports    *prometheus.CounterVec
-	membership *prometheus.CounterVec
-	runners    prometheus.Gauge
-	routers    prometheus.Gauge
-	waiting    prometheus.Gauge
-	version    prometheus.Gauge
-	reopened   prometheus.Counter
-	loadTime   *prometheus.HistogramVec
-	loadExcess *prometheus.HistogramVec
-	unmet      *prometheus.GaugeVec
-	storeLoads *prometheus.GaugeVec
-	storeLimit *prometheus.GaugeVec
-	coverage   *prometheus.GaugeVec
-	zoneBound  *prometheus.GaugeVec
-	turns      *prometheus.GaugeVec
-	stepTime   prometheus.Histogram
-	earlyViews prometheus.Counter
-	lost       prometheus.Gauge
-	losses     prometheus.Counter
-	suspects   *prometheus.GaugeVec
-	trials     *prometheus.CounterVec
-	failing    prometheus.Counter
-	promptRate *prometheus.GaugeVec
-	eventTime  *prometheus.GaugeVec
-	borne      *prometheus.GaugeVec
-	paceError  *prometheus.GaugeVec
-	speeds     *prometheus.GaugeVec
-	// tenantShare, tenantWaiting and tenantLimit tell of the tenants that stand out.
+	leads        prometheus.Gauge
+	leaderships  prometheus.Counter
+	heartbeats   *prometheus.CounterVec
+	puts         *prometheus.CounterVec
+	departures   *prometheus.CounterVec
+	drains       *prometheus.CounterVec
+	drained      prometheus.Gauge
+	cold         prometheus.Gauge
+	limited      prometheus.Gauge
+	warmups      *prometheus.CounterVec
+	orders       *prometheus.CounterVec
+	orderTime    prometheus.Histogram
+	reports      *prometheus.CounterVec
+	membership   *prometheus.CounterVec
+	runners      prometheus.Gauge
+	routers      prometheus.Gauge
+	waiting      prometheus.Gauge
+	version      prometheus.Gauge
+	reopened     prometheus.Counter
+	loadTime     *prometheus.HistogramVec
+	loadExcess   *prometheus.HistogramVec
+	unmet        *prometheus.GaugeVec
+	storeLoads   *prometheus.GaugeVec
+	storeLimit   *prometheus.GaugeVec
+	coverage     *prometheus.GaugeVec
+	zoneBound    *prometheus.GaugeVec
+	waitedModels *prometheus.GaugeVec
+	stepTime     prometheus.Histogram
+	earlyViews   prometheus.Counter
+	lost         prometheus.Gauge
+	losses       prometheus.Counter
+	suspects     *prometheus.GaugeVec
+	trials       *prometheus.CounterVec
+	failing      prometheus.Counter
+	promptRate   *prometheus.GaugeVec
+	eventTime    *prometheus.GaugeVec
+	borne        *prometheus.GaugeVec
+	paceError    *prometheus.GaugeVec
+	speeds       *prometheus.GaugeVec
+	// tenantShare, tenantWaiting and tenantLimit cover the tenants listed in the summary.
 	tenantShare   *prometheus.GaugeVec
 	tenantWaiting *prometheus.GaugeVec
 	tenantLimit   *prometheus.GaugeVec
 }
 
-// newMetrics makes the metrics and registers them, unless registerer is nil.
+// newMetrics returns the metrics, registered with registerer unless it is nil.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	const namespace, subsystem = "lotusferry", "controller"
 	vector := func(name, help string, labels ...string) *prometheus.CounterVec {
@@ -70,36 +70,36 @@
 			Buckets: []float64{0.1, 0.25, 0.5, 1, 2, 3, 5, 8, 12, 20},
 		}, []string{"source"})
 	}
-	made := &metrics{
-		leads:      gauge("leads", "1 while this controller leads."),
-		changes:    counter("leaderships_total", "Leaderships that this controller began."),
-		heartbeats: vector("heartbeats_total", "Heartbeats of runners that came here, by outcome.", "outcome"),
-		puts:       vector("documents_total", "Documents that came here, by outcome.", "outcome"),
-		departures: vector("departures_total", "Departures of runners that came here, by outcome.", "outcome"),
-		drains:     vector("zone_orders_total", "Orders of operators to drain zones, or to end that, that came here, by outcome.", "outcome"),
-		drained:    gauge("drained_zones", "Zones whose runners get no new requests by an operator's order."),
-		limited:    gauge("limited_runners", "Runners that name a rate limit, as routers told."),
-		cold:       gauge("cold_runners", "Runners that bear few requests a second, as they are cold."),
-		warmups:    vector("cold_requests_total", "Requests that routers asked to send to runners that bear few a second, by answer: granted or later.", "answer"),
-		orders:     vector("orders_total", "Orders sent to runners, by operation and outcome.", "operation", "outcome"),
+	m := &metrics{
+		leads:       gauge("leads", "1 while this controller leads."),
+		leaderships: counter("leaderships_total", "Leaderships that this controller began."),
+		heartbeats:  vector("heartbeats_total", "Heartbeats of runners that came here, by outcome.", "outcome"),
+		puts:        vector("documents_total", "Documents that came here, by outcome.", "outcome"),
+		departures:  vector("departures_total", "Departures of runners that came here, by outcome.", "outcome"),
+		drains:      vector("zone_orders_total", "Orders of operators to drain zones, or to end that, that came here, by outcome.", "outcome"),
+		drained:     gauge("drained_zones", "Zones whose runners get no new requests by an operator's order."),
+		limited:     gauge("limited_runners", "Runners that name a rate limit, as routers told."),
+		cold:        gauge("cold_runners", "Runners that bear few requests a second, as they are cold."),
+		warmups:     vector("cold_requests_total", "Requests that routers asked to send to runners that bear few a second, by answer: granted or later.", "answer"),
+		orders:      vector("orders_total", "Orders sent to runners, by operation and outcome.", "operation", "outcome"),
 		orderTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: namespace, Subsystem: subsystem, Name: "order_seconds", Help: "Time until an order was answered.",
 			Buckets: []float64{0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1},
 		}),
-		reports:    vector("reports_total", "Questions to runners about what they hold, by outcome.", "outcome"),
-		membership: vector("membership_changes_total", "Changes of the group's members, by change.", "change"),
-		runners:    gauge("runners", "Runners in the view of this leader."),
-		routers:    gauge("routers", "Routers that share what is granted."),
-		waiting:    gauge("waiting_requests", "Requests that no runner can serve yet, as reported by routers."),
-		version:    gauge("document_version", "Version of the document that this leader works by."),
-		loadTime:   seconds("load_seconds", "Time from the order of a load to the news of its end, by source: store or copy."),
-		loadExcess: seconds("load_excess_seconds", "By how much loads took longer than was expected, by source: store or copy."),
-		unmet:      gauges("unmet_models", "Models that should be loaded and are not, by obstacle.", "obstacle"),
-		storeLoads: gauges("store_loads", "Loads from the weight store under way, by service.", "service"),
-		storeLimit: gauges("store_limit", "Loads at once that the weight store is believed to serve at full speed, by service.", "service"),
-		zoneBound:  gauges("zone_bound_models", "Models in demand that are ready in one zone alone, though their service has several.", "service"),
-		coverage:   gauges("models", "Models by service and where they are: loaded, coming, copied (on a machine's disk or in its memory only) or absent.", "service", "where"),
-		turns:      gauges("waited_models", "Models that requests wait for and that no runner loads yet: gathering, due or unreachable.", "turn"),
+		reports:      vector("reports_total", "Questions to runners about what they hold, by outcome.", "outcome"),
+		membership:   vector("membership_changes_total", "Changes of the group's members, by change.", "change"),
+		runners:      gauge("runners", "Runners in the view of this leader."),
+		routers:      gauge("routers", "Routers that share what is granted."),
+		waiting:      gauge("waiting_requests", "Requests that no runner can serve yet, as reported by routers."),
+		version:      gauge("document_version", "Version of the document that this leader works by."),
+		loadTime:     seconds("load_seconds", "Time from the order of a load to the news of its end, by source: store or copy."),
+		loadExcess:   seconds("load_excess_seconds", "By how much loads took longer than was expected, by source: store or copy."),
+		unmet:        gauges("unmet_models", "Models that should be loaded and are not, by obstacle.", "obstacle"),
+		storeLoads:   gauges("store_loads", "Loads from the weight store under way, by service.", "service"),
+		storeLimit:   gauges("store_limit", "Loads at once that the weight store is believed to serve at full speed, by service.", "service"),
+		zoneBound:    gauges("zone_bound_models", "Models in demand that are ready in one zone alone, though their service has several.", "service"),
+		coverage:     gauges("models", "Models by service and where they are: loaded, coming, copied (on a machine's disk or in its memory only) or absent.", "service", "where"),
+		waitedModels: gauges("waited_models", "Models that requests wait for and that no runner loads yet: gathering, due or unreachable.", "turn"),
 		stepTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: namespace, Subsystem: subsystem, Name: "step_seconds", Help: "Time that one step of the leader took: beliefs, plan and view.",
 			Buckets: []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1},
@@ -121,17 +121,17 @@
 		reopened:      counter("store_failures_total", "Times that the store failed and was opened again."),
 	}
 	if registerer != nil {
-		registerer.MustRegister(made.leads, made.changes, made.heartbeats, made.puts, made.departures, made.orders, made.orderTime,
-			made.reports, made.membership, made.runners, made.routers, made.waiting, made.version, made.reopened,
-			made.loadTime, made.loadExcess, made.unmet, made.storeLoads, made.storeLimit, made.coverage, made.zoneBound, made.turns,
-			made.stepTime, made.earlyViews, made.lost, made.losses, made.suspects, made.trials, made.failing, made.drains, made.drained, made.cold, made.limited, made.warmups,
-			made.promptRate, made.eventTime, made.borne, made.paceError, made.speeds,
-			made.tenantShare, made.tenantWaiting, made.tenantLimit)
+		registerer.MustRegister(m.leads, m.leaderships, m.heartbeats, m.puts, m.departures, m.orders, m.orderTime,
+			m.reports, m.membership, m.runners, m.routers, m.waiting, m.version, m.reopened,
+			m.loadTime, m.loadExcess, m.unmet, m.storeLoads, m.storeLimit, m.coverage, m.zoneBound, m.waitedModels,
+			m.stepTime, m.earlyViews, m.lost, m.losses, m.suspects, m.trials, m.failing, m.drains, m.drained, m.cold, m.limited, m.warmups,
+			m.promptRate, m.eventTime, m.borne, m.paceError, m.speeds,
+			m.tenantShare, m.tenantWaiting, m.tenantLimit)
 	}
-	return made
+	return m
 }
 
-// outcomeName names the outcome of a call in metrics.
+// outcomeName returns the outcome label for a call's error.
 func outcomeName(err error) string {
 	if err == nil {
 		return "taken"
--- a/placement/domainnode/newleader_test.go
+++ b/placement/domainnode/newleader_test.go
@@ -9,25 +9,25 @@
 	"github.com/lotusferry/lotusferry/placement/domainapi"
 )
 
-// A member that does not answer holds up a new leader's orders at most, not what else it does.
+// An unresponsive member may delay a new leader's orders but not its replies to routers.
 func TestNewLeaderServesRoutersBeforeItKnowsWhenItMayOrder(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
 		d.fences = true
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(3)
 		leader := d.awaitLeader()
 		d.kill(leader)
-		// Its address takes connections and says nothing.
+		// The former leader's address accepts connections and never replies.
 		listener, err := d.network.Listen(d.ctx, address(leader))
 		d.c.Assert(err, qt.IsNil)
 		defer listener.Close()
 		next := d.awaitLeader()
 		d.await("the group's lease", func() bool {
-			joined, err := d.nodes[next].current()
+			m, err := d.nodes[next].current()
 			if err != nil {
 				return false
 			}
-			_, isValid := joined.group.LeaderLease()
+			_, isValid := m.group.LeaderLease()
 			return isValid
 		})
 		began := time.Now()
--- a/placement/domainnode/node.go
+++ b/placement/domainnode/node.go
@@ -29,30 +29,30 @@
 	storeFile = "domain.db"
 )
 
-// Node is one controller.
+// Node is a controller of a placement domain.
 type Node struct {
 	options Options
 	logger  log.Logger
 	metrics *metrics
 	server  *transport.Server
 	client  *transport.Client
-	// caller reaches the leader, which may be this node.
+	// caller calls the leader, which may be this node.
 	caller     *leadercall.Caller
 	heartbeats *forwarder
 	services   services
-	// lastOrder is when this process last sent an order; nil for never.
+	// lastOrder is when this process last sent an order; nil if it has sent none.
 	lastOrder atomic.Pointer[time.Time]
-	// stopping is set once a planned stop has begun: the process sends no more orders.
+	// stopping is set once a planned stop has begun; no orders are sent afterwards.
 	stopping atomic.Bool
 
 	mutex sync.Mutex
 	// member is nil while the store is closed.
 	member *member
-	// known are the addresses of controllers learned from the group.
-	known []string
+	// knownAddresses are the addresses of the group's members.
+	knownAddresses []string
 }
 
-// member is the node's part in the group between opening its store and closing it.
+// member is the node's group member while its store is open.
 type member struct {
 	group   *group.Group
 	machine *domain.Machine
@@ -60,13 +60,13 @@
 	// leadership is nil while the member does not lead.
 	mutex      sync.Mutex
 	leadership *leadership
-	// wasMember is set once the member's own log has listed it, removed once the group
-	// is found to have removed it. Only the membership loop uses them while it runs.
+	// wasMember is set once the member's log has listed it, removed once the group has removed
+	// it. Both belong to the membership loop while it runs.
 	wasMember bool
 	removed   bool
 }
 
-// New makes a node that listens at once and takes part once Run is called.
+// New returns a node that listens on its address. It participates once Run is called.
 func New(options Options) (*Node, error) {
 	options = options.withDefaults()
 	transportOptions := transport.Options{
@@ -96,16 +96,16 @@
 	return n, nil
 }
 
-// Run takes part until ctx ends.
+// Run runs the node until ctx ends, reopening the store after failures.
 func (n *Node) Run(ctx context.Context) error {
 	var serving sync.WaitGroup
 	serving.Go(n.server.Serve)
 	serving.Go(func() { n.heartbeats.run(ctx) })
 	for ctx.Err() == nil {
-		err := n.takePart(ctx)
+		err := n.runStore(ctx)
 		if err != nil && ctx.Err() == nil {
 			n.metrics.reopened.Inc()
-			level.Error(n.logger).Log("msg", "The member's store failed and is opened again.", "err", err)
+			level.Error(n.logger).Log("msg", "The store failed; reopening it.", "err", err)
 			pause.For(ctx, reopenPause)
 		}
 	}
@@ -115,43 +115,43 @@
 	return nil
 }
 
-// takePart runs the member from the opening of its store until the store fails, the
-// group removes it, or ctx ends.
-func (n *Node) takePart(ctx context.Context) error {
+// runStore opens the store and runs the member until the store fails, the group removes the
+// member, or ctx ends. It deletes the store if it is corrupt or the member was removed.
+func (n *Node) runStore(ctx context.Context) error {
 	path := filepath.Join(n.options.DataFolder, storeFile)
 	store, err := logstore.OpenMember(path, groupName, structs.DaemonID(n.options.Name), group.NewNodeID())
 	if structs.KindOf(err) == structs.ErrorCorrupt {
-		level.Error(n.logger).Log("msg", "The store is damaged and is given up; the member joins anew.", "err", err)
+		level.Error(n.logger).Log("msg", "The store is corrupt and is removed; the member rejoins with a new identity.", "err", err)
 		return removeStore(path)
 	}
 	if err != nil {
 		return err
 	}
-	joined, err := n.open(store)
+	m, err := n.newMember(store)
 	if err != nil {
 		_ = store.Close()
 		return err
 	}
-	level.Info(n.logger).Log("msg", "The store is open.", "node", joined.self.Node, "held", joined.group.Status().Held,
-		"version", joined.machine.Document().Version)
-	err = n.runMember(ctx, joined)
+	level.Info(n.logger).Log("msg", "The store is open.", "node", m.self.Node, "held", m.group.Status().Held,
+		"version", m.machine.Document().Version)
+	err = n.runMember(ctx, m)
 	if closeErr := store.Close(); err == nil {
 		err = closeErr
 	}
-	if joined.removed && ctx.Err() == nil {
-		level.Warn(n.logger).Log("msg", "The group removed this member, which joins anew.", "node", joined.self.Node)
+	if m.removed && ctx.Err() == nil {
+		level.Warn(n.logger).Log("msg", "The group removed this member; it rejoins with a new identity.", "node", m.self.Node)
 		return removeStore(path)
 	}
 	return err
 }
 
-// open makes the member of an open store.
-func (n *Node) open(store *logstore.Store) (*member, error) {
+// newMember returns the member of an open store.
+func (n *Node) newMember(store *logstore.Store) (*member, error) {
 	m := &member{}
 	m.machine = domain.NewMachine()
 	node := store.Identity().Node
 	m.self = group.Member{Node: node, Address: n.options.Address, Name: n.options.Name}
-	joined, err := group.New(n.options.Logger, group.Options{
+	raftGroup, err := group.New(n.options.Logger, group.Options{
 		Name:            groupName,
 		Node:            node,
 		Members:         []group.Member{m.self},
@@ -167,46 +167,46 @@
 		Seed:            n.options.Seed,
 		Now:             n.options.Now,
 	})
-	m.group = joined
+	m.group = raftGroup
 	return m, err
 }
 
-// runMember runs the group with all that goes on beside it.
-func (n *Node) runMember(ctx context.Context, joined *member) error {
+// runMember runs the raft group with the membership and leadership loops.
+func (n *Node) runMember(ctx context.Context, m *member) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	n.mutex.Lock()
-	n.member = joined
+	n.member = m
 	n.mutex.Unlock()
-	var beside sync.WaitGroup
-	beside.Go(func() { n.membershipLoop(ctx, cancel, joined) })
-	beside.Go(func() { n.leadershipLoop(ctx, joined) })
-	err := joined.group.Run(ctx)
+	var loops sync.WaitGroup
+	loops.Go(func() { n.membershipLoop(ctx, cancel, m) })
+	loops.Go(func() { n.leadershipLoop(ctx, m) })
+	err := m.group.Run(ctx)
 	cancel()
 	n.mutex.Lock()
 	n.member = nil
 	n.mutex.Unlock()
-	joined.endLeadership()
-	beside.Wait()
+	m.endLeadership()
+	loops.Wait()
 	return err
 }
 
-// Stop hands leadership over before a planned stop, and tells the leader that this
-// member will be silent. ctx bounds it.
+// Stop prepares a planned stop: it transfers leadership and announces the stop to the
+// leader. ctx bounds it.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopping.Store(true)
-	joined, err := n.current()
+	m, err := n.current()
 	if err != nil {
 		return
 	}
-	if joined.group.Status().IsLeader {
-		if err := joined.group.TransferLeadership(ctx); err != nil {
-			level.Warn(n.logger).Log("msg", "Leadership was not handed over.", "err", err)
+	if m.group.Status().IsLeader {
+		if err := m.group.TransferLeadership(ctx); err != nil {
+			level.Warn(n.logger).Log("msg", "The leadership transfer failed.", "err", err)
 		}
 	}
-	arguments := domainapi.StoppingArguments{Node: joined.self.Node}
+	arguments := domainapi.StoppingArguments{Node: m.self.Node}
 	_, err = leadercall.Call(ctx, n.caller, domainapi.MethodStopping, arguments, newReply)
-	level.Info(n.logger).Log("msg", "The member announced its stop.", "err", err)
+	level.Info(n.logger).Log("msg", "The planned stop was announced to the leader.", "err", err)
 }
 
 // current returns the member, or an error while the store is closed.
@@ -221,7 +221,7 @@
 
 func storeClosedError() error {
 	typed := structs.NewError(structs.ErrorUnavailable, "this controller's store is not open",
-		"Ask another controller; if it stays so, check the disk.")
+		"Try another controller. If the error persists, check the disk.")
 	typed.RetryAfter = reopenPause
 	return typed
 }
@@ -240,16 +240,15 @@
 
 func newReply() *domainapi.Reply { return &domainapi.Reply{} }
 
-// refreshAddresses gives the caller every controller that is known: members first,
-// then seeds.
+// refreshAddresses gives the caller the known controllers: members, seeds, this node.
 func (n *Node) refreshAddresses() {
 	n.mutex.Lock()
-	known := n.known
+	known := n.knownAddresses
 	n.mutex.Unlock()
 	n.caller.SetAddresses(leadercall.Unique(known, n.options.Seeds(), []string{n.options.Address}))
 }
 
-// memberAddresses lists the addresses of the group's voters and learners.
+// memberAddresses returns the addresses of the group's voters and learners.
 func memberAddresses(status group.Status) []string {
 	var addresses []string
 	for _, each := range status.Members(slices.Concat(status.Membership.Voters, status.Membership.Learners)) {
@@ -260,20 +259,20 @@
 	return addresses
 }
 
-// learnMembers notes the addresses of the group's members.
-func (n *Node) learnMembers(status group.Status) {
+// setKnownAddresses records the addresses of the group's members.
+func (n *Node) setKnownAddresses(status group.Status) {
 	addresses := memberAddresses(status)
 	n.mutex.Lock()
-	n.known = addresses
+	n.knownAddresses = addresses
 	n.mutex.Unlock()
 	n.refreshAddresses()
 }
 
-// now is the time that decisions are made by. It goes on while the machine is suspended.
+// now returns the time for decisions. The clock advances while the machine is suspended.
 func (n *Node) now() time.Time { return n.options.Now() }
 
-// Leads reports whether this controller leads, as far as it knows.
+// Leads reports whether this controller believes it is the leader.
 func (n *Node) Leads() bool {
-	joined, err := n.current()
-	return err == nil && joined.leads() != nil
+	m, err := n.current()
+	return err == nil && m.currentLeadership() != nil
 }
--- a/placement/domainnode/notices.go
+++ b/placement/domainnode/notices.go
@@ -9,26 +9,28 @@
 	"github.com/lotusferry/lotusferry/placement/notice"
 )
 
-// maxNoticeLines is how many lines a second tell of what runners said to routers.
-const maxNoticeLines = 20
+// maxNoticeLogLines bounds the log lines per second about notices of runners.
+const maxNoticeLogLines = 20
 
-// observeNotices takes what runners said to a router. That one is leaving is true for all routers, which the next view
-// tells; it is not in the log, as all that heard it keep to it and tell a new leader, and the runner says so itself in its
-// heartbeats. A rest binds that router alone, and tells the planner who serves nobody. It runs under the mutex.
+// observeNotices applies notices that runners sent to a router. A leaving runner is marked
+// in the next view for all routers; it is not written to the raft log, as routers report it
+// again to a new leader. A requested pause applies to that router only; the planner uses it
+// to find runners that serve no router. The caller holds the mutex.
 func (l *leadership) observeNotices(at time.Time, arguments *domainapi.DemandArguments) {
-	for _, heard := range arguments.Notices {
-		if l.registry.Service(heard.Instance) == "" {
+	for _, report := range arguments.Notices {
+		if l.registry.Service(report.Instance) == "" {
 			continue
 		}
-		l.planner.ObserveRest(at, heard.Instance, heard.RestsFor)
-		if heard.IsLeaving {
-			l.learnLeaving(at, heard.Instance, arguments.Router)
+		l.planner.ObserveRest(at, report.Instance, report.RestsFor)
+		if report.IsLeaving {
+			l.markLeaving(at, report.Instance, arguments.Router)
 		}
 	}
 }
 
-// learnLeaving takes a runner's word that it is leaving, given in an answer and not in a heartbeat. It runs under the mutex.
-func (l *leadership) learnLeaving(at time.Time, instance, from string) {
+// markLeaving marks a runner that announced in a response, rather than a heartbeat, that it
+// is leaving. The caller holds the mutex.
+func (l *leadership) markLeaving(at time.Time, instance, from string) {
 	if l.registry.IsLeaving(instance) {
 		return
 	}
@@ -40,21 +42,21 @@
 	}
 }
 
-// hearRunner takes what a runner's answer to an order or a question tells of it.
-func (l *leadership) hearRunner(instance string, heard notice.Notice) {
-	if heard.Rest <= 0 && !heard.IsLeaving && len(heard.Problems) == 0 {
+// observeNotice applies the notice in a runner's response to an order or report request.
+func (l *leadership) observeNotice(instance string, received notice.Notice) {
+	if received.Rest <= 0 && !received.IsLeaving && len(received.Problems) == 0 {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	at := l.now()
-	for _, problem := range heard.Problems {
+	for _, problem := range received.Problems {
 		if suppressed, allowed := l.loggedNotices.Allow(at); allowed {
 			level.Info(l.logger).Log("msg", "What a runner says of itself cannot be read.", "runner", instance, "err", problem, "not_logged", suppressed)
 		}
 	}
-	l.planner.PauseOrders(at, instance, heard.Rest)
-	if heard.IsLeaving {
-		l.learnLeaving(at, instance, l.options.Name)
+	l.planner.PauseOrders(at, instance, received.Rest)
+	if received.IsLeaving {
+		l.markLeaving(at, instance, l.options.Name)
 	}
 }
--- a/placement/domainnode/operator.go
+++ b/placement/domainnode/operator.go
@@ -12,13 +12,13 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// callerTimeout bounds a call from outside: its sender turns to another controller
-// after a second.
+// callerTimeout bounds a call from a runner or operator, who tries another controller after
+// a second.
 const callerTimeout = 900 * time.Millisecond
 
-// PutDocument takes a document. It returns once the document, or one with a higher
-// version, is durable. The error is of kind ErrorInvalid for a document that never
-// will be taken; others say that the outcome is unknown.
+// PutDocument submits a document. It returns once this document, or one with a higher
+// version, is durable. An error of kind ErrorInvalid means that the document was rejected;
+// after other errors the outcome is unknown.
 func (n *Node) PutDocument(ctx context.Context, source []byte) error {
 	document, err := n.options.Decoder(source)
 	if err == nil {
@@ -26,7 +26,7 @@
 	}
 	if err != nil {
 		n.metrics.puts.WithLabelValues("invalid").Inc()
-		level.Info(n.logger).Log("msg", "A document was refused.", "bytes", len(source), "err", err)
+		level.Info(n.logger).Log("msg", "A document was rejected as invalid.", "bytes", len(source), "err", err)
 		return err
 	}
 	packed, err := domain.Compress(source)
@@ -43,7 +43,7 @@
 	return err
 }
 
-// Document returns the text of the document in force, or nil if there is none yet.
+// Document returns the text of the current document, or nil if there is none.
 func (n *Node) Document(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
@@ -55,8 +55,8 @@
 	return domain.Expand(reply.Document.Source)
 }
 
-// Heartbeat takes a runner's heartbeat. It returns nil only if the leader has it, and
-// for a runner that is leaving only if that is durable.
+// Heartbeat forwards a runner's heartbeat. It returns nil once the leader has acknowledged
+// it; if the runner is leaving, once the departure is durable as well.
 func (n *Node) Heartbeat(ctx context.Context, heartbeat fleet.Heartbeat) error {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
@@ -75,8 +75,8 @@
 	return err
 }
 
-// Depart takes a runner's word that it ends. Born is when it was started, in Unix milliseconds; 0 if it does
-// not say.
+// Depart records that a runner is gone. Born is the start time of its process in Unix
+// milliseconds, or 0 if unknown.
 func (n *Node) Depart(ctx context.Context, id string, born int64) error {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
--- a/placement/domainnode/options.go
+++ b/placement/domainnode/options.go
@@ -18,70 +18,68 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// Decoder reads the text of a document. It returns an error for a text that cannot be
-// read in full; whether the document is valid is not its concern.
+// Decoder parses the text of a document. It does not validate the document.
 type Decoder func(source []byte) (*site.Document, error)
 
-// Holder is who sends an order.
+// Holder identifies the leadership that sends an order.
 type Holder struct {
 	Name string
-	// Token rises with each change of the holder.
+	// Token is the fencing token; it increases with each change of the holder.
 	Token uint64
 }
 
-// Engines sends orders and questions to runners.
+// Engines sends orders and report requests to runners.
 type Engines interface {
-	// Order sends an order and returns how it was answered, and what the answer tells of the runner.
+	// Order sends an order and returns its outcome and the notice in the runner's response.
 	Order(ctx context.Context, holder Holder, order residency.Order) (residency.Outcome, notice.Notice)
-	// Report asks a runner what it holds. What the answer tells of the runner holds also with an error.
+	// Report asks a runner for its loaded models. The notice is valid even if the error is not nil.
 	Report(ctx context.Context, runner fleet.Heartbeat) (residency.Report, notice.Notice, error)
 }
 
 // Options configure a Node.
 type Options struct {
 	Logger log.Logger
-	// Name names the process; it outlives a lost disk.
+	// Name identifies the process; it survives the loss of the disk.
 	Name string
-	// Address is what the node listens on for other processes of the domain.
+	// Address is the listen address for other processes of the domain.
 	Address string
-	// Seeds are addresses of controllers, as they are known now.
+	// Seeds returns the currently known addresses of controllers.
 	Seeds func() []string
-	// Zones are those of the site, of which an operator may drain some.
+	// Zones are the zones of the site, which operators may drain.
 	Zones []string
-	// LinkBytes is how many bytes a second the machine's link carries; 0 if that is not known.
+	// LinkBytes is the bandwidth of the machine's network link in bytes per second; 0 if unknown.
 	LinkBytes float64
-	// Heartbeat is the pause between two heartbeats of a runner; 0 means fleet.DefaultHeartbeat.
+	// Heartbeat is the interval of runners' heartbeats; 0 means fleet.DefaultHeartbeat.
 	Heartbeat time.Duration
-	// Bootstrap allows the seeds to found the group. It may be set only at the first
-	// start of the whole domain.
+	// Bootstrap allows the seeds to create the group. It must be set only at the first start of
+	// the whole domain.
 	Bootstrap bool
-	// DataFolder holds the member's store.
+	// DataFolder is the folder of the member's store.
 	DataFolder string
-	// Voters is how many members should vote.
+	// Voters is the target number of voters.
 	Voters int
-	// OrderLease is the least time between the orders of two holders.
+	// OrderLease is the minimum time between the orders of two holders.
 	OrderLease time.Duration
-	// FencesEnforced says that runners refuse orders with an older token than one they
-	// have seen. Then a new leader need not wait for a former one that it cannot reach:
-	// orders that still come from there are refused.
+	// FencesEnforced states that runners reject orders with a fencing token older than the
+	// latest seen. Then a new leader need not wait out the lease of an unreachable former one.
 	FencesEnforced bool
 	Decoder        Decoder
 	Engines        Engines
 	Planner        residency.Options
-	// Limits is by how much tenants may exceed their limits.
+	// Limits bounds by how much tenants may exceed their limits.
 	Limits quota.Bound
-	// Metrics is where the node registers its metrics; nil for none.
+	// Metrics is the registry of the node's metrics; nil for none.
 	Metrics prometheus.Registerer
-	// Network is what is listened on and dialled over; nil means TCP.
+	// Network is used to listen and dial; nil means TCP.
 	Network network.Network
-	// Timing; zero values mean the defaults.
+	// Timing of the raft group; zero values mean the defaults.
 	TickInterval   time.Duration
 	ElectionTicks  int
 	HeartbeatTicks int
-	// Seed makes the random election time-outs.
+	// Seed seeds the random election timeouts.
 	Seed uint64
-	// Now is the clock that leases are held against, which counts suspensions of the machine;
-	// nil means clock.Now.
+	// Now is the clock for leases, which must advance while the machine is suspended; nil means
+	// clock.Now.
 	Now func() time.Time
 }
 
@@ -90,13 +88,14 @@
 	defaultElectionTicks  = 12
 	defaultHeartbeatTicks = 2
 	defaultVoters         = 3
-	// snapshotEntries bounds the log: each entry may hold a whole document.
+	// snapshotEntries is the number of log entries between snapshots. It is small because an
+	// entry may hold a whole document.
 	snapshotEntries = 256
 	callTimeout     = 1200 * time.Millisecond
 	dialTimeout     = 800 * time.Millisecond
-	// tryTimeout bounds one call to a controller that may be the leader.
+	// tryTimeout bounds one attempt to call a controller that may be the leader.
 	tryTimeout = 400 * time.Millisecond
-	// reopenPause separates two attempts to open a store that failed.
+	// reopenPause separates two attempts to open a failed store.
 	reopenPause = 200 * time.Millisecond
 )
 
@@ -114,7 +113,7 @@
 
 func (o Options) timing() fleet.Timing { return fleet.Timing{Heartbeat: o.Heartbeat} }
 
-// documentOf decodes the text of a replicated document.
+// documentOf decodes a replicated document.
 func (o Options) documentOf(document domain.Document) (*site.Document, error) {
 	source, err := domain.Expand(document.Source)
 	if err != nil {
--- a/placement/domainnode/orders.go
+++ b/placement/domainnode/orders.go
@@ -11,10 +11,10 @@
 	"github.com/lotusferry/lotusferry/placement/residency"
 )
 
-// ordersFrom is when a leader that begins at the time may send its first order: a lease
-// after the last order of any other. Where fences are not enforced, a member that does
-// not answer may have sent one just now.
-func (n *Node) ordersFrom(ctx context.Context, at time.Time) time.Time {
+// firstOrderTime returns when a leader that begins at the given time may send its first
+// order: one lease after the last order of any other. Without enforced fences it waits a
+// full lease, as an unreachable member may have just sent an order.
+func (n *Node) firstOrderTime(ctx context.Context, at time.Time) time.Time {
 	latest := at.Add(n.options.OrderLease)
 	if !n.options.FencesEnforced {
 		return latest
@@ -23,7 +23,7 @@
 	from := at
 	for _, reply := range replies {
 		if reply.HasOrdered {
-			from = later(from, n.now().Add(n.options.OrderLease-reply.SinceOrder))
+			from = laterOf(from, n.now().Add(n.options.OrderLease-reply.SinceOrder))
 		}
 	}
 	if from.After(latest) {
@@ -32,35 +32,35 @@
 	return from
 }
 
-// findOrdersFrom asks when the first order may be sent. Others may take long to answer, or never do:
-// all else that a leader does goes on meanwhile.
-func (l *leadership) findOrdersFrom(ctx context.Context) {
-	from := l.node.ordersFrom(ctx, l.beganAt)
+// setFirstOrderTime determines the time of the first order. It runs concurrently with the
+// rest of the leadership, because other members may be slow to reply.
+func (l *leadership) setFirstOrderTime(ctx context.Context) {
+	from := l.node.firstOrderTime(ctx, l.startedAt)
 	l.mutex.Lock()
 	l.planner.SetOrdersFrom(from)
 	l.mutex.Unlock()
-	level.Info(l.logger).Log("msg", "The time of the first order is known.", "orders_in", from.Sub(l.beganAt), "found_in", l.now().Sub(l.beganAt))
+	level.Info(l.logger).Log("msg", "The time of the first order is known.", "orders_in", from.Sub(l.startedAt), "found_in", l.now().Sub(l.startedAt))
 	l.wakePlan()
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// ask asks a runner what it holds.
-func (l *leadership) ask(ctx context.Context, status fleet.Status) {
+// requestReport asks a runner for its loaded models.
+func (l *leadership) requestReport(ctx context.Context, status fleet.Status) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	askedAt := l.now()
-	report, heard, err := l.options.Engines.Report(ctx, status.Heartbeat)
+	report, received, err := l.options.Engines.Report(ctx, status.Heartbeat)
 	instance := status.Heartbeat.Instance
-	l.hearRunner(instance, heard)
+	l.observeNotice(instance, received)
 	l.node.metrics.reports.WithLabelValues(outcomeName(err)).Inc()
 	if err != nil {
-		level.Warn(l.logger).Log("msg", "A runner gave no report.", "runner", instance, "err", err)
+		level.Warn(l.logger).Log("msg", "A runner's report request failed.", "runner", instance, "err", err)
 		return
 	}
 	level.Debug(l.logger).Log("msg", "A runner reported.", "runner", instance, "taken", report.Taken,
@@ -71,17 +71,17 @@
 	l.wakePlan()
 }
 
-// send sends one order, unless the lease has ended since it was planned.
-func (l *leadership) send(ctx context.Context, order residency.Order) {
+// sendOrder sends an order unless the leadership's lease has ended.
+func (l *leadership) sendOrder(ctx context.Context, order residency.Order) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	outcome := residency.OutcomeRefused
 	began := l.now()
 	if l.isValid() && !l.node.stopping.Load() {
 		l.node.lastOrder.Store(&began)
-		var heard notice.Notice
-		outcome, heard = l.options.Engines.Order(ctx, Holder{Name: l.options.Name, Token: uint64(l.term)}, order)
-		l.hearRunner(order.Instance, heard)
+		var received notice.Notice
+		outcome, received = l.options.Engines.Order(ctx, Holder{Name: l.options.Name, Token: uint64(l.term)}, order)
+		l.observeNotice(order.Instance, received)
 	}
 	l.node.metrics.orders.WithLabelValues(order.Operation.String(), outcome.String()).Inc()
 	l.node.metrics.orderTime.Observe(l.now().Sub(began).Seconds())
--- a/placement/domainnode/pacing.go
+++ b/placement/domainnode/pacing.go
@@ -6,45 +6,45 @@
 )
 
 const (
-	// answerTime is the least time between two answers to watches on average: an answer takes a fifth of a
-	// millisecond of the leader's share of a core, and a thousand routers that are woken together would else take
-	// it for longer than its lease lasts.
-	answerTime = 250 * time.Microsecond
-	// linkShare is the part of the machine's link that answers take: the rest is for the group's own messages, which
-	// must pass within its lease whatever views are under way.
-	linkShare = 0.5
-	// wholeViewShare is the part that whole views take for routers that know nearly all that is in them: at ten
-	// thousand runners and a thousand routers they take half a minute.
-	wholeViewShare = 1.0 / 16
+	// minReplyInterval is the minimum average interval between two replies to watches. A reply
+	// takes about 0.2 ms of CPU time, and replies to a thousand routers at once would take the
+	// leader longer than its lease.
+	minReplyInterval = 250 * time.Microsecond
+	// replyLinkShare is the share of the link's bandwidth for replies. The rest is left to raft
+	// messages, which must arrive within the lease.
+	replyLinkShare = 0.5
+	// fullViewLinkShare is the share for full views to routers that have nearly all of their
+	// content. With ten thousand runners and a thousand routers, sending them takes half a minute.
+	fullViewLinkShare = 1.0 / 16
 )
 
-// pacer spreads the answers to watches in time. A thousand first views of a new leader are 0.2 GB, 1.6 s of a link
-// of 1 Gbit/s: sent at once they held up the group's heartbeats for longer than its lease, which made another leader,
-// whose first views did the same.
+// pacer spaces replies to watches over time. Otherwise the first views of a new leader to
+// all routers of a large site would saturate its link, delay heartbeats of the group beyond
+// the lease and cause repeated elections.
 type pacer struct {
-	// bytesPerSecond is what answers may take of the link; 0 if that is not known.
+	// bytesPerSecond is the bandwidth for replies; 0 if unknown.
 	bytesPerSecond float64
 
 	mutex sync.Mutex
-	// free is when the next answer may go.
-	free time.Time
+	// nextFree is when the next reply may be sent.
+	nextFree time.Time
 }
 
 func newPacer(bytesPerSecond float64) *pacer { return &pacer{bytesPerSecond: bytesPerSecond} }
 
-// reserve takes the next place for an answer of so many bytes and returns how long it must wait for it. If that is
-// longer than a limit, it takes none and returns false.
+// reserve reserves the next slot for a reply of the given size and returns the wait until
+// it. If the wait exceeds limit, it reserves nothing and returns false.
 func (p *pacer) reserve(now time.Time, bytes int, limit time.Duration) (time.Duration, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	wait := max(0, p.free.Sub(now))
+	wait := max(0, p.nextFree.Sub(now))
 	if wait > limit {
 		return wait, false
 	}
-	takes := answerTime
+	takes := minReplyInterval
 	if p.bytesPerSecond > 0 {
 		takes = max(takes, time.Duration(float64(bytes)/p.bytesPerSecond*float64(time.Second)))
 	}
-	p.free = now.Add(wait + takes)
+	p.nextFree = now.Add(wait + takes)
 	return wait, true
 }
--- a/placement/domainnode/poison.go
+++ b/placement/domainnode/poison.go
@@ -11,9 +11,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// hear takes a heartbeat, which may show that a runner was not lost. It reports false for one that comes too
-// late to tell anything. It runs under the mutex.
-func (l *leadership) hear(at time.Time, heartbeat fleet.Heartbeat) bool {
+// applyHeartbeat applies a heartbeat, which may show that a runner is not lost. It reports
+// whether the heartbeat was accepted rather than outdated. The caller holds the mutex.
+func (l *leadership) applyHeartbeat(at time.Time, heartbeat fleet.Heartbeat) bool {
 	before := l.registry.Sequence(heartbeat.Instance)
 	former := l.registry.Latest(fleet.IDOf(heartbeat.Instance))
 	if !l.registry.Hear(at, heartbeat) {
@@ -26,14 +26,14 @@
 		return true
 	}
 	if l.poison.Heard(at, heartbeat.Instance) {
-		level.Info(l.logger).Log("msg", "A runner whose connections broke lives on: nothing that it ran is suspected for that.",
+		level.Info(l.logger).Log("msg", "A runner whose connections broke is still running; its requests are not suspected.",
 			"runner", heartbeat.Instance)
 	}
 	return true
 }
 
-// observeLosses takes what a router saw at runners that were lost. A runner that has said that it
-// leaves was not crashed by what it ran. It runs under the mutex.
+// observeLosses applies a router's reports of broken connections. Requests at a runner that
+// announced its departure are not suspected. The caller holds the mutex.
 func (l *leadership) observeLosses(at time.Time, arguments *domainapi.DemandArguments) {
 	for _, ending := range arguments.Endings {
 		l.poison.Ended(at, ending)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Try says whether a request that may crash runners may be sent to one.
+// Try decides whether a suspected request may be sent to a runner.
 func (s *service) Try(arguments *domainapi.TryArguments, reply *domainapi.TryReply) error {
 	_, current, err := s.leader()
 	if err != nil {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// logSuspects tells of requests whose standing has changed.
+// logSuspects logs changes of suspected requests.
 func (l *leadership) logSuspects(records []poison.Record) {
 	for _, record := range records {
 		message := "A request may crash runners: it is run by permission of the leader only."
--- a/placement/domainnode/reserving.go
+++ b/placement/domainnode/reserving.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// reservePause separates two reservations, so that those of requests that come at the
-	// same time share an entry of the log.
-	reservePause = 20 * time.Millisecond
-	// reserveWait is the longest that an answer to a router waits for a reservation: several
-	// times what an entry of the log takes.
-	reserveWait = 150 * time.Millisecond
+	// reservationInterval is the pause between two reservations, so that concurrent requests
+	// share a log entry.
+	reservationInterval = 20 * time.Millisecond
+	// maxReservationWait bounds how long a reply waits for a reservation; it is several times
+	// the time to commit a log entry.
+	maxReservationWait = 150 * time.Millisecond
 )
 
-// reserving wakes the loop that reserves parts of limits, and those who wait for it.
-type reserving struct {
-	// wake has room for one.
+// reservationSignal signals the reservation loop and its waiters.
+type reservationSignal struct {
+	// wake has a capacity of one.
 	wake chan struct{}
 	// done is closed and replaced after each reservation, under the leadership's mutex.
 	done chan struct{}
 }
 
-func newReserving() *reserving {
-	return &reserving{wake: make(chan struct{}, 1), done: make(chan struct{})}
+func newReservationSignal() *reservationSignal {
+	return &reservationSignal{wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-func (r *reserving) wakeUp() {
+func (r *reservationSignal) wakeUp() {
 	wake.Up(r.wake)
 }
 
-// reserveLoop puts in the log what may be granted in the next moments, until the leadership ends.
+// reserveLoop logs reservations on demand until the leadership ends.
 func (l *leadership) reserveLoop(ctx context.Context) {
-	last := l.beganAt
+	last := l.startedAt
 	for {
 		select {
-		case <-l.reserving.wake:
+		case <-l.reservation.wake:
 		case <-ctx.Done():
 			return
 		}
@@ -61,12 +61,12 @@
 		}
 		l.reserve(ctx, decided, last, parts)
 		last = decided
-		pause.For(ctx, reservePause)
+		pause.For(ctx, reservationInterval)
 	}
 }
 
-// reserve puts one reservation in the log. The reservation before it was decided at last, or the
-// leadership began then.
+// reserve proposes one reservation. last is the time of the previous reservation, or of the
+// start of the leadership.
 func (l *leadership) reserve(ctx context.Context, decided, last time.Time, parts []quota.Part) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -77,7 +77,7 @@
 		_, err = l.member.group.Propose(ctx, command)
 	}
 	if err != nil {
-		// Whether it has come into the log is not known: it counts there, and is never granted.
+		// The entry may still be committed. It then counts as granted but is never used.
 		level.Warn(l.logger).Log("msg", "Parts of limits could not be reserved.", "tenants", len(parts), "err", err)
 	}
 	l.mutex.Lock()
@@ -87,19 +87,19 @@
 	} else {
 		l.limits.NotReserved(parts)
 	}
-	close(l.reserving.done)
-	l.reserving.done = make(chan struct{})
+	close(l.reservation.done)
+	l.reservation.done = make(chan struct{})
 }
 
-// Draw hands out parts of tenants' limits. If requests wait for what has to be reserved first,
-// so does the answer, for a short time.
+// Draw grants shares of tenants' limits. If requests wait for shares that are not reserved
+// yet, it waits for the reservation for at most maxReservationWait.
 func (s *service) Draw(arguments *domainapi.DrawArguments, reply *domainapi.DrawReply) error {
-	joined, current, err := s.leader()
+	m, current, err := s.leader()
 	if err != nil {
 		reply.Error = structs.AsTyped(err)
 		return nil
 	}
-	current.adoptDocument()
+	current.applyDocument()
 	current.mutex.Lock()
 	asker := quota.Asker{Router: arguments.Router, Session: arguments.Session}
 	current.limits.TakeBack(s.node.now(), asker, arguments.Question, arguments.Wants)
@@ -110,28 +110,29 @@
 	isReserving := current.limits.IsReserving(s.node.now())
 	current.mutex.Unlock()
 	if isReserving {
-		current.reserving.wakeUp()
+		current.reservation.wakeUp()
 	}
 	if !current.isValid() {
-		// Another leader may have begun to grant the same.
+		// A new leader may have granted the same shares.
 		*reply = domainapi.DrawReply{}
-		reply.Error = structs.AsTyped(notLeaderError(joined))
+		reply.Error = structs.AsTyped(notLeaderError(m))
 	}
 	return nil
 }
 
-// awaitReservation waits until what requests need is reserved, at most for reserveWait.
+// awaitReservation waits until the requested shares are reserved, at most for
+// maxReservationWait.
 func (l *leadership) awaitReservation(router string, wants []quota.Want) {
-	timeout := time.NewTimer(reserveWait)
+	timeout := time.NewTimer(maxReservationWait)
 	defer timeout.Stop()
 	for {
 		l.mutex.Lock()
-		lacks, done := l.limits.Lacks(l.now(), router, wants), l.reserving.done
+		lacks, done := l.limits.Lacks(l.now(), router, wants), l.reservation.done
 		l.mutex.Unlock()
 		if !lacks {
 			return
 		}
-		l.reserving.wakeUp()
+		l.reservation.wakeUp()
 		select {
 		case <-done:
 		case <-timeout.C:
--- a/placement/domainnode/service.go
+++ b/placement/domainnode/service.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// commitTimeout bounds a change or read of the replicated state.
+	// commitTimeout bounds a write to or read of the replicated state.
 	commitTimeout = 900 * time.Millisecond
 	// maxControllers bounds the list of controllers in a reply.
 	maxControllers = 64
@@ -27,15 +27,15 @@
 // service is the net/rpc service of a controller.
 type service struct{ node *Node }
 
-// Describe describes the member.
+// Describe returns the state of the member.
 func (s *service) Describe(_ *domainapi.DescribeArguments, reply *domainapi.DescribeReply) error {
-	joined, err := s.node.current()
+	m, err := s.node.current()
 	if err != nil {
 		reply.Error = structs.AsTyped(err)
 		return nil
 	}
-	status := joined.group.Status()
-	reply.Member = joined.self
+	status := m.group.Status()
+	reply.Member = m.self
 	reply.Held = status.Held
 	reply.Voters = status.Members(status.Membership.Voters)
 	reply.Committed = status.CommittedMembership
@@ -48,33 +48,33 @@
 	return nil
 }
 
-// Found gives the member the founding members.
+// Found sets the initial members of a new group.
 func (s *service) Found(arguments *domainapi.FoundArguments, reply *domainapi.Reply) error {
-	joined, err := s.node.current()
+	m, err := s.node.current()
 	if err == nil {
 		ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 		defer cancel()
-		err = joined.group.Found(ctx, arguments.Members)
+		err = m.group.Found(ctx, arguments.Members)
 	}
 	reply.Error = structs.AsTyped(err)
 	return nil
 }
 
-// leader returns the member and its leadership while its lease holds.
+// leader returns the member and its leadership, or an error unless the lease holds.
 func (s *service) leader() (*member, *leadership, error) {
-	joined, err := s.node.current()
+	m, err := s.node.current()
 	if err != nil {
 		return nil, nil, err
 	}
-	current := joined.leads()
+	current := m.currentLeadership()
 	if current == nil || !current.isValid() {
-		return nil, nil, notLeaderError(joined)
+		return nil, nil, notLeaderError(m)
 	}
-	return joined, current, nil
+	return m, current, nil
 }
 
-func notLeaderError(joined *member) error {
-	status := joined.group.Status()
+func notLeaderError(m *member) error {
+	status := m.group.Status()
 	typed := structs.NewError(structs.ErrorNotLeader, "this controller does not lead", "Ask the leader.")
 	if status.LeaderNode != status.Node {
 		typed.Leader = status.LeaderAddress
@@ -82,20 +82,20 @@
 	return typed
 }
 
-// Join adds a member with an empty store as a learner. Identities that its process
-// had before, and that are learners, leave in the same change; a voter among them
-// stays until the new one has the whole log.
+// Join adds a member with an empty store as a learner. The same change removes learners that
+// are former identities of its process; a former voter stays until the new member has
+// caught up.
 func (s *service) Join(arguments *domainapi.JoinArguments, reply *domainapi.Reply) error {
-	joined, _, err := s.leader()
+	m, _, err := s.leader()
 	if err == nil {
-		err = joinLeader(joined, arguments.Member)
+		err = addLearner(m, arguments.Member)
 	}
 	reply.Error = structs.AsTyped(err)
 	return nil
 }
 
-func joinLeader(joined *member, joining group.Member) error {
-	status := joined.group.Status()
+func addLearner(m *member, joining group.Member) error {
+	status := m.group.Status()
 	if status.CommittedMembership.Has(joining.Node) {
 		return nil
 	}
@@ -107,10 +107,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	return joined.group.AddLearner(ctx, joining, replaced...)
+	return m.group.AddLearner(ctx, joining, replaced...)
 }
 
-// Stopping notes a member's planned stop.
+// Stopping records a member's planned stop.
 func (s *service) Stopping(arguments *domainapi.StoppingArguments, reply *domainapi.Reply) error {
 	_, current, err := s.leader()
 	if err == nil {
@@ -122,12 +122,12 @@
 	return nil
 }
 
-// Heartbeats takes heartbeats of runners.
+// Heartbeats applies runner heartbeats.
 func (s *service) Heartbeats(arguments *domainapi.HeartbeatsArguments, reply *domainapi.Reply) error {
 	_, current, err := s.leader()
 	if err == nil {
 		for _, heartbeat := range arguments.Heartbeats {
-			current.heard(heartbeat)
+			current.receiveHeartbeat(heartbeat)
 		}
 		current.wakePlan()
 		if !current.isValid() {
@@ -138,20 +138,21 @@
 	return nil
 }
 
-// Depart makes a departure durable and known to the routers.
+// Depart commits a departure and notifies the routers.
 func (s *service) Depart(arguments *domainapi.DepartArguments, reply *domainapi.Reply) error {
-	joined, current, err := s.leader()
+	m, current, err := s.leader()
 	if err == nil {
 		departure := arguments.Departure
-		departure.Instance = current.departing(departure.Instance, arguments.Born)
-		err = depart(joined, current, departure)
+		departure.Instance = current.resolveInstance(departure.Instance, arguments.Born)
+		err = proposeDeparture(m, current, departure)
 	}
 	reply.Error = structs.AsTyped(err)
 	return nil
 }
 
-// departing names the life of a runner that departs.
-func (l *leadership) departing(id string, born int64) string {
+// resolveInstance returns the instance of a runner by its ID and start time; 0 selects its
+// latest incarnation.
+func (l *leadership) resolveInstance(id string, born int64) string {
 	if born > 0 {
 		return fleet.Incarnation(id, born)
 	}
@@ -160,78 +161,77 @@
 	return l.registry.Latest(id)
 }
 
-func depart(joined *member, current *leadership, departure domain.Departure) error {
+func proposeDeparture(m *member, current *leadership, departure domain.Departure) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	var known domain.Departure
 	var isKnown bool
-	joined.group.View(func() { known, isKnown = joined.machine.Departure(departure.Instance) })
+	m.group.View(func() { known, isKnown = m.machine.Departure(departure.Instance) })
 	if !isKnown || departure.Gone && !known.Gone {
 		command, err := domain.Command{Depart: &departure}.Encode()
 		if err != nil {
 			return err
 		}
-		if _, err := joined.group.Propose(ctx, command); err != nil {
+		if _, err := m.group.Propose(ctx, command); err != nil {
 			return err
 		}
-	} else if err := joined.group.Read(ctx); err != nil {
+	} else if err := m.group.Read(ctx); err != nil {
 		return err
 	}
-	current.departed(ctx, departure)
+	current.applyDeparture(ctx, departure)
 	if !current.isValid() {
-		return notLeaderError(joined)
+		return notLeaderError(m)
 	}
 	return nil
 }
 
-// Put makes a valid document durable, if its version is above the one in force.
+// Put commits a valid document if its version is higher than the current one.
 func (s *service) Put(arguments *domainapi.PutArguments, reply *domainapi.Reply) error {
-	joined, current, err := s.leader()
+	m, current, err := s.leader()
 	if err == nil {
-		err = put(joined, current, arguments.Document)
+		err = proposeDocument(m, current, arguments.Document)
 	}
 	reply.Error = structs.AsTyped(err)
 	return nil
 }
 
-func put(joined *member, current *leadership, document domain.Document) error {
+func proposeDocument(m *member, current *leadership, document domain.Document) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	var held uint64
-	joined.group.View(func() { held = joined.machine.Document().Version })
+	m.group.View(func() { held = m.machine.Document().Version })
 	if document.Version <= held {
-		return joined.group.Read(ctx)
+		return m.group.Read(ctx)
 	}
 	command, err := domain.Command{Put: &document}.Encode()
 	if err != nil {
 		return err
 	}
-	if _, err := joined.group.Propose(ctx, command); err != nil {
+	if _, err := m.group.Propose(ctx, command); err != nil {
 		return err
 	}
 	current.wakePlan()
 	return nil
 }
 
-// Read returns the document in force, which is at least as new as any that was
-// acknowledged before the call.
+// Read returns the current document. The read is linearizable.
 func (s *service) Read(_ *domainapi.ReadArguments, reply *domainapi.DocumentReply) error {
-	joined, _, err := s.leader()
+	m, _, err := s.leader()
 	if err == nil {
 		ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 		defer cancel()
-		err = joined.group.Read(ctx)
+		err = m.group.Read(ctx)
 	}
 	if err == nil {
-		joined.group.View(func() { reply.Document = joined.machine.Document() })
+		m.group.View(func() { reply.Document = m.machine.Document() })
 	}
 	reply.Error = structs.AsTyped(err)
 	return nil
 }
 
-// Watch waits for news for a router.
+// Watch waits for changes to a router's state and returns them.
 func (s *service) Watch(arguments *domainapi.WatchArguments, reply *domainapi.WatchReply) error {
-	joined, current, err := s.leader()
+	m, current, err := s.leader()
 	if err != nil {
 		reply.Error = structs.AsTyped(err)
 		return nil
@@ -240,51 +240,51 @@
 	if arguments.Term == uint64(current.term) {
 		known, knownSuspects = arguments.Revision, arguments.Suspects
 	}
-	reply.Routers, reply.Hold = current.contact(arguments.Router, known, arguments.MaxHold)
-	current.greet(arguments)
-	if current.takesWholeView(arguments) {
+	reply.Routers, reply.Hold = current.recordContact(arguments.Router, known, arguments.MaxHold)
+	current.noteTermChange(arguments)
+	if current.takeFullViewTurn(arguments) {
 		known = 0
 	}
 	heldUntil := s.node.now().Add(reply.Hold)
 	timeout := time.NewTimer(reply.Hold)
 	defer timeout.Stop()
 	for {
-		// Get the channel before looking, so that no change is missed.
+		// Get the channels before checking for changes, so that none is missed.
 		current.mutex.Lock()
-		changed, told := current.announcer.changed, current.announcer.told
+		changed, announced := current.announcer.changed, current.announcer.announced
 		notified := current.announcer.notification(arguments.Router)
 		current.mutex.Unlock()
 		var document domain.Document
-		joined.group.View(func() { document = joined.machine.Document() })
-		isNews := told.revision > known || told.document > arguments.Version || told.suspects > knownSuspects
-		if isNews && current.awaitTurn(known, document, arguments, heldUntil) {
-			current.fill(reply, arguments, known, knownSuspects, document, true)
+		m.group.View(func() { document = m.machine.Document() })
+		hasChanges := announced.view > known || announced.document > arguments.Version || announced.suspects > knownSuspects
+		if hasChanges && current.awaitReplySlot(known, document, arguments, heldUntil) {
+			current.fillReply(reply, arguments, known, knownSuspects, document, true)
 			break
 		}
 		select {
 		case <-changed:
 			continue
 		case <-notified:
-			current.fill(reply, arguments, known, knownSuspects, document, true)
+			current.fillReply(reply, arguments, known, knownSuspects, document, true)
 		case <-timeout.C:
-			// The views of others come first: this router asks again at once.
-			current.fill(reply, arguments, known, knownSuspects, document, !isNews)
+			// If the view is due but has no reply slot, send none: the router asks again immediately.
+			current.fillReply(reply, arguments, known, knownSuspects, document, !hasChanges)
 		}
 		break
 	}
 	if !current.isValid() {
 		*reply = domainapi.WatchReply{}
-		reply.Error = structs.AsTyped(notLeaderError(joined))
+		reply.Error = structs.AsTyped(notLeaderError(m))
 		return nil
 	}
-	controllers := memberAddresses(joined.group.Status())
+	controllers := memberAddresses(m.group.Status())
 	reply.Controllers = controllers[:min(len(controllers), maxControllers)]
 	return nil
 }
 
-// awaitTurn waits until a router may be sent the view since what it knows, and the document if it lacks it. It
-// returns false, at once, if that is later than a time.
-func (l *leadership) awaitTurn(known uint64, document domain.Document, arguments *domainapi.WatchArguments, until time.Time) bool {
+// awaitReplySlot waits for the slot of a reply with the view and document that the router
+// lacks. It returns false immediately if the slot is later than until.
+func (l *leadership) awaitReplySlot(known uint64, document domain.Document, arguments *domainapi.WatchArguments, until time.Time) bool {
 	l.mutex.Lock()
 	bytes := 0
 	if l.views.Revision() != known {
@@ -297,15 +297,15 @@
 		bytes += len(document.Source)
 	}
 	now := l.now()
-	wait, isTaken := l.answers.reserve(now, bytes, until.Sub(now))
+	wait, isTaken := l.replyPacer.reserve(now, bytes, until.Sub(now))
 	if isTaken {
 		pause.For(context.Background(), wait)
 	}
 	return isTaken
 }
 
-// fill gives a router the news since what it knows; without the view where hasView is not set.
-func (l *leadership) fill(reply *domainapi.WatchReply, arguments *domainapi.WatchArguments, known, knownSuspects uint64, document domain.Document, hasView bool) {
+// fillReply sets the changes since the router's state; the view only if hasView is set.
+func (l *leadership) fillReply(reply *domainapi.WatchReply, arguments *domainapi.WatchArguments, known, knownSuspects uint64, document domain.Document, hasView bool) {
 	reply.Term = uint64(l.term)
 	reply.Confirmed = document.Version
 	if document.Version > arguments.Version {
@@ -320,7 +320,7 @@
 		listed := l.poison.List(l.now())
 		reply.Suspects = &listed
 	}
-	if l.takeWanted(arguments.Router) {
+	if l.takeWantedFullView(arguments.Router) {
 		known = 0
 	}
 	if hasView && l.views.Revision() != known {
@@ -333,12 +333,12 @@
 	}
 }
 
-// forecastTimeout bounds how long a report of requests that wait is held until the next
-// plan: several times the usual pause between two plans.
+// forecastTimeout bounds the wait of a demand report for the next plan. It is several times
+// the usual interval between plans.
 const forecastTimeout = 200 * time.Millisecond
 
-// Demand takes a router's report. If requests wait, the reply comes after the next plan,
-// and tells when that expects their models to be ready.
+// Demand applies a router's report. If requests wait, it replies after the next plan, with
+// forecasts of when their models are ready.
 func (s *service) Demand(arguments *domainapi.DemandArguments, reply *domainapi.DemandReply) error {
 	_, current, err := s.leader()
 	reply.Error = structs.AsTyped(err)
@@ -349,7 +349,7 @@
 	current.planner.SetRouterZone(arguments.Router, arguments.Zone)
 	current.planner.Observe(s.node.now(), arguments.Router, arguments.Demands)
 	if current.planner.IsAnyHeld(arguments.Demands) {
-		// The router waits for what it does not know to be there.
+		// Requests wait for a model that is already loaded: the router's view is outdated.
 		current.notify(arguments.Router)
 	}
 	current.planner.Doubt(s.node.now(), arguments.Doubted)
--- a/placement/domainnode/services.go
+++ b/placement/domainnode/services.go
@@ -8,27 +8,27 @@
 	"github.com/lotusferry/lotusferry/placement/domain"
 )
 
-// services are the names of the services of the document in force, as far as this controller has applied the
-// log. They are read once for each version.
+// services caches the service names of the current document, as far as this controller has
+// applied the log.
 type services struct {
 	mutex   sync.Mutex
 	version uint64
 	names   map[string]bool
 }
 
-// MayRegister reports whether a runner with the ID may be one of the service: the document has such a service,
-// or the runner is registered already. Before the first document any may be.
+// MayRegister reports whether a runner may register for a service: the current document
+// lists the service, there is no document yet, or the runner is already registered.
 func (n *Node) MayRegister(id, service string) bool {
-	joined, err := n.current()
+	m, err := n.current()
 	if err != nil {
-		// The call itself finds out.
+		// The call to the leader returns the error.
 		return true
 	}
 	var document domain.Document
 	isRegistered := false
-	joined.group.View(func() {
-		document = joined.machine.Document()
-		isRegistered = joined.machine.IsRegistered(id)
+	m.group.View(func() {
+		document = m.machine.Document()
+		isRegistered = m.machine.IsRegistered(id)
 	})
 	return isRegistered || n.services.has(n, document, service)
 }
@@ -44,7 +44,7 @@
 	}
 	decoded, err := n.options.documentOf(document)
 	if err != nil {
-		level.Error(n.logger).Log("msg", "The document in force cannot be decoded.", "version", document.Version, "err", err)
+		level.Error(n.logger).Log("msg", "The current document cannot be decoded.", "version", document.Version, "err", err)
 		return true
 	}
 	s.version = document.Version
--- a/placement/domainnode/summary.go
+++ b/placement/domainnode/summary.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// summaryInterval is the pause between two lines about the demand, and
-	// summaryModels how many models each lists at most.
+	// summaryInterval is the interval of the demand log lines; each lists at most summaryModels
+	// models.
 	summaryInterval = 2 * time.Second
 	summaryModels   = 8
 )
 
-// sumUp logs the demand and how it is met, and forgets what has been silent for long.
-// It runs under the mutex.
-func (l *leadership) sumUp(at time.Time) {
-	if at.Sub(l.summedUpAt) < summaryInterval {
+// logSummary logs the demand and how it is met, and drops the state of unlisted runners. The
+// caller holds the mutex.
+func (l *leadership) logSummary(at time.Time) {
+	if at.Sub(l.summarizedAt) < summaryInterval {
 		return
 	}
-	l.summedUpAt = at
-	l.recordBeliefs(at)
+	l.summarizedAt = at
+	l.proposeLearned(at)
 	isListed := func(instance string) bool { return l.registry.Service(instance) != "" }
 	l.tokens.Forget(isListed)
 	l.runnerLimits.Forget(isListed)
@@ -43,7 +43,7 @@
 		}
 	}
 	usages := l.limits.TakeUsages(at)
-	l.sumUpTenants(at, usages)
+	l.logTenants(at, usages)
 	unmet := l.unmetNeeds()
 	stores := l.storeStates()
 	coverage := l.coverages()
@@ -56,7 +56,8 @@
 		"coverage", coverage, "turns", l.turnStates(), "paces", l.paceStates(), "limits", limitStates(usages))
 }
 
-// paceStates tells what is believed of the runners of each service. It runs under the mutex.
+// paceStates reports the estimated performance of the runners of each service. The caller
+// holds the mutex.
 func (l *leadership) paceStates() string {
 	var listed []string
 	for _, state := range l.planner.PaceStates() {
@@ -72,8 +73,8 @@
 	return strings.Join(listed, " ")
 }
 
-// limitStates tells of the tenants that have used most of their limits: what was drawn a second,
-// what was granted in the last window of how much, and what routers may hold.
+// limitStates reports the tenants that used most of their limits: the rate drawn, the
+// amount granted in the last window and its maximum, and the amount lent to routers.
 func limitStates(usages []quota.Usage) string {
 	usages = slices.Clone(usages)
 	slices.SortStableFunc(usages, func(a, b quota.Usage) int { return cmp.Compare(b.Used/b.Most, a.Used/a.Most) })
@@ -85,8 +86,8 @@
 	return strings.Join(listed, " ")
 }
 
-// unmetNeeds tells which models should be loaded and why they are not. It runs under the
-// mutex.
+// unmetNeeds reports the models that should be loaded and the obstacles. The caller holds
+// the mutex.
 func (l *leadership) unmetNeeds() string {
 	var listed []string
 	counts := make(map[residency.Obstacle]int)
@@ -102,8 +103,8 @@
 	return strings.Join(listed, " ")
 }
 
-// storeStates tells how many loads from each weight store are under way, of how many that
-// it bears. It runs under the mutex.
+// storeStates reports the loads in progress from each weight store and their limit. The
+// caller holds the mutex.
 func (l *leadership) storeStates() string {
 	var listed []string
 	for _, state := range l.planner.Stores() {
@@ -114,8 +115,8 @@
 	return strings.Join(listed, " ")
 }
 
-// coverages tells how many models of each service can be served how soon. It runs under the
-// mutex.
+// coverages reports how many models of each service are loaded, loading, copied or absent.
+// The caller holds the mutex.
 func (l *leadership) coverages() string {
 	var listed []string
 	for _, found := range l.planner.Coverages() {
@@ -131,21 +132,21 @@
 	return strings.Join(listed, " ")
 }
 
-// turnStates tells how many models wait for their turn, and for how long at most. It runs under
-// the mutex.
+// turnStates reports how many models wait to be loaded and the longest wait. The caller
+// holds the mutex.
 func (l *leadership) turnStates() string {
 	turns := l.planner.Turns()
 	for turn, count := range map[string]int{
 		"gathering": turns.Gathering, "due": turns.Due, "unreachable": turns.Unreachable,
 	} {
-		l.node.metrics.turns.WithLabelValues(turn).Set(float64(count))
+		l.node.metrics.waitedModels.WithLabelValues(turn).Set(float64(count))
 	}
 	return fmt.Sprintf("%d gathering,%d due,%d unreachable,oldest %v", turns.Gathering, turns.Due, turns.Unreachable,
 		turns.Oldest.Round(time.Millisecond))
 }
 
-// noteEndedLoads logs and counts loads that have ended.
-func (l *leadership) noteEndedLoads(ended []residency.EndedLoad) {
+// recordEndedLoads logs and counts finished loads.
+func (l *leadership) recordEndedLoads(ended []residency.EndedLoad) {
 	for _, load := range ended {
 		source := "copy"
 		if load.FromStore {
@@ -158,33 +159,33 @@
 	}
 }
 
-// maxRecorded bounds the registrations in one command.
-const maxRecorded = 512
+// maxProposedRegistrations bounds the registrations in one command.
+const maxProposedRegistrations = 512
 
-// recordNews puts what has gathered in the log, in one command at a time: many runners register
-// at once when a site starts. It runs under the mutex.
-func (l *leadership) recordNews() {
+// proposePending proposes pending registrations and suspects, one command at a time, since
+// many runners register at once when a site starts. The caller holds the mutex.
+func (l *leadership) proposePending() {
 	changed := l.poison.TakeRecords()
 	l.logSuspects(changed)
-	l.unrecordedSuspects = append(l.unrecordedSuspects, changed...)
-	if l.isRecording || len(l.unrecorded) == 0 && len(l.unrecordedSuspects) == 0 {
+	l.pendingSuspects = append(l.pendingSuspects, changed...)
+	if l.isProposing || len(l.pendingRegistrations) == 0 && len(l.pendingSuspects) == 0 {
 		return
 	}
-	command := domain.Command{Suspects: l.unrecordedSuspects}
-	l.unrecordedSuspects = nil
-	for instance, registration := range l.unrecorded {
-		if len(command.Registrations) == maxRecorded {
+	command := domain.Command{Suspects: l.pendingSuspects}
+	l.pendingSuspects = nil
+	for instance, registration := range l.pendingRegistrations {
+		if len(command.Registrations) == maxProposedRegistrations {
 			break
 		}
 		command.Registrations = append(command.Registrations, registration)
-		delete(l.unrecorded, instance)
+		delete(l.pendingRegistrations, instance)
 	}
-	l.isRecording = true
-	go l.record(command)
+	l.isProposing = true
+	go l.propose(command)
 }
 
-// record proposes a command whose loss costs only time.
-func (l *leadership) record(command domain.Command) {
+// propose proposes a command that is not retried: its loss is not an error.
+func (l *leadership) propose(command domain.Command) {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	encoded, err := command.Encode()
@@ -192,16 +193,16 @@
 		_, err = l.member.group.Propose(ctx, encoded)
 	}
 	if err != nil {
-		level.Debug(l.logger).Log("msg", "A command was not recorded.", "err", err)
+		level.Debug(l.logger).Log("msg", "A proposal failed.", "err", err)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.isRecording = false
+	l.isProposing = false
 }
 
-// recordBeliefs takes runners that have been silent for long out of the log, and puts what
-// was learned of weight stores into it. It runs under the mutex.
-func (l *leadership) recordBeliefs(at time.Time) {
+// proposeLearned proposes to unregister silent runners and to record changed store limits.
+// The caller holds the mutex.
+func (l *leadership) proposeLearned(at time.Time) {
 	var command domain.Command
 	stores := l.planner.Stores()
 	silent := l.registry.Silent(at, l.options.timing().Unrecorded())
@@ -218,8 +219,8 @@
 			}
 		}
 	})
-	if len(command.Silent)+len(command.StoreLimits) > 0 && !l.isRecording {
-		l.isRecording = true
-		go l.record(command)
+	if len(command.Silent)+len(command.StoreLimits) > 0 && !l.isProposing {
+		l.isProposing = true
+		go l.propose(command)
 	}
 }
--- a/placement/domainnode/suspension_test.go
+++ b/placement/domainnode/suspension_test.go
@@ -10,13 +10,13 @@
 	"github.com/lotusferry/lotusferry/placement/domainapi"
 )
 
-// A leader whose machine was suspended must not go on under the lease that it had: others may have
-// elected another, though its own timers have not moved.
+// A suspended leader must not rely on its lease: others may have elected a new leader,
+// although its own timers have not advanced.
 func TestLeaseOfALeaderIsOverAfterASuspension(t *testing.T) {
 	for name, suspended := range map[string]time.Duration{"not suspended": 0, "suspended": 2 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			inDomain(t, func(d *testDomain) {
-				d.found(0, 1, 2)
+				d.bootstrap(0, 1, 2)
 				d.put(1)
 				leader := d.awaitLeader()
 				for index := range 3 {
@@ -33,10 +33,10 @@
 	}
 }
 
-// Where the others live, the leader goes on as soon as they have confirmed it anew.
+// A suspended leader continues once a quorum has renewed its lease.
 func TestLeaderGoesOnAfterAShortSuspension(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(1)
 		leader := d.awaitLeader()
 		d.suspended[leader].Add(int64(2 * time.Second))
--- a/placement/domainnode/tenants.go
+++ b/placement/domainnode/tenants.go
@@ -10,11 +10,11 @@
 	"github.com/lotusferry/lotusferry/placement/quota"
 )
 
-// maxTenants bounds the tenants that a summary tells of: those of which most requests wait or were
-// refused, and those that are furthest above their shares.
+// maxTenants bounds the tenants in a summary. Tenants with the most waiting or refused
+// requests are listed first, then those furthest above their shares.
 const maxTenants = 16
 
-// tenantState is how one tenant stands over all routers.
+// tenantState is the state of a tenant over all routers.
 type tenantState struct {
 	name    string
 	share   float64
@@ -22,8 +22,8 @@
 	usage   quota.Usage
 }
 
-// sumUpTenants logs how tenants stand. It runs under the mutex.
-func (l *leadership) sumUpTenants(at time.Time, usages []quota.Usage) {
+// logTenants logs the state of the listed tenants. The caller holds the mutex.
+func (l *leadership) logTenants(at time.Time, usages []quota.Usage) {
 	states := l.tenantStates(at, usages)
 	l.node.metrics.tenantShare.Reset()
 	l.node.metrics.tenantWaiting.Reset()
--- a/placement/domainnode/tokens.go
+++ b/placement/domainnode/tokens.go
@@ -12,7 +12,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// setColdRates takes what cold runners of each service bear. It runs under the mutex.
+// setColdRates sets the request rates of cold runners by service. The caller holds the mutex.
 func (l *leadership) setColdRates(services []site.Service) {
 	l.coldRates = make(map[string]float64)
 	for i := range services {
@@ -22,10 +22,10 @@
 	}
 }
 
-// coolStatuses decides which runners are cold: those of services whose cold runners bear less than others, if
-// they said so, or if their zone is drained no more and they have not been heard since. They may have cooled
-// down meanwhile. It runs under the mutex.
-func (l *leadership) coolStatuses(at time.Time, statuses []fleet.Status) {
+// markCold sets which runners are cold. In services with a cold rate those are the runners
+// that reported it, and runners of formerly drained zones until their next heartbeat, as
+// they may have cooled down. The caller holds the mutex.
+func (l *leadership) markCold(at time.Time, statuses []fleet.Status) {
 	clear(l.cold)
 	for i := range statuses {
 		status := &statuses[i]
@@ -44,8 +44,8 @@
 	l.node.metrics.cold.Set(float64(len(l.cold)))
 }
 
-// limitStatuses tells which runners name a rate limit. It runs under the mutex.
-func (l *leadership) limitStatuses(statuses []fleet.Status) {
+// markRateLimits sets the announced rate limits of runners. The caller holds the mutex.
+func (l *leadership) markRateLimits(statuses []fleet.Status) {
 	if l.runnerLimits.Len() > 0 {
 		for i := range statuses {
 			statuses[i].Limit = l.runnerLimits.Of(statuses[i].Heartbeat.Instance)
@@ -54,30 +54,30 @@
 	l.node.metrics.limited.Set(float64(l.runnerLimits.Len()))
 }
 
-// maxLimitLines is how many lines a second tell of the rate limits of runners.
-const maxLimitLines = 20
+// maxLimitLogLines bounds the log lines per second about rate limits of runners.
+const maxLimitLogLines = 20
 
-// observeLimits takes what a router heard of the rate limits of runners. Only the router that was answered hears it,
-// and the limit is for all together, so that all are told, with the next view. It runs under the mutex.
+// observeLimits applies rate limits that runners announced to a router. A limit applies to
+// all routers together, so the next view lists it for all. The caller holds the mutex.
 func (l *leadership) observeLimits(at time.Time, arguments *domainapi.DemandArguments) {
-	for _, heard := range arguments.Limits {
-		before := l.runnerLimits.Of(heard.Instance)
-		if l.registry.Service(heard.Instance) == "" || !l.runnerLimits.Observe(heard) {
+	for _, report := range arguments.Limits {
+		before := l.runnerLimits.Of(report.Instance)
+		if l.registry.Service(report.Instance) == "" || !l.runnerLimits.Observe(report) {
 			continue
 		}
-		now := l.runnerLimits.Of(heard.Instance)
+		after := l.runnerLimits.Of(report.Instance)
 		if before == 0 {
-			l.tokens.Begin(at, heard.Instance)
+			l.tokens.Begin(at, report.Instance)
 		}
 		if suppressed, allowed := l.loggedLimits.Allow(at); allowed {
-			level.Info(l.logger).Log("msg", "A runner's rate limit changes.", "runner", heard.Instance, "router", arguments.Router,
-				"per_second", now, "before", before, "named", heard.PerSecond, "ended", heard.IsEnded, "not_logged", suppressed)
+			level.Info(l.logger).Log("msg", "A runner's rate limit changes.", "runner", report.Instance, "router", arguments.Router,
+				"per_second", after, "before", before, "named", report.PerSecond, "ended", report.IsEnded, "not_logged", suppressed)
 		}
 	}
 }
 
-// tokenRate is how many requests a second may be lent for a runner; 0 if it bears as many as others, as far as is
-// known.
+// tokenRate returns how many requests per second may be granted for a runner; 0 if it has
+// no known limit.
 func (l *leadership) tokenRate(instance string) float64 {
 	coldRate, limit := l.coldRates[l.registry.Service(instance)], l.runnerLimits.Of(instance)
 	switch {
@@ -89,31 +89,31 @@
 	return limit
 }
 
-// WarmUp lends requests that may be sent to runners that bear few a second.
+// WarmUp grants requests to rate-limited runners.
 func (s *service) WarmUp(arguments *domainapi.WarmUpArguments, reply *domainapi.WarmUpReply) error {
-	joined, current, err := s.leader()
+	m, current, err := s.leader()
 	if err != nil {
 		reply.Error = structs.AsTyped(err)
 		return nil
 	}
-	reply.Grants = current.lend(s.node.now(), arguments.Wants)
+	reply.Grants = current.grantTokens(s.node.now(), arguments.Wants)
 	if !current.isValid() {
-		// Another leader may have begun to lend the same.
+		// A new leader may have granted the same requests.
 		*reply = domainapi.WarmUpReply{}
-		reply.Error = structs.AsTyped(notLeaderError(joined))
+		reply.Error = structs.AsTyped(notLeaderError(m))
 	}
 	return nil
 }
 
-func (l *leadership) lend(at time.Time, wants []ratelimit.Want) []ratelimit.Grant {
+func (l *leadership) grantTokens(at time.Time, wants []ratelimit.Want) []ratelimit.Grant {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	grants := make([]ratelimit.Grant, 0, len(wants))
 	for _, want := range wants {
 		rate := l.tokenRate(want.Instance)
 		if rate <= 0 {
-			// Its runners are cold no more, its limit has ended or is not told yet, or it has ended itself; the
-			// next view or report tells.
+			// The runner is gone, no longer limited, or its limit is not reported yet; the router
+			// learns of it with the next view.
 			grants = append(grants, ratelimit.Grant{Instance: want.Instance, MoreIn: ratelimit.TokenLife})
 			continue
 		}
--- a/placement/domainnode/tokens_test.go
+++ b/placement/domainnode/tokens_test.go
@@ -11,10 +11,10 @@
 	"github.com/lotusferry/lotusferry/placement/ratelimit"
 )
 
-// warmUp asks the leader for requests to r0.
+// warmUp asks the leader for tokens for r0, retrying errors.
 func (d *testDomain) warmUp(requests int) ratelimit.Grant {
 	var reply domainapi.WarmUpReply
-	d.await("an answer of the leader", func() bool {
+	d.await("a reply of the leader", func() bool {
 		leader := d.awaitLeader()
 		reply = domainapi.WarmUpReply{}
 		arguments := &domainapi.WarmUpArguments{Router: "router", Wants: []ratelimit.Want{{Instance: "r0", Requests: requests}}}
@@ -29,13 +29,12 @@
 	return found != nil && found.Cold
 }
 
-// Runners may cool down while they get no requests: when their zone is drained no more they count as cold until
-// they say otherwise.
-func TestRunnersOfAZoneThatWasDrainedAreColdUntilTheyAreHeard(t *testing.T) {
+// Runners may cool down while drained, so they count as cold until their next heartbeat.
+func TestRunnersAreColdAfterDrainUntilHeartbeat(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.foundWithRunners()
+		d.bootstrapWithRunners()
 		d.drain(0, true)
-		// The order ends well between two heartbeats, of which there is one each 0.3 s.
+		// The drain ends well between two heartbeats, which come every 0.3 s.
 		pause.For(d.ctx, 3*time.Second+100*time.Millisecond)
 		d.drain(0, false)
 		d.c.Assert(d.isCold("r0"), qt.IsTrue)
@@ -44,9 +43,9 @@
 	})
 }
 
-func TestLeaderLendsWhatColdRunnersBear(t *testing.T) {
+func TestLeaderGrantsTokensAtColdRate(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.foundWithRunners()
+		d.bootstrapWithRunners()
 		pause.For(d.ctx, time.Second)
 		first := d.warmUp(5)
 		d.c.Assert(first.Requests, qt.Equals, ratelimit.Burst)
@@ -58,13 +57,13 @@
 	})
 }
 
-// hearLimit has a router report what it heard of the limit of a runner.
-func (d *testDomain) hearLimit(report ratelimit.Report) {
-	d.report(&domainapi.DemandArguments{Limits: []ratelimit.Report{report}})
+// reportLimit reports a runner's rate limit as a router.
+func (d *testDomain) reportLimit(report ratelimit.Report) {
+	d.reportDemand(&domainapi.DemandArguments{Limits: []ratelimit.Report{report}})
 }
 
-// report has a router report to the leader.
-func (d *testDomain) report(arguments *domainapi.DemandArguments) {
+// reportDemand sends a router's report to the leader, retrying errors.
+func (d *testDomain) reportDemand(arguments *domainapi.DemandArguments) {
 	arguments.Router = "router"
 	d.await("a report", func() bool {
 		var reply domainapi.DemandReply
@@ -73,7 +72,7 @@
 	})
 }
 
-// limitOf is the limit of a runner in the leader's view.
+// limitOf returns a runner's limit in the leader's view, or -1 if it is not listed.
 func (d *testDomain) limitOf(instance string) float64 {
 	found := d.runner(instance)
 	if found == nil {
@@ -82,11 +81,11 @@
 	return found.Limit
 }
 
-func TestLimitThatOneRouterHeardIsToldToAllAndLent(t *testing.T) {
+func TestReportedRateLimitAppliesToAllRouters(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.foundWithRunners()
+		d.bootstrapWithRunners()
 		pause.For(d.ctx, 5*time.Second)
-		d.hearLimit(ratelimit.Report{Instance: "r0", PerSecond: 0.5})
+		d.reportLimit(ratelimit.Report{Instance: "r0", PerSecond: 0.5})
 		d.await("the limit in the view", func() bool { return d.limitOf("r0") == 0.5 })
 		d.c.Assert(d.limitOf("r1"), qt.Equals, 0.0)
 		d.c.Assert(d.warmUp(5).Requests, qt.Equals, 0)
@@ -94,13 +93,13 @@
 		d.c.Assert(d.warmUp(5).Requests, qt.Equals, 1)
 		pause.For(d.ctx, 10*time.Second)
 		d.c.Assert(d.warmUp(5).Requests, qt.Equals, ratelimit.Burst)
-		// A new leader knows nothing until a router tells it again.
+		// A new leader has no limits until routers report them again.
 		d.kill(d.awaitLeader())
-		d.hearLimit(ratelimit.Report{Instance: "r0", PerSecond: 0.5})
+		d.reportLimit(ratelimit.Report{Instance: "r0", PerSecond: 0.5})
 		d.await("the limit in the next leader's view", func() bool { return d.limitOf("r0") == 0.5 })
-		d.hearLimit(ratelimit.Report{Instance: "r0", IsEnded: true})
+		d.reportLimit(ratelimit.Report{Instance: "r0", IsEnded: true})
 		d.await("the end in the view", func() bool { return d.limitOf("r0") == 0 })
-		d.hearLimit(ratelimit.Report{Instance: "nobody", PerSecond: 1})
+		d.reportLimit(ratelimit.Report{Instance: "nobody", PerSecond: 1})
 		d.c.Assert(d.limitOf("nobody"), qt.Equals, -1.0)
 	})
 }
--- a/placement/domainnode/views.go
+++ b/placement/domainnode/views.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// refreshRest times what a look at all runners took is the shortest pause before the next one for departures
-	// alone: where hundreds of runners leave together they share a few looks, which take a quarter of the leader's
-	// time at most.
-	refreshRest = 3
-	// maxRefreshRest bounds it: a departure is acknowledged within some hundreds of milliseconds.
-	maxRefreshRest = 150 * time.Millisecond
+	// refreshPauseFactor times the duration of the last refresh is the minimum pause before
+	// the next one caused by departures, so that concurrent departures share refreshes and
+	// these take at most a quarter of the leader's time.
+	refreshPauseFactor = 3
+	// maxRefreshPause bounds that pause, so that departures are acknowledged within some
+	// hundred milliseconds.
+	maxRefreshPause = 150 * time.Millisecond
 )
 
-// refresh looks at all runners and makes the view anew. It runs under the mutex.
+// refresh reads the state of all runners and publishes a new view. The caller holds the mutex.
 func (l *leadership) refresh(at time.Time) {
 	l.statuses = l.registry.Runners(at)
-	l.drainStatuses(l.statuses)
-	l.coolStatuses(at, l.statuses)
-	l.limitStatuses(l.statuses)
+	l.markDrained(l.statuses)
+	l.markCold(at, l.statuses)
+	l.markRateLimits(l.statuses)
 	l.planner.SetRunners(at, l.statuses)
-	l.noteLost(l.statuses)
+	l.updateLost(l.statuses)
 	l.forgetFailing(at, l.statuses)
 	l.publish(at)
 	l.refreshedAt = l.now()
-	l.refreshTook = l.refreshedAt.Sub(at)
+	l.refreshDuration = l.refreshedAt.Sub(at)
 }
 
-// publish makes the view of the runners as they stood at the last look. It runs under the mutex.
+// publish publishes a view of the runners as of the last refresh. The caller holds the mutex.
 func (l *leadership) publish(at time.Time) {
 	view := fleet.View{Complete: l.registry.Complete(at), Gone: l.registry.Gone()}
 	view.Runners = l.views.Spare()
@@ -55,34 +56,34 @@
 			Models:   l.planner.Loaded(heartbeat.Instance),
 		})
 	}
-	l.drainRunners(at, view.Runners)
+	l.drainView(at, view.Runners)
 	l.views.Publish(view)
 }
 
-// refreshAfter makes a view that tells of what was changed at a time, unless there is one already, has all routers
-// told of it, and returns its revision. Changes that come together share a look.
+// refreshAfter ensures that a view newer than the given time is announced to all routers and
+// returns its revision. Concurrent calls share a refresh.
 func (l *leadership) refreshAfter(ctx context.Context, changed time.Time) uint64 {
 	for {
 		l.mutex.Lock()
 		at := l.now()
-		rest := min(maxRefreshRest, refreshRest*l.refreshTook) - at.Sub(l.refreshedAt)
+		rest := min(maxRefreshPause, refreshPauseFactor*l.refreshDuration) - at.Sub(l.refreshedAt)
 		if rest <= 0 && !l.refreshedAt.After(changed) {
 			l.refresh(at)
 		}
-		isTold, revision := l.refreshedAt.After(changed), l.views.Revision()
-		if isTold && l.announcer.told.revision < revision {
-			l.announcer.announce(l.now(), l.news())
+		isPublished, revision := l.refreshedAt.After(changed), l.views.Revision()
+		if isPublished && l.announcer.announced.view < revision {
+			l.announcer.announce(l.now(), l.currentVersions())
 		}
 		l.mutex.Unlock()
-		if isTold || !pause.For(ctx, max(tellPause, rest)) {
+		if isPublished || !pause.For(ctx, max(routerPollInterval, rest)) {
 			return revision
 		}
 	}
 }
 
-// greet notes a router that followed the leader before. Of a large fleet it knows all that leader told it, so that it
-// is told only what is new until its turn for the whole view comes.
-func (l *leadership) greet(arguments *domainapi.WatchArguments) {
+// noteTermChange records whether a router comes from another leader. In a large fleet such a
+// router receives only changes until the full view is due.
+func (l *leadership) noteTermChange(arguments *domainapi.WatchArguments) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if arguments.Term == uint64(l.term) {
@@ -90,47 +91,50 @@
 	}
 	isNew := arguments.Term == 0 || arguments.Revision == 0
 	known := l.routers[arguments.Router]
-	known.isBehind = !isNew && l.views.IsLarge(l.now())
-	known.wantsWhole = false
+	known.lacksFullView = !isNew && l.views.IsLarge(l.now())
+	known.wantsFullView = false
 	l.routers[arguments.Router] = known
 }
 
-// takesWholeView reports whether the router's turn for the whole view has come. Until then it is told what is new.
-func (l *leadership) takesWholeView(arguments *domainapi.WatchArguments) bool {
+// takeFullViewTurn reports whether the router is due for the full view that it lacks, and
+// reserves the slot.
+func (l *leadership) takeFullViewTurn(arguments *domainapi.WatchArguments) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.routers[arguments.Router]
-	if !known.isBehind || arguments.Term != uint64(l.term) {
+	if !known.lacksFullView || arguments.Term != uint64(l.term) {
 		return false
 	}
 	whole, revision, err := l.views.Whole(l.now(), 0)
 	if err != nil || revision < arguments.Revision {
-		// It would tell the router less than it knows; the next one that is encoded does not.
+		// A view older than the router's would drop what it knows; a later encoding does not.
 		return false
 	}
-	if _, isTaken := l.wholeViews.reserve(l.now(), len(whole.Bytes), 0); !isTaken {
+	if _, isTaken := l.fullViewPacer.reserve(l.now(), len(whole.Bytes), 0); !isTaken {
 		return false
 	}
-	known.isBehind = false
+	known.lacksFullView = false
 	l.routers[arguments.Router] = known
 	return true
 }
 
-// takeWanted reports whether a router is to get the whole view now, as its requests wait. It runs under the mutex.
-func (l *leadership) takeWanted(router string) bool {
+// takeWantedFullView reports whether a router must get the full view now because its requests
+// wait for it. The caller holds the mutex.
+func (l *leadership) takeWantedFullView(router string) bool {
 	known := l.routers[router]
-	if !known.wantsWhole {
+	if !known.wantsFullView {
 		return false
 	}
-	known.isBehind, known.wantsWhole = false, false
+	known.lacksFullView, known.wantsFullView = false, false
 	l.routers[router] = known
 	return true
 }
 
-// viewFor is the view that a router is sent that knows a revision, and what it knows then. It runs under the mutex.
+// viewFor returns the view to send to a router that has the revision known, and the revision
+// that it has afterwards. The caller holds the mutex.
 func (l *leadership) viewFor(router string, known uint64) (view fleet.EncodedView, revision uint64, err error) {
 	switch {
-	case l.routers[router].isBehind:
+	case l.routers[router].lacksFullView:
 		view, err = l.views.EncodedNewsSince(known)
 	case known == 0:
 		return l.views.Whole(l.now(), l.routers[router].revision)
--- a/placement/domainnode/views_test.go
+++ b/placement/domainnode/views_test.go
@@ -13,8 +13,8 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// watchAll has so many routers watch the leader, as routers do, until it leads no more, and counts the views that
-// they get.
+// watchAll starts routers that watch the leader until its leadership ends. views returns the
+// number of views received.
 func (d *testDomain) watchAll(leading *runningNode, routers int) (watching *sync.WaitGroup, views func() int) {
 	var mutex sync.Mutex
 	count := 0
@@ -44,12 +44,12 @@
 	}
 }
 
-// Two hundred runners leave at once: each is acknowledged once all routers know, and they share a few looks at the
-// fleet and a few words to each router.
-func TestRunnersThatLeaveTogetherShareAFewViews(t *testing.T) {
+// Departures of 200 runners at once are acknowledged once all routers have them, and share
+// few refreshes and views.
+func TestConcurrentDeparturesShareViews(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
 		const leaving, routers = 200, 20
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(1)
 		leading := d.nodes[d.awaitLeader()]
 		for index := range leaving {
@@ -60,12 +60,12 @@
 		}
 		watching, views := d.watchAll(leading, routers)
 		pause.For(d.ctx, 2*time.Second)
-		joined, err := leading.current()
+		m, err := leading.current()
 		d.c.Assert(err, qt.IsNil)
-		current := joined.leads()
-		// A look at a large fleet takes long; virtual time passes for it as it is told to.
+		current := m.currentLeadership()
+		// Refreshes take no virtual time, so set the duration of one of a large fleet.
 		current.mutex.Lock()
-		current.refreshTook = 30 * time.Millisecond
+		current.refreshDuration = 30 * time.Millisecond
 		current.mutex.Unlock()
 		before := views()
 		var departing sync.WaitGroup
@@ -89,119 +89,121 @@
 	})
 }
 
-// largeFleet has the leader hear so many runners, and says which of them a call is about.
-func (d *testDomain) largeFleet(leading *runningNode, runners int, sequence uint64) {
-	joined, err := leading.current()
+// receiveLargeFleet applies heartbeats of many runners at the leader.
+func (d *testDomain) receiveLargeFleet(leading *runningNode, runners int, sequence uint64) {
+	m, err := leading.current()
 	d.c.Assert(err, qt.IsNil)
 	for index := range runners {
-		joined.leads().heard(largeRunner(index, sequence))
+		m.currentLeadership().receiveHeartbeat(largeFleetHeartbeat(index, sequence))
 	}
-	joined.leads().wakePlan()
+	m.currentLeadership().wakePlan()
 }
 
-func largeRunner(index int, sequence uint64) fleet.Heartbeat {
+func largeFleetHeartbeat(index int, sequence uint64) fleet.Heartbeat {
 	return fleet.Heartbeat{
 		Instance: fmt.Sprintf("i-%08x", uint32(index)*2654435761), Service: "s", Address: fmt.Sprintf("10.%d.%d.%d:8080", index>>16, index>>8&255, index&255),
 		Zone: fmt.Sprint("zone-", index%2), Slots: 12, Sequence: sequence, Models: []fleet.LoadedModel{{Name: fmt.Sprint("m", index%100)}},
 	}
 }
 
-// testFollower is what a router does with the replies to its watches.
-type testFollower struct {
+// testRouter applies the replies to its watches as a router does.
+type testRouter struct {
 	d         *testDomain
 	arguments domainapi.WatchArguments
 	known     *fleet.Directory
-	// bytes are those of the last view, whole is set if it was one.
-	bytes   int
-	isWhole bool
+	// bytes is the size of the last view; isFull is set if it was a full one.
+	bytes  int
+	isFull bool
 }
 
-func (d *testDomain) newFollower(name string) *testFollower {
-	return &testFollower{d: d, known: fleet.NewDirectory(), arguments: domainapi.WatchArguments{Router: name, MaxHold: domainapi.MostHold, Version: 1}}
+func (d *testDomain) newTestRouter(name string) *testRouter {
+	return &testRouter{d: d, known: fleet.NewDirectory(), arguments: domainapi.WatchArguments{Router: name, MaxHold: domainapi.MostHold, Version: 1}}
 }
 
-// watch asks the leader once.
-func (f *testFollower) watch() {
+// watch sends one watch to the leader.
+func (f *testRouter) watch() {
 	var reply domainapi.WatchReply
 	f.d.await("an answer to a watch", func() bool {
 		reply = domainapi.WatchReply{}
 		_ = (&service{node: f.d.nodes[f.d.awaitLeader()].Node}).Watch(&f.arguments, &reply)
 		return reply.Error == nil
 	})
-	f.bytes, f.isWhole = 0, false
+	f.bytes, f.isFull = 0, false
 	if reply.View != nil {
 		view, err := reply.View.Decode()
 		f.d.c.Assert(err, qt.IsNil)
-		f.bytes, f.isWhole = len(reply.View.Bytes), !view.Partial
+		f.bytes, f.isFull = len(reply.View.Bytes), !view.Partial
 		f.known.Learn(view)
 	}
 	f.arguments.Term, f.arguments.Revision = reply.Term, reply.Revision
 }
 
-// A new leader of a large fleet tells routers that followed the one before what is new, at once and shortly, and the
-// whole view in their turn. Meanwhile they know what they knew; one that knows nothing gets all at once.
-func TestRoutersOfALargeFleetKeepWhatTheyKnowAtANewLeader(t *testing.T) {
+// A new leader of a large fleet sends only changes to routers that followed the previous
+// leader, and full views later. Routers keep their view meanwhile; a new router gets the full
+// view immediately.
+func TestRoutersKeepViewAtNewLeaderOfLargeFleet(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
 		const runners = 2000
 		document := []byte(`{"Version":1,"Services":[{"Name":"s","Engine":{"WeightsMB":1000,"MaxAdapters":8,"LoadsPerSecond":9,` +
 			`"Models":[{"Name":"m1","SizeMB":1}]}}]}`)
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.await("the document", func() bool { return d.nodes[0].PutDocument(d.ctx, document) == nil })
-		d.largeFleet(d.nodes[d.awaitLeader()], runners, 1)
+		d.receiveLargeFleet(d.nodes[d.awaitLeader()], runners, 1)
 		pause.For(d.ctx, 3*time.Second)
-		router := d.newFollower("router")
+		router := d.newTestRouter("router")
 		router.watch()
-		d.c.Assert(router.isWhole, qt.IsTrue)
+		d.c.Assert(router.isFull, qt.IsTrue)
 		d.c.Assert(router.known.Len(), qt.Equals, runners)
 		d.kill(d.awaitLeader())
 		next := d.nodes[d.awaitLeader()]
-		gone := largeRunner(7, 0).Instance
+		gone := largeFleetHeartbeat(7, 0).Instance
 		d.await("a departure", func() bool { return next.Depart(d.ctx, gone, 0) == nil })
 		router.watch()
-		d.c.Assert(router.isWhole, qt.IsFalse)
+		d.c.Assert(router.isFull, qt.IsFalse)
 		d.c.Assert(router.bytes < 1000, qt.IsTrue, qt.Commentf("%d bytes", router.bytes))
 		d.c.Assert(router.known.Len(), qt.Equals, runners-1)
 		d.c.Assert(router.known.Runner(gone), qt.IsNil)
-		d.c.Assert(router.known.Runner(largeRunner(8, 0).Instance).Models, qt.HasLen, 1)
-		fresh := d.newFollower("fresh")
+		d.c.Assert(router.known.Runner(largeFleetHeartbeat(8, 0).Instance).Models, qt.HasLen, 1)
+		fresh := d.newTestRouter("fresh")
 		fresh.watch()
-		d.c.Assert(fresh.isWhole, qt.IsTrue)
-		d.largeFleet(next, runners, 2)
+		d.c.Assert(fresh.isFull, qt.IsTrue)
+		d.receiveLargeFleet(next, runners, 2)
 		for range 10 {
 			router.watch()
 			fresh.watch()
 		}
 		for index := range runners {
-			instance := largeRunner(index, 0).Instance
+			instance := largeFleetHeartbeat(index, 0).Instance
 			d.c.Assert(router.known.Runner(instance), qt.DeepEquals, fresh.known.Runner(instance), qt.Commentf("%s", instance))
 		}
 	})
 }
 
-// A router whose requests wait for a model that it was not told of gets the whole view at once.
-func TestWaitingRouterGetsTheWholeViewAtOnce(t *testing.T) {
+// A router whose requests wait for an unlisted model gets the full view without waiting for
+// its turn.
+func TestWaitingRouterGetsFullViewImmediately(t *testing.T) {
 	inDomain(t, func(d *testDomain) {
-		d.found(0, 1, 2)
+		d.bootstrap(0, 1, 2)
 		d.put(1)
 		leading := d.nodes[d.awaitLeader()]
-		d.largeFleet(leading, 2000, 1)
+		d.receiveLargeFleet(leading, 2000, 1)
 		pause.For(d.ctx, 2*time.Second)
-		joined, err := leading.current()
+		m, err := leading.current()
 		d.c.Assert(err, qt.IsNil)
-		current := joined.leads()
-		router := d.newFollower("router")
+		current := m.currentLeadership()
+		router := d.newTestRouter("router")
 		router.watch()
 		current.mutex.Lock()
 		known := current.routers["router"]
-		known.isBehind = true
+		known.lacksFullView = true
 		current.routers["router"] = known
-		// All turns are taken for long.
-		current.wholeViews.free = current.now().Add(time.Hour)
+		// All slots for full views are taken.
+		current.fullViewPacer.nextFree = current.now().Add(time.Hour)
 		current.notify("router")
 		current.mutex.Unlock()
 		began := time.Now()
 		router.watch()
-		d.c.Assert(router.isWhole, qt.IsTrue)
+		d.c.Assert(router.isFull, qt.IsTrue)
 		d.c.Assert(time.Since(began) < 50*time.Millisecond, qt.IsTrue)
 	})
 }
