--- a/placement/fleet/benchmark_test.go
+++ b/placement/fleet/benchmark_test.go
@@ -12,11 +12,12 @@
 	"github.com/lotusferry/lotusferry/placement/pace"
 )
 
-// sizes are those of fleets, in runners.
+// sizes are fleet sizes in runners.
 var sizes = []int{300, 1000, 3000, 10000, 20000}
 
-// fleetOf makes a view of so many runners with three models each, as it comes from the wire: no text is shared.
-func fleetOf(count int) View {
+// newView returns a view of count runners with three models each. As in a decoded view, no strings
+// are shared.
+func newView(count int) View {
 	view := View{Complete: true}
 	for i := range count {
 		runner := Runner{
@@ -32,8 +33,8 @@
 	return view
 }
 
-// changesOf is a partial view in which some runners say something else each time.
-func changesOf(whole View, count, round int) View {
+// partialViewOf returns a partial view of count runners whose slots differ from round to round.
+func partialViewOf(whole View, count, round int) View {
 	changes := View{Partial: true, Complete: true}
 	for i := range count {
 		runner := whole.Runners[(round*7+i*131)%len(whole.Runners)]
@@ -43,24 +44,24 @@
 	return changes
 }
 
-func BenchmarkDirectoryLearnsAChangeOfThreeRunners(b *testing.B) {
+func BenchmarkDirectoryLearnPartialView(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			whole := fleetOf(size)
+			whole := newView(size)
 			directory := NewDirectory()
 			directory.Learn(whole)
 			b.ReportAllocs()
 			for round := 0; b.Loop(); round++ {
-				directory.Learn(changesOf(whole, 3, round))
+				directory.Learn(partialViewOf(whole, 3, round))
 			}
 		})
 	}
 }
 
-func BenchmarkDirectoryLearnsTheFirstViewOfANewLeader(b *testing.B) {
+func BenchmarkDirectoryLearnIncompleteView(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			whole := fleetOf(size)
+			whole := newView(size)
 			directory := NewDirectory()
 			directory.Learn(whole)
 			first := View{Runners: whole.Runners[:size/2]}
@@ -72,10 +73,10 @@
 	}
 }
 
-func BenchmarkDecodeOfAWholeView(b *testing.B) {
+func BenchmarkDecodeFullView(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			encoded, err := fleetOf(size).Encode()
+			encoded, err := newView(size).Encode()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -90,7 +91,7 @@
 	}
 }
 
-// heapBytes is what lives in the heap.
+// heapBytes returns the live heap size after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -99,13 +100,13 @@
 	return stats.HeapAlloc
 }
 
-// maxRunnerBytes is what a router may keep of a runner: 10 MB at ten thousand.
+// maxRunnerBytes bounds a router's memory per runner.
 const maxRunnerBytes = 1000
 
-// A router keeps a bounded memory of each runner, however it was told of it.
-func TestDirectoryKeepsLittleOfEachRunner(t *testing.T) {
+// Guards against a Directory that keeps the strings of every decoded view alive.
+func TestDirectoryMemoryPerRunnerIsBounded(t *testing.T) {
 	const count = 10000
-	encoded, err := fleetOf(count).Encode()
+	encoded, err := newView(count).Encode()
 	qt.Assert(t, err, qt.IsNil)
 	before := heapBytes()
 	directory := NewDirectory()
@@ -115,17 +116,17 @@
 		directory.Learn(view)
 	}
 	each := float64(heapBytes()-before) / count
-	t.Logf("%.0f bytes a runner", each)
-	qt.Assert(t, each < maxRunnerBytes, qt.IsTrue, qt.Commentf("%.0f bytes a runner", each))
+	t.Logf("%.0f bytes per runner", each)
+	qt.Assert(t, each < maxRunnerBytes, qt.IsTrue, qt.Commentf("%.0f bytes per runner", each))
 	runtime.KeepAlive(directory)
 	runtime.KeepAlive(encoded)
 }
 
-// heardFleet is a registry that has heard so many runners.
-func heardFleet(size int) (*Registry, []Heartbeat) {
+// newFilledRegistry returns a registry that has received one heartbeat from each of size runners.
+func newFilledRegistry(size int) (*Registry, []Heartbeat) {
 	registry := NewRegistry(start, testTiming)
 	var heartbeats []Heartbeat
-	for i, runner := range fleetOf(size).Runners {
+	for i, runner := range newView(size).Runners {
 		heartbeat := Heartbeat{
 			Instance: runner.Instance, Service: runner.Service, Address: runner.Address, Zone: runner.Zone, Slots: runner.Slots,
 			Sequence: 1, Models: runner.Models,
@@ -139,7 +140,7 @@
 func BenchmarkRegistryRunners(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			registry, _ := heardFleet(size)
+			registry, _ := newFilledRegistry(size)
 			b.ReportAllocs()
 			for b.Loop() {
 				registry.Runners(start.Add(time.Second))
@@ -148,10 +149,10 @@
 	}
 }
 
-func BenchmarkPublishOfOneChange(b *testing.B) {
+func BenchmarkPublishOneChange(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			view := fleetOf(size)
+			view := newView(size)
 			view.Runners = sortedByInstance(view.Runners)
 			publisher := NewPublisher()
 			publisher.Publish(view)
--- a/placement/fleet/codec.go
+++ b/placement/fleet/codec.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// packedFrom is the size in bytes from which a view is packed.
-	packedFrom = 2 << 10
-	// maxViewBytes bounds a view after it is unpacked.
+	// compressFrom is the encoded size in bytes from which a view is compressed.
+	compressFrom = 2 << 10
+	// maxViewBytes bounds the size of a decompressed view.
 	maxViewBytes = 64 << 20
 )
 
-// EncodedView is a view as bytes, which many routers can be sent.
+// EncodedView is an encoded view. It can be sent to any number of routers.
 type EncodedView struct {
 	IsPacked bool
 	Bytes    []byte
 }
 
-// Encode returns the view as bytes, packed if it is large.
+// Encode returns the encoded view, compressed if it is large.
 func (v View) Encode() (EncodedView, error) {
-	v.Runners = split(v.Runners)
+	v.Runners = splitIncarnations(v.Runners)
 	encoded, err := msgpack.Marshal(&v)
-	if err != nil || len(encoded) < packedFrom {
+	if err != nil || len(encoded) < compressFrom {
 		return EncodedView{Bytes: encoded}, errors.Wrap(err, "encode view")
 	}
 	packed, err := deflate.Pack(encoded)
 	return EncodedView{IsPacked: true, Bytes: packed}, err
 }
 
-// Decode is the reverse of View.Encode.
+// Decode returns the view that View.Encode encoded.
 func (e EncodedView) Decode() (View, error) {
 	var view View
 	encoded := e.Bytes
@@ -45,6 +45,6 @@
 	if err := msgpack.Unmarshal(encoded, &view); err != nil {
 		return view, errors.Wrap(err, "decode view")
 	}
-	name(view.Runners)
+	joinIncarnations(view.Runners)
 	return view, nil
 }
--- a/placement/fleet/directory.go
+++ b/placement/fleet/directory.go
@@ -6,65 +6,66 @@
 	"github.com/lotusferry/lotusferry/placement/pace"
 )
 
-// ModelKey names a model of a service. Without a model it names the service itself.
+// ModelKey identifies a model of a service, or the service itself if Model is empty.
 type ModelKey struct{ Service, Model string }
 
-// Directory is what a router knows of the runners. What it does at a change goes with the change and not with
-// how many runners there are: at ten thousand runners, a view of three that changed takes it some microseconds.
-// Make one with NewDirectory; its methods must not run at the same time.
+// Directory is a router's index of the runners. Applying a partial view costs time proportional to
+// the view, not to the fleet. Create one with NewDirectory. Its methods are not safe for concurrent
+// use.
 type Directory struct {
 	runners map[string]*entry
-	// addresses names the runner at each address, and lives the life of the runner with each ID.
-	addresses map[string]string
-	lives     map[string]string
-	// holders are by model, those of a whole service under no model.
+	// addresses maps an address to the instance there, and incarnations maps a runner ID to its
+	// listed instance.
+	addresses    map[string]string
+	incarnations map[string]string
+	// holders lists the runners that hold a model. A key without a model lists all runners of the
+	// service.
 	holders map[ModelKey][]*entry
-	// unconfirmed counts the runners that the present leader has not listed yet.
+	// unconfirmed counts the runners that the current leader has not listed yet.
 	unconfirmed int
-	words       words
+	names       interner
 }
 
-// entry is a runner in a Directory.
 type entry struct {
 	Runner
-	// position is that among the runners of its service.
+	// position is the index of the runner in the holders of its service.
 	position int
 }
 
-// NewDirectory makes a Directory that knows no runner.
+// NewDirectory returns an empty Directory.
 func NewDirectory() *Directory {
 	return &Directory{
-		runners:   make(map[string]*entry),
-		addresses: make(map[string]string),
-		lives:     make(map[string]string),
-		holders:   make(map[ModelKey][]*entry),
-		words:     make(words),
+		runners:      make(map[string]*entry),
+		addresses:    make(map[string]string),
+		incarnations: make(map[string]string),
+		holders:      make(map[ModelKey][]*entry),
+		names:        make(interner),
 	}
 }
 
-// Changes are the runners of which something else is known after a view was learned than before.
+// Changes lists the instances whose entries changed when a view was applied.
 type Changes struct {
-	// Changed are new, or tell something else of themselves, Removed are known no more.
+	// Changed are new or updated instances, Removed those that are no longer listed.
 	Changed []string
 	Removed []string
 }
 
-// Learn adopts a newer view. An incomplete view adds to what is known and takes away only what is certainly
-// gone, so that a new leader, which has not heard the heartbeats yet, empties no router's list. Once a view is
-// complete, what its leader never listed is gone.
+// Learn applies a newer view. An incomplete view adds runners and removes only those that have
+// certainly ended, so that a new leader which has not received all heartbeats doesn't empty the
+// routers' directories. A complete view also removes every runner that its leader never listed.
 func (d *Directory) Learn(view View) Changes {
 	var changes Changes
 	if !view.Partial {
-		d.unconfirm(&view, &changes)
+		d.markUnconfirmed(&view, &changes)
 	}
 	for _, ended := range [][]string{view.Removed, view.Gone} {
 		for _, instance := range ended {
 			d.remove(instance, &changes)
 		}
 	}
-	recalled := d.recalled(view.Runners)
+	recalled := d.lookUpRecalled(view.Runners)
 	for i := range view.Runners {
-		d.learn(recalled.of(view.Runners[i]), &changes)
+		d.applyRunner(recalled.fillIn(view.Runners[i]), &changes)
 	}
 	if view.Complete && d.unconfirmed > 0 {
 		for instance, known := range d.runners {
@@ -76,20 +77,21 @@
 	return changes
 }
 
-// recalled are runners that a leader lists which has not heard them yet, as they were known.
-type recalled map[string]Runner
+// recalledRunners holds the known state of runners that a new leader has listed but not heard from
+// yet.
+type recalledRunners map[string]Runner
 
-// recalled looks up those of the runners that are known. It does so before any of them is adopted, as they may have
-// changed places.
-func (d *Directory) recalled(runners []Runner) recalled {
-	var found recalled
+// lookUpRecalled returns the known state of the recalled runners. It must run before any update is
+// applied, since runners may have swapped addresses.
+func (d *Directory) lookUpRecalled(runners []Runner) recalledRunners {
+	var found recalledRunners
 	for i := range runners {
 		if !runners[i].Recalled {
 			continue
 		}
 		if known := d.runners[runners[i].Instance]; known != nil {
 			if found == nil {
-				found = make(recalled)
+				found = make(recalledRunners)
 			}
 			found[known.Instance] = known.Runner
 		}
@@ -97,28 +99,27 @@
 	return found
 }
 
-// of completes what a leader tells of a runner that it has not heard: it does not know what the runner holds, how
-// quick it is, or whether it is cold, and says nothing of that. What the leader before said is most often still
-// so: without it requests had no runners until each has sent its next heartbeat, and what is so no more a runner
-// itself refuses.
-func (r recalled) of(told Runner) Runner {
-	known, isKnown := r[told.Instance]
+// fillIn adds the known models, pace and cold state to the update of a recalled runner. A new
+// leader does not have these before the runner's first heartbeat, and without them the runner would
+// get no requests until then. If they are out of date, the runner rejects the request itself.
+func (r recalledRunners) fillIn(update Runner) Runner {
+	known, isKnown := r[update.Instance]
 	if !isKnown {
-		return told
+		return update
 	}
-	told.Cold = told.Cold || known.Cold
-	if len(told.Models) == 0 {
-		told.Models = known.Models
+	update.Cold = update.Cold || known.Cold
+	if len(update.Models) == 0 {
+		update.Models = known.Models
 	}
-	if told.Pace == (pace.Runner{}) {
-		told.Pace, told.Slow = known.Pace, known.Slow
+	if update.Pace == (pace.Runner{}) {
+		update.Pace, update.Slow = known.Pace, known.Slow
 	}
-	return told
+	return update
 }
 
-// unconfirm prepares for a whole view: a complete one takes away what it does not list, another leaves that
-// unconfirmed.
-func (d *Directory) unconfirm(view *View, changes *Changes) {
+// markUnconfirmed handles the runners that a full view does not list: a complete view removes them,
+// an incomplete one marks them unconfirmed.
+func (d *Directory) markUnconfirmed(view *View, changes *Changes) {
 	listed := make(map[string]struct{}, len(view.Runners))
 	for i := range view.Runners {
 		listed[view.Runners[i].Instance] = struct{}{}
@@ -136,16 +137,17 @@
 	}
 }
 
-// learn takes what a view tells of a runner. Another one at its address and another life of it have ended.
-func (d *Directory) learn(told Runner, changes *Changes) {
-	if other := d.addresses[told.Address]; other != "" && other != told.Instance {
+// applyRunner applies the update of one runner. It removes another runner at the same address and
+// another incarnation of the same runner.
+func (d *Directory) applyRunner(update Runner, changes *Changes) {
+	if other := d.addresses[update.Address]; other != "" && other != update.Instance {
 		d.remove(other, changes)
 	}
-	if former := d.lives[IDOf(told.Instance)]; former != "" && former != told.Instance {
+	if former := d.incarnations[IDOf(update.Instance)]; former != "" && former != update.Instance {
 		d.remove(former, changes)
 	}
-	known := d.runners[told.Instance]
-	runner := d.words.share(told)
+	known := d.runners[update.Instance]
+	runner := d.names.internRunner(update)
 	if known == nil {
 		d.add(runner)
 		changes.Changed = append(changes.Changed, runner.Instance)
@@ -158,16 +160,16 @@
 	if known.Equal(runner) {
 		return
 	}
-	d.unlist(known)
+	d.removeFromIndex(known)
 	known.Runner = runner
-	d.list(known)
+	d.addToIndex(known)
 	changes.Changed = append(changes.Changed, runner.Instance)
 }
 
 func (d *Directory) add(runner Runner) {
 	added := &entry{Runner: runner}
 	d.runners[runner.Instance] = added
-	d.list(added)
+	d.addToIndex(added)
 }
 
 func (d *Directory) remove(instance string, changes *Changes) {
@@ -178,17 +180,17 @@
 	if known.Unconfirmed {
 		d.unconfirmed--
 	}
-	d.unlist(known)
+	d.removeFromIndex(known)
 	delete(d.runners, instance)
 	changes.Removed = append(changes.Removed, instance)
 }
 
-// list puts a runner where it is looked up by.
-func (d *Directory) list(known *entry) {
+// addToIndex adds the runner to the lookup maps.
+func (d *Directory) addToIndex(known *entry) {
 	if known.Address != "" {
 		d.addresses[known.Address] = known.Instance
 	}
-	d.lives[IDOf(known.Instance)] = known.Instance
+	d.incarnations[IDOf(known.Instance)] = known.Instance
 	service := ModelKey{Service: known.Service}
 	known.position = len(d.holders[service])
 	d.holders[service] = append(d.holders[service], known)
@@ -198,12 +200,12 @@
 	}
 }
 
-// unlist is the reverse of list.
-func (d *Directory) unlist(known *entry) {
+// removeFromIndex removes the runner from the lookup maps.
+func (d *Directory) removeFromIndex(known *entry) {
 	if d.addresses[known.Address] == known.Instance {
 		delete(d.addresses, known.Address)
 	}
-	delete(d.lives, IDOf(known.Instance))
+	delete(d.incarnations, IDOf(known.Instance))
 	service := ModelKey{Service: known.Service}
 	runners := d.holders[service]
 	last := runners[len(runners)-1]
@@ -224,10 +226,11 @@
 	d.holders[key] = holders
 }
 
-// Len counts the runners.
+// Len returns the number of runners.
 func (d *Directory) Len() int { return len(d.runners) }
 
-// Runner returns what is known of a runner; nil for one that is not listed. It must not be changed.
+// Runner returns the entry of an instance, or nil if it is not listed. The caller must not modify
+// it.
 func (d *Directory) Runner(instance string) *Runner {
 	if known := d.runners[instance]; known != nil {
 		return &known.Runner
@@ -238,8 +241,8 @@
 // IsTaken reports whether a runner is listed at the address.
 func (d *Directory) IsTaken(address string) bool { return d.addresses[address] != "" }
 
-// Each calls visit for the runners that hold a model, or those of a service, until it returns false. They must
-// not be changed.
+// Each calls visit for each runner that holds the model, or each runner of the service if key has
+// no model, until visit returns false. visit must not modify the runner.
 func (d *Directory) Each(key ModelKey, visit func(*Runner) bool) {
 	for _, known := range d.holders[key] {
 		if !visit(&known.Runner) {
@@ -248,7 +251,7 @@
 	}
 }
 
-// Instances lists all runners, in no order.
+// Instances returns all instances in unspecified order.
 func (d *Directory) Instances() []string {
 	listed := make([]string, 0, len(d.runners))
 	for instance := range d.runners {
@@ -257,8 +260,8 @@
 	return listed
 }
 
-// Update changes what is known of a runner until the next view that tells of it, by a function that gets a copy
-// of it and returns false for a runner to be removed.
+// Update calls change with a copy of the runner and stores the result, or removes the runner if
+// change returns false. The result holds until the next view that lists the runner.
 func (d *Directory) Update(instance string, change func(*Runner) bool) {
 	known := d.runners[instance]
 	if known == nil {
@@ -269,15 +272,16 @@
 		d.remove(instance, &Changes{})
 		return
 	}
-	d.unlist(known)
+	d.removeFromIndex(known)
 	known.Runner = changed
-	d.list(known)
+	d.addToIndex(known)
 }
 
-// words holds one copy of each text that many runners share: names of services, zones, models and adapters.
-type words map[string]string
+// interner shares the strings that many runners have in common: names of services, zones, models
+// and adapters.
+type interner map[string]string
 
-func (w words) of(text string) string {
+func (w interner) intern(text string) string {
 	if known, isKnown := w[text]; isKnown {
 		return known
 	}
@@ -285,15 +289,15 @@
 	return text
 }
 
-// share is the runner with shared texts.
-func (w words) share(runner Runner) Runner {
-	runner.Service = w.of(runner.Service)
-	runner.Zone = w.of(runner.Zone)
+// internRunner returns the runner with interned strings.
+func (w interner) internRunner(runner Runner) Runner {
+	runner.Service = w.intern(runner.Service)
+	runner.Zone = w.intern(runner.Zone)
 	for i := range runner.Models {
 		model := &runner.Models[i]
-		model.Name = w.of(model.Name)
+		model.Name = w.intern(model.Name)
 		for j, adapter := range model.Adapters {
-			model.Adapters[j] = w.of(adapter)
+			model.Adapters[j] = w.intern(adapter)
 		}
 	}
 	return runner
--- a/placement/fleet/doc.go
+++ b/placement/fleet/doc.go
@@ -1,8 +1,7 @@
-// Package fleet follows the runners that register themselves with the controllers:
-// which there are, where, what they hold, and which of them are leaving or silent.
-// The leader of the controllers keeps the Registry in memory, since every runner sends
-// a heartbeat each second or few seconds; only departures and registrations are
-// replicated. Routers keep a Directory of what the leader's Publisher tells them.
+// Package fleet tracks the registered runners: their addresses and models, and which of them are
+// leaving or silent. The controllers' leader keeps the Registry in memory, since runners send
+// heartbeats every second or few seconds; only registrations and departures are replicated. Routers
+// keep a Directory, which they update from the views of the leader's Publisher.
 //
-// The package is pure: time comes in as an argument.
+// The package does no I/O and reads no clock: callers pass the time as an argument.
 package fleet
--- a/placement/fleet/pacebytes_test.go
+++ b/placement/fleet/encodedsize_test.go
@@ -11,8 +11,8 @@
 	"github.com/lotusferry/lotusferry/placement/pace"
 )
 
-// pacedView is a view of some runners, of which a quarter takes about twice as long, with
-// the paces or without.
+// pacedView returns a view in which a quarter of the runners is about half as fast, with or without
+// paces.
 func pacedView(runners int, hasPaces bool) View {
 	random := rand.New(rand.NewPCG(2, 2))
 	view := View{Complete: true}
@@ -37,9 +37,8 @@
 	return view
 }
 
-// A router gets a whole view at its start and after a change of the leader only; paces may make it
-// half as large again: 25 bytes a runner.
-func TestPacesAddFewBytesToAView(t *testing.T) {
+// Guards against paces adding more than 25 bytes per runner to an encoded full view.
+func TestPacesAddFewBytesToView(t *testing.T) {
 	c := qt.New(t)
 	const runners = 300
 	without, err := pacedView(runners, false).Encode()
@@ -47,6 +46,6 @@
 	with, err := pacedView(runners, true).Encode()
 	c.Assert(err, qt.IsNil)
 	added := float64(len(with.Bytes)-len(without.Bytes)) / runners
-	c.Assert(added < 25, qt.IsTrue, qt.Commentf("%.1f bytes a runner on top of %d", added, len(without.Bytes)/runners))
-	t.Logf("%.1f bytes a runner on top of %d", added, len(without.Bytes)/runners)
+	c.Assert(added < 25, qt.IsTrue, qt.Commentf("%.1f bytes per runner on top of %d", added, len(without.Bytes)/runners))
+	t.Logf("%.1f bytes per runner on top of %d", added, len(without.Bytes)/runners)
 }
--- a/placement/fleet/failing.go
+++ b/placement/fleet/failing.go
@@ -3,123 +3,123 @@
 import "time"
 
 const (
-	// evidenceTime is over how long the ends of attempts at a runner are counted: about as long
-	// as routers take to report twice. What is older decays.
-	evidenceTime = time.Second
-	// enoughFailed is how many attempts must have failed at a runner lately, and enoughWitnesses
-	// at how many routers, for it to be taken as failing: one router may fail by a fault of its
-	// own, and an attempt or two by a fault of the request.
-	enoughFailed    = 4
-	enoughWitnesses = 3
-	// failingShare is the share of the attempts that must have failed. Runners that lose one
-	// answer in ten still serve most callers; of one that loses two in five, most callers
-	// have more from a runner that is a little more loaded.
-	failingShare = 0.4
-	// firstRest is how long a failing runner gets no requests before it is tried again. It
-	// doubles up to longestRest: a trial costs some callers their answers, a dozen over all
-	// routers, and a runner that has come back is missed for the rest of its rest.
-	firstRest   = 2 * time.Second
-	longestRest = 4 * time.Second
-	// forgivenAfter is how long after its rest a runner must not have failed for its next rest
-	// to be the first again.
-	forgivenAfter = 10 * time.Second
+	// failureWindow is the period over which the results of attempts count, about two reporting
+	// intervals of a router. Older results decay.
+	failureWindow = time.Second
+	// minFailures recent failed attempts, reported by minReporters routers, are needed to eject a
+	// runner: a single router may be faulty itself, and one or two failures may be caused by the
+	// requests.
+	minFailures  = 4
+	minReporters = 3
+	// failureRatio is the least share of failed attempts for an ejection. A runner that loses one
+	// answer in ten still serves most callers; at two in five, a slightly more loaded runner serves
+	// them better.
+	failureRatio = 0.4
+	// minEjection is the duration of the first ejection. It doubles up to maxEjection: each probe
+	// afterwards costs a few callers their answers, and a recovered runner stays unused for the
+	// rest of the ejection.
+	minEjection = 2 * time.Second
+	maxEjection = 4 * time.Second
+	// ejectionResetAfter is the time without failures after an ejection before the next one starts
+	// at minEjection again.
+	ejectionResetAfter = 10 * time.Second
 )
 
-// Attempts counts how the attempts at a runner ended that a router made since its last report.
+// Attempts counts the results of a router's attempts at a runner since its last report.
 type Attempts struct {
 	Instance string
 	Answered int
-	// Failed were broken off, or answered with a failure of the runner's own.
+	// Failed attempts were aborted, or answered with an error of the runner itself.
 	Failed int
 }
 
-// Failing finds the runners that fail many of the requests that they are sent though their
-// heartbeats come. Each router sees a few attempts only: alone, each would have to lose some
-// requests to find out. Make one with NewFailing when leadership begins; its methods must
-// not run at the same time.
-type Failing struct{ runners map[string]*evidence }
+// Failing detects runners that fail many requests although their heartbeats arrive. It combines the
+// reports of all routers, since each router sees only a few attempts. Create one with NewFailing
+// when leadership begins. Its methods are not safe for concurrent use.
+type Failing struct{ runners map[string]*attemptStats }
 
-// evidence is what tells whether a runner fails.
-type evidence struct {
+// attemptStats holds the recent results of attempts at a runner.
+type attemptStats struct {
 	answered, failed float64
 	at               time.Time
-	witnesses        map[string]time.Time
-	// restsUntil is until when it gets no requests, after a rest of that length.
-	restsUntil time.Time
-	rest       time.Duration
+	reporters        map[string]time.Time
+	// The runner gets no requests until ejectedUntil. ejection is the duration of that ejection.
+	ejectedUntil time.Time
+	ejection     time.Duration
 }
 
-// NewFailing makes a Failing that knows nothing.
-func NewFailing() *Failing { return &Failing{runners: make(map[string]*evidence)} }
+// NewFailing returns a Failing without any reports.
+func NewFailing() *Failing { return &Failing{runners: make(map[string]*attemptStats)} }
 
-// Observe takes a router's report. It reports whether a runner is failing from now on.
+// Observe records a router's report. It reports whether the report caused the runner to be ejected.
 func (f *Failing) Observe(now time.Time, router string, ended Attempts) bool {
 	known := f.runners[ended.Instance]
 	if known == nil {
 		if ended.Failed == 0 {
 			return false
 		}
-		known = &evidence{witnesses: make(map[string]time.Time)}
+		known = &attemptStats{reporters: make(map[string]time.Time)}
 		f.runners[ended.Instance] = known
 	}
 	known.decay(now)
 	known.answered += float64(ended.Answered)
 	known.failed += float64(ended.Failed)
 	if ended.Failed > 0 {
-		known.witnesses[router] = now
+		known.reporters[router] = now
 	}
-	return known.judge(now)
+	return known.ejectIfFailing(now)
 }
 
-// IsFailing reports whether a runner should get no requests if another one can.
+// IsFailing reports whether the runner is ejected, and should get requests only if no other runner
+// can take them.
 func (f *Failing) IsFailing(now time.Time, instance string) bool {
 	known := f.runners[instance]
-	return known != nil && now.Before(known.restsUntil)
+	return known != nil && now.Before(known.ejectedUntil)
 }
 
-// IsEmpty reports whether no runner has failed anything lately.
+// IsEmpty reports whether no recent failures are recorded.
 func (f *Failing) IsEmpty() bool { return len(f.runners) == 0 }
 
-// Forget drops the runners that are listed no more, and what no longer tells anything.
+// Forget deletes the records of runners that are no longer listed, and expired records.
 func (f *Failing) Forget(now time.Time, isListed func(instance string) bool) {
 	for instance, known := range f.runners {
-		isOld := now.Sub(known.at) > forgivenAfter && now.Sub(known.restsUntil) > forgivenAfter
+		isOld := now.Sub(known.at) > ejectionResetAfter && now.Sub(known.ejectedUntil) > ejectionResetAfter
 		if isOld || !isListed(instance) {
 			delete(f.runners, instance)
 		}
 	}
 }
 
-func (e *evidence) decay(now time.Time) {
+func (e *attemptStats) decay(now time.Time) {
 	passed := now.Sub(e.at)
 	e.at = now
 	if passed <= 0 {
 		return
 	}
-	kept := max(0, 1-float64(passed)/float64(2*evidenceTime))
+	kept := max(0, 1-float64(passed)/float64(2*failureWindow))
 	e.answered *= kept
 	e.failed *= kept
-	for router, at := range e.witnesses {
-		if now.Sub(at) > evidenceTime {
-			delete(e.witnesses, router)
+	for router, at := range e.reporters {
+		if now.Sub(at) > failureWindow {
+			delete(e.reporters, router)
 		}
 	}
 }
 
-// judge lets the runner rest if it fails. Attempts that were under way when its rest began end
-// later and prove nothing new.
-func (e *evidence) judge(now time.Time) bool {
-	isFailing := e.failed >= enoughFailed && len(e.witnesses) >= enoughWitnesses && e.failed >= failingShare*(e.failed+e.answered)
-	if !isFailing || now.Before(e.restsUntil) {
+// ejectIfFailing ejects the runner if it fails too many attempts. Failures during an ejection are
+// ignored, since these attempts began before it.
+func (e *attemptStats) ejectIfFailing(now time.Time) bool {
+	isFailing := e.failed >= minFailures && len(e.reporters) >= minReporters && e.failed >= failureRatio*(e.failed+e.answered)
+	if !isFailing || now.Before(e.ejectedUntil) {
 		return false
 	}
-	if e.rest == 0 || now.Sub(e.restsUntil) > forgivenAfter {
-		e.rest = firstRest
+	if e.ejection == 0 || now.Sub(e.ejectedUntil) > ejectionResetAfter {
+		e.ejection = minEjection
 	} else {
-		e.rest = min(2*e.rest, longestRest)
+		e.ejection = min(2*e.ejection, maxEjection)
 	}
-	e.restsUntil = now.Add(e.rest)
+	e.ejectedUntil = now.Add(e.ejection)
 	e.answered, e.failed = 0, 0
-	clear(e.witnesses)
+	clear(e.reporters)
 	return true
 }
--- a/placement/fleet/failing_test.go
+++ b/placement/fleet/failing_test.go
@@ -8,12 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// failingLoad plays routers that each send a runner a request now and then, and report how they
-// ended four times a second.
+// failingLoad simulates routers that send requests to one runner and report each result.
 type failingLoad struct {
 	failing *Failing
 	now     time.Time
-	// lost counts the requests that failed.
+	// lost counts the failed requests.
 	lost int
 }
 
@@ -21,8 +20,7 @@
 	return &failingLoad{failing: NewFailing(), now: time.Unix(1000, 0)}
 }
 
-// run lets so many routers send one request each a second, of which one in every fails; 0 for
-// none.
+// run sends one request a second from each router, of which one in every fails; none if every is 0.
 func (l *failingLoad) run(routers int, every int, length time.Duration) {
 	const step = 10 * time.Millisecond
 	sent := 0
@@ -42,39 +40,38 @@
 	}
 }
 
-// A runner that resets what it is sent, for six seconds, costs each of 68 routers two requests and
-// those of its trials while each finds out alone; together they lose a dozen for each rest.
-func TestFailingRunnerRests(t *testing.T) {
-	t.Run("one that fails everything is found by its first few requests", func(t *testing.T) {
+// Guards against losing requests at every router separately before a failing runner is ejected.
+func TestFailingRunnerIsEjected(t *testing.T) {
+	t.Run("all requests fail", func(t *testing.T) {
 		load := newFailingLoad()
 		load.run(68, 1, 6*time.Second)
-		qt.Assert(t, load.lost <= 4*enoughFailed, qt.IsTrue, qt.Commentf("%d lost", load.lost))
+		qt.Assert(t, load.lost <= 4*minFailures, qt.IsTrue, qt.Commentf("%d lost", load.lost))
 	})
-	t.Run("one that fails two of five does not stay", func(t *testing.T) {
+	t.Run("half of the requests fail", func(t *testing.T) {
 		load := newFailingLoad()
 		load.run(68, 2, 6*time.Second)
-		qt.Assert(t, load.lost <= 8*enoughFailed, qt.IsTrue, qt.Commentf("%d lost", load.lost))
+		qt.Assert(t, load.lost <= 8*minFailures, qt.IsTrue, qt.Commentf("%d lost", load.lost))
 	})
-	t.Run("one that loses an answer in ten serves on", func(t *testing.T) {
+	t.Run("one request in ten fails", func(t *testing.T) {
 		load := newFailingLoad()
 		load.run(68, 10, 6*time.Second)
 		qt.Assert(t, load.failing.IsFailing(load.now, "r"), qt.IsFalse)
 	})
-	t.Run("a router that fails by itself proves nothing", func(t *testing.T) {
+	t.Run("only one router reports failures", func(t *testing.T) {
 		load := newFailingLoad()
 		for range 20 {
 			load.failing.Observe(load.now, "alone", Attempts{Instance: "r", Failed: 1})
 		}
 		qt.Assert(t, load.failing.IsFailing(load.now, "r"), qt.IsFalse)
 	})
-	t.Run("it is tried again, and used once it answers", func(t *testing.T) {
+	t.Run("a recovered runner is used again", func(t *testing.T) {
 		load := newFailingLoad()
 		load.run(68, 1, time.Second)
 		qt.Assert(t, load.failing.IsFailing(load.now, "r"), qt.IsTrue)
-		load.run(68, 0, 2*firstRest)
+		load.run(68, 0, 2*minEjection)
 		qt.Assert(t, load.failing.IsFailing(load.now, "r"), qt.IsFalse)
 	})
-	t.Run("what is listed no more is forgotten", func(t *testing.T) {
+	t.Run("an unlisted runner is forgotten", func(t *testing.T) {
 		load := newFailingLoad()
 		load.run(68, 1, time.Second)
 		load.failing.Forget(load.now, func(string) bool { return false })
--- a/placement/fleet/fleet_test.go
+++ b/placement/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 	return names
 }
 
-func TestLateHeartbeatDoesNotBringBackWhatLeft(t *testing.T) {
+func TestLateHeartbeatDoesNotRestoreDepartedRunner(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	c.Assert(r.Hear(start, beat("a", 5)), qt.IsTrue)
@@ -38,14 +38,14 @@
 	c.Assert(r.Gone(), qt.DeepEquals, []string{"a"})
 }
 
-func TestDepartureHeardBeforeTheFirstHeartbeatHolds(t *testing.T) {
+func TestDepartureBeforeFirstHeartbeatIsKept(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	r.Depart(start, "a", true)
 	c.Assert(r.Hear(start, beat("a", 1)), qt.IsFalse)
 }
 
-func TestSilentRunnerIsDroppedAndReturns(t *testing.T) {
+func TestSilentRunnerIsDroppedUntilNextHeartbeat(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	r.Hear(start, beat("a", 1))
@@ -56,7 +56,7 @@
 	c.Assert(r.Runners(late), qt.HasLen, 1)
 }
 
-func TestShortNoticeEndsARunner(t *testing.T) {
+func TestRunnerLeavingAtShortNoticeExpires(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	notice := beat("a", 1)
@@ -66,7 +66,7 @@
 	c.Assert(r.Runners(start.Add(4*time.Second)), qt.HasLen, 0)
 }
 
-func TestYoungLeaderEmptiesNoList(t *testing.T) {
+func TestIncompleteViewKeepsUnlistedRunners(t *testing.T) {
 	c := qt.New(t)
 	known := View{Complete: true, Runners: []Runner{{Instance: "a", Address: "1"}, {Instance: "b", Address: "2"}, {Instance: "c", Address: "3"}}}
 	merged := Merge(known, View{Gone: []string{"b"}, Runners: []Runner{{Instance: "d", Address: "3"}}})
@@ -75,13 +75,14 @@
 	c.Assert(whole.Runners, qt.HasLen, 1)
 }
 
-func TestAnAddressHasOneInstance(t *testing.T) {
+func TestAddressHasOneInstance(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	r.Hear(start, beat("old", 9))
 	r.Hear(start, beat("new", 1))
 	c.Assert(instances(r.Runners(start)), qt.DeepEquals, []string{"new"})
-	// A late heartbeat of the old one holds only until the new one's next.
+	// A late heartbeat of the old instance takes the address only until the new instance's next
+	// heartbeat.
 	r.Hear(start, beat("old", 10))
 	r.Hear(start, beat("new", 2))
 	c.Assert(instances(r.Runners(start)), qt.DeepEquals, []string{"new"})
@@ -100,7 +101,7 @@
 	c.Assert(r.Silent(start.Add(time.Minute), 20*time.Second), qt.DeepEquals, []string{"a", "gone"})
 }
 
-func TestInstanceThatMovesLeavesItsAddress(t *testing.T) {
+func TestMovedInstanceReleasesItsAddress(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	r.Recall(start, beat("a", 0))
@@ -110,11 +111,11 @@
 	r.Hear(start, moved)
 	r.Hear(start, beat("a", 1))
 	c.Assert(instances(r.Runners(start)), qt.DeepEquals, []string{"a", "b"})
-	r.Expire(start.Add(forgottenAfter + time.Second))
+	r.Expire(start.Add(tombstoneTTL + time.Second))
 	c.Assert(r.addresses, qt.HasLen, 0)
 }
 
-// BenchmarkHear measures a heartbeat among 3,000 runners.
+// BenchmarkHear measures one heartbeat in a fleet of 3,000 runners.
 func BenchmarkHear(b *testing.B) {
 	r := NewRegistry(start, testTiming)
 	beats := make([]Heartbeat, 3000)
@@ -128,7 +129,7 @@
 	}
 }
 
-func TestRunnerIsColdForAsLongAsItSays(t *testing.T) {
+func TestRunnerIsColdForReportedTime(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	cold := beat("a", 1)
@@ -140,8 +141,8 @@
 	c.Assert(r.Runners(start.Add(time.Second))[0].Cold, qt.IsFalse)
 }
 
-// A new leader does not know whether a runner that it has not heard is cold; its routers do.
-func TestRecalledRunnerStaysColdAtARouter(t *testing.T) {
+// Guards against losing the cold state of a runner when a new leader has not heard from it yet.
+func TestRecalledRunnerStaysColdAtRouter(t *testing.T) {
 	for name, learned := range map[string]View{
 		"incomplete": {Runners: []Runner{{Instance: "a", Recalled: true}, {Instance: "b"}}},
 		"partial":    {Partial: true, Runners: []Runner{{Instance: "a", Recalled: true}, {Instance: "b"}}},
--- a/placement/fleet/incarnation.go
+++ b/placement/fleet/incarnation.go
@@ -5,53 +5,55 @@
 	"strings"
 )
 
-// bornSeparator stands between a runner's ID and when it was started. No ID contains it.
-const bornSeparator = "#"
+// incarnationSeparator separates a runner's ID from its start time. No ID contains it.
+const incarnationSeparator = "#"
 
-// Incarnation names one life of a runner. Runners may start again under the ID that they had: then they hold
-// and know nothing of before, so that all that is kept of a runner is kept of one life of it. Born is when it
-// was started, in Unix milliseconds; 0 for a runner that does not say, whose ID then names its only life.
+// Incarnation returns the name of one incarnation of a runner: a runner that restarts under the
+// same ID has lost its state, so all state kept about runners belongs to an incarnation. born is
+// the start time in Unix milliseconds, or 0 if the runner does not report it; the name is then the
+// ID.
 func Incarnation(id string, born int64) string {
 	if born <= 0 {
 		return id
 	}
-	return id + bornSeparator + strconv.FormatInt(born, 10)
+	return id + incarnationSeparator + strconv.FormatInt(born, 10)
 }
 
-// SplitIncarnation is the reverse of Incarnation.
+// SplitIncarnation splits the name of an incarnation into ID and start time. born is 0 if the name
+// has none.
 func SplitIncarnation(name string) (id string, born int64) {
-	at := strings.LastIndex(name, bornSeparator)
+	at := strings.LastIndex(name, incarnationSeparator)
 	if at < 0 {
 		return name, 0
 	}
-	born, err := strconv.ParseInt(name[at+len(bornSeparator):], 10, 64)
+	born, err := strconv.ParseInt(name[at+len(incarnationSeparator):], 10, 64)
 	if err != nil || born <= 0 {
 		return name, 0
 	}
 	return name[:at], born
 }
 
-// IDOf is the ID by which a runner knows itself.
+// IDOf returns the runner ID of an incarnation.
 func IDOf(incarnation string) string {
 	id, _ := SplitIncarnation(incarnation)
 	return id
 }
 
-// IsID reports whether an ID can be told from others in the names of incarnations.
-func IsID(id string) bool { return id != "" && !strings.Contains(id, bornSeparator) }
+// IsID reports whether id is a valid runner ID: not empty and without the separator.
+func IsID(id string) bool { return id != "" && !strings.Contains(id, incarnationSeparator) }
 
-// named is the heartbeat with its incarnation as Instance. Controllers pass heartbeats on under the ID, as those
-// of the version before know nothing else.
-func (h Heartbeat) named() Heartbeat {
-	if !strings.Contains(h.Instance, bornSeparator) {
+// withIncarnation returns the heartbeat with the incarnation's name as Instance. Controllers
+// forward heartbeats under the ID for compatibility with the previous version.
+func (h Heartbeat) withIncarnation() Heartbeat {
+	if !strings.Contains(h.Instance, incarnationSeparator) {
 		h.Instance = Incarnation(h.Instance, h.Born)
 	}
 	return h
 }
 
-// split are the runners under their IDs, with when they were started beside them: routers of the version before
-// know nothing else.
-func split(runners []Runner) []Runner {
+// splitIncarnations returns the runners with ID and start time in separate fields, for routers of
+// the previous version, which know only IDs.
+func splitIncarnations(runners []Runner) []Runner {
 	changed := make([]Runner, len(runners))
 	for i, runner := range runners {
 		runner.Instance, runner.Born = SplitIncarnation(runner.Instance)
@@ -60,17 +62,17 @@
 	return changed
 }
 
-// name gives runners that came under their IDs the names of their incarnations.
-func name(runners []Runner) {
+// joinIncarnations is the inverse of splitIncarnations, in place.
+func joinIncarnations(runners []Runner) {
 	for i := range runners {
 		runners[i].Instance = Incarnation(runners[i].Instance, runners[i].Born)
 		runners[i].Born = 0
 	}
 }
 
-// withIDs adds to names of incarnations that have ended the IDs of those of which no incarnation is listed, for
-// routers of the version before. To others, such an ID names nobody.
-func withIDs(ended []string, isListed func(id string) bool) []string {
+// appendIDs appends to the names of ended incarnations the IDs of runners without a listed
+// incarnation, for routers of the previous version. Other routers know no instance of that name.
+func appendIDs(ended []string, isListed func(id string) bool) []string {
 	listed := ended
 	for _, each := range ended {
 		if id, born := SplitIncarnation(each); born > 0 && !isListed(id) {
--- a/placement/fleet/lives_test.go
+++ b/placement/fleet/incarnation_test.go
@@ -9,76 +9,76 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// word is something that the leader hears about one of two lives of the runner "i".
-type word struct {
-	name string
-	born int64
-	tell func(r *Registry, now time.Time)
+// event is a message to the leader about one of two incarnations of the runner "i".
+type event struct {
+	name  string
+	born  int64
+	apply func(r *Registry, now time.Time)
 }
 
-func lifeBeat(born int64, sequence uint64, leaving bool) Heartbeat {
+func heartbeatOf(born int64, sequence uint64, leaving bool) Heartbeat {
 	return Heartbeat{Instance: "i", Born: born, Service: "s", Address: "10.0.0.1:1", Slots: int(born), Sequence: sequence, Leaving: leaving}
 }
 
-// wordsOf are the words about a life, in the order in which the runner says them.
-func wordsOf(born int64, departs bool) []word {
+// eventsOf returns the events of an incarnation in the order in which the runner sends them.
+func eventsOf(born int64, departs bool) []event {
 	hear := func(sequence uint64, leaving bool) func(*Registry, time.Time) {
-		return func(r *Registry, now time.Time) { r.Hear(now, r.Resolve(lifeBeat(born, sequence, leaving))) }
+		return func(r *Registry, now time.Time) { r.Hear(now, r.Resolve(heartbeatOf(born, sequence, leaving))) }
 	}
-	words := []word{
+	events := []event{
 		{fmt.Sprint("first of ", born), born, hear(1, false)},
 		{fmt.Sprint("second of ", born), born, hear(2, false)},
 	}
 	if !departs {
-		return words
+		return events
 	}
-	return append(words,
-		word{fmt.Sprint("leaving of ", born), born, hear(3, true)},
-		word{fmt.Sprint("end of ", born), born, func(r *Registry, now time.Time) { r.Depart(now, Incarnation("i", born), true) }},
+	return append(events,
+		event{fmt.Sprint("leaving of ", born), born, hear(3, true)},
+		event{fmt.Sprint("end of ", born), born, func(r *Registry, now time.Time) { r.Depart(now, Incarnation("i", born), true) }},
 	)
 }
 
-// permutations calls visit with each order of the words, in which late words may come at any time.
-func permutations(words []word, visit func([]word)) {
-	var extend func(done, left []word)
-	extend = func(done, left []word) {
+// permutations calls visit with each order of the events.
+func permutations(events []event, visit func([]event)) {
+	var extend func(done, left []event)
+	extend = func(done, left []event) {
 		if len(left) == 0 {
 			visit(done)
 			return
 		}
 		for i := range left {
-			rest := append(append([]word{}, left[:i]...), left[i+1:]...)
+			rest := append(append([]event{}, left[:i]...), left[i+1:]...)
 			extend(append(done[:len(done):len(done)], left[i]), rest)
 		}
 	}
-	extend(nil, words)
+	extend(nil, events)
 }
 
-// Whatever comes late of a runner's former life, in whichever order, changes nothing of its present one.
-func TestFormerLifeChangesNothingOfThePresentOne(t *testing.T) {
+// Guards against late messages of a former incarnation changing the state of the current one.
+func TestFormerIncarnationDoesNotAffectCurrentOne(t *testing.T) {
 	for _, departs := range []bool{false, true} {
-		permutations(append(wordsOf(100, departs), wordsOf(200, false)...), func(order []word) {
+		permutations(append(eventsOf(100, departs), eventsOf(200, false)...), func(order []event) {
 			c := qt.New(t)
 			now := time.Unix(1000, 0)
 			r := NewRegistry(now, testTiming)
-			said := ""
+			history := ""
 			isHeard := false
 			for _, each := range order {
 				now = now.Add(10 * time.Millisecond)
-				each.tell(r, now)
-				said += each.name + ", "
+				each.apply(r, now)
+				history += each.name + ", "
 				isHeard = isHeard || each.born == 200
 				listed := r.Runners(now)
 				for _, status := range listed {
 					if isHeard {
-						c.Assert(status.Heartbeat.Instance, qt.Equals, "i#200", qt.Commentf("%s", said))
+						c.Assert(status.Heartbeat.Instance, qt.Equals, "i#200", qt.Commentf("%s", history))
 					}
 				}
 				if isHeard {
-					c.Assert(listed, qt.HasLen, 1, qt.Commentf("%s", said))
-					c.Assert(listed[0].Leaving, qt.IsFalse, qt.Commentf("%s", said))
-					c.Assert(r.Gone(), qt.Not(qt.Contains), "i#200", qt.Commentf("%s", said))
-					c.Assert(r.Gone(), qt.Not(qt.Contains), "i", qt.Commentf("%s", said))
+					c.Assert(listed, qt.HasLen, 1, qt.Commentf("%s", history))
+					c.Assert(listed[0].Leaving, qt.IsFalse, qt.Commentf("%s", history))
+					c.Assert(r.Gone(), qt.Not(qt.Contains), "i#200", qt.Commentf("%s", history))
+					c.Assert(r.Gone(), qt.Not(qt.Contains), "i", qt.Commentf("%s", history))
 				}
 			}
 			c.Assert(r.Sequence("i#200"), qt.Equals, uint64(2))
@@ -87,47 +87,48 @@
 	}
 }
 
-// A new leader recalls the registrations of the log, in any order, beside words of both lives.
-func TestRecalledLivesGiveWayToLaterOnes(t *testing.T) {
-	recall := func(born int64) word {
-		return word{fmt.Sprint("recall of ", born), born, func(r *Registry, now time.Time) {
+// Guards against registrations that a new leader recalls from the log overriding a later
+// incarnation.
+func TestRecalledIncarnationIsSuperseded(t *testing.T) {
+	recall := func(born int64) event {
+		return event{fmt.Sprint("recall of ", born), born, func(r *Registry, now time.Time) {
 			r.Recall(now, Heartbeat{Instance: Incarnation("i", born), Service: "s", Address: "10.0.0.1:1"})
 		}}
 	}
-	words := append(wordsOf(100, true), recall(100), recall(200))
-	permutations(append(words, wordsOf(200, false)[0]), func(order []word) {
+	events := append(eventsOf(100, true), recall(100), recall(200))
+	permutations(append(events, eventsOf(200, false)[0]), func(order []event) {
 		c := qt.New(t)
 		now := time.Unix(1000, 0)
 		r := NewRegistry(now, testTiming)
-		said := ""
+		history := ""
 		for _, each := range order {
 			now = now.Add(10 * time.Millisecond)
-			each.tell(r, now)
-			said += each.name + ", "
+			each.apply(r, now)
+			history += each.name + ", "
 		}
 		listed := r.Runners(now)
-		c.Assert(listed, qt.HasLen, 1, qt.Commentf("%s", said))
-		c.Assert(listed[0].Heartbeat.Instance, qt.Equals, "i#200", qt.Commentf("%s", said))
-		c.Assert(listed[0].Leaving, qt.IsFalse, qt.Commentf("%s", said))
+		c.Assert(listed, qt.HasLen, 1, qt.Commentf("%s", history))
+		c.Assert(listed[0].Heartbeat.Instance, qt.Equals, "i#200", qt.Commentf("%s", history))
+		c.Assert(listed[0].Leaving, qt.IsFalse, qt.Commentf("%s", history))
 	})
 }
 
-// A word that does not say when its runner was started counts for the life that it agrees with, and else for
-// nobody: it was passed on by a controller of the version before, or is not the runner's.
-func TestWordsWithoutAStartCountOnlyIfTheyAgree(t *testing.T) {
+// Guards against heartbeats without a start time being attributed to an incarnation that they don't
+// match.
+func TestHeartbeatWithoutStartTimeMustMatch(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRegistry(now, testTiming)
-	c.Assert(r.Hear(now, r.Resolve(lifeBeat(200, 4, false))), qt.IsTrue)
-	passedOn := lifeBeat(0, 5, false)
+	c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 4, false))), qt.IsTrue)
+	passedOn := heartbeatOf(0, 5, false)
 	c.Assert(r.Resolve(passedOn).Instance, qt.Equals, "i#200")
 	c.Assert(r.Hear(now, r.Resolve(passedOn)), qt.IsTrue)
 	for name, change := range map[string]func(*Heartbeat){
-		"another address": func(h *Heartbeat) { h.Address = "10.0.0.2:1" },
-		"another service": func(h *Heartbeat) { h.Service = "t" },
-		"an older count":  func(h *Heartbeat) { h.Sequence = 1 },
+		"another address":   func(h *Heartbeat) { h.Address = "10.0.0.2:1" },
+		"another service":   func(h *Heartbeat) { h.Service = "t" },
+		"an older sequence": func(h *Heartbeat) { h.Sequence = 1 },
 	} {
-		foreign := lifeBeat(0, 9, true)
+		foreign := heartbeatOf(0, 9, true)
 		change(&foreign)
 		c.Assert(r.Hear(now, r.Resolve(foreign)), qt.IsFalse, qt.Commentf("%s", name))
 	}
@@ -136,12 +137,12 @@
 	c.Assert(listed[0].Leaving, qt.IsFalse)
 }
 
-// What the version before knew under the ID alone holds for the life that goes on.
-func TestDepartureUnderTheIDAloneHoldsForTheLifeThatGoesOn(t *testing.T) {
+// Guards against losing a departure that the previous version recorded under the ID alone.
+func TestDepartureUnderIDAppliesToContinuedIncarnation(t *testing.T) {
 	for name, prepare := range map[string]func(r *Registry, now time.Time){
-		"known by the log alone": func(r *Registry, now time.Time) { r.Depart(now, "i", true) },
-		"heard before": func(r *Registry, now time.Time) {
-			r.Hear(now, lifeBeat(0, 4, false))
+		"departure without heartbeat": func(r *Registry, now time.Time) { r.Depart(now, "i", true) },
+		"departure after heartbeat": func(r *Registry, now time.Time) {
+			r.Hear(now, heartbeatOf(0, 4, false))
 			r.Depart(now, "i", true)
 		},
 	} {
@@ -150,15 +151,15 @@
 			now := time.Unix(1000, 0)
 			r := NewRegistry(now, testTiming)
 			prepare(r, now)
-			c.Assert(r.Hear(now, r.Resolve(lifeBeat(200, 5, false))), qt.IsFalse)
+			c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 5, false))), qt.IsFalse)
 			c.Assert(r.Runners(now), qt.HasLen, 0)
-			c.Assert(r.Hear(now, r.Resolve(lifeBeat(200, 6, false))), qt.IsFalse)
+			c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 6, false))), qt.IsFalse)
 		})
 	}
 }
 
-// A heartbeat that a cut held up comes after another runner was started at the address.
-func TestLateHeartbeatTakesNoAddressBack(t *testing.T) {
+// Guards against a delayed heartbeat taking back an address at which a later runner was started.
+func TestLateHeartbeatDoesNotTakeAddress(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRegistry(now, testTiming)
@@ -173,8 +174,8 @@
 	c.Assert(listed[0].Heartbeat.Instance, qt.Equals, "present#200")
 }
 
-// Routers of the version before know IDs alone.
-func TestEncodedViewsNameRunnersByTheirIDs(t *testing.T) {
+// Routers of the previous version know only IDs.
+func TestEncodedViewNamesRunnersByID(t *testing.T) {
 	c := qt.New(t)
 	view := View{Complete: true, Runners: []Runner{{Instance: "i#200"}, {Instance: "plain"}}, Gone: []string{"i#100"}}
 	encoded, err := view.Encode()
@@ -191,7 +192,7 @@
 	c.Assert(view.Runners[0].Instance, qt.Equals, "i#200")
 }
 
-func TestRoutersOfTheVersionBeforeLearnOfEnds(t *testing.T) {
+func TestEndedRunnersAreListedByIDForPreviousVersion(t *testing.T) {
 	c := qt.New(t)
 	p := NewPublisher()
 	p.Publish(View{Complete: true, Runners: []Runner{{Instance: "a#1"}, {Instance: "b#1"}}})
@@ -199,15 +200,16 @@
 	c.Assert(p.Since(1).Removed, qt.ContentEquals, []string{"a#1", "b#1", "b"})
 	now := time.Unix(1000, 0)
 	r := NewRegistry(now, testTiming)
-	r.Hear(now, r.Resolve(lifeBeat(100, 1, false)))
+	r.Hear(now, r.Resolve(heartbeatOf(100, 1, false)))
 	r.Depart(now, "i#100", true)
 	c.Assert(r.Gone(), qt.DeepEquals, []string{"i", "i#100"})
-	r.Hear(now, r.Resolve(lifeBeat(200, 1, false)))
+	r.Hear(now, r.Resolve(heartbeatOf(200, 1, false)))
 	c.Assert(r.Gone(), qt.DeepEquals, []string{"i#100"})
 }
 
-// A router that knows the former life learns of the present one, also of a new leader that knows few.
-func TestLaterLifeTakesTheFormerOnesPlaceAtARouter(t *testing.T) {
+// Guards against a router keeping two incarnations of one runner, also with a new leader's
+// incomplete views.
+func TestLaterIncarnationReplacesFormerOneAtRouter(t *testing.T) {
 	for name, learned := range map[string]View{
 		"incomplete": {Runners: []Runner{{Instance: "i#200", Address: "10.0.0.2:1"}}},
 		"partial":    {Partial: true, Runners: []Runner{{Instance: "i#200", Address: "10.0.0.2:1"}}},
@@ -223,7 +225,7 @@
 	}
 }
 
-func TestNamesOfIncarnations(t *testing.T) {
+func TestIncarnationNames(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		id   string
--- a/placement/fleet/merge_test.go
+++ b/placement/fleet/merge_test.go
@@ -11,9 +11,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// Merge is what a Directory must come to, written for all runners at once. It returns what a router knows after it learned a newer view. An incomplete
-// view adds to what is known and takes away only what is certainly gone, so that a
-// new leader, which has not heard the heartbeats yet, empties no router's list.
+// Merge is the reference implementation of Directory.Learn. It returns the view that a router knows
+// after applying a newer one.
 func Merge(known, learned View) View {
 	if learned.Partial {
 		return mergePartial(known, learned)
@@ -24,7 +23,7 @@
 		return learned
 	}
 	merged := View{Runners: slices.Clone(learned.Runners), Gone: learned.Gone}
-	replaced := replacedBy(learned.Runners, learned.Gone)
+	replaced := newReplaced(learned.Runners, learned.Gone)
 	for _, runner := range known.Runners {
 		if !replaced.contains(&runner) {
 			runner.Unconfirmed = true
@@ -34,25 +33,25 @@
 	return merged
 }
 
-// replaced are the runners of an earlier view that a later one tells otherwise of.
+// replaced holds the keys of the runners that a later view replaces.
 type replaced struct {
 	instances map[string]bool
 	addresses map[string]bool
-	// lives are, by ID, those that the later view lists.
-	lives map[string]string
+	// incarnations maps a runner ID to the incarnation that the later view lists.
+	incarnations map[string]string
 }
 
-// replacedBy are the runners in the place of which others are listed, or that have ended.
-func replacedBy(runners []Runner, ended ...[]string) replaced {
+// newReplaced returns the keys of the listed runners and the ended instances.
+func newReplaced(runners []Runner, ended ...[]string) replaced {
 	r := replaced{
-		instances: make(map[string]bool, len(runners)),
-		addresses: make(map[string]bool, len(runners)),
-		lives:     make(map[string]string),
+		instances:    make(map[string]bool, len(runners)),
+		addresses:    make(map[string]bool, len(runners)),
+		incarnations: make(map[string]string),
 	}
 	for i := range runners {
 		r.instances[runners[i].Instance] = true
 		r.addresses[runners[i].Address] = true
-		r.lives[IDOf(runners[i].Instance)] = runners[i].Instance
+		r.incarnations[IDOf(runners[i].Instance)] = runners[i].Instance
 	}
 	for _, names := range ended {
 		for _, instance := range names {
@@ -63,21 +62,20 @@
 	return r
 }
 
-// contains reports whether the later view tells of the runner's instance, of another one at its address, or of a
-// later life of it.
+// contains reports whether the later view lists or ends the instance, or lists another one at its
+// address or another incarnation of it.
 func (r *replaced) contains(runner *Runner) bool {
 	if r.instances[runner.Instance] || r.addresses[runner.Address] {
 		return true
 	}
-	return r.lives[IDOf(runner.Instance)] != ""
+	return r.incarnations[IDOf(runner.Instance)] != ""
 }
 
-// mergePartial adds changes to what is known. Once a view is complete, what its leader
-// never listed is gone.
+// mergePartial applies a partial view. A complete one removes what its leader never listed.
 func mergePartial(known, changes View) View {
 	merged := View{Complete: changes.Complete, Gone: changes.Gone, Runners: slices.Clone(changes.Runners)}
 	keepRecalled(known.Runners, merged.Runners)
-	replaced := replacedBy(changes.Runners, changes.Removed, changes.Gone)
+	replaced := newReplaced(changes.Runners, changes.Removed, changes.Gone)
 	for _, runner := range known.Runners {
 		if replaced.contains(&runner) || changes.Complete && runner.Unconfirmed {
 			continue
@@ -87,7 +85,7 @@
 	return merged
 }
 
-// keepRecalled has runners that the leader has not heard yet stay as they were.
+// keepRecalled copies known state to runners that the leader has not heard from yet.
 func keepRecalled(known, learned []Runner) {
 	for i := range learned {
 		for _, former := range known {
@@ -102,7 +100,7 @@
 	}
 }
 
-// view lists what a directory knows, by instance.
+// view returns all runners of the directory, sorted by instance.
 func (d *Directory) view() View {
 	var view View
 	for _, instance := range slices.Sorted(slices.Values(d.Instances())) {
@@ -111,7 +109,7 @@
 	return view
 }
 
-// randomRunner has one of few IDs, lives and addresses, so that these meet.
+// randomRunner draws from few IDs, start times and addresses, so that they collide.
 func randomRunner(random *rand.Rand) Runner {
 	runner := Runner{
 		Instance: Incarnation(fmt.Sprint("r", random.IntN(8)), int64(random.IntN(3))), Service: "s",
@@ -125,7 +123,7 @@
 	return runner
 }
 
-// randomView lists runners as a leader does: one at an address, and one life of each.
+// randomView lists each address and each runner ID at most once, as a leader does.
 func randomView(random *rand.Rand) View {
 	view := View{Partial: random.IntN(2) == 0, Complete: random.IntN(3) == 0}
 	for range random.IntN(6) {
@@ -147,9 +145,9 @@
 	return view
 }
 
-// Whatever views come, a directory knows what all runners looked at anew come to, finds them by their models, and
-// tells all that has changed.
-func TestDirectoryKnowsWhatViewsAddUpTo(t *testing.T) {
+// Compares a Directory with the reference implementation over random views: its runners, model
+// index and reported changes.
+func TestDirectoryMatchesReferenceMerge(t *testing.T) {
 	for seed := range uint64(200) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -214,7 +212,7 @@
 	c.Assert(count, qt.Equals, directory.Len())
 }
 
-func TestUpdateHoldsUntilTheNextViewThatTellsOfTheRunner(t *testing.T) {
+func TestUpdateHoldsUntilNextViewOfRunner(t *testing.T) {
 	c := qt.New(t)
 	directory := NewDirectory()
 	told := View{Complete: true, Runners: []Runner{{Instance: "a", Service: "s", Models: []LoadedModel{{Name: "m"}}}}}
--- a/placement/fleet/quiet.go
+++ b/placement/fleet/news.go
@@ -1,25 +1,27 @@
 package fleet
 
-// noteHeard notes a change of a runner that is no more than that the leader has heard it for the first time. A router
-// that followed the leader before knows it already, most often as it is.
-func (p *Publisher) noteHeard(former, runner *Runner) {
+// recordFirstHeard records the revision in which a recalled runner is heard for the first time.
+// Routers that followed the previous leader usually know its state already.
+func (p *Publisher) recordFirstHeard(former, runner *Runner) {
 	if former.Recalled && !runner.Recalled && !runner.Leaving && !runner.Failing {
-		p.heardAt[runner.Instance] = p.revision + 1
+		p.firstHeardAt[runner.Instance] = p.revision + 1
 	}
 }
 
-// isNews reports whether a runner has changed after a revision otherwise than by being heard for the first time.
+// isNews reports whether a runner has changed after the revision in another way than by being heard
+// for the first time.
 func (p *Publisher) isNews(runner *Runner, known uint64) bool {
 	changed := p.changedAt[runner.Instance]
 	if changed <= known {
 		return false
 	}
 	isUnchanged := changed == 1 && !runner.Leaving && !runner.Failing
-	return changed != p.heardAt[runner.Instance] && !isUnchanged
+	return changed != p.firstHeardAt[runner.Instance] && !isUnchanged
 }
 
-// NewsSince is Since for a router that knows the view of the leader before: without what that one has most likely
-// told it. What is left is small however large the fleet is; the router gets the whole view later.
+// NewsSince is like Since, for a router that knows the previous leader's view: it omits what that
+// leader has most likely sent. The result is small for any fleet size; the router fetches the full
+// view later.
 func (p *Publisher) NewsSince(known uint64) View {
 	news := View{Partial: true, Gone: p.goneSince(known)}
 	for i := range p.view.Runners {
@@ -31,12 +33,13 @@
 	return news
 }
 
-// EncodedNewsSince is NewsSince as bytes, which are made once for all who know the revision.
+// EncodedNewsSince returns the encoded result of NewsSince. It encodes only once per known
+// revision.
 func (p *Publisher) EncodedNewsSince(known uint64) (EncodedView, error) {
 	return p.encodeOnce(p.encodedNews, known, p.NewsSince)
 }
 
-// encodeOnce encodes a view for one who knows a revision, unless it has been encoded already.
+// encodeOnce returns the encoded view for a known revision, from the cache if possible.
 func (p *Publisher) encodeOnce(made map[uint64]EncodedView, known uint64, view func(uint64) View) (EncodedView, error) {
 	if encoded, isMade := made[known]; isMade {
 		return encoded, nil
--- a/placement/fleet/publisher.go
+++ b/placement/fleet/publisher.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Of removals at least minRemovals are remembered for partial views, and a removalsShare of the runners: a removal
-// is some 40 bytes where a whole view has 20 for each runner.
+// A publisher remembers the last len(runners)/removalsDivisor removals, at least minRemovals, for
+// partial views. A removal takes some 40 bytes, a full view some 20 bytes per runner.
 const (
-	minRemovals   = 512
-	removalsShare = 4
+	minRemovals     = 512
+	removalsDivisor = 4
 )
 
-// Publisher numbers the changes of a view, so that who knows an earlier one is told
-// only what has changed.
+// Publisher assigns revisions to the changes of a view, so that routers that know an earlier
+// revision get only what has changed since.
 type Publisher struct {
 	view     View
 	revision uint64
-	// changedAt is the revision in which each runner last changed.
+	// changedAt maps each runner to the revision in which it last changed.
 	changedAt map[string]uint64
 	removals  []removal
-	// goneAt is the revision in which each instance was first listed as gone.
+	// goneAt maps each instance to the revision in which it was first listed as gone.
 	goneAt map[string]uint64
-	// encoded holds the views since each revision that somebody asked for, as of now.
+	// encoded caches the encoded results of Since for the current revision, by known revision.
 	encoded map[uint64]EncodedView
-	// encodedNews holds the same of NewsSince, and heardAt the revision in which each runner was first heard.
+	// encodedNews caches those of NewsSince. firstHeardAt maps each runner to the revision in which
+	// it was first heard.
 	encodedNews map[uint64]EncodedView
-	// whole is the newest view as bytes, as of wholeRevision and wholeAt.
+	// whole is the cached full view, encoded at wholeAt from revision wholeRevision.
 	whole         EncodedView
 	wholeRevision uint64
 	wholeAt       time.Time
-	heardAt       map[string]uint64
-	// partialFrom is the least revision from which changes are known.
+	firstHeardAt  map[string]uint64
+	// partialFrom is the least revision from which partial views can be computed.
 	partialFrom uint64
-	// spare is the memory of runners that the last Publish let go of.
+	// spare is the runner slice that the last Publish released.
 	spare []Runner
 }
 
@@ -43,17 +44,17 @@
 	revision uint64
 }
 
-// NewPublisher makes a publisher at revision 0, which nobody knows.
+// NewPublisher returns a publisher at revision 0, which no router knows.
 func NewPublisher() *Publisher {
 	return &Publisher{
 		changedAt: make(map[string]uint64), goneAt: make(map[string]uint64), encoded: make(map[uint64]EncodedView),
-		encodedNews: make(map[uint64]EncodedView), heardAt: make(map[string]uint64),
+		encodedNews: make(map[uint64]EncodedView), firstHeardAt: make(map[string]uint64),
 	}
 }
 
-// Spare returns memory for the runners of the next view, of the same size as the last at least: a leader looks at all
-// runners several times a second, and each look at ten thousand is two megabytes. Nobody else may use it; what Since
-// returned must not be read after the next Publish.
+// Spare returns an empty slice for the runners of the next view with at least the capacity of the
+// last one, to avoid allocating the whole list at each update. The caller owns it until Publish.
+// Results of Since must not be read after the next Publish.
 func (p *Publisher) Spare() []Runner {
 	spare := p.spare
 	p.spare = nil
@@ -63,7 +64,7 @@
 	return spare[:0]
 }
 
-// Publish takes the newest view and reports whether it differs from the one before.
+// Publish sets the newest view and reports whether it differs from the one before.
 func (p *Publisher) Publish(view View) bool {
 	view.Runners = sortedByInstance(view.Runners)
 	next := p.revision + 1
@@ -81,7 +82,7 @@
 			p.changedAt[runner.Instance] = next
 			isChanged = true
 			if isKnown {
-				p.noteHeard(&former[0], runner)
+				p.recordFirstHeard(&former[0], runner)
 			}
 		}
 		if isKnown {
@@ -97,15 +98,15 @@
 		return false
 	}
 	p.revision = next
-	p.noteGone(view.Gone)
-	p.forgetRemovals()
+	p.recordGone(view.Gone)
+	p.trimRemovals()
 	p.spare, p.view = p.view.Runners, view
 	clear(p.encoded)
 	clear(p.encodedNews)
 	return true
 }
 
-// sortedByInstance returns the runners in the order of their instances, which a leader lists them in.
+// sortedByInstance returns the runners sorted by instance. It does not copy a sorted slice.
 func sortedByInstance(runners []Runner) []Runner {
 	order := func(a, b Runner) int { return strings.Compare(a.Instance, b.Instance) }
 	if slices.IsSortedFunc(runners, order) {
@@ -114,16 +115,16 @@
 	return slices.SortedStableFunc(slices.Values(runners), order)
 }
 
-// remove notes that a runner is listed no more from a revision on.
+// remove records that a runner is no longer listed from the revision on.
 func (p *Publisher) remove(instance string, revision uint64) {
 	delete(p.changedAt, instance)
-	delete(p.heardAt, instance)
+	delete(p.firstHeardAt, instance)
 	p.removals = append(p.removals, removal{instance, revision})
 }
 
-// noteGone notes in which revision instances were first listed as gone: who knows it need not be told again, and
-// thousands are gone while a fleet is released anew.
-func (p *Publisher) noteGone(gone []string) {
+// recordGone records in which revision instances were first listed as gone. Routers are told of
+// each only once, since a rollout may leave thousands of them.
+func (p *Publisher) recordGone(gone []string) {
 	former := p.goneAt
 	p.goneAt = make(map[string]uint64, len(gone))
 	for _, instance := range gone {
@@ -134,10 +135,10 @@
 	}
 }
 
-// forgetRemovals bounds the removals that are remembered, by the size of the view: a release of a tenth of a fleet
-// must not have everybody get a whole view.
-func (p *Publisher) forgetRemovals() {
-	most := max(minRemovals, len(p.view.Runners)/removalsShare)
+// trimRemovals bounds the remembered removals. The bound grows with the fleet, so that a rollout of
+// a tenth of it does not cause a full view for every router.
+func (p *Publisher) trimRemovals() {
+	most := max(minRemovals, len(p.view.Runners)/removalsDivisor)
 	if len(p.removals) <= most {
 		return
 	}
@@ -146,14 +147,14 @@
 	p.removals = slices.Delete(p.removals, 0, dropped)
 }
 
-// Revision is that of the newest view.
+// Revision returns the revision of the newest view.
 func (p *Publisher) Revision() uint64 { return p.revision }
 
-// Runners counts the runners in the newest view.
+// Runners returns the number of runners in the newest view.
 func (p *Publisher) Runners() int { return len(p.view.Runners) }
 
-// Since returns the newest view for one who knows a revision, 0 for none: only what has
-// changed, if that is known.
+// Since returns the changes since a known revision as a partial view, or the full view if known is
+// 0 or the changes are not available.
 func (p *Publisher) Since(known uint64) View {
 	if known == 0 || known < p.partialFrom || known > p.revision {
 		return p.view
@@ -168,7 +169,7 @@
 	return partial
 }
 
-// goneSince lists the instances that were first listed as gone after a revision.
+// goneSince returns the instances that were first listed as gone after the revision.
 func (p *Publisher) goneSince(known uint64) []string {
 	var gone []string
 	for _, instance := range p.view.Gone {
@@ -179,7 +180,7 @@
 	return gone
 }
 
-// removedSince lists the runners that have not been listed since some time after a revision.
+// removedSince returns the runners that were removed after the revision and are not listed again.
 func (p *Publisher) removedSince(known uint64) []string {
 	var removed []string
 	for _, each := range p.removals {
@@ -187,32 +188,34 @@
 			removed = append(removed, each.instance)
 		}
 	}
-	return withIDs(removed, p.isListed)
+	return appendIDs(removed, p.isListed)
 }
 
-// isListed reports whether a life of the runner with the ID is in the view.
+// isListed reports whether an incarnation of the runner with the ID is in the view.
 func (p *Publisher) isListed(id string) bool {
 	order := func(runner Runner, name string) int { return strings.Compare(runner.Instance, name) }
 	if _, isListed := slices.BinarySearchFunc(p.view.Runners, id, order); isListed {
 		return true
 	}
-	lives := id + bornSeparator
-	at, _ := slices.BinarySearchFunc(p.view.Runners, lives, order)
-	return at < len(p.view.Runners) && strings.HasPrefix(p.view.Runners[at].Instance, lives)
+	prefix := id + incarnationSeparator
+	at, _ := slices.BinarySearchFunc(p.view.Runners, prefix, order)
+	return at < len(p.view.Runners) && strings.HasPrefix(p.view.Runners[at].Instance, prefix)
 }
 
 const (
-	// largeView is the size in bytes from which a whole view is worth keeping, and wholeLife how long: to encode
-	// one of ten thousand runners takes some tens of milliseconds, and who gets it asks for the rest at once.
-	largeView = 16 << 10
-	wholeLife = 2 * time.Second
+	// largeViewBytes is the size from which an encoded full view is reused for wholeViewTTL:
+	// encoding ten thousand runners takes some tens of milliseconds, and routers fetch the later
+	// changes right away.
+	largeViewBytes = 16 << 10
+	wholeViewTTL   = 2 * time.Second
 )
 
-// Whole returns a whole view as bytes, and its revision: the newest, or a large one of just before that is no older
-// than a revision which its reader knows, as nobody may be told again of a runner that has left.
+// Whole returns an encoded full view and its revision. It may reuse a large view of up to
+// wholeViewTTL ago, but none older than the known revision, since that could list a departed runner
+// again.
 func (p *Publisher) Whole(now time.Time, known uint64) (view EncodedView, revision uint64, err error) {
-	isYoung := len(p.whole.Bytes) >= largeView && p.wholeRevision >= known && now.Sub(p.wholeAt) < wholeLife && p.wholeRevision >= p.partialFrom
-	if p.wholeRevision > 0 && (isYoung || p.wholeRevision == p.revision) {
+	isFresh := len(p.whole.Bytes) >= largeViewBytes && p.wholeRevision >= known && now.Sub(p.wholeAt) < wholeViewTTL && p.wholeRevision >= p.partialFrom
+	if p.wholeRevision > 0 && (isFresh || p.wholeRevision == p.revision) {
 		return p.whole, p.wholeRevision, nil
 	}
 	encoded, err := p.view.Encode()
@@ -223,13 +226,13 @@
 	return encoded, p.revision, nil
 }
 
-// IsLarge reports whether a whole view is so large that a leader must not send it to all routers at once.
+// IsLarge reports whether a full view is too large to send to all routers at once.
 func (p *Publisher) IsLarge(now time.Time) bool {
 	whole, _, err := p.Whole(now, 0)
-	return err == nil && len(whole.Bytes) >= largeView
+	return err == nil && len(whole.Bytes) >= largeViewBytes
 }
 
-// EncodedSince is Since as bytes, which are made once for all who know the revision.
+// EncodedSince returns the encoded result of Since. It encodes only once per known revision.
 func (p *Publisher) EncodedSince(known uint64) (EncodedView, error) {
 	return p.encodeOnce(p.encoded, known, p.Since)
 }
--- a/placement/fleet/publisher_test.go
+++ b/placement/fleet/publisher_test.go
@@ -16,8 +16,8 @@
 	return slices.SortedFunc(slices.Values(view.Runners), func(a, b Runner) int { return strings.Compare(a.Instance, b.Instance) })
 }
 
-// Routers that ask at different times must all come to know the same view.
-func TestPartialViewsAddUpToTheWholeOne(t *testing.T) {
+// Guards against routers that fetch changes at different times ending up with different views.
+func TestPartialViewsAddUpToFullView(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		publisher := NewPublisher()
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestOnlyChangesAreTold(t *testing.T) {
+func TestSinceReturnsOnlyChanges(t *testing.T) {
 	c := qt.New(t)
 	publisher := NewPublisher()
 	whole := View{Complete: true, Runners: []Runner{{Instance: "a"}, {Instance: "b"}, {Instance: "c"}}}
@@ -62,9 +62,9 @@
 	c.Assert(publisher.Since(0).Partial, qt.IsFalse)
 }
 
-// What a new leader has not heard of yet stays at the routers until the leader knows all
-// or has been told that it is gone, without a whole view for every router.
-func TestRoutersDropWhatACompleteLeaderNeverListed(t *testing.T) {
+// Guards against routers dropping runners that a new leader has not heard from yet, before it is
+// complete.
+func TestCompleteViewRemovesUnconfirmedRunners(t *testing.T) {
 	c := qt.New(t)
 	known := View{Complete: true, Runners: []Runner{{Instance: "old", Address: "1"}, {Instance: "leaving", Address: "2"}, {Instance: "heard", Address: "3"}}}
 	leader := NewPublisher()
@@ -91,7 +91,7 @@
 	c.Assert(names(), qt.DeepEquals, []string{"heard", "new"})
 }
 
-func TestViewsAreEncodedOnceForAll(t *testing.T) {
+func TestViewIsEncodedOncePerRevision(t *testing.T) {
 	c := qt.New(t)
 	publisher := NewPublisher()
 	view := View{Complete: true}
@@ -121,12 +121,11 @@
 	c.Assert(err, qt.IsNotNil)
 }
 
-// A whole view is kept for a while, but nobody is given one that is older than what he knows: it would list again what
-// has left.
-func TestWholeViewIsNoOlderThanWhatItsReaderKnows(t *testing.T) {
+// Guards against a cached full view that lists a runner again after its reader has seen it leave.
+func TestFullViewIsNoOlderThanKnownRevision(t *testing.T) {
 	c := qt.New(t)
 	publisher := NewPublisher()
-	view := fleetOf(2000)
+	view := newView(2000)
 	publisher.Publish(view)
 	_, first, err := publisher.Whole(start, 0)
 	c.Assert(err, qt.IsNil)
@@ -140,7 +139,7 @@
 	c.Assert(fresh, qt.Equals, publisher.Revision())
 }
 
-func TestListedLivesAreFoundByTheirIDs(t *testing.T) {
+func TestIsListedFindsIncarnationsByID(t *testing.T) {
 	c := qt.New(t)
 	publisher := NewPublisher()
 	publisher.Publish(View{Runners: []Runner{{Instance: "a"}, {Instance: "a!b"}, {Instance: "b#7"}, {Instance: "bc#1"}, {Instance: "d0"}}})
@@ -149,8 +148,8 @@
 	}
 }
 
-// Memory that was let go of is written anew, and nothing that is told reads it.
-func TestViewsInSpareMemoryTellTheSame(t *testing.T) {
+// Guards against results of Since that read memory reused for a later view.
+func TestSpareMemoryDoesNotChangeViews(t *testing.T) {
 	for seed := range uint64(50) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 5))
--- a/placement/fleet/registry.go
+++ b/placement/fleet/registry.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Registry follows the runners. Make one with NewRegistry when leadership begins.
+// Registry tracks the runners by their heartbeats. Create one with NewRegistry when leadership
+// begins.
 type Registry struct {
-	timing  Timing
-	began   time.Time
-	runners map[string]*record
-	// sorted are the records by instance, but for those that were added since they were last sorted; listed is
-	// what Runners returned last.
+	timing    Timing
+	startedAt time.Time
+	runners   map[string]*record
+	// sorted holds the records by instance if isSorted is set. listed is the buffer that Runners
+	// returns.
 	sorted   []*record
 	isSorted bool
 	listed   []Status
-	// newest is, by ID, the instance of the latest life of which anything was heard.
-	newest map[string]string
-	// addresses holds the records of each address.
+	// latest maps a runner ID to its latest known incarnation.
+	latest map[string]string
+	// addresses maps an address to the records there.
 	addresses map[string][]*record
 }
 
@@ -28,64 +29,63 @@
 	heardAt   time.Time
 	leaving   bool
 	gone      bool
-	// isReplaced is set once a later life of the runner was heard of.
-	isReplaced bool
-	// displaced is set while another instance is at the address.
+	// isSuperseded is set once a later incarnation of the runner is known.
+	isSuperseded bool
+	// displaced is set while another instance holds the address.
 	displaced bool
-	// recalled is set until the first heartbeat of a runner that was recalled.
+	// recalled is set until the first heartbeat of a recalled runner.
 	recalled bool
 	endsAt   time.Time
-	// coldUntil is until when the runner is cold, as its last heartbeat said.
+	// coldUntil is the end of the cold period that the last heartbeat reported.
 	coldUntil time.Time
 	suspicion suspicion
 }
 
-// NewRegistry makes a registry of a leadership that begins now.
+// NewRegistry returns an empty registry of a leadership that begins now.
 func NewRegistry(now time.Time, timing Timing) *Registry {
 	return &Registry{
-		timing: timing, began: now, runners: make(map[string]*record), newest: make(map[string]string), addresses: make(map[string][]*record),
+		timing: timing, startedAt: now, runners: make(map[string]*record), latest: make(map[string]string), addresses: make(map[string][]*record),
 	}
 }
 
-// Hear takes a heartbeat. It reports false for one that is older than another that
-// was heard, or whose runner has ended.
+// Hear records a heartbeat. It reports false if a newer one is known or the runner has ended.
 func (r *Registry) Hear(now time.Time, heartbeat Heartbeat) bool {
 	known := r.runners[heartbeat.Instance]
 	if known == nil {
-		if known = r.begin(now, heartbeat); known == nil {
+		if known = r.addIncarnation(now, heartbeat); known == nil {
 			return false
 		}
-	} else if known.gone || known.isReplaced || heartbeat.Sequence < known.heartbeat.Sequence {
+	} else if known.gone || known.isSuperseded || heartbeat.Sequence < known.heartbeat.Sequence {
 		return false
 	}
-	r.move(known, heartbeat.Address)
+	r.setAddress(known, heartbeat.Address)
 	if known.heartbeat.Sequence > 0 && heartbeat.Sequence > known.heartbeat.Sequence {
-		known.suspicion.heard(now.Sub(known.heardAt))
+		known.suspicion.observeInterval(now.Sub(known.heardAt))
 	}
 	known.heartbeat = heartbeat
 	known.heardAt = now
 	known.recalled = false
 	known.coldUntil = now.Add(heartbeat.ColdFor)
-	r.takeAddress(known)
+	r.resolveAddress(known)
 	if heartbeat.Leaving {
-		known.leave(now, heartbeat.EndsIn)
+		known.markLeaving(now, heartbeat.EndsIn)
 	}
 	return true
 }
 
-// Recall takes a runner that the leader before knew. Until its first heartbeat it is
-// listed without models.
+// Recall adds a runner that the previous leader knew. It is listed without models until its first
+// heartbeat.
 func (r *Registry) Recall(now time.Time, heartbeat Heartbeat) {
-	if r.runners[heartbeat.Instance] != nil || !r.replace(now, heartbeat.Instance) {
+	if r.runners[heartbeat.Instance] != nil || !r.supersede(now, heartbeat.Instance) {
 		return
 	}
 	recalled := &record{heardAt: now, recalled: true}
 	r.add(heartbeat.Instance, recalled)
-	r.move(recalled, heartbeat.Address)
+	r.setAddress(recalled, heartbeat.Address)
 	recalled.heartbeat = heartbeat
 }
 
-// add lists a record under an instance.
+// add stores a record under an instance.
 func (r *Registry) add(instance string, added *record) {
 	added.instance = instance
 	r.runners[instance] = added
@@ -93,7 +93,7 @@
 	r.isSorted = false
 }
 
-// sort puts the records in the order of their instances.
+// sort sorts the records by instance.
 func (r *Registry) sort() {
 	if r.isSorted {
 		return
@@ -102,18 +102,17 @@
 	r.isSorted = true
 }
 
-// move lists the record under its new address, and no longer under the one that its
-// last heartbeat named.
-func (r *Registry) move(known *record, address string) {
+// setAddress moves the record from the address of its last heartbeat to the new one.
+func (r *Registry) setAddress(known *record, address string) {
 	former := known.heartbeat.Address
 	if former == address {
 		return
 	}
-	r.leaveAddress(known)
+	r.removeFromAddress(known)
 	r.addresses[address] = append(r.addresses[address], known)
 }
 
-func (r *Registry) leaveAddress(known *record) {
+func (r *Registry) removeFromAddress(known *record) {
 	former := known.heartbeat.Address
 	left := slices.DeleteFunc(r.addresses[former], func(other *record) bool { return other == known })
 	r.addresses[former] = left
@@ -122,7 +121,7 @@
 	}
 }
 
-// Silent lists the instances that have been silent for longer than the time, sorted.
+// Silent returns the sorted instances that have been silent for longer than limit.
 func (r *Registry) Silent(now time.Time, limit time.Duration) []string {
 	var silent []string
 	for instance, known := range r.runners {
@@ -134,46 +133,46 @@
 	return silent
 }
 
-// takeAddress notes that an instance is at its address, and so no other one, unless another one there
-// was started later: then the heartbeat was late. Where that is not known, the other's next one
-// takes the address back.
-func (r *Registry) takeAddress(known *record) {
-	holder := known
+// resolveAddress decides which instance holds the address of a record: the record itself, unless
+// another instance there was started later, in which case the heartbeat was late. If start times
+// are unknown, the last heartbeat wins.
+func (r *Registry) resolveAddress(known *record) {
+	owner := known
 	_, latest := SplitIncarnation(known.heartbeat.Instance)
 	for _, other := range r.addresses[known.heartbeat.Address] {
 		_, born := SplitIncarnation(other.heartbeat.Instance)
 		if latest > 0 && born > latest && !other.hasEnded() {
-			holder, latest = other, born
+			owner, latest = other, born
 		}
 	}
 	for _, other := range r.addresses[known.heartbeat.Address] {
-		other.displaced = other != holder
+		other.displaced = other != owner
 	}
 }
 
-func (r *record) leave(now time.Time, endsIn time.Duration) {
+func (r *record) markLeaving(now time.Time, endsIn time.Duration) {
 	r.leaving = true
 	if endsIn > 0 && r.endsAt.IsZero() {
 		r.endsAt = now.Add(endsIn)
 	}
 }
 
-// Depart notes that an instance is leaving, or gone, whatever its heartbeats say.
+// Depart marks an instance as leaving, or gone, regardless of its heartbeats.
 func (r *Registry) Depart(now time.Time, instance string, gone bool) {
 	known := r.runners[instance]
 	if known == nil {
 		known = &record{heartbeat: Heartbeat{Instance: instance}, heardAt: now}
-		known.isReplaced = !r.replace(now, instance)
+		known.isSuperseded = !r.supersede(now, instance)
 		r.add(instance, known)
 	}
-	known.leave(now, 0)
+	known.markLeaving(now, 0)
 	if gone && !known.gone {
 		known.gone = true
 		known.heardAt = now
 	}
 }
 
-// Sequence is that of the newest heartbeat of an instance; 0 before the first.
+// Sequence returns the sequence of the newest heartbeat of an instance, or 0 before the first.
 func (r *Registry) Sequence(instance string) uint64 {
 	if known := r.runners[instance]; known != nil {
 		return known.heartbeat.Sequence
@@ -181,7 +180,7 @@
 	return 0
 }
 
-// Service is that of an instance; empty if it is not known.
+// Service returns the service of an instance, or "" if it is unknown.
 func (r *Registry) Service(instance string) string {
 	if known := r.runners[instance]; known != nil {
 		return known.heartbeat.Service
@@ -189,52 +188,55 @@
 	return ""
 }
 
-// IsLeaving reports whether an instance has said that it is leaving, or gone.
+// IsLeaving reports whether an instance is leaving or gone.
 func (r *Registry) IsLeaving(instance string) bool {
 	known := r.runners[instance]
 	return known != nil && (known.leaving || known.gone)
 }
 
-// Expire forgets what ended long ago.
+// Expire deletes records without any message for longer than tombstoneTTL.
 func (r *Registry) Expire(now time.Time) {
 	r.sorted = slices.DeleteFunc(r.sorted, func(known *record) bool {
-		if now.Sub(known.heardAt) <= forgottenAfter {
+		if now.Sub(known.heardAt) <= tombstoneTTL {
 			return false
 		}
 		delete(r.runners, known.instance)
-		r.leaveAddress(known)
-		if id := IDOf(known.instance); r.newest[id] == known.instance {
-			delete(r.newest, id)
+		r.removeFromAddress(known)
+		if id := IDOf(known.instance); r.latest[id] == known.instance {
+			delete(r.latest, id)
 		}
 		return true
 	})
 }
 
-// Status is what the registry knows of one runner.
+// Status is the state of one runner.
 type Status struct {
 	Heartbeat Heartbeat
 	Leaving   bool
-	// Drained runners are in a zone that an operator has drained. They stay, and may take requests again.
+	// Drained runners are in a zone that an operator has drained. They keep running and may get
+	// requests again.
 	Drained bool
-	// Cold runners bear few requests a second.
+	// Cold runners can take only few requests a second.
 	Cold bool
-	// Limit is the rate limit that the runner names, in requests a second over all routers; 0 for none.
+	// Limit is the rate limit that the runner sets, in requests per second over all routers; 0 for
+	// none.
 	Limit float64
-	// EndsAt is when a runner that is leaving at short notice ends; zero if unknown.
+	// EndsAt is when a runner that leaves at short notice ends; zero if unknown.
 	EndsAt time.Time
-	// Recalled runners have not been heard since the leader began.
+	// Recalled runners have not sent a heartbeat since leadership began.
 	Recalled bool
-	// Lost runners could not be reached by several routers since their last heartbeat:
-	// Complaints says by how many, and Silent how long ago that was.
+	// Lost runners could not be reached by several routers since their last heartbeat. Complaints
+	// is the number of these routers, Silent the time since the heartbeat.
 	Lost       bool
 	Complaints int
 	Silent     time.Duration
 }
 
-// MayServe reports whether the runner may get new requests and orders.
+// MayServe reports whether the runner may get new requests and commands.
 func (s *Status) MayServe() bool { return !s.Leaving && !s.Lost && !s.Drained }
 
-// Runners lists the runners that are not gone and not silent, by instance. The list holds until the next call.
+// Runners returns the runners that are neither gone nor silent, sorted by instance. The slice is
+// valid until the next call.
 func (r *Registry) Runners(now time.Time) []Status {
 	r.sort()
 	r.listed = r.listed[:0]
@@ -250,14 +252,13 @@
 		r.listed = append(r.listed, Status{
 			Heartbeat: known.heartbeat, Leaving: known.leaving, EndsAt: known.endsAt, Cold: now.Before(known.coldUntil),
 			Recalled: known.recalled, Lost: known.suspicion.isLost(silent, silentZones[known.heartbeat.Zone]),
-			Complaints: len(known.suspicion.complaints), Silent: silent,
+			Complaints: len(known.suspicion.reporters), Silent: silent,
 		})
 	}
 	return r.listed
 }
 
-// Gone lists the instances that have ended, and those that are leaving of which no
-// address is known, sorted.
+// Gone returns the sorted instances that have ended, and leaving ones without a known address.
 func (r *Registry) Gone() []string {
 	var gone []string
 	for instance, known := range r.runners {
@@ -265,13 +266,13 @@
 			gone = append(gone, instance)
 		}
 	}
-	gone = withIDs(gone, func(id string) bool {
-		known := r.runners[r.newest[id]]
+	gone = appendIDs(gone, func(id string) bool {
+		known := r.runners[r.latest[id]]
 		return known != nil && !known.hasEnded()
 	})
 	slices.Sort(gone)
 	return gone
 }
 
-// Complete reports whether every runner that lives has had the time to be heard.
-func (r *Registry) Complete(now time.Time) bool { return now.Sub(r.began) > r.timing.Learning() }
+// Complete reports whether every live runner has had the time to send a heartbeat to this leader.
+func (r *Registry) Complete(now time.Time) bool { return now.Sub(r.startedAt) > r.timing.Learning() }
--- a/placement/fleet/suspicion.go
+++ b/placement/fleet/suspicion.go
@@ -3,59 +3,59 @@
 import "time"
 
 const (
-	// enoughComplaints is how many routers must have failed to reach a runner whose heartbeat
-	// is overdue for it to be taken for lost: one may fail by a fault of its own. A runner
-	// whose heartbeats come in time is slow to answer, and many routers see that at once.
-	enoughComplaints = 2
-	// overdueFactor times the usual pause between two heartbeats of a runner is after how long
-	// the next is overdue.
+	// minUnreachableReports is the number of routers that must fail to reach a runner with an
+	// overdue heartbeat before it counts as lost. One router may be faulty itself. A runner with
+	// timely heartbeats is only slow to answer, which many routers see at once.
+	minUnreachableReports = 2
+	// A heartbeat is overdue after overdueFactor times the mean interval of the runner.
 	overdueFactor = 1.5
-	// longerPauseWeight and shorterPauseWeight are the weights of a new pause between two
-	// heartbeats in the usual one. Runners send some between the regular ones, when a load
-	// ends, which must not make the others overdue.
-	longerPauseWeight  = 0.5
-	shorterPauseWeight = 0.1
+	// longerIntervalWeight and shorterIntervalWeight are the weights of a new interval in the
+	// moving average. Runners send extra heartbeats when a load ends, which must not make the
+	// regular ones overdue.
+	longerIntervalWeight  = 0.5
+	shorterIntervalWeight = 0.1
 )
 
-// suspicion is what routers that failed to reach a runner said since its last heartbeat.
+// suspicion tracks the heartbeat interval of a runner and which routers failed to reach it since
+// its last heartbeat.
 type suspicion struct {
-	// usualPause is that between two heartbeats; 0 before the second.
-	usualPause time.Duration
-	complaints map[string]bool
+	// meanInterval is the moving average of the time between heartbeats; 0 before the second one.
+	meanInterval time.Duration
+	reporters    map[string]bool
 }
 
-// heard takes a heartbeat that came a pause after the one before.
-func (s *suspicion) heard(pause time.Duration) {
-	s.complaints = nil
-	if s.usualPause == 0 {
-		s.usualPause = pause
+// observeInterval records a heartbeat that arrived interval after the one before.
+func (s *suspicion) observeInterval(interval time.Duration) {
+	s.reporters = nil
+	if s.meanInterval == 0 {
+		s.meanInterval = interval
 		return
 	}
-	weight := longerPauseWeight
-	if pause < s.usualPause {
-		weight = shorterPauseWeight
+	weight := longerIntervalWeight
+	if interval < s.meanInterval {
+		weight = shorterIntervalWeight
 	}
-	s.usualPause += time.Duration(weight * float64(pause-s.usualPause))
+	s.meanInterval += time.Duration(weight * float64(interval-s.meanInterval))
 }
 
-// complain notes that a router failed to reach the runner.
-func (s *suspicion) complain(router string) {
-	if s.complaints == nil {
-		s.complaints = make(map[string]bool)
+// addReport records that a router failed to reach the runner.
+func (s *suspicion) addReport(router string) {
+	if s.reporters == nil {
+		s.reporters = make(map[string]bool)
 	}
-	s.complaints[router] = true
+	s.reporters[router] = true
 }
 
-// isLost reports whether the runner is taken for lost, silent as long as given. One of a zone that is
-// silent as a whole need not be overdue itself.
+// isLost reports whether the runner counts as lost after being silent for the given time. In a zone
+// that is silent as a whole, its own heartbeat need not be overdue.
 func (s *suspicion) isLost(silent time.Duration, isZoneSilent bool) bool {
-	isOverdue := isZoneSilent || s.usualPause > 0 && silent > time.Duration(overdueFactor*float64(s.usualPause))
-	return isOverdue && len(s.complaints) >= enoughComplaints
+	isOverdue := isZoneSilent || s.meanInterval > 0 && silent > time.Duration(overdueFactor*float64(s.meanInterval))
+	return isOverdue && len(s.reporters) >= minUnreachableReports
 }
 
-// Complain notes that a router failed to reach a runner. Its next heartbeat refutes that.
+// Complain records that a router failed to reach a runner. The next heartbeat clears it.
 func (r *Registry) Complain(instance, router string) {
 	if known := r.runners[instance]; known != nil {
-		known.suspicion.complain(router)
+		known.suspicion.addReport(router)
 	}
 }
--- a/placement/fleet/suspicion_test.go
+++ b/placement/fleet/suspicion_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A runner whose loads end sends more heartbeats than the regular ones.
-func TestHeartbeatsBetweenTheRegularOnesMakeNoneOverdue(t *testing.T) {
+// Guards against extra heartbeats at the end of a load making the regular ones overdue.
+func TestExtraHeartbeatsMakeNoneOverdue(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	at := start
@@ -23,7 +23,7 @@
 	c.Assert(r.Runners(at)[0].Lost, qt.IsFalse)
 }
 
-func TestRunnerThatRoutersCannotReachIsLost(t *testing.T) {
+func TestUnreachableRunnerIsLost(t *testing.T) {
 	const pause = time.Second
 	for _, test := range []struct {
 		name    string
@@ -31,11 +31,11 @@
 		after   time.Duration
 		isLost  bool
 	}{
-		{"overdue, and no router says so", 0, 3 * pause, false},
-		{"overdue, and one router", 1, 3 * pause, false},
-		{"overdue, and two routers", 2, 3 * pause, true},
-		{"in time, and two routers", 2, pause / 2, false},
-		{"in time, and many routers", 20, pause / 2, false},
+		{"overdue, no report", 0, 3 * pause, false},
+		{"overdue, one report", 1, 3 * pause, false},
+		{"overdue, two reports", 2, 3 * pause, true},
+		{"in time, two reports", 2, pause / 2, false},
+		{"in time, many reports", 20, pause / 2, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -52,7 +52,7 @@
 			status := r.Runners(at.Add(test.after))[0]
 			c.Assert(status.Lost, qt.Equals, test.isLost)
 			r.Hear(at.Add(test.after), beat("a", 6))
-			c.Assert(r.Runners(at.Add(test.after))[0].Lost, qt.IsFalse, qt.Commentf("a heartbeat refutes it"))
+			c.Assert(r.Runners(at.Add(test.after))[0].Lost, qt.IsFalse, qt.Commentf("not cleared by a heartbeat"))
 		})
 	}
 }
--- a/placement/fleet/timing.go
+++ b/placement/fleet/timing.go
@@ -2,39 +2,37 @@
 
 import "time"
 
-// DefaultHeartbeat is the pause between two heartbeats of a runner where none is set.
+// DefaultHeartbeat is the default interval between heartbeats of a runner.
 const DefaultHeartbeat = 1200 * time.Millisecond
 
 const (
-	// heartbeatLateness is by how much a heartbeat of a runner that lives may be late: seconds, while links are
-	// cut or lose packets and its calls go from one controller to the next.
-	heartbeatLateness = 5600 * time.Millisecond
-	// firstLateness is the same for the first heartbeat that a new leader hears of each runner: what it does
-	// not hear within it, it takes as certain only once the runner is silent.
-	firstLateness = 4800 * time.Millisecond
-	// forgottenAfter is how long a runner that has ended is remembered, against
-	// heartbeats that were on their way.
-	forgottenAfter = 60 * time.Second
-	// unrecordedAfter times the silence of a runner is after how long it is no longer recalled by the leaders to
-	// come.
-	unrecordedAfter = 2.5
+	// heartbeatGrace is how late the heartbeat of a live runner may be, for example while links are
+	// down or lose packets and the runner tries one controller after the other.
+	heartbeatGrace = 5600 * time.Millisecond
+	// firstHeartbeatGrace is the same for the first heartbeat of each runner to a new leader.
+	firstHeartbeatGrace = 4800 * time.Millisecond
+	// tombstoneTTL is how long an ended runner is remembered, to reject heartbeats still in flight.
+	tombstoneTTL = 60 * time.Second
+	// A runner's registration is deleted after unrecordedFactor times its silence limit.
+	unrecordedFactor = 2.5
 )
 
-// Timing is how long it takes until the silence of runners tells something. It follows from the pause between two
-// of their heartbeats, which sites choose by their size.
+// Timing derives the timeouts for silent runners from the heartbeat interval, which is configured
+// by fleet size.
 type Timing struct {
-	// Heartbeat is that pause.
+	// Heartbeat is the interval between heartbeats of a runner.
 	Heartbeat time.Duration
 }
 
-// Silence is how long after its last heartbeat a runner is taken to be lost: one may be lost on its way, and the
-// next be late.
-func (t Timing) Silence() time.Duration { return 2*t.Heartbeat + heartbeatLateness }
+// Silence returns how long after its last heartbeat a runner counts as lost. It tolerates one lost
+// heartbeat followed by a late one.
+func (t Timing) Silence() time.Duration { return 2*t.Heartbeat + heartbeatGrace }
 
-// Learning is how long a new leader hears heartbeats before it takes the absence of one for news.
-func (t Timing) Learning() time.Duration { return t.Heartbeat + firstLateness }
+// Learning returns how long a new leader waits for heartbeats before unlisted runners count as
+// gone.
+func (t Timing) Learning() time.Duration { return t.Heartbeat + firstHeartbeatGrace }
 
-// Unrecorded is how long a runner must be silent before it is no longer recalled by the leaders to come.
+// Unrecorded returns how long a runner must be silent before later leaders no longer recall it.
 func (t Timing) Unrecorded() time.Duration {
-	return time.Duration(unrecordedAfter * float64(t.Silence()))
+	return time.Duration(unrecordedFactor * float64(t.Silence()))
 }
--- a/placement/fleet/timing_test.go
+++ b/placement/fleet/timing_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// However rarely runners send heartbeats, one that is lost and one that is late don't make them silent, and a new
-// leader is not complete before each has had its turn.
-func TestSilenceFollowsFromThePauseBetweenHeartbeats(t *testing.T) {
+// Guards against a lost and a late heartbeat making a runner silent, and against a leader that is
+// complete before each runner had its turn, at any heartbeat interval.
+func TestSilenceFollowsHeartbeatInterval(t *testing.T) {
 	for _, pause := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 5 * time.Second, 20 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
 			c := qt.New(t)
--- a/placement/fleet/zonesilence.go
+++ b/placement/fleet/zonesilence.go
@@ -3,58 +3,58 @@
 import "time"
 
 const (
-	// leastZoneRunners is how many runners a zone must have for its silence to tell more than that of
-	// each of them.
-	leastZoneRunners = 3
-	// zoneGapFactor times the usual time between two heartbeats of any of its runners is after how long
-	// a zone is silent, zoneSilence the least: runners that were started together send theirs together.
-	zoneGapFactor = 5
-	zoneSilence   = 400 * time.Millisecond
+	// minZoneRunners is the least number of runners in a zone for its silence to be significant.
+	minZoneRunners = 3
+	// A zone is silent after zoneSilenceFactor times the mean time between heartbeats of any of its
+	// runners, at least minZoneSilence: runners that were started together send heartbeats
+	// together.
+	zoneSilenceFactor = 5
+	minZoneSilence    = 400 * time.Millisecond
 )
 
-// zoneBeats is when a zone was heard last, and how often it usually is.
-type zoneBeats struct {
+// zoneActivity summarizes the heartbeats of a zone.
+type zoneActivity struct {
 	runners int
-	// pauses is the sum of the usual pauses of its runners.
-	pauses  time.Duration
-	heardAt time.Time
+	// intervalSum is the sum of the mean heartbeat intervals of its runners.
+	intervalSum time.Duration
+	heardAt     time.Time
 }
 
-// limit is after how long without any heartbeat the zone is silent.
-func (z *zoneBeats) limit() time.Duration {
-	usual := z.pauses / time.Duration(z.runners) / time.Duration(z.runners)
-	return max(zoneSilence, zoneGapFactor*usual)
+// limit returns the time without any heartbeat after which the zone is silent.
+func (z *zoneActivity) limit() time.Duration {
+	usual := z.intervalSum / time.Duration(z.runners) / time.Duration(z.runners)
+	return max(minZoneSilence, zoneSilenceFactor*usual)
 }
 
-// silentZones names the zones of which no runner has sent a heartbeat for several times as long as
-// there usually is none, while others have. Then those of its runners that routers fail to reach need
-// not be overdue one by one: a zone that is cut off is known in half a second, and not after one and a
-// half of the pauses that each runner makes.
+// silentZones returns the zones from which no heartbeat arrives while other zones are heard.
+// Runners there that routers fail to reach count as lost without being overdue themselves, so that
+// a partitioned zone is detected within half a second instead of one and a half heartbeat
+// intervals.
 func (r *Registry) silentZones(now time.Time) map[string]bool {
-	zones := make(map[string]*zoneBeats)
+	zones := make(map[string]*zoneActivity)
 	for _, known := range r.runners {
 		zone := known.heartbeat.Zone
-		if zone == "" || known.hasEnded() || known.displaced || known.suspicion.usualPause == 0 || now.Sub(known.heardAt) > r.timing.Silence() {
+		if zone == "" || known.hasEnded() || known.displaced || known.suspicion.meanInterval == 0 || now.Sub(known.heardAt) > r.timing.Silence() {
 			continue
 		}
 		if zones[zone] == nil {
-			zones[zone] = &zoneBeats{}
+			zones[zone] = &zoneActivity{}
 		}
-		beats := zones[zone]
-		beats.runners++
-		beats.pauses += known.suspicion.usualPause
-		if known.heardAt.After(beats.heardAt) {
-			beats.heardAt = known.heardAt
+		activity := zones[zone]
+		activity.runners++
+		activity.intervalSum += known.suspicion.meanInterval
+		if known.heardAt.After(activity.heardAt) {
+			activity.heardAt = known.heardAt
 		}
 	}
 	silent := make(map[string]bool)
 	for zone, beats := range zones {
-		if beats.runners >= leastZoneRunners && now.Sub(beats.heardAt) > beats.limit() {
+		if beats.runners >= minZoneRunners && now.Sub(beats.heardAt) > beats.limit() {
 			silent[zone] = true
 		}
 	}
 	if len(silent) == len(zones) {
-		// The leader itself may have heard nobody.
+		// The leader itself may be partitioned.
 		return nil
 	}
 	return silent
--- a/placement/fleet/zonesilence_test.go
+++ b/placement/fleet/zonesilence_test.go
@@ -8,30 +8,31 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A zone of 15 runners is cut off in full flow. Its routers cannot say so, those of the other zones can, long
-// before each runner is overdue: models that were only there are loaded elsewhere a second earlier.
-func TestZoneThatFallsSilentIsLost(t *testing.T) {
+// Guards against waiting until each runner of a partitioned zone is overdue, which delays loading
+// its models elsewhere.
+func TestSilentZoneIsLost(t *testing.T) {
 	const (
 		pause   = 1200 * time.Millisecond
 		runners = 15
 	)
 	for _, test := range []struct {
 		name string
-		// routers complain; cut zones send no heartbeats.
+		// routers is the number of routers that report runners of zone b. Zones in cut send no
+		// heartbeats.
 		routers int
 		cut     map[string]bool
-		// runners is how many there are in each zone, silent for how long the cut has lasted.
+		// runners is the number per zone, silent the duration of the partition.
 		runners int
 		silent  time.Duration
 		isLost  bool
 	}{
-		{"silent, and two routers", 2, map[string]bool{"b": true}, runners, 500 * time.Millisecond, true},
-		{"silent, and one router", 1, map[string]bool{"b": true}, runners, 500 * time.Millisecond, false},
-		{"silent, and no router", 0, map[string]bool{"b": true}, runners, 500 * time.Millisecond, false},
-		{"heard, and many routers", 20, nil, runners, 500 * time.Millisecond, false},
-		{"too short to tell", 2, map[string]bool{"b": true}, runners, 300 * time.Millisecond, false},
-		{"the leader hears nobody", 20, map[string]bool{"a": true, "b": true}, runners, 500 * time.Millisecond, false},
-		{"a zone of two", 2, map[string]bool{"b": true}, 2, 500 * time.Millisecond, false},
+		{"silent, two reporting routers", 2, map[string]bool{"b": true}, runners, 500 * time.Millisecond, true},
+		{"silent, one reporting router", 1, map[string]bool{"b": true}, runners, 500 * time.Millisecond, false},
+		{"silent, no reporting router", 0, map[string]bool{"b": true}, runners, 500 * time.Millisecond, false},
+		{"heard, many reporting routers", 20, nil, runners, 500 * time.Millisecond, false},
+		{"silent too briefly", 2, map[string]bool{"b": true}, runners, 300 * time.Millisecond, false},
+		{"all zones silent", 20, map[string]bool{"a": true, "b": true}, runners, 500 * time.Millisecond, false},
+		{"zone with two runners", 2, map[string]bool{"b": true}, 2, 500 * time.Millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -69,7 +70,7 @@
 					lost++
 				}
 			}
-			// Those whose heartbeat came after the complaints are not lost.
+			// Runners with a heartbeat after the reports are not lost.
 			c.Assert(lost == test.runners, qt.Equals, test.isLost, qt.Commentf("%d lost", lost))
 			run(2*pause, nil)
 			for _, status := range r.Runners(now) {
