--- a/placement/ratelimit/belief.go
+++ b/placement/ratelimit/belief.go
@@ -2,32 +2,35 @@
 
 import "time"
 
-// Belief is what a router holds of the limits that runners name: what it hears in answers, and what the leader says
-// that others heard. The methods must not run at the same time. Make one with NewBelief.
+// Belief is a router's cache of the rate limits that runners announce, from the answers it receives
+// and from the leader's views. Create one with NewBelief. Its methods are not safe for concurrent
+// use.
 type Belief struct {
-	runners map[string]*believed
-	// news are what the leader has not been told yet, leaders counts those that there were.
-	news    map[string]Report
-	leaders uint64
+	runners map[string]*cachedLimit
+	// pending holds the reports that the leader has not acknowledged. leaderEpoch counts changes of
+	// the leader.
+	pending     map[string]Report
+	leaderEpoch uint64
 }
 
-// believed is what is held of one runner.
-type believed struct {
+// cachedLimit is the limit of one runner.
+type cachedLimit struct {
 	perSecond float64
-	isNamed   bool
-	// since is when this was learned, told what the leader's last view said of the runner.
-	since time.Time
-	told  float64
+	isLimited bool
+	// updatedAt is the time of the last change. leaderRate is the limit in the leader's last view;
+	// 0 for none.
+	updatedAt  time.Time
+	leaderRate float64
 }
 
-// NewBelief makes a Belief that knows of no limit.
+// NewBelief returns an empty Belief.
 func NewBelief() *Belief {
-	return &Belief{runners: make(map[string]*believed), news: make(map[string]Report)}
+	return &Belief{runners: make(map[string]*cachedLimit), pending: make(map[string]Report)}
 }
 
-// Hear takes the answer to a request that was sent at a time, and returns false if it tells nothing new. The end of a
-// limit is believed of an answer to a request only that was sent after the limit was known: answers overtake each
-// other, and one that was under way when the runner began to name its limit names none.
+// Hear processes the answer to a request sent at the given time. It reports whether the limit
+// changed. An answer without a limit removes the cached one only if its request was sent after the
+// limit became known, since answers may arrive out of order.
 func (b *Belief) Hear(now, sent time.Time, instance string, notice Notice) bool {
 	known := b.runners[instance]
 	switch {
@@ -35,114 +38,114 @@
 		return false
 	case notice.IsNamed:
 		if known == nil {
-			known = &believed{}
+			known = &cachedLimit{}
 			b.runners[instance] = known
 		}
-		if known.isNamed && known.perSecond == notice.PerSecond {
+		if known.isLimited && known.perSecond == notice.PerSecond {
 			return false
 		}
-		known.perSecond, known.isNamed, known.since = notice.PerSecond, true, now
-		b.news[instance] = Report{Instance: instance, PerSecond: notice.PerSecond}
+		known.perSecond, known.isLimited, known.updatedAt = notice.PerSecond, true, now
+		b.pending[instance] = Report{Instance: instance, PerSecond: notice.PerSecond}
 		return true
-	case known == nil || !known.isNamed || !sent.After(known.since):
+	case known == nil || !known.isLimited || !sent.After(known.updatedAt):
 		return false
 	}
-	known.isNamed = false
-	b.news[instance] = Report{Instance: instance, IsEnded: true}
-	b.forgetEnded(instance)
+	known.isLimited = false
+	b.pending[instance] = Report{Instance: instance, IsEnded: true}
+	b.deleteIfUnlimited(instance)
 	return true
 }
 
-// Learn takes what the leader's view says of a runner, in requests a second, 0 for no limit. What this router heard and
-// the leader was not told yet is newer. A leader that goes on to name none may not have heard yet: only one that named
-// a limit and names none any more tells of its end.
-func (b *Belief) Learn(now time.Time, instance string, told float64) {
+// Learn applies the limit in a leader's view, in requests per second; 0 for none. Unacknowledged
+// reports of this router take precedence. A view without a limit removes the cached one only if an
+// earlier view of this leader had one, since the leader may not know the limit yet.
+func (b *Belief) Learn(now time.Time, instance string, perSecond float64) {
 	known := b.runners[instance]
 	if known == nil {
-		if told <= 0 {
+		if perSecond <= 0 {
 			return
 		}
-		known = &believed{}
+		known = &cachedLimit{}
 		b.runners[instance] = known
 	}
-	before := known.told
-	known.told = told
-	if _, isNewer := b.news[instance]; isNewer || before == told {
+	before := known.leaderRate
+	known.leaderRate = perSecond
+	if _, isNewer := b.pending[instance]; isNewer || before == perSecond {
 		return
 	}
-	known.perSecond, known.isNamed, known.since = told, told > 0, now
-	b.forgetEnded(instance)
+	known.perSecond, known.isLimited, known.updatedAt = perSecond, perSecond > 0, now
+	b.deleteIfUnlimited(instance)
 }
 
-// forgetEnded drops a runner of which nothing is left to know.
-func (b *Belief) forgetEnded(instance string) {
-	if known := b.runners[instance]; !known.isNamed && known.told <= 0 {
+// deleteIfUnlimited deletes the entry of a runner without any limit.
+func (b *Belief) deleteIfUnlimited(instance string) {
+	if known := b.runners[instance]; !known.isLimited && known.leaderRate <= 0 {
 		delete(b.runners, instance)
 	}
 }
 
-// Of is the limit of a runner in requests a second, and false if it names none.
+// Of returns the limit of a runner in requests per second. isNamed is false if it has none.
 func (b *Belief) Of(instance string) (perSecond float64, isNamed bool) {
-	if known := b.runners[instance]; known != nil && known.isNamed {
+	if known := b.runners[instance]; known != nil && known.isLimited {
 		return known.perSecond, true
 	}
 	return 0, false
 }
 
-// IsEmpty reports whether no runner has named a limit.
+// IsEmpty reports whether the cache has no entries.
 func (b *Belief) IsEmpty() bool { return len(b.runners) == 0 }
 
-// Len counts the runners that name a limit.
+// Len returns the number of runners with a limit.
 func (b *Belief) Len() int {
 	count := 0
 	for _, known := range b.runners {
-		if known.isNamed {
+		if known.isLimited {
 			count++
 		}
 	}
 	return count
 }
 
-// Forget drops a runner that is listed no more.
+// Forget deletes the entry of a runner that is no longer listed.
 func (b *Belief) Forget(instance string) {
 	delete(b.runners, instance)
-	delete(b.news, instance)
+	delete(b.pending, instance)
 }
 
-// TellAnew has all limits be told to a new leader, which may know of none.
+// TellAnew queues reports of all limits for a new leader.
 func (b *Belief) TellAnew() {
-	b.leaders++
+	b.leaderEpoch++
 	for instance, known := range b.runners {
-		known.told = 0
-		if known.isNamed {
-			b.news[instance] = Report{Instance: instance, PerSecond: known.perSecond}
+		known.leaderRate = 0
+		if known.isLimited {
+			b.pending[instance] = Report{Instance: instance, PerSecond: known.perSecond}
 		}
 	}
 }
 
-// News are what the leader has not been told yet.
+// News holds the reports that the leader has not acknowledged.
 type News struct {
-	Reports []Report
-	leaders uint64
+	Reports     []Report
+	leaderEpoch uint64
 }
 
-// News lists what is to be told. It stays to be told until Told is called.
+// News returns the pending reports. They stay pending until Told is called.
 func (b *Belief) News() News {
-	news := News{leaders: b.leaders}
-	for _, report := range b.news {
+	news := News{leaderEpoch: b.leaderEpoch}
+	for _, report := range b.pending {
 		news.Reports = append(news.Reports, report)
 	}
 	return news
 }
 
-// Told notes that the leader has been told, unless there is a new one by now.
+// Told marks the reports as acknowledged, unless the leader has changed since.
 func (b *Belief) Told(news News) {
-	if news.leaders != b.leaders {
+	if news.leaderEpoch != b.leaderEpoch {
 		return
 	}
 	for _, report := range news.Reports {
-		if b.news[report.Instance] == report {
-			delete(b.news, report.Instance)
+		if b.pending[report.Instance] == report {
+			delete(b.pending, report.Instance)
 		}
 	}
 }
--- a/placement/ratelimit/belief_test.go
+++ b/placement/ratelimit/belief_test.go
@@ -10,9 +10,9 @@
 
 const testRunner = "r"
 
-func named(perSecond float64) Notice { return Notice{IsNamed: true, PerSecond: perSecond} }
+func limitNotice(perSecond float64) Notice { return Notice{IsNamed: true, PerSecond: perSecond} }
 
-// assertLimit checks what is believed; 0 for no limit.
+// assertLimit checks the cached limit; wanted is 0 for no limit.
 func assertLimit(c *qt.C, b *Belief, wanted float64) {
 	c.Helper()
 	perSecond, isNamed := b.Of(testRunner)
@@ -22,14 +22,14 @@
 	}
 }
 
-func TestLimitIsHeardAndToldOnce(t *testing.T) {
+func TestLimitIsReportedOnce(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
 	b := NewBelief()
 	c.Assert(b.Hear(at, at, testRunner, Notice{}), qt.IsFalse)
 	c.Assert(b.IsEmpty(), qt.IsTrue)
-	c.Assert(b.Hear(at, at, testRunner, named(2)), qt.IsTrue)
-	c.Assert(b.Hear(at, at, testRunner, named(2)), qt.IsFalse)
+	c.Assert(b.Hear(at, at, testRunner, limitNotice(2)), qt.IsTrue)
+	c.Assert(b.Hear(at, at, testRunner, limitNotice(2)), qt.IsFalse)
 	assertLimit(c, b, 2)
 	news := b.News()
 	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, PerSecond: 2}})
@@ -40,11 +40,11 @@
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
 
-func TestAnswerUnderWayDoesNotEndALimit(t *testing.T) {
+func TestOvertakenAnswerDoesNotRemoveLimit(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
 	b := NewBelief()
-	b.Hear(at, at, testRunner, named(2))
+	b.Hear(at, at, testRunner, limitNotice(2))
 	c.Assert(b.Hear(at.Add(time.Second), at.Add(-time.Millisecond), testRunner, Notice{}), qt.IsFalse)
 	assertLimit(c, b, 2)
 	c.Assert(b.Hear(at.Add(time.Second), at.Add(time.Millisecond), testRunner, Notice{Problem: "unreadable"}), qt.IsFalse)
@@ -55,7 +55,7 @@
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
 
-func TestLeaderTellsOfLimitsAndTheirEnds(t *testing.T) {
+func TestLeaderViewSetsAndRemovesLimit(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
 	b := NewBelief()
@@ -71,33 +71,33 @@
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
 
-// Views that were under way when this router heard of a limit, or of another one, take nothing back.
-func TestWhatWasHeardIsNewerThanWhatTheLeaderSays(t *testing.T) {
+// Guards against views that predate this router's reports overriding a limit it received.
+func TestPendingReportTakesPrecedenceOverLeaderView(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
 	b := NewBelief()
-	b.Hear(at, at, testRunner, named(2))
+	b.Hear(at, at, testRunner, limitNotice(2))
 	b.Learn(at, testRunner, 0)
 	assertLimit(c, b, 2)
 	b.Told(b.News())
 	b.Learn(at, testRunner, 0)
 	assertLimit(c, b, 2)
 	b.Learn(at, testRunner, 2)
-	b.Hear(at, at, testRunner, named(5))
+	b.Hear(at, at, testRunner, limitNotice(5))
 	b.Learn(at, testRunner, 2)
 	assertLimit(c, b, 5)
 }
 
-func TestNewLeaderIsToldOfLimitsThatItDoesNotKnow(t *testing.T) {
+func TestLimitsAreReportedToNewLeader(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
 	b := NewBelief()
-	b.Hear(at, at, testRunner, named(2))
+	b.Hear(at, at, testRunner, limitNotice(2))
 	former := b.News()
 	b.Told(former)
 	b.Learn(at, testRunner, 2)
 	b.TellAnew()
-	// The acknowledgement of the leader before says nothing of the new one.
+	// An acknowledgement by the former leader does not count for the new one.
 	b.Told(former)
 	b.Learn(at, testRunner, 0)
 	assertLimit(c, b, 2)
@@ -107,20 +107,20 @@
 	assertLimit(c, b, 2)
 }
 
-// However answers, reports, views and leaders interleave, once the runner says the same for long enough and each
-// router has had an answer since, all know what it says.
-func TestBeliefsOfAllRoutersSettle(t *testing.T) {
+// Guards against routers that disagree on a limit after random interleavings of answers, reports,
+// views and leader changes.
+func TestRoutersConvergeOnLimit(t *testing.T) {
 	for seed := range uint64(300) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 3))
 		at := time.Unix(1000, 0)
 		leader, views := NewLimits(), []float64{0}
 		routers := []*Belief{NewBelief(), NewBelief(), NewBelief()}
-		says := Notice{}
+		current := Notice{}
 		exchange := func(router *Belief) {
 			sent := at
 			at = at.Add(time.Millisecond)
-			router.Hear(at, sent, testRunner, says)
+			router.Hear(at, sent, testRunner, current)
 			at = at.Add(time.Millisecond)
 		}
 		report := func(router *Belief) {
@@ -136,9 +136,9 @@
 			router := routers[random.IntN(len(routers))]
 			switch random.IntN(6) {
 			case 0:
-				says = Notice{IsNamed: random.IntN(2) == 0, PerSecond: 1 + float64(random.IntN(3))}
-				if !says.IsNamed {
-					says = Notice{}
+				current = Notice{IsNamed: random.IntN(2) == 0, PerSecond: 1 + float64(random.IntN(3))}
+				if !current.IsNamed {
+					current = Notice{}
 				}
 			case 1, 2:
 				exchange(router)
@@ -165,13 +165,13 @@
 			}
 		}
 		for _, router := range routers {
-			assertLimit(c, router, says.PerSecond)
+			assertLimit(c, router, current.PerSecond)
 		}
-		c.Assert(leader.Of(testRunner), qt.Equals, says.PerSecond, qt.Commentf("seed %d", seed))
+		c.Assert(leader.Of(testRunner), qt.Equals, current.PerSecond, qt.Commentf("seed %d", seed))
 	}
 }
 
-func TestLimitsOfTheLeader(t *testing.T) {
+func TestLimits(t *testing.T) {
 	c := qt.New(t)
 	limits := NewLimits()
 	c.Assert(limits.Observe(Report{Instance: "a", PerSecond: 2}), qt.IsTrue)
--- a/placement/ratelimit/limits.go
+++ b/placement/ratelimit/limits.go
@@ -1,29 +1,28 @@
 package ratelimit
 
-// LeastRate is the least rate that tokens are lent at, in requests a second, whatever a runner names: one request in
-// ten seconds finds out that a runner that took none takes some again.
+// LeastRate is the minimum rate in requests per second at which tokens are granted. It allows a
+// probe every ten seconds of a runner whose limit is 0.
 const LeastRate = 0.1
 
-// Report is what a router heard of a runner's limit.
+// Report is a router's report of a change of a runner's limit.
 type Report struct {
 	Instance string
-	// PerSecond is the limit that the runner names, in requests a second.
+	// PerSecond is the limit in requests per second.
 	PerSecond float64
-	// IsEnded is set if the runner named a limit and names none any more.
+	// IsEnded is set if the runner no longer announces a limit.
 	IsEnded bool
 }
 
-// Limits are those that runners name, as the routers reported them to one leader. A limit holds until an answer to a
-// request that was sent later names none: nothing else tells of its end, and a runner that gets few requests tells
-// seldom. The methods must not run at the same time. Make one with NewLimits.
+// Limits holds the runners' limits that routers reported to the leader. A limit holds until a later
+// answer announces none. Create one with NewLimits. Its methods are not safe for concurrent use.
 type Limits struct {
 	perSecond map[string]float64
 }
 
-// NewLimits makes Limits that know of none.
+// NewLimits returns an empty Limits.
 func NewLimits() *Limits { return &Limits{perSecond: make(map[string]float64)} }
 
-// Observe takes a report, and returns false if it tells nothing new.
+// Observe records a report. It reports whether the limit changed.
 func (l *Limits) Observe(report Report) bool {
 	known, isKnown := l.perSecond[report.Instance]
 	if report.IsEnded {
@@ -35,13 +34,13 @@
 	return !isKnown || known != perSecond
 }
 
-// Of is the limit of a runner in requests a second, at least LeastRate; 0 if it names none.
+// Of returns the limit of a runner in requests per second, at least LeastRate; 0 if it has none.
 func (l *Limits) Of(instance string) float64 { return l.perSecond[instance] }
 
-// Len counts the runners that name a limit.
+// Len returns the number of runners with a limit.
 func (l *Limits) Len() int { return len(l.perSecond) }
 
-// Forget drops the runners that are listed no more.
+// Forget deletes the limits of runners that are no longer listed.
 func (l *Limits) Forget(isListed func(instance string) bool) {
 	for instance := range l.perSecond {
 		if !isListed(instance) {
--- a/placement/ratelimit/pacer.go
+++ b/placement/ratelimit/pacer.go
@@ -6,69 +6,67 @@
 )
 
 const (
-	// TokenLife is how long a token may be used after its router asked for it: some times what the question
-	// takes, and short beside the second or more in which the requests of such a runner are counted.
+	// TokenLife is how long a token is valid after its router asked for it: several round trips,
+	// but short compared to the period over which a runner's requests are counted.
 	TokenLife = 400 * time.Millisecond
-	// Burst is how many tokens of one runner may be lent at once: two requests that come together are served
-	// together.
+	// Burst is the capacity of a runner's token bucket.
 	Burst = 2
-	// MaxWanted bounds the tokens that are lent in one answer for a runner.
+	// MaxWanted bounds the tokens granted for a runner in one answer.
 	MaxWanted = 64
 )
 
-// Want is what a router asks for.
+// Want is a router's request for tokens of one runner.
 type Want struct {
 	Instance string
 	Requests int
-	// IsAhead is set if no request waits for the runner: others serve them, and the router would have this one
-	// bear its part, and learn whether it still names its limit.
+	// IsAhead is set if no request is waiting for the runner. The router then uses the token to
+	// include the runner in load balancing and to learn whether its limit still holds.
 	IsAhead bool
 }
 
-// Grant is what it gets.
+// Grant is the answer to a Want.
 type Grant struct {
 	Instance string
 	Requests int
-	// MoreIn is after how long there will be another token; 0 if all that was asked for is granted.
+	// MoreIn is the time until the next token; 0 if all requested tokens are granted.
 	MoreIn time.Duration
 }
 
-// Pacer lends the tokens of runners that bear few requests a second. It belongs to one leader. Its methods must not
-// run at the same time.
+// Pacer grants the tokens of rate-limited runners for one leadership. Its methods are not safe for
+// concurrent use.
 type Pacer struct {
-	began   time.Time
-	buckets map[string]*bucket
+	startedAt time.Time
+	buckets   map[string]*bucket
 }
 
-// bucket holds the tokens of one runner, as of a time.
+// bucket is a token bucket as of the time at.
 type bucket struct {
 	tokens float64
 	at     time.Time
 }
 
-// New makes a pacer for a leadership that begins now.
-func New(began time.Time) *Pacer {
-	return &Pacer{began: began, buckets: make(map[string]*bucket)}
+// New returns a pacer for a leadership that begins at the given time.
+func New(startedAt time.Time) *Pacer {
+	return &Pacer{startedAt: startedAt, buckets: make(map[string]*bucket)}
 }
 
-// Lend answers a router that wants to send requests to a runner that bears so many requests a second.
+// Lend grants tokens of a runner whose limit is perSecond requests per second.
 func (p *Pacer) Lend(now time.Time, want Want, perSecond float64) Grant {
-	if wait := TokenLife - now.Sub(p.began); wait > 0 {
-		// Tokens of the leader before may still be used.
+	if wait := TokenLife - now.Sub(p.startedAt); wait > 0 {
+		// Tokens of the former leader may still be valid.
 		return Grant{Instance: want.Instance, MoreIn: wait}
 	}
 	known := p.buckets[want.Instance]
 	if known == nil {
-		// As if nobody had asked since the former leader's tokens ended: leaders that follow each other
-		// quickly lend no Burst each, which is more than a runner bears that takes one request in some seconds.
-		known = &bucket{at: p.began.Add(TokenLife)}
+		// The bucket starts empty: leaders in quick succession must not each grant a full burst.
+		known = &bucket{at: p.startedAt.Add(TokenLife)}
 		p.buckets[want.Instance] = known
 	}
 	known.fill(now, perSecond)
 	wanted := min(max(0, want.Requests), MaxWanted)
 	free := known.tokens
 	if want.IsAhead {
-		// One is left for a router whose requests have no other runner.
+		// Leave one token for a router whose requests have no other runner.
 		free = max(0, free-1)
 	}
 	granted := min(wanted, int(free))
@@ -80,12 +78,12 @@
 	return grant
 }
 
-// Begin has the tokens of a runner gather from now: until now it got what it was sent without.
+// Begin starts the runner with an empty bucket. Until now it got requests without tokens.
 func (p *Pacer) Begin(now time.Time, instance string) {
 	p.buckets[instance] = &bucket{at: now}
 }
 
-// Forget drops the runners that are listed no more.
+// Forget deletes the buckets of runners that are no longer listed.
 func (p *Pacer) Forget(isListed func(instance string) bool) {
 	for instance := range p.buckets {
 		if !isListed(instance) {
@@ -100,7 +98,7 @@
 	b.at = now
 }
 
-// nextIn is after how long there will be a whole token.
+// nextIn returns the time until the next whole token.
 func (b *bucket) nextIn(perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return time.Second
--- a/placement/ratelimit/pacer_test.go
+++ b/placement/ratelimit/pacer_test.go
@@ -9,14 +9,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// token is one that a router holds.
+// token is a token that a router holds.
 type token struct {
 	until time.Time
 }
 
-// rush has routers ask for a cold runner all the time, over several leaders of which each may have lent tokens
-// until the next began. It returns when requests arrived, oldest first.
-func rush(random *rand.Rand, routers int, perSecond float64, length time.Duration) []time.Time {
+// simulateArrivals has routers request tokens of one runner continuously, over several leaders. It
+// returns the sorted arrival times of the requests sent with them.
+func simulateArrivals(random *rand.Rand, routers int, perSecond float64, length time.Duration) []time.Time {
 	start := time.Unix(1000, 0)
 	pacer := New(start.Add(-time.Minute))
 	held := make([][]token, routers)
@@ -26,7 +26,7 @@
 			pacer = New(at)
 		}
 		router := random.IntN(routers)
-		// The question was under way for some time, and so is the answer.
+		// The token request was in flight for some time.
 		asked := at.Add(-time.Duration(random.IntN(100)) * time.Millisecond)
 		for range pacer.Lend(at, Want{Instance: "r", Requests: 1 + random.IntN(3)}, perSecond).Requests {
 			held[router] = append(held[router], token{until: asked.Add(TokenLife)})
@@ -46,8 +46,8 @@
 	return arrivals
 }
 
-// mostWithin is the most arrivals in any span of a length.
-func mostWithin(arrivals []time.Time, span time.Duration) int {
+// maxWithin returns the maximum number of arrivals in any period of the given length.
+func maxWithin(arrivals []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i, at := range arrivals {
 		for at.Sub(arrivals[first]) >= span {
@@ -58,31 +58,31 @@
 	return most
 }
 
-// However routers, leaders and ways interleave, a cold runner gets no more than it bears and half as much again,
-// and five more.
-func TestColdRunnerGetsWhatItBears(t *testing.T) {
+// Guards against exceeding a cold runner's rate by more than half, plus five requests, in any
+// second, for random interleavings of routers and leaders.
+func TestColdRunnerRateIsBounded(t *testing.T) {
 	for _, perSecond := range []float64{1, 4, 17, 60} {
 		for _, routers := range []int{3, 77, 985} {
 			for seed := range uint64(8) {
 				c := qt.New(t)
-				arrivals := rush(rand.New(rand.NewPCG(seed, 7)), routers, perSecond, 20*time.Second)
-				most := mostWithin(arrivals, time.Second)
+				arrivals := simulateArrivals(rand.New(rand.NewPCG(seed, 7)), routers, perSecond, 20*time.Second)
+				most := maxWithin(arrivals, time.Second)
 				c.Assert(float64(most) <= 1.5*perSecond+5, qt.IsTrue, qt.Commentf("%d in a second of %v", most, perSecond))
 			}
 		}
 	}
 }
 
-// However routers, leaders and ways interleave, a runner that names a limit gets in four seconds no more than the limit
-// and half as much again, and five more, also if it takes one request in some seconds.
-func TestRunnerThatNamesALimitGetsNoMore(t *testing.T) {
+// Guards against exceeding an announced limit by more than half, plus five requests, in any four
+// seconds, also for limits below one request a second.
+func TestAnnouncedLimitIsBounded(t *testing.T) {
 	const span = 4 * time.Second
 	for _, perSecond := range []float64{LeastRate, 0.3, 1, 1.1, 4, 17} {
 		for _, routers := range []int{9, 77, 985} {
 			for seed := range uint64(6) {
 				c := qt.New(t)
-				arrivals := rush(rand.New(rand.NewPCG(seed, 9)), routers, perSecond, 20*time.Second)
-				most := mostWithin(arrivals, span)
+				arrivals := simulateArrivals(rand.New(rand.NewPCG(seed, 9)), routers, perSecond, 20*time.Second)
+				most := maxWithin(arrivals, span)
 				c.Assert(float64(most) <= 1.5*perSecond*span.Seconds()+5, qt.IsTrue,
 					qt.Commentf("%d in %v of %v a second, %d routers", most, span, perSecond, routers))
 			}
@@ -90,8 +90,8 @@
 	}
 }
 
-// What a cold runner bears is used while routers ask for it.
-func TestWhatAColdRunnerBearsIsLent(t *testing.T) {
+// Guards against granting less than a cold runner's rate while routers ask for tokens.
+func TestFullRateIsGranted(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	pacer := New(start.Add(-time.Minute))
@@ -102,18 +102,18 @@
 	c.Assert(granted >= 169 && granted <= 172, qt.IsTrue, qt.Commentf("%d", granted))
 }
 
-func TestNewLeaderWaitsForTheTokensOfTheFormer(t *testing.T) {
+func TestNewLeaderWaitsForFormerTokens(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	pacer := New(start)
 	refused := pacer.Lend(start.Add(100*time.Millisecond), Want{Instance: "r", Requests: 1}, 17)
 	c.Assert(refused, qt.Equals, Grant{Instance: "r", MoreIn: 300 * time.Millisecond})
-	// By then it has lent as little as if it had led for a moment only.
+	// The bucket is empty when the wait ends.
 	c.Assert(pacer.Lend(start.Add(TokenLife), Want{Instance: "r", Requests: 1}, 17).Requests, qt.Equals, 0)
 	c.Assert(pacer.Lend(start.Add(TokenLife+60*time.Millisecond), Want{Instance: "r", Requests: 2}, 17).Requests, qt.Equals, 1)
 }
 
-func TestTokensOfARunnerThatBeginsToNeedThemGatherFromThen(t *testing.T) {
+func TestBeginStartsWithEmptyBucket(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	pacer := New(start.Add(-time.Minute))
@@ -122,8 +122,9 @@
 	c.Assert(pacer.Lend(start.Add(time.Second), Want{Instance: "r", Requests: 2}, 1).Requests, qt.Equals, 1)
 }
 
-// A token ahead leaves one for a router whose requests have no other runner.
-func TestTokenAheadIsLentIfOneIsLeft(t *testing.T) {
+// Guards against a token requested ahead taking the last one from a router whose requests have no
+// other runner.
+func TestTokenAheadLeavesOne(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	pacer := New(start.Add(-time.Minute))
@@ -135,7 +136,7 @@
 	c.Assert(pacer.Lend(start.Add(4*time.Second), ahead, 0.5).Requests, qt.Equals, 1)
 }
 
-func TestRouterIsToldWhenThereIsMore(t *testing.T) {
+func TestGrantTellsTimeToNextToken(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	pacer := New(start.Add(-time.Minute))
