--- a/placement/quota/ask.go
+++ b/placement/quota/ask.go
@@ -6,39 +6,37 @@
 	"time"
 )
 
-// Ask tells what decides which of a tenant's requests get room while it asks for more than its
-// limit. Times count from the question.
+// Ask describes a waiting request, to decide which requests are admitted when a tenant exceeds its
+// limit. Durations count from the query.
 type Ask struct {
-	// Class names the kind of request.
+	// Class is the class of the request.
 	Class string
-	// Digest names the request, so that it is known when its caller comes back; 0 for one that
-	// cannot be known.
+	// Digest identifies the request when its caller retries; 0 if it cannot be identified.
 	Digest uint64
-	// Due is how much longer an answer would be in time.
+	// Due is the time left until an answer would be late.
 	Due time.Duration
-	// Away is how long its caller may stay away and still be served after it came back.
+	// Away is how long the caller may wait before it retries and still be served in time.
 	Away time.Duration
 }
 
-// Answer is what becomes of a request. One that is neither admitted nor told to come back is
-// not decided yet.
+// Answer is the decision on a request. A request that is neither admitted nor told to come back is
+// undecided.
 type Answer struct {
 	IsAdmitted bool
 	ComeBackIn time.Duration
 }
 
-// asks returns those of the requests that wait, and whether each may be answered by itself.
-// Routers of the version before send none: what they are granted serves their requests in the
-// order in which they wait.
-func (w Want) asks() (asks []Ask, isEach bool) {
+// asks returns the descriptions of the waiting requests and reports whether each may be answered
+// individually. Routers of the previous version send none and serve their requests in order.
+func (w Want) asks() (asks []Ask, isIndividual bool) {
 	if len(w.Asks) == len(w.Waiting) {
 		return w.Asks, true
 	}
 	return make([]Ask, len(w.Waiting)), false
 }
 
-// order lists the requests that wait by their place in the question: the one that is late soonest
-// first, and of two the smaller. It leaves the order to routers of the version before.
+// order returns the indices of the waiting requests, sorted by deadline and then by cost. It keeps
+// the order of routers of the previous version.
 func (w Want) order() []int {
 	order := make([]int, len(w.Waiting))
 	for i := range order {
--- a/placement/quota/benchmark_test.go
+++ b/placement/quota/benchmark_test.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// BenchmarkDraw draws for one request of one tenant, as a router does that holds too little.
+// BenchmarkDraw measures a query for one request of one tenant by a router that holds too little.
 func BenchmarkDraw(b *testing.B) {
 	for _, tenants := range []int{16, 1000} {
 		for _, routers := range []int{86, 300, 830} {
--- a/placement/quota/classes.go
+++ b/placement/quota/classes.go
@@ -6,54 +6,54 @@
 )
 
 const (
-	// classTime is the time over which the kinds of a tenant's requests are compared: some
-	// requests of each, at the uses at which limits matter.
-	classTime = 2 * time.Second
-	// maxClasses bounds the kinds that are told apart.
+	// classDecayTime is the time constant with which the use of classes decays.
+	classDecayTime = 2 * time.Second
+	// maxClasses bounds the classes per tenant.
 	maxClasses = 64
-	// smallFavour and urgentFavour are by how much more of what they ask for kinds get that are small,
-	// of half the mean cost or less, and that are late within urgentTime. The same room serves
-	// more callers who are small; who can wait comes back later and finds room without it.
-	smallFavour  = 1.25
-	urgentFavour = 1.25
-	smallShare   = 0.5
-	urgentTime   = time.Second
+	// smallWeight and urgentWeight weight the share of classes whose mean cost is at most
+	// smallCostRatio of the overall mean, and of classes that are late within urgentTime. The same
+	// amount serves more small requests, and patient callers can retry later.
+	smallWeight    = 1.25
+	urgentWeight   = 1.25
+	smallCostRatio = 0.5
+	urgentTime     = time.Second
 )
 
-// classUse is what requests of one kind asked for and were granted lately, in units of the limit.
+// classUse is the decayed amount that requests of one class asked for and were granted, in units of
+// the limit.
 type classUse struct {
 	asked  float64
 	served float64
-	// count is that of the requests that asked.
+	// count is the decayed number of the requests that asked.
 	count float64
-	// isUrgent is set if the last of them was late soon.
+	// isUrgent is set if the last request was due within urgentTime.
 	isUrgent bool
 }
 
-// weight is how much of what it asks for a class should be granted, against others.
+// weight returns the weight of a class's demand relative to other classes.
 func (c *classes) weight(known *classUse) float64 {
 	weight := 1.0
-	if known.asked*c.total.count <= smallShare*c.total.asked*known.count {
-		weight *= smallFavour
+	if known.asked*c.total.count <= smallCostRatio*c.total.asked*known.count {
+		weight *= smallWeight
 	}
 	if known.isUrgent {
-		weight *= urgentFavour
+		weight *= urgentWeight
 	}
 	return weight
 }
 
-// classes compares the kinds of a tenant's requests.
+// classes tracks the use of a tenant's limit by class of request.
 type classes struct {
 	byName map[string]*classUse
 	total  classUse
-	// weighted is the sum of what was asked for, each class by its weight.
+	// weighted is the sum of the demand of all classes by their weights.
 	weighted float64
 	at       time.Time
 }
 
-// of returns the use of a class after the past has faded.
+// of returns the decayed use of a class.
 func (c *classes) of(at time.Time, name string) *classUse {
-	c.fade(at)
+	c.decay(at)
 	known := c.byName[name]
 	if known == nil {
 		if len(c.byName) >= maxClasses {
@@ -67,26 +67,26 @@
 	return known
 }
 
-// fadeStep spares the reckoning for times that differ by less.
-const fadeStep = 10 * time.Millisecond
+// decayStep is the minimum time between two updates of the decay.
+const decayStep = 10 * time.Millisecond
 
-func (c *classes) fade(at time.Time) {
+func (c *classes) decay(at time.Time) {
 	if c.byName == nil {
 		c.byName = make(map[string]*classUse)
 	}
 	passed := at.Sub(c.at)
-	if passed < fadeStep {
+	if passed < decayStep {
 		return
 	}
 	c.at = at
-	left := math.Exp(-passed.Seconds() / classTime.Seconds())
+	left := math.Exp(-passed.Seconds() / classDecayTime.Seconds())
 	c.total = classUse{}
 	for name, known := range c.byName {
 		known.asked *= left
 		known.count *= left
 		known.served = max(0, known.served*left)
 		if known.asked < 1e-6 && known.served < 1e-6 {
-			// A promise may still point to it, which does no harm.
+			// A booking may still refer to it, which is harmless.
 			delete(c.byName, name)
 			continue
 		}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (c *classes) ask(known *classUse, cost float64) {
+func (c *classes) recordAsked(known *classUse, cost float64) {
 	known.asked += cost
 	known.count++
 	c.total.asked += cost
@@ -108,16 +108,16 @@
 	c.weighted += cost * c.weight(known)
 }
 
-func (c *classes) serve(known *classUse, cost float64) {
+func (c *classes) recordServed(known *classUse, cost float64) {
 	known.served += cost
 	c.total.served += cost
 }
 
-// isDue reports whether a class was granted no larger part of what it asked for than the tenant's
-// classes together, by their weights. There always is one.
-func (c *classes) isDue(known *classUse) bool {
-	return known.served*c.weighted <= known.asked*c.weight(known)*c.total.served*(1+dueSlack)
+// isBelowShare reports whether the class was granted at most its weighted share of what the
+// tenant's classes were granted together. This holds for at least one class.
+func (c *classes) isBelowShare(known *classUse) bool {
+	return known.served*c.weighted <= known.asked*c.weight(known)*c.total.served*(1+shareTolerance)
 }
 
-// dueSlack keeps classes that differ by rounding alone from waiting for each other.
-const dueSlack = 0.02
+// shareTolerance keeps rounding errors from blocking classes with equal shares.
+const shareTolerance = 0.02
--- a/placement/quota/round_test.go
+++ b/placement/quota/decision_test.go
@@ -18,62 +18,62 @@
 	return Ask{Class: "patient", Digest: digest, Due: 6 * time.Second, Away: 5 * time.Second}
 }
 
-func one(cost float64, ask Ask) Want { return Want{Waiting: []float64{cost}, Asks: []Ask{ask}} }
+func oneRequest(cost float64, ask Ask) Want { return Want{Waiting: []float64{cost}, Asks: []Ask{ask}} }
 
-func TestPromisedRoomIsThereWhenTheCallerComesBack(t *testing.T) {
+func TestBookingIsHonoredOnRetry(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
-	c.Assert(drawAt(d, origin, "a", one(230, urgent(1))).Answers[0].IsAdmitted, qt.IsTrue)
-	refused := drawAt(d, origin, "a", one(20, patient(2))).Answers[0]
+	c.Assert(drawAt(d, origin, "a", oneRequest(230, urgent(1))).Answers[0].IsAdmitted, qt.IsTrue)
+	refused := drawAt(d, origin, "a", oneRequest(20, patient(2))).Answers[0]
 	c.Assert(refused.IsAdmitted, qt.IsFalse)
-	// It is in time then, and leaves the next moments to those that are not.
+	// Its answer is in time then, and the next moments are left to urgent callers.
 	c.Assert(refused.ComeBackIn >= 3*time.Second && refused.ComeBackIn <= 5*time.Second, qt.IsTrue, qt.Commentf("%v", refused.ComeBackIn))
-	// Others ask for far more than the rate meanwhile.
+	// Meanwhile other callers exceed the rate.
 	at := origin
 	for digest := uint64(100); at.Before(origin.Add(refused.ComeBackIn)); digest++ {
 		at = at.Add(10 * time.Millisecond)
-		drawAt(d, at, "b", one(10, urgent(digest)))
+		drawAt(d, at, "b", oneRequest(10, urgent(digest)))
 	}
-	// It comes back to another router.
-	kept := drawAt(d, origin.Add(refused.ComeBackIn), "c", one(20, patient(2)))
-	c.Assert(kept.Answers[0].IsAdmitted, qt.IsTrue)
-	c.Assert(kept.Amount, qt.Equals, 20.0)
+	// The caller retries at another router.
+	redeemed := drawAt(d, origin.Add(refused.ComeBackIn), "c", oneRequest(20, patient(2)))
+	c.Assert(redeemed.Answers[0].IsAdmitted, qt.IsTrue)
+	c.Assert(redeemed.Amount, qt.Equals, 20.0)
 }
 
-func TestCallerThatComesTooEarlyIsToldTheRestOfItsTime(t *testing.T) {
+func TestEarlyRetryIsToldRemainingTime(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
-	drawAt(d, origin, "a", one(230, urgent(1)))
-	in := drawAt(d, origin, "a", one(20, patient(2))).Answers[0].ComeBackIn
-	early := drawAt(d, origin.Add(time.Second), "a", one(20, patient(2))).Answers[0]
+	drawAt(d, origin, "a", oneRequest(230, urgent(1)))
+	in := drawAt(d, origin, "a", oneRequest(20, patient(2))).Answers[0].ComeBackIn
+	early := drawAt(d, origin.Add(time.Second), "a", oneRequest(20, patient(2))).Answers[0]
 	c.Assert(early, qt.Equals, Answer{ComeBackIn: in - time.Second})
 }
 
-func TestPromiseThatNobodyComesForIsGivenToOthers(t *testing.T) {
+func TestUnredeemedBookingExpires(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
-	drawAt(d, origin, "a", one(230, urgent(1)))
-	in := drawAt(d, origin, "a", one(20, patient(2))).Answers[0].ComeBackIn
-	late := origin.Add(in + promiseLife + time.Second)
-	drawAt(d, late, "a", one(1, urgent(3)))
-	c.Assert(d.windows["t"].promises.listed, qt.HasLen, 0)
+	drawAt(d, origin, "a", oneRequest(230, urgent(1)))
+	in := drawAt(d, origin, "a", oneRequest(20, patient(2))).Answers[0].ComeBackIn
+	late := origin.Add(in + bookingTTL + time.Second)
+	drawAt(d, late, "a", oneRequest(1, urgent(3)))
+	c.Assert(d.windows["t"].bookings.entries, qt.HasLen, 0)
 }
 
-func TestPromisesOfALimitThatIsLoweredAreDropped(t *testing.T) {
+func TestLoweredLimitDropsBookings(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
-	drawAt(d, origin, "a", one(230, urgent(1)))
-	drawAt(d, origin, "a", one(20, patient(2)))
-	c.Assert(d.windows["t"].promises.listed, qt.HasLen, 1)
+	drawAt(d, origin, "a", oneRequest(230, urgent(1)))
+	drawAt(d, origin, "a", oneRequest(20, patient(2)))
+	c.Assert(d.windows["t"].bookings.entries, qt.HasLen, 1)
 	lower := testLimit
 	lower.Rate /= 10
 	d.SetTenants(origin, tenants(lower))
-	c.Assert(d.windows["t"].promises.listed, qt.HasLen, 0)
+	c.Assert(d.windows["t"].bookings.entries, qt.HasLen, 0)
 }
 
-// Kinds of requests that ask for more than there is get the same part of it, but for the favour of
-// the small.
-func TestKindsGetTheirPartsOfWhatTheyAskFor(t *testing.T) {
+// Guards against a class getting less than its share under contention. Small requests have a
+// greater weight.
+func TestClassesShareContendedLimit(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	asked, admitted := make(map[string]float64), make(map[string]float64)
@@ -86,18 +86,18 @@
 		at := origin.Add(time.Duration(step) * 10 * time.Millisecond)
 		class := classes[step%len(classes)]
 		digest++
-		answer := drawAt(d, at, fmt.Sprint(step%7), one(class.cost, Ask{Class: class.name, Digest: digest})).Answers[0]
+		answer := drawAt(d, at, fmt.Sprint(step%7), oneRequest(class.cost, Ask{Class: class.name, Digest: digest})).Answers[0]
 		asked[class.name] += class.cost
 		if answer.IsAdmitted {
 			admitted[class.name] += class.cost
 		}
 	}
 	small, long := admitted["small"]/asked["small"], admitted["long"]/asked["long"]
-	c.Assert(small/long > 0.95 && small/long < smallFavour*1.1, qt.IsTrue, qt.Commentf("small %.3f, long %.3f", small, long))
+	c.Assert(small/long > 0.95 && small/long < smallWeight*1.1, qt.IsTrue, qt.Commentf("small %.3f, long %.3f", small, long))
 }
 
-// A limit without a burst bears the requests of a second at once.
-func TestLimitWithoutABurstBearsChance(t *testing.T) {
+// Guards against a limit without a burst rejecting requests that arrive together.
+func TestLimitWithoutBurstAdmitsConcurrentRequests(t *testing.T) {
 	c := qt.New(t)
 	d := New(origin, Bound{Window: 10 * time.Second}, nil)
 	d.SetTenants(origin, []site.Tenant{{Name: "t", Limit: site.RateLimit{Unit: site.UnitRequests, Rate: 10}}})
@@ -111,7 +111,7 @@
 	c.Assert(granted >= 97, qt.IsTrue, qt.Commentf("%g", granted))
 }
 
-func TestOfOneQuestionTheMostUrgentGoesFirst(t *testing.T) {
+func TestMostUrgentRequestOfQueryIsFirst(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	grant := drawAt(d, origin, "a", Want{Waiting: []float64{200, 200}, Asks: []Ask{patient(1), urgent(2)}})
@@ -120,7 +120,7 @@
 	c.Assert(grant.Amount, qt.Equals, 200.0)
 }
 
-func TestRouterOfTheVersionBeforeGetsTheFirstOfThoseThatWait(t *testing.T) {
+func TestPreviousVersionRouterIsServedInOrder(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	grant := drawAt(d, origin, "a", waiting(200, 100, 10))
@@ -129,25 +129,25 @@
 	c.Assert(grant.RoomIn > 0, qt.IsTrue)
 }
 
-// What is not in the log yet is not decided.
-func TestRequestThatTheLogLacksIsNotDecided(t *testing.T) {
+// Requests that need a reservation which is not in the log yet stay undecided.
+func TestUnreservedRequestIsUndecided(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
-	want := one(10, urgent(1))
+	want := oneRequest(10, urgent(1))
 	want.Tenant = "t"
 	c.Assert(d.Draw(origin, "a", []Want{want})[0].Answers, qt.DeepEquals, []Answer{{}})
 }
 
-func TestCallerIsGivenOneSecondChance(t *testing.T) {
+func TestRejectedCallerGetsOneMoreChance(t *testing.T) {
 	c := qt.New(t)
-	var n notices
+	var n rejections
 	n.add(origin, 7, time.Second)
 	c.Assert(n.isEarly(origin.Add(900*time.Millisecond), 7), qt.IsTrue)
 	second := origin.Add(time.Second)
 	c.Assert(n.isEarly(second, 7), qt.IsFalse)
 	n.add(second, 7, 600*time.Millisecond)
 	c.Assert(n.isEarly(second.Add(time.Second), 7), qt.IsTrue)
-	n.expire(origin.Add(3*time.Second + promiseLife))
+	n.expire(origin.Add(3*time.Second + bookingTTL))
 	c.Assert(n.byDigest, qt.HasLen, 0)
-	c.Assert(n.listed, qt.HasLen, 0)
+	c.Assert(n.entries, qt.HasLen, 0)
 }
--- a/placement/quota/divider.go
+++ b/placement/quota/divider.go
@@ -8,74 +8,73 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// Bound is by how much the use of a tenant may exceed its limit in a window, over all routers.
+// Bound limits by how much the use of a tenant may exceed its limit in a window, over all routers.
 type Bound struct {
-	// Window is the length of the windows in which the use is counted.
+	// Window is the length of the window in which the use is counted.
 	Window time.Duration
-	// Overshoot is a share of what the limit allows in a window, and Slack is added to that, in
-	// units of the limit.
+	// Overshoot is a share of what the limit allows in a window. Slack is added to that, in units
+	// of the limit.
 	Overshoot float64
 	Slack     float64
 }
 
-// defaultWindow is the length of windows where none is set.
+// defaultWindow is the default length of a window.
 const defaultWindow = 8 * time.Second
 
-// LeaseLife is how long a router may spend what it holds after it last asked for more: long
-// enough for the loss of a leader and the election of another, with a search for it.
+// LeaseLife is how long a router may spend what it holds after its last query. It covers the loss
+// of a leader, an election and the discovery of the new leader.
 const LeaseLife = 6 * time.Second
 
-// grantedExcess is the part of what may exceed a limit that the leader grants itself, so that a
-// tenant that asks for more gets its limit whole though some of what is granted is lost. The
-// rest is what routers may hold.
-const grantedExcess = 0.3
+// grantedExcessShare is the part of the allowed excess that the leader grants itself, so that a
+// tenant gets its whole limit although some grants are lost. Routers may hold the rest.
+const grantedExcessShare = 0.3
 
-// Want is what a router asks for of one tenant's limit, in units of it.
+// Want is a router's request for a part of one tenant's limit, in units of the limit.
 type Want struct {
 	Tenant string
-	// Held is what the router holds now.
+	// Held is the amount that the router holds.
 	Held float64
-	// Waiting lists what each request that waits costs, in the order in which they are to be
-	// admitted. What the router holds counts towards them.
+	// Waiting lists the costs of the waiting requests in the order of admission. Held counts
+	// towards them.
 	Waiting []float64
-	// Asks tells more of each of these. Routers of the version before send none.
+	// Asks describes each of these requests. Routers of the previous version send none.
 	Asks []Ask
-	// Reserve is how much the router would like to hold when these have been admitted.
+	// Reserve is the amount that the router would like to hold after these requests are admitted.
 	Reserve float64
-	// Returned is what the router was granted for requests that no runner has run.
+	// Returned lists grants for requests that no runner has executed.
 	Returned []Return
 }
 
-// Grant is what a router gets.
+// Grant is the answer to a Want.
 type Grant struct {
 	Tenant string
-	// Amount is added to what the router holds. It covers those that are admitted: as Answers
-	// tells, or else the first of those that wait, as many as there is room for.
+	// Amount is added to what the router holds. It covers the requests that Answers admits, or
+	// without Answers as many of the first waiting ones as it suffices for.
 	Amount float64
-	// Answers tells what becomes of each of those that wait. It is empty for routers that did not
-	// tell more of them, and from leaders of the version before.
+	// Answers holds the decision on each waiting request. It is empty if Asks was, and from leaders
+	// of the previous version.
 	Answers []Answer
-	// Keep is the most that the router may hold when these have been admitted.
+	// Keep is the maximum that the router may hold after these requests are admitted.
 	Keep float64
-	// RoomIn is when the next of those that wait should have room; 0 if there is room for
-	// all, though not all of it may be granted yet.
+	// RoomIn is the expected time until the next waiting request can be admitted; 0 if there is
+	// room for all, though the grant may be incomplete.
 	RoomIn time.Duration
 }
 
-// Part is an amount of one tenant's limit that is reserved in the log, to be granted soon.
+// Part is an amount of one tenant's limit that is reserved in the log before it is granted.
 type Part struct {
 	Tenant string
 	Amount float64
 }
 
-// Reservation is what was reserved together, some time before a leadership began.
+// Reservation is one log entry of parts. Age is the time from the entry until the leadership began.
 type Reservation struct {
 	Age   time.Duration
 	Parts []Part
 }
 
-// KeepReservations is how long reservations must be kept for the leaders to come.
-func (b Bound) KeepReservations() time.Duration { return b.withDefaults().Window + reservationLife }
+// KeepReservations returns how long reservations must be kept for later leaders.
+func (b Bound) KeepReservations() time.Duration { return b.withDefaults().Window + reservationTTL }
 
 func (b Bound) withDefaults() Bound {
 	if b.Window <= 0 {
@@ -84,27 +83,26 @@
 	return b
 }
 
-// Divider divides the limits of all tenants. It belongs to one leader.
+// Divider divides the limits of all tenants for one leadership.
 type Divider struct {
 	bound Bound
-	// began is when the leadership began.
-	began   time.Time
-	windows map[string]*window
-	// former are the reservations of former leaders.
+	// startedAt is the beginning of the leadership.
+	startedAt time.Time
+	windows   map[string]*window
+	// former holds the reservations of former leaders.
 	former []Reservation
-	// questions is the number of the last question of each life of a router that returned something.
-	questions map[Asker]uint64
+	// lastQueries holds the number of the last query with returns, by router process.
+	lastQueries map[Asker]uint64
 }
 
-// New makes a divider for a leadership that begins now, after leaders that reserved what is
-// listed.
+// New returns a divider for a leadership that begins at the given time, with the reservations of
+// former leaders.
 func New(at time.Time, bound Bound, former []Reservation) *Divider {
-	return &Divider{bound: bound.withDefaults(), began: at, windows: make(map[string]*window), former: former,
-		questions: make(map[Asker]uint64)}
+	return &Divider{bound: bound.withDefaults(), startedAt: at, windows: make(map[string]*window), former: former,
+		lastQueries: make(map[Asker]uint64)}
 }
 
-// SetTenants adopts the limits of a document, and lists the tenants whose limits are new or
-// have changed.
+// SetTenants sets the tenants' limits and returns the tenants whose limits are new or have changed.
 func (d *Divider) SetTenants(at time.Time, tenants []site.Tenant) []site.Tenant {
 	var changed []site.Tenant
 	listed := make(map[string]bool, len(tenants))
@@ -127,8 +125,8 @@
 		}
 	}
 	for name, known := range d.windows {
-		known.age(at)
-		// What was granted lately to a tenant that is no longer listed is kept: it may be listed
+		known.expire(at)
+		// Keep the recent grants of a tenant that is no longer listed, since it may be listed
 		// again.
 		if !listed[name] && known.used == 0 {
 			delete(d.windows, name)
@@ -137,13 +135,12 @@
 	return changed
 }
 
-// inherit counts what former leaders reserved as granted at the last moment at which it can
-// have been.
+// inherit counts what former leaders reserved as granted at the latest possible time.
 func (d *Divider) inherit(tenant string, window *window) {
 	for _, reservation := range d.former {
 		for _, part := range reservation.Parts {
 			if part.Tenant == tenant {
-				window.inherit(d.began.Add(reservationLife-reservation.Age), part.Amount)
+				window.inherit(d.startedAt.Add(reservationTTL-reservation.Age), part.Amount)
 			}
 		}
 	}
@@ -158,55 +155,54 @@
 	return known
 }
 
-// Lacks notes what has to be reserved before the requests that wait at a router can be granted,
-// and reports whether there is something.
+// Lacks records what must be reserved before the waiting requests of a router can be granted. It
+// reports whether any reservation is missing.
 func (d *Divider) Lacks(at time.Time, router string, wants []Want) bool {
-	lacks := false
+	isLacking := false
 	for _, want := range wants {
 		known := d.limited(want.Tenant)
 		if known == nil || len(want.Waiting) == 0 {
 			continue
 		}
-		known.age(at)
-		lacks = known.lacking(at, router, want) || lacks
+		known.expire(at)
+		isLacking = known.recordShortfall(at, router, want) || isLacking
 	}
-	return lacks
+	return isLacking
 }
 
-// TakeBack takes what a router returns with a question. Its questions are numbered in their order; one
-// that was sent again returns nothing more.
-func (d *Divider) TakeBack(at time.Time, asker Asker, question uint64, wants []Want) {
+// TakeBack credits the returns in a router's query. Queries are numbered, and a repeated one is not
+// credited again.
+func (d *Divider) TakeBack(at time.Time, asker Asker, query uint64, wants []Want) {
 	isReturn := func(want Want) bool { return len(want.Returned) > 0 }
-	if !slices.ContainsFunc(wants, isReturn) || !d.isNews(asker, question) {
+	if !slices.ContainsFunc(wants, isReturn) || !d.isNewQuery(asker, query) {
 		return
 	}
 	for _, want := range wants {
 		if known := d.limited(want.Tenant); known != nil {
-			known.age(at)
-			known.giveBack(at, want.Returned)
+			known.expire(at)
+			known.applyReturns(at, want.Returned)
 		}
 	}
 }
 
-// Draw answers what a router asks for. A tenant without a limit in the document in force is
-// left out of the answer.
+// Draw returns the grants for a router's query. Tenants without a limit are omitted.
 func (d *Divider) Draw(at time.Time, router string, wants []Want) []Grant {
 	grants := make([]Grant, 0, len(wants))
 	for _, want := range wants {
 		if known := d.limited(want.Tenant); known != nil {
-			grants = append(grants, known.draw(at, router, want, at.Sub(d.began) < LeaseLife))
+			grants = append(grants, known.draw(at, router, want, at.Sub(d.startedAt) < LeaseLife))
 		}
 	}
 	return grants
 }
 
-// Reserve lists what should be reserved in the log now, in the order of the tenants' names. It
-// must be followed by Reserved or NotReserved before the next.
+// Reserve returns the parts to reserve in the log, sorted by tenant. Reserved or NotReserved must
+// be called before the next Reserve.
 func (d *Divider) Reserve(at time.Time) []Part {
 	var parts []Part
 	for name, known := range d.windows {
-		known.age(at)
-		if amount := known.wanted(at); amount > 0 && known.limit.IsLimited() {
+		known.expire(at)
+		if amount := known.amountToReserve(at); amount > 0 && known.limit.IsLimited() {
 			parts = append(parts, Part{Tenant: name, Amount: amount})
 			known.propose(amount)
 		}
@@ -215,7 +211,7 @@
 	return parts
 }
 
-// Reserved takes what has come into the log, as was decided at a time.
+// Reserved records parts that were committed to the log, proposed at the given time.
 func (d *Divider) Reserved(decided time.Time, parts []Part) {
 	for _, part := range parts {
 		if known := d.windows[part.Tenant]; known != nil {
@@ -225,8 +221,7 @@
 	d.NotReserved(parts)
 }
 
-// NotReserved takes back what has not come into the log, as far as is known: it must not be
-// granted.
+// NotReserved records that parts were not committed, as far as is known. They must not be granted.
 func (d *Divider) NotReserved(parts []Part) {
 	for _, part := range parts {
 		if known := d.windows[part.Tenant]; known != nil {
@@ -235,44 +230,43 @@
 	}
 }
 
-// IsReserving reports whether something should be reserved.
+// IsReserving reports whether there are parts to reserve.
 func (d *Divider) IsReserving(at time.Time) bool {
 	for _, known := range d.windows {
-		if known.limit.IsLimited() && known.wanted(at) > 0 {
+		if known.limit.IsLimited() && known.amountToReserve(at) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Usage tells of one tenant's limit, in units of it.
+// Usage is the use of one tenant's limit, in units of the limit.
 type Usage struct {
 	Tenant string
-	// Used is what was granted in the last window, of Most, and Lent what routers may hold.
+	// Used is the amount granted in the last window, Most its maximum, and Lent the amount that
+	// routers may hold.
 	Used float64
 	Most float64
 	Lent float64
-	// Drawn is what was granted since the last look, and Asked, Refused and Promised count the
-	// requests of the questions since then, those that were refused, and those of these that were promised
-	// room.
+	// Drawn is the amount granted since the last TakeUsages. Asked, Refused and Promised count the
+	// requests since then: those decided, those rejected, and the rejected ones that got a booking.
 	Drawn    float64
 	Asked    int
 	Refused  int
 	Promised int
 }
 
-// TakeUsages lists how far each limit is used, in the order of the tenants' names, and begins
-// to count anew what is drawn.
+// TakeUsages returns the use of all limits, sorted by tenant, and resets the counters.
 func (d *Divider) TakeUsages(at time.Time) []Usage {
 	var usages []Usage
 	for name, known := range d.windows {
 		if !known.limit.IsLimited() {
 			continue
 		}
-		known.age(at)
+		known.expire(at)
 		known.sweep(at)
-		usages = append(usages, Usage{Tenant: name, Used: known.used, Most: known.most, Lent: known.total, Drawn: known.drawn,
-			Asked: known.counts.asked, Refused: known.counts.refused, Promised: known.counts.promised})
+		usages = append(usages, Usage{Tenant: name, Used: known.used, Most: known.maxGranted, Lent: known.leasedSum, Drawn: known.drawn,
+			Asked: known.counts.asked, Refused: known.counts.refused, Promised: known.counts.booked})
 		known.drawn, known.counts = 0, counts{}
 	}
 	slices.SortFunc(usages, func(a, b Usage) int { return strings.Compare(a.Tenant, b.Tenant) })
--- a/placement/quota/divider_test.go
+++ b/placement/quota/divider_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// The test bound allows 1000 units in each window of ten seconds, and 100 more.
+// The test limit allows 1000 units in each window of ten seconds, and the bound 100 more.
 var (
 	testBound = Bound{Window: 10 * time.Second, Overshoot: 0.1}
 	testLimit = site.RateLimit{Unit: site.UnitTokens, Rate: 80, Burst: 200, PlainTokens: 10}
@@ -25,7 +25,7 @@
 	return divider
 }
 
-// drawAt reserves what a router lacks, as a log would at once, and draws.
+// drawAt reserves what the router lacks, as if the log committed at once, and draws.
 func drawAt(d *Divider, at time.Time, router string, want Want) Grant {
 	want.Tenant = "t"
 	d.Lacks(at, router, []Want{want})
@@ -37,22 +37,22 @@
 
 func waiting(costs ...float64) Want { return Want{Waiting: costs} }
 
-func TestWindowAllowsItsLimitAndThenTellsWhenThereIsRoom(t *testing.T) {
+func TestDrawGrantsLimitAndReportsRoomIn(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
-	// The burst, and a part of what may exceed the limit, are granted at once.
+	// The burst and a part of the excess are granted at once.
 	c.Assert(drawAt(d, origin, "a", waiting(100, 100)).Amount, qt.Equals, 200.0)
 	full := drawAt(d, origin, "a", waiting(20, 100))
 	c.Assert(full.Amount, qt.Equals, 20.0)
-	// 10 are left, and the rest comes with the rate.
+	// 10 are left; the rest becomes available at the limit's rate.
 	c.Assert(full.RoomIn.Round(time.Millisecond), qt.Equals, 1125*time.Millisecond)
 	c.Assert(drawAt(d, origin.Add(full.RoomIn-2*grantStep), "a", waiting(100)).Amount, qt.Equals, 0.0)
 	c.Assert(drawAt(d, origin.Add(full.RoomIn+grantStep), "a", waiting(100)).Amount, qt.Equals, 100.0)
 }
 
-// A tenant that asks for six times its rate without end gets the rate in every second, and no
-// more than its limit, with the granted part of the excess, in any window.
-func TestTenantBeyondItsLimitIsServedInEverySecond(t *testing.T) {
+// Guards against a tenant over its limit getting less than its rate in a second, or more than its
+// limit with the granted excess in a window.
+func TestTenantOverLimitGetsRateInEverySecond(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	seconds := make([]float64, 40)
@@ -63,7 +63,7 @@
 	}
 	sum := 0.0
 	for i, granted := range seconds {
-		// A request may miss its second by its size, and a step of the count.
+		// A second may fall short by one request and one step.
 		c.Assert(granted >= testLimit.Rate-10-testLimit.Rate*grantStep.Seconds(), qt.IsTrue, qt.Commentf("second %d: %g", i, granted))
 		sum += granted
 		if i >= 10 {
@@ -71,11 +71,11 @@
 			c.Assert(sum <= 1030+1e-6, qt.IsTrue, qt.Commentf("window that ends with second %d: %g", i, sum))
 		}
 	}
-	// The burst is granted again in each window.
+	// The burst is available once per window.
 	c.Assert(sum >= 0.99*1000, qt.IsTrue, qt.Commentf("%g in the last window", sum))
 }
 
-func TestWhatARouterHoldsCountsTowardsWhatWaits(t *testing.T) {
+func TestHeldAmountCountsTowardsWaitingRequests(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	grant := drawAt(d, origin, "a", Want{Held: 70, Waiting: []float64{50, 50}})
@@ -83,7 +83,7 @@
 	c.Assert(grant.Keep, qt.Equals, 0.0)
 }
 
-func TestNothingIsGrantedThatIsNotReserved(t *testing.T) {
+func TestOnlyReservedAmountsAreGranted(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	want := Want{Tenant: "t", Waiting: []float64{10}}
@@ -93,16 +93,16 @@
 	c.Assert(d.Lacks(origin, "a", []Want{want}), qt.IsTrue)
 	parts := d.Reserve(origin)
 	c.Assert(parts, qt.DeepEquals, []Part{{Tenant: "t", Amount: 10}})
-	// While that is on its way, it is not asked for again.
+	// A proposed amount is not requested again.
 	c.Assert(d.Lacks(origin, "a", []Want{want}), qt.IsTrue)
 	c.Assert(d.Reserve(origin), qt.IsNil)
 	d.Reserved(origin, parts)
 	c.Assert(d.Lacks(origin, "a", []Want{want}), qt.IsFalse)
-	// What has been reserved for too long is not granted: the next leader would count it as older.
-	c.Assert(d.Draw(origin.Add(reservationLife), "a", []Want{want})[0].Amount, qt.Equals, 0.0)
+	// An expired reservation is not granted, since the next leader counts it at an earlier time.
+	c.Assert(d.Draw(origin.Add(reservationTTL), "a", []Want{want})[0].Amount, qt.Equals, 0.0)
 }
 
-func TestNewLeaderCountsWhatWasReserved(t *testing.T) {
+func TestNewLeaderCountsFormerReservations(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider(
 		Reservation{Age: 5 * time.Second, Parts: []Part{{"t", 600}, {"other", 5000}}},
@@ -112,19 +112,19 @@
 	c.Assert(drawAt(d, origin, "a", waiting(80)).Amount, qt.Equals, 0.0)
 	c.Assert(drawAt(d, origin.Add(5*time.Second), "a", waiting(80)).Amount, qt.Equals, 80.0)
 	c.Assert(drawAt(d, origin.Add(5*time.Second), "a", waiting(80)).Amount, qt.Equals, 0.0)
-	// It may have been granted up to a reservationLife later than it was reserved.
-	c.Assert(drawAt(d, origin.Add(5*time.Second+reservationLife-grantStep), "a", waiting(80)).Amount, qt.Equals, 0.0)
-	c.Assert(drawAt(d, origin.Add(5*time.Second+reservationLife+grantStep), "a", waiting(80)).Amount, qt.Equals, 80.0)
+	// It may have been granted up to reservationTTL after it was reserved.
+	c.Assert(drawAt(d, origin.Add(5*time.Second+reservationTTL-grantStep), "a", waiting(80)).Amount, qt.Equals, 0.0)
+	c.Assert(drawAt(d, origin.Add(5*time.Second+reservationTTL+grantStep), "a", waiting(80)).Amount, qt.Equals, 80.0)
 }
 
-func TestRoutersHoldNoMoreThanTheBoundLeaves(t *testing.T) {
+func TestLeasedAmountIsBounded(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	at := origin.Add(LeaseLife)
 	lent := 0.0
 	for range 10 {
 		for _, router := range []string{"a", "b", "c", "d"} {
-			// A tenant that stays below its rate.
+			// The use stays below the rate.
 			at = at.Add(200 * time.Millisecond)
 			grant := drawAt(d, at, router, Want{Waiting: []float64{10}, Reserve: 50})
 			lent += grant.Amount - 10
@@ -132,14 +132,14 @@
 		}
 	}
 	c.Assert(lent > 0, qt.IsTrue)
-	c.Assert(d.TakeUsages(at)[0].Lent <= 100*(1-grantedExcess)+1e-9, qt.IsTrue)
+	c.Assert(d.TakeUsages(at)[0].Lent <= 100*(1-grantedExcessShare)+1e-9, qt.IsTrue)
 }
 
-func TestYoungLeaderLendsNoMoreThanRoutersShow(t *testing.T) {
+func TestNewLeaderLendsNoMoreThanRoutersReport(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	c.Assert(drawAt(d, origin, "a", Want{Waiting: []float64{10}, Reserve: 40}).Keep, qt.Equals, 0.0)
-	// A router that shows 30 may have them again after it has spent them.
+	// A router that reported 30 may get them again after spending them.
 	c.Assert(drawAt(d, origin, "b", Want{Held: 30, Reserve: 40}).Keep, qt.Equals, 30.0)
 	kept := 0.0
 	for range 5 {
@@ -155,7 +155,7 @@
 	c.Assert(kept > 0, qt.IsTrue)
 }
 
-func TestLoweredLimitHoldsForWhatIsGrantedFromThenOn(t *testing.T) {
+func TestLoweredLimitAppliesToLaterGrants(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	c.Assert(drawAt(d, origin, "a", waiting(500)).Amount, qt.Equals, 500.0)
@@ -168,7 +168,7 @@
 	c.Assert(drawAt(d, origin.Add(11*time.Second), "a", waiting(10)).Amount, qt.Equals, 10.0)
 }
 
-func TestTenantWithoutALimitIsLeftOut(t *testing.T) {
+func TestTenantWithoutLimitIsOmitted(t *testing.T) {
 	c := qt.New(t)
 	d := New(origin, testBound, nil)
 	d.SetTenants(origin, []site.Tenant{{Name: "t"}})
@@ -178,7 +178,7 @@
 	c.Assert(d.Reserve(origin), qt.IsNil)
 }
 
-func TestAbsurdFiguresOfARouterAreNoMoreThanNothing(t *testing.T) {
+func TestInvalidAmountsAreClamped(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	for _, figure := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1e300} {
@@ -188,15 +188,15 @@
 	c.Assert(d.TakeUsages(origin)[0].Used <= 1100, qt.IsTrue)
 }
 
-func TestAbsurdTimesOfARouterAreBounded(t *testing.T) {
+func TestInvalidDurationsAreClamped(t *testing.T) {
 	c := qt.New(t)
 	for _, span := range []time.Duration{math.MinInt64, -time.Hour, math.MaxInt64} {
 		d := newDivider()
 		drawAt(d, origin, "a", waiting(230))
 		ask := Ask{Class: "c", Digest: 1, Due: span, Away: span}
-		answers := drawAt(d, origin, "a", one(20, ask)).Answers
+		answers := drawAt(d, origin, "a", oneRequest(20, ask)).Answers
 		c.Assert(answers[0].IsAdmitted, qt.IsFalse, qt.Commentf("%v", span))
 		c.Assert(answers[0].ComeBackIn > 0, qt.IsTrue, qt.Commentf("%v", span))
-		c.Assert(cap(d.windows["t"].promises.slots) <= int(maxSpan/promiseSlot), qt.IsTrue, qt.Commentf("%v", span))
+		c.Assert(cap(d.windows["t"].bookings.slots) <= int(maxDuration/bookingSlot), qt.IsTrue, qt.Commentf("%v", span))
 	}
 }
--- a/placement/quota/doc.go
+++ b/placement/quota/doc.go
@@ -1,17 +1,17 @@
-// Package quota divides the limits of tenants over routers. For each tenant the leader counts
-// what it granted in the last window, in which the limit allows Rate times the window and the
-// Burst. Routers draw grants for requests that wait, and a reserve from which they admit the
-// next requests by themselves. What a router holds is a lease: it ends some time after the
-// router last asked.
+// Package quota divides the limits of tenants over routers. For each tenant the leader counts what
+// it granted in the last window, in which the limit allows Rate times the window's length plus
+// Burst. Routers request grants for waiting requests, and a reserve from which they admit the next
+// requests without asking. What a router holds is a lease: it expires some time after the router's
+// last query.
 //
-// Within its window a limit is paced: it keeps its rate for each second to come, and lets the rest be
-// used at once. While there is too little, kinds of requests take turns, and callers that are refused
-// are promised room at a time at which they come back.
+// Within its window a limit is paced: its rate is kept available for each coming second, and the
+// rest may be used at once. Under contention, the classes of requests share the limit, and rejected
+// callers get bookings for the time at which they retry.
 //
-// The bound holds over changes of leaders. Before a leader grants, it reserves: what it may
-// grant in the next moments is in the replicated log. The next leader counts all that its
-// predecessors reserved as granted, at the latest time at which it can have been, and lends no more
-// reserves than routers still show as long as leases of the former leader may be out.
+// The bound holds across changes of the leader. Before a leader grants, it reserves the amount in
+// the replicated log. The next leader counts everything reserved by its predecessors as granted, at
+// the latest time at which it can have been. While leases of the former leader may be outstanding,
+// it lends no more than routers still show to hold.
 //
-// The package is pure: time comes in as an argument.
+// The package does no I/O and reads no clock: callers pass the time as an argument.
 package quota
--- a/placement/quota/pace.go
+++ b/placement/quota/pace.go
@@ -3,36 +3,37 @@
 import "time"
 
 const (
-	// floorShare is the part of its rate that a limit keeps for each second to come. What the
-	// window allows beyond that may be spent at once. With 1, a tenant that asks for any
-	// multiple of its limit gets its whole rate in every second, and the burst once in a window.
-	floorShare = 1.0
-	// minCreditTime of the rate may be spent at once whatever the burst: callers of a limit without a
-	// burst come by chance several at a time. The floor is as much lower.
-	minCreditTime = time.Second
-	// easyShare is the part of that credit down to which whoever comes is admitted. Below it the
-	// kinds of requests take turns, and nothing is lent to routers.
-	easyShare = 0.5
+	// sustainedShare is the part of the rate that is kept available for each coming second. The
+	// rest of the window's amount may be spent at once. With 1, a tenant over its limit gets its
+	// whole rate in every second, and the burst once per window.
+	sustainedShare = 1.0
+	// minBurstTime is the least burst capacity, as time at the limit's rate. It lets limits without
+	// a burst admit requests that arrive together, and lowers the sustained rate accordingly.
+	minBurstTime = time.Second
+	// uncontendedShare is the part of the burst capacity above which every request is admitted.
+	// Below it, the classes share the limit and routers are lent nothing.
+	uncontendedShare = 0.5
 )
 
-// setPace adopts what a limit allows in a window: floor a second, and credit at once.
-func (w *window) setPace() {
-	w.credit = min(w.most, max(w.most-w.limit.Rate*floorShare*w.length.Seconds(), w.limit.Rate*minCreditTime.Seconds()))
-	w.floor = (w.most - w.credit) / w.length.Seconds()
+// computeRates derives the burst capacity and the sustained rate from the limit.
+func (w *window) computeRates() {
+	w.burstCapacity = min(w.maxGranted, max(w.maxGranted-w.limit.Rate*sustainedShare*w.length.Seconds(), w.limit.Rate*minBurstTime.Seconds()))
+	w.sustainedRate = (w.maxGranted - w.burstCapacity) / w.length.Seconds()
 }
 
-// level is what may be granted now so that floor can be granted in each second of the window to
-// come. It is below 0 after a request larger than the credit.
+// headroom returns the amount that can be granted now while the sustained rate remains available
+// for each second of the coming window. It is negative after a request larger than the burst
+// capacity.
 //
-// Whatever is granted now and in the s seconds to come, with what was granted in the rest of the
-// window before, must stay within most. For each s up to the window, that leaves
-// credit + floor × (window - s) less what was granted in the last window - s seconds.
-func (w *window) level(at time.Time) float64 {
-	if w.used <= w.credit*easyShare {
-		// No more can be missing than was used.
-		return w.credit - w.used
+// For each s up to the window's length, what is granted now and in the next s seconds, and what was
+// granted in the rest of the window before, must stay within maxGranted. This leaves burstCapacity
+// + sustainedRate × (length - s) less what was granted in the last length - s seconds.
+func (w *window) headroom(at time.Time) float64 {
+	if w.used <= w.burstCapacity*uncontendedShare {
+		// The reduction is at most the amount used.
+		return w.burstCapacity - w.used
 	}
-	level, used := w.credit, 0.0
+	headroom, used := w.burstCapacity, 0.0
 	granted, inherited := len(w.granted)-1, len(w.inherited)-1
 	for granted >= 0 || inherited >= 0 {
 		var step grantedStep
@@ -41,8 +42,9 @@
 			step, until = w.granted[granted], w.granted[granted].until
 		}
 		if inherited >= 0 {
-			// When a former leader can first have granted it. The window counts the last time.
-			if first := w.inherited[inherited].until.Add(-reservationLife); granted < 0 || first.After(until) {
+			// The earliest time at which a former leader can have granted it. The window counts the
+			// latest.
+			if first := w.inherited[inherited].until.Add(-reservationTTL); granted < 0 || first.After(until) {
 				step, until = w.inherited[inherited], first
 				granted++
 				inherited--
@@ -50,20 +52,20 @@
 		}
 		granted--
 		used += step.amount
-		level = min(level, w.credit+w.floor*max(0, at.Sub(until)).Seconds()-used)
+		headroom = min(headroom, w.burstCapacity+w.sustainedRate*max(0, at.Sub(until)).Seconds()-used)
 	}
-	return level
+	return headroom
 }
 
-// covers reports whether a level is enough for a request. One that is larger than the credit is
-// let in when all of the credit is there.
-func (w *window) covers(level, cost float64) bool { return level >= min(cost, w.credit) }
+// covers reports whether the headroom suffices for a request. A request larger than the burst
+// capacity needs all of it.
+func (w *window) covers(headroom, cost float64) bool { return headroom >= min(cost, w.burstCapacity) }
 
-// levelIn is after how long the level covers a request, if nothing else is granted.
-func (w *window) levelIn(level, cost float64) time.Duration {
-	missing := min(cost, w.credit) - level
-	if missing <= 0 || w.floor <= 0 {
+// headroomIn returns the time until the headroom covers a request if nothing else is granted.
+func (w *window) headroomIn(headroom, cost float64) time.Duration {
+	missing := min(cost, w.burstCapacity) - headroom
+	if missing <= 0 || w.sustainedRate <= 0 {
 		return 0
 	}
-	return time.Duration(min(missing/w.floor, w.length.Seconds()) * float64(time.Second))
+	return time.Duration(min(missing/w.sustainedRate, w.length.Seconds()) * float64(time.Second))
 }
--- a/placement/quota/returned_test.go
+++ b/placement/quota/returned_test.go
@@ -11,7 +11,7 @@
 	return []Want{{Tenant: "t", Returned: []Return{{Amount: amount, Age: age}}}}
 }
 
-func TestWhatWasNotRunIsGrantedToOthers(t *testing.T) {
+func TestReturnedAmountIsGrantedAgain(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	drawAt(d, origin, "a", waiting(100))
@@ -20,18 +20,18 @@
 	c.Assert(drawAt(d, at, "b", waiting(100)).Amount, qt.Equals, 0.0)
 	d.TakeBack(at, Asker{Router: "a"}, 7, returning(100, 400*time.Millisecond))
 	c.Assert(drawAt(d, at, "b", waiting(100)).Amount, qt.Equals, 100.0)
-	// The same question again returns nothing more.
+	// A repeated query returns nothing more.
 	d.TakeBack(at, Asker{Router: "a"}, 7, returning(100, 400*time.Millisecond))
 	c.Assert(d.TakeUsages(at)[0].Used, qt.Equals, 230.0)
-	// Nothing was granted so long ago, and absurd figures return nothing.
+	// Returns older than any grant, and invalid amounts, are ignored.
 	d.TakeBack(at, Asker{Router: "a"}, 8, returning(100, 2*time.Second))
 	d.TakeBack(at, Asker{Router: "a"}, 9, returning(-100, 0))
 	d.TakeBack(at, Asker{Router: "a"}, 10, []Want{{Tenant: "nobody", Returned: []Return{{Amount: 5}}}})
 	c.Assert(d.TakeUsages(at)[0].Used, qt.Equals, 230.0)
 }
 
-// It is taken off what was granted before, so that no window counts less than was used in it.
-func TestReturnsAreTakenOffNothingNewer(t *testing.T) {
+// Guards against returns that make a window count less than was used in it.
+func TestReturnsAreDeductedFromOlderGrants(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
 	drawAt(d, origin, "a", waiting(50))
--- a/placement/quota/window.go
+++ b/placement/quota/window.go
@@ -7,124 +7,122 @@
 	"github.com/lotusferry/lotusferry/placement/site"
 )
 
-// window is the limit of one tenant, with what was granted of it lately.
+// window is the limit of one tenant with its recent grants.
 type window struct {
 	limit site.RateLimit
-	// length is that of the windows in which the use is counted, and most is what may be
-	// granted in each.
-	length time.Duration
-	most   float64
-	// lendable is the most that routers may hold.
-	lendable float64
-	// floor may be granted in every second, and credit beyond that.
-	floor  float64
-	credit float64
-	// promises is the room that callers were told to come back for, notices remembers the other
-	// refused callers, and classes compares the kinds of requests.
-	promises promises
-	notices  notices
-	classes  classes
-	// granted lists what was granted, oldest first, in steps of grantStep. inherited lists what
-	// former leaders may have granted. used is the sum of both.
+	// length is the length of the window, and maxGranted the maximum that may be granted in it.
+	length     time.Duration
+	maxGranted float64
+	// maxLeased is the maximum that routers may hold.
+	maxLeased float64
+	// sustainedRate may be granted in every second, and burstCapacity at once beyond that.
+	sustainedRate float64
+	burstCapacity float64
+	// bookings holds amounts kept for rejected callers, rejections the other rejected callers, and
+	// classes the use by class of request.
+	bookings   bookings
+	rejections rejections
+	classes    classes
+	// granted lists the grants in steps of grantStep, oldest first, and inherited what former
+	// leaders may have granted. used is the sum of both.
 	granted   []grantedStep
 	inherited []grantedStep
 	used      float64
-	// reserved lists what is in the log and may be granted, oldest first, and available is
-	// its sum.
+	// reserved lists what is in the log and may be granted, oldest first. available is its sum.
 	reserved  []reservedPart
 	available float64
-	// proposed is on its way into the log, and short what requests at each router lack beyond
-	// that.
-	proposed float64
-	short    map[string]float64
-	// leases is by router; total is the sum of what routers hold, and aimed that of what they
-	// would like to hold. Both may count leases that have ended until the next sweep.
-	leases map[string]lease
-	total  float64
-	aimed  float64
-	// shown is what routers showed to hold when they first asked this leader.
-	shown   float64
-	sweptAt time.Time
-	// drawn is what was granted since the last look, and counts what became of requests.
+	// proposed is the amount being written to the log, and shortfalls holds what each router lacks
+	// beyond that.
+	proposed   float64
+	shortfalls map[string]float64
+	// leases is by router. leasedSum is the sum of what routers hold, and reserveSum that of what
+	// they would like to hold. Both may include expired leases until the next sweep.
+	leases     map[string]lease
+	leasedSum  float64
+	reserveSum float64
+	// shownHeld is the amount that routers reported to hold in their first query to this leader.
+	shownHeld float64
+	sweptAt   time.Time
+	// drawn and counts are reset by TakeUsages.
 	drawn  float64
 	counts counts
 }
 
-// counts are requests that were decided on.
+// counts holds the numbers of requests by decision.
 type counts struct {
 	asked    int
 	refused  int
-	promised int
+	booked int
 }
 
-// grantedStep is what was granted until a time; it counts until the window has passed.
+// grantedStep is the amount granted in one step. It counts until the window after its end has
+// passed.
 type grantedStep struct {
 	until  time.Time
 	amount float64
 }
 
-// reservedPart may be granted until a time.
+// reservedPart is a reserved amount that may be granted before until.
 type reservedPart struct {
 	until  time.Time
 	amount float64
 }
 
-// lease is what a router may hold.
+// lease is the amount that a router may hold, and the reserve that it would like to hold.
 type lease struct {
-	amount float64
-	aim    float64
-	until  time.Time
+	amount  float64
+	reserve float64
+	until   time.Time
 }
 
 const (
-	// grantStep is how finely grants are counted: what is granted in a step counts as granted
-	// at its end.
+	// grantStep is the resolution of granted. Grants count as made at the end of their step.
 	grantStep = 50 * time.Millisecond
-	// sweepInterval is the pause between two looks for leases that have ended.
+	// sweepInterval is the time between removals of expired leases.
 	sweepInterval = 500 * time.Millisecond
-	// reservationLife is how long what was reserved may be granted: several times the pause
-	// between two reservations.
-	reservationLife = time.Second
-	// aheadTime is how much of the present use is reserved ahead, and rateTime the time over
-	// which that is looked at. At most one entry of the log comes in aheadTime/2 then, unless
-	// requests wait for one.
-	aheadTime = 400 * time.Millisecond
-	rateTime  = time.Second
-	// fullShare of a window may be used before routers are lent no more reserves.
-	fullShare = 0.85
+	// reservationTTL is how long a reserved amount may be granted: several times the interval
+	// between reservations.
+	reservationTTL = time.Second
+	// reserveAhead is the time of the current use that is reserved in advance, and rateWindow the
+	// time over which that use is measured. This limits log entries to one per reserveAhead/2
+	// unless requests wait.
+	reserveAhead = 400 * time.Millisecond
+	rateWindow   = time.Second
+	// Routers are lent reserves while less than maxLendingShare of a window is used.
+	maxLendingShare = 0.85
 )
 
 func newWindow(at time.Time) *window {
-	return &window{sweptAt: at, leases: make(map[string]lease), short: make(map[string]float64)}
+	return &window{sweptAt: at, leases: make(map[string]lease), shortfalls: make(map[string]float64)}
 }
 
-// setLimit adopts a limit. In any window of the bound, routers spend at most what they held
-// at its beginning and what was granted in it: the two share what the bound allows.
+// setLimit sets the limit. In any window, routers spend at most what they held at its beginning
+// plus what was granted in it, so these two share the excess that the bound allows.
 func (w *window) setLimit(limit site.RateLimit, bound Bound) {
 	allowed := limit.Rate*bound.Window.Seconds() + limit.Burst
 	excess := bound.Overshoot*allowed + bound.Slack
 	if limit.Rate < w.limit.Rate || limit.Burst < w.limit.Burst {
-		// What was promised of the former limit would take all room of this one.
-		w.promises = promises{}
+		// Bookings under the former limit could take up all of the new one.
+		w.bookings = bookings{}
 	}
 	w.limit, w.length = limit, bound.Window
-	w.most = allowed + excess*grantedExcess
-	w.lendable = excess * (1 - grantedExcess)
-	w.setPace()
+	w.maxGranted = allowed + excess*grantedExcessShare
+	w.maxLeased = excess * (1 - grantedExcessShare)
+	w.computeRates()
 }
 
-// inherit counts what former leaders may have granted until a time.
+// inherit counts an amount that former leaders may have granted until the given time.
 func (w *window) inherit(until time.Time, amount float64) {
 	w.inherited = append(w.inherited, grantedStep{until: until, amount: amount})
 	w.used += amount
 }
 
-// age drops what has left the window, and what may not be granted any more.
-func (w *window) age(at time.Time) {
-	w.granted = w.dropOld(at, w.granted)
-	w.inherited = w.dropOld(at, w.inherited)
+// expire drops grants that have left the window, and reservations that may no longer be granted.
+func (w *window) expire(at time.Time) {
+	w.granted = w.dropExpired(at, w.granted)
+	w.inherited = w.dropExpired(at, w.inherited)
 	if len(w.granted) == 0 && len(w.inherited) == 0 {
-		// Sums of many fractions drift.
+		// Discard the accumulated rounding error.
 		w.used = 0
 	}
 	for len(w.reserved) > 0 && !at.Before(w.reserved[0].until) {
@@ -136,7 +134,7 @@
 	}
 }
 
-func (w *window) dropOld(at time.Time, steps []grantedStep) []grantedStep {
+func (w *window) dropExpired(at time.Time, steps []grantedStep) []grantedStep {
 	for len(steps) > 0 && at.Sub(steps[0].until) > w.length {
 		w.used -= steps[0].amount
 		steps = steps[1:]
@@ -144,68 +142,68 @@
 	return steps
 }
 
-// free is what the window has room for, beyond what is reserved or will be.
-func (w *window) free() float64 { return max(0, w.most-w.used-w.available-w.proposed) }
+// unreserved returns the room in the window beyond what is reserved or proposed.
+func (w *window) unreserved() float64 { return max(0, w.maxGranted-w.used-w.available-w.proposed) }
 
-// lacking notes what has to be reserved before the requests that wait at a router can be granted,
-// and reports whether there is something, or will be once what is proposed is in the log.
-func (w *window) lacking(at time.Time, router string, want Want) bool {
-	held := figure(want.Held)
-	needed, level := -held, w.level(at)+held
+// recordShortfall records what must be reserved before the waiting requests of a router can be
+// granted. It reports whether anything is not available yet, including amounts already proposed.
+func (w *window) recordShortfall(at time.Time, router string, want Want) bool {
+	held := clampAmount(want.Held)
+	needed, headroom := -held, w.headroom(at)+held
 	for _, cost := range want.Waiting {
-		cost = figure(cost)
-		if needed+cost > w.available+w.proposed+w.free() || !w.covers(level, cost) {
+		cost = clampAmount(cost)
+		if needed+cost > w.available+w.proposed+w.unreserved() || !w.covers(headroom, cost) {
 			break
 		}
 		needed += cost
-		level -= cost
+		headroom -= cost
 	}
-	delete(w.short, router)
+	delete(w.shortfalls, router)
 	if missing := needed - w.available - w.proposed; missing > 0 {
-		w.short[router] = missing
+		w.shortfalls[router] = missing
 	}
 	return needed > w.available
 }
 
-// wanted is what should be reserved now: for requests that lack it, and for those to come.
-func (w *window) wanted(at time.Time) float64 {
-	ahead := w.recent(at) * aheadTime.Seconds() / rateTime.Seconds()
-	short := 0.0
-	for _, missing := range w.short {
-		short += missing
+// amountToReserve returns the amount to reserve now, for waiting requests and for expected ones.
+func (w *window) amountToReserve(at time.Time) float64 {
+	ahead := w.recent(at) * reserveAhead.Seconds() / rateWindow.Seconds()
+	shortfall := 0.0
+	for _, missing := range w.shortfalls {
+		shortfall += missing
 	}
-	if level := w.level(at); level < w.credit {
-		// More than the pace allows is not granted, however many routers lack it.
-		short = min(short, max(0, level))
+	if headroom := w.headroom(at); headroom < w.burstCapacity {
+		// The pacing bounds what can be granted, however many routers lack it.
+		shortfall = min(shortfall, max(0, headroom))
 	}
-	if short <= 0 && w.available+w.proposed >= ahead/2 {
+	if shortfall <= 0 && w.available+w.proposed >= ahead/2 {
 		return 0
 	}
-	return min(w.free(), short+max(0, ahead-w.available-w.proposed))
+	return min(w.unreserved(), shortfall+max(0, ahead-w.available-w.proposed))
 }
 
-// recent is what was granted within the last rateTime.
+// recent returns the amount granted within the last rateWindow.
 func (w *window) recent(at time.Time) float64 {
 	sum := 0.0
-	for i := len(w.granted) - 1; i >= 0 && at.Sub(w.granted[i].until) < rateTime; i-- {
+	for i := len(w.granted) - 1; i >= 0 && at.Sub(w.granted[i].until) < rateWindow; i-- {
 		sum += w.granted[i].amount
 	}
 	return sum
 }
 
-// propose notes what is on its way into the log.
+// propose records the amount that is being written to the log.
 func (w *window) propose(amount float64) {
 	w.proposed = amount
-	clear(w.short)
+	clear(w.shortfalls)
 }
 
-// reserve adds what is now in the log, as was decided at a time.
+// reserve adds an amount that was committed to the log, proposed at the given time.
 func (w *window) reserve(decided time.Time, amount float64) {
-	w.reserved = append(w.reserved, reservedPart{until: decided.Add(reservationLife), amount: amount})
+	w.reserved = append(w.reserved, reservedPart{until: decided.Add(reservationTTL), amount: amount})
 	w.available += amount
 }
 
-// grant takes an amount of what is reserved.
+// grant moves an amount from reserved to granted.
 func (w *window) grant(at time.Time, amount float64) {
 	if amount <= 0 {
 		return
@@ -228,70 +226,71 @@
 	}
 }
 
-// draw answers one router. isYoung is set while leases of a former leader may be out.
-func (w *window) draw(at time.Time, router string, want Want, isYoung bool) Grant {
-	w.age(at)
+// draw answers the query of one router. isNewLeader is set while leases of a former leader may be
+// outstanding.
+func (w *window) draw(at time.Time, router string, want Want, isNewLeader bool) Grant {
+	w.expire(at)
 	w.sweep(at)
-	held, aim := figure(want.Held), figure(want.Reserve)
+	held, reserve := clampAmount(want.Held), clampAmount(want.Reserve)
 	known, isKnown := w.leases[router]
-	if !isKnown && isYoung {
-		w.shown += held
+	if !isKnown && isNewLeader {
+		w.shownHeld += held
 	}
-	decided := w.newRound(at, held)
+	decided := w.newDecision(at, held)
 	grant := Grant{Tenant: want.Tenant, Answers: decided.answerAll(want)}
 	grant.RoomIn = decided.roomIn
 	grant.Amount = max(0, decided.admitted-held)
 	w.grant(at, grant.Amount)
 	held = max(0, held-decided.admitted)
-	w.total += held - known.amount
-	w.aimed += aim - known.aim
-	if grant.RoomIn == 0 && decided.isEasy(0) {
-		lent := w.lend(held, aim, isYoung)
+	w.leasedSum += held - known.amount
+	w.reserveSum += reserve - known.reserve
+	if grant.RoomIn == 0 && decided.isUncontended(0) {
+		lent := w.lend(held, reserve, isNewLeader)
 		w.grant(at, lent)
-		w.total += lent
+		w.leasedSum += lent
 		held += lent
 		grant.Amount += lent
 	}
 	grant.Keep = held
-	w.leases[router] = lease{amount: held, aim: aim, until: at.Add(LeaseLife)}
+	w.leases[router] = lease{amount: held, reserve: reserve, until: at.Add(LeaseLife)}
 	return grant
 }
 
-// lend is how much a router that holds something is lent on top: its part of what routers may
-// hold, by what all would like to.
-func (w *window) lend(held, aim float64, isYoung bool) float64 {
-	most := w.lendable
-	if isYoung {
-		most = min(most, w.shown)
+// lend returns the additional amount that a router may hold: its share of maxLeased, in proportion
+// to the reserves that routers ask for.
+func (w *window) lend(held, reserve float64, isNewLeader bool) float64 {
+	most := w.maxLeased
+	if isNewLeader {
+		most = min(most, w.shownHeld)
 	}
-	part := aim
-	if w.aimed > most {
-		part = aim * most / w.aimed
+	part := reserve
+	if w.reserveSum > most {
+		part = reserve * most / w.reserveSum
 	}
-	free := min(most-w.total, w.most*fullShare-w.used, w.available)
+	free := min(most-w.leasedSum, w.maxGranted*maxLendingShare-w.used, w.available)
 	return max(0, min(part-held, free))
 }
 
-// sweep forgets leases that have ended.
+// sweep deletes expired leases.
 func (w *window) sweep(at time.Time) {
 	if at.Sub(w.sweptAt) < sweepInterval {
 		return
 	}
-	w.sweptAt, w.total, w.aimed = at, 0, 0
+	w.sweptAt, w.leasedSum, w.reserveSum = at, 0, 0
 	for router, each := range w.leases {
 		if !at.Before(each.until) {
 			delete(w.leases, router)
 			continue
 		}
-		w.total += each.amount
-		w.aimed += each.aim
+		w.leasedSum += each.amount
+		w.reserveSum += each.reserve
 	}
 }
 
-// roomIn is when the window should have room for an amount that is not reserved yet; 0 if it
-// has now.
+// roomIn returns the time until the window should have room for an amount that is not reserved yet;
+// 0 if it has now.
 func (w *window) roomIn(at time.Time, lacking float64) time.Duration {
-	lacking -= w.free()
+	lacking -= w.unreserved()
 	if lacking <= 0 {
 		return 0
 	}
@@ -308,19 +307,19 @@
 	return max(in, grantStep)
 }
 
-// figure makes a router's figure one to reckon with.
-func figure(value float64) float64 {
+// clampAmount bounds an amount received from a router to a valid range.
+func clampAmount(value float64) float64 {
 	if math.IsNaN(value) || value < 0 {
 		return 0
 	}
-	return min(value, maxFigure)
+	return min(value, maxAmount)
 }
 
-// maxFigure is more than any limit allows.
-const maxFigure = 1e13
+// maxAmount is more than any limit allows.
+const maxAmount = 1e13
 
-// span makes a router's time one to reckon with.
-func span(value time.Duration) time.Duration { return min(max(0, value), maxSpan) }
+// clampDuration bounds a duration received from a router to a valid range.
+func clampDuration(value time.Duration) time.Duration { return min(max(0, value), maxDuration) }
 
-// maxSpan is more than the time of any request.
-const maxSpan = 10 * time.Minute
+// maxDuration is longer than any request.
+const maxDuration = 10 * time.Minute
