--- a/placement/poison/digest.go
+++ b/placement/poison/digest.go
@@ -6,25 +6,24 @@
 	"encoding/hex"
 )
 
-// digestSize is the length of a Digest in bytes: enough that nobody can make another
-// request with the same one.
+// digestSize is the length of a Digest in bytes. It makes collisions infeasible.
 const digestSize = 16
 
-// Digest names what a request asks for, so that it is known when it comes again. Neither the
-// caller nor the content can be told from it.
+// Digest identifies the content of a request, so that a repeated request is recognized. It reveals
+// neither the caller nor the content.
 type Digest [digestSize]byte
 
 // String returns the digest in hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Content is what makes two requests the same.
+// Content is the part of a request that identifies it.
 type Content struct {
-	// Caller is who asks, as far as that is proved by a key; empty for nobody. The address
-	// that a request came from is no part: the same caller may come from another.
+	// Caller is the caller as authenticated by a key; empty if unauthenticated. The client address
+	// is not included, since it may change.
 	Caller string
 	Method string
 	Host   string
-	// URI is the path with the query, as it was sent.
+	// URI is the path with the query, as received.
 	URI  string
 	Body []byte
 }
@@ -33,7 +32,7 @@
 func (c Content) Digest() Digest {
 	hash := sha256.New()
 	for _, part := range []string{c.Caller, c.Method, c.Host, c.URI} {
-		// Lengths keep parts apart.
+		// Length prefixes keep the parts apart.
 		_, _ = hash.Write(binary.AppendUvarint(nil, uint64(len(part))))
 		_, _ = hash.Write([]byte(part))
 	}
--- a/placement/poison/digest_test.go
+++ b/placement/poison/digest_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestDigestTellsRequestsApart(t *testing.T) {
+func TestDigestDistinguishesRequests(t *testing.T) {
 	content := Content{Caller: "c", Method: "POST", Host: "h", URI: "/a/b?q=1", Body: []byte("body")}
 	for name, change := range map[string]func(*Content){
 		"caller":          func(c *Content) { c.Caller = "d" },
@@ -15,7 +15,7 @@
 		"host":            func(c *Content) { c.Host = "i" },
 		"query":           func(c *Content) { c.URI = "/a/b?q=2" },
 		"body":            func(c *Content) { c.Body = []byte("bodz") },
-		"where parts end": func(c *Content) { c.Host, c.URI = "h/", "a/b?q=1" },
+		"part boundaries": func(c *Content) { c.Host, c.URI = "h/", "a/b?q=1" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -27,7 +27,8 @@
 	qt.Assert(t, content.Digest(), qt.Equals, content.Digest())
 }
 
-// A digest is made for each request that is passed on.
+// BenchmarkDigest measures the digest of a request with a 4 KiB body. It is computed for each
+// forwarded request.
 func BenchmarkDigest(b *testing.B) {
 	content := Content{Method: "POST", Host: "h", URI: "/a/b", Body: bytes.Repeat([]byte("x"), 4<<10)}
 	b.ReportAllocs()
--- a/placement/poison/doc.go
+++ b/placement/poison/doc.go
@@ -1,14 +1,12 @@
-// Package poison finds requests that crash the runners that run them, and says what
-// becomes of those that come again.
+// Package poison detects requests that crash the runners executing them, and decides whether they
+// may be executed again.
 //
-// Routers report which requests were under way at a runner when its connections broke. A
-// Tracker, at the leader of the controllers, adds up what all of them saw. Much of what was under way
-// is harmless: it shared a runner with the request that crashed it, was moved on together with it,
-// or was unlucky with runners that went for other reasons. So a request that was under way at
-// enough losses is not refused but tried: it may run once more, at one runner at a time and
-// beside no other suspect. If it ends well it is cleared, and if its runner is lost again it is
-// refused for a while.
+// Routers report the requests that were in flight at a runner when its connections broke. A Tracker
+// at the controllers' leader combines these reports. Most requests in flight are harmless: they
+// shared the runner with the crashing request, were retried together with it, or were at runners
+// lost for other reasons. A request that was in flight at enough losses is therefore not refused
+// but tried: it may run at one runner at a time, without other suspects there. If it succeeds it is
+// cleared. If its runner is lost again, it is refused for some time.
 //
-// A loss counts only while nothing says that it was none: a runner that had said that it
-// leaves, or whose heartbeats go on, was not crashed.
+// A loss is discarded if the runner had announced that it leaves, or if its heartbeats continue.
 package poison
--- a/placement/poison/tracker.go
+++ b/placement/poison/tracker.go
@@ -8,46 +8,42 @@
 )
 
 const (
-	// enoughLosses is at how many losses a request must have been under way to be a
-	// suspect. Of the requests that shared runners with one that crashed them, 50 were under way
-	// at three losses and 3 at four; nearly all others at fewer.
-	enoughLosses = 3
-	// refutingTime is how long after the report of its loss a heartbeat shows that a runner lives:
-	// heartbeats come up to some seconds late, and those that live send one each second or so. With
-	// two heartbeats at any time instead, 5 of 60 simulated requests reached runners up to eight times
-	// after they were known, where heartbeats were up to 3 s late.
-	refutingTime = 4 * time.Second
-	// lossLife is how long a loss counts: some times as long as callers repeat a request that
-	// fails, and short enough that a week's unrelated losses do not add up.
-	lossLife = time.Hour
-	// maxLosses and maxDigests bound what is kept: 256 losses of 512 requests of 16 bytes each
-	// are some MiB at most. Beyond it the oldest losses are forgotten.
+	// minLosses is the number of losses at which a request must have been in flight to become a
+	// suspect. Harmless requests that share runners with a crashing one rarely reach it.
+	minLosses = 3
+	// refuteAfter is how long after the report of a loss a heartbeat shows that the runner is
+	// alive. It exceeds the delay of late heartbeats.
+	refuteAfter = 4 * time.Second
+	// lossTTL is how long a loss counts: longer than callers repeat a failed request, but short
+	// enough that unrelated losses don't add up.
+	lossTTL = time.Hour
+	// maxLosses and maxDigests bound the memory for losses to a few MiB. The oldest losses are
+	// evicted.
 	maxLosses  = 256
 	maxDigests = 512
-	// maxSuspects bounds the requests that are suspected or refused.
+	// maxSuspects bounds the number of suspects.
 	maxSuspects = 1024
-	// trialLife is after how long a trial counts as over of which nothing was heard: longer than
-	// callers wait for an answer.
-	trialLife = time.Minute
-	// laterPause is when a caller may come back whose request has to wait for another trial:
-	// about as long as a short answer takes.
-	laterPause = time.Second
-	// firstRefusal is how long a request is refused that lost its runner in a trial. Each further
-	// time is refusalGrowth times as long, up to longestRefusal, so that three trials a day
-	// are the most.
-	firstRefusal   = time.Hour
-	refusalGrowth  = 6
-	longestRefusal = 24 * time.Hour
-	// openRefusal is how long a request is not tried again after a trial that showed nothing, as its
-	// caller left or its time was over; it doubles each time. After the first trial that a full runner
-	// turned away laterPause will do.
-	openRefusal = 30 * time.Second
+	// trialTimeout ends a trial without a report. It is longer than callers wait for an answer.
+	trialTimeout = time.Minute
+	// retryDelay is when the caller of a request that has to wait for another trial may retry:
+	// about the duration of a short answer.
+	retryDelay = time.Second
+	// minRefusal is how long a request is refused after its runner was lost in a trial. Each
+	// further time is refusalGrowth times as long, up to maxRefusal, which allows at most three
+	// trials in the first day.
+	minRefusal    = time.Hour
+	refusalGrowth = 6
+	maxRefusal    = 24 * time.Hour
+	// minInconclusiveRefusal is how long a request is refused after an inconclusive trial, in which
+	// the caller disconnected or timed out. It doubles each time. After the first trial that a full
+	// runner rejected, the refusal is only retryDelay.
+	minInconclusiveRefusal = 30 * time.Second
 )
 
-// Tracker adds up losses. Make one with New.
+// Tracker combines the reports of losses. Create one with New.
 type Tracker struct {
 	losses map[string]*loss
-	// counts is at how many of the losses each request was under way.
+	// counts maps a request to the number of losses at which it was in flight.
 	counts   map[Digest]int
 	suspects map[Digest]*suspect
 	trials   map[Digest]trial
@@ -55,66 +51,66 @@
 	records  []Record
 }
 
-// loss is that of one runner.
+// loss is the loss of one runner, with the requests in flight.
 type loss struct {
 	at      time.Time
 	digests map[Digest]bool
 }
 
-// suspect is a request that was under way at enough losses.
+// suspect is a request that was in flight at minLosses losses or more.
 type suspect struct {
-	// since is when it was last found at a loss, or recalled.
-	since time.Time
-	// losses is their number as it was last counted.
+	// observedAt is when it was last part of a loss, or recalled.
+	observedAt time.Time
+	// losses is the highest count of its losses.
 	losses int
-	// isRecalled is set for what the leader before knew, whose losses are not known.
+	// isRecalled is set for suspects of the former leader, whose losses are unknown.
 	isRecalled bool
-	// refusals counts those for a lost runner, openTrials the trials that showed nothing.
-	refusals   int
-	openTrials int
-	// until is the end of its refusal, convicted the runner that was lost in its trial.
-	until     time.Time
-	convicted string
+	// refusals counts the trials that lost their runner, inconclusiveTrials the inconclusive ones.
+	refusals           int
+	inconclusiveTrials int
+	// refusedUntil is the end of its refusal, lostInstance the runner that was lost in its trial.
+	refusedUntil time.Time
+	lostInstance string
 }
 
-func (s *suspect) isRefused(now time.Time) bool { return now.Before(s.until) }
+func (s *suspect) isRefused(now time.Time) bool { return now.Before(s.refusedUntil) }
 
-// trial is one run of a suspect.
+// trial is one execution of a suspect.
 type trial struct {
-	// asker is who may run it.
+	// asker identifies the attempt that may execute it.
 	asker    string
 	instance string
 	at       time.Time
 }
 
-// New makes a tracker that knows nothing.
+// New returns an empty tracker.
 func New() *Tracker {
 	return &Tracker{
 		losses: make(map[string]*loss), counts: make(map[Digest]int), suspects: make(map[Digest]*suspect), trials: make(map[Digest]trial),
 	}
 }
 
-// Recall takes what the leader before knew. Refusals begin anew, as nobody knows how much of them
-// has passed.
+// Recall restores the records of the former leader. Refusals start again, since their elapsed time
+// is unknown.
 func (t *Tracker) Recall(now time.Time, records []Record) {
 	for _, record := range records {
 		recalled := &suspect{
-			since: now, losses: record.Losses, isRecalled: true, refusals: record.Refusals,
+			observedAt: now, losses: record.Losses, isRecalled: true, refusals: record.Refusals,
 		}
 		if record.RefusedFor > 0 {
-			recalled.until = now.Add(record.RefusedFor)
+			recalled.refusedUntil = now.Add(record.RefusedFor)
 		}
 		t.suspects[record.Digest] = recalled
 		t.revision++
 	}
 }
 
-// Observe takes a router's report. It reports whether the loss is news.
+// Observe records a router's report. It reports whether the loss is new.
 func (t *Tracker) Observe(now time.Time, report Report) bool {
 	known := t.losses[report.Instance]
 	isNew := known == nil
 	if isNew {
-		t.makeRoom()
+		t.evictLoss()
 		known = &loss{at: now, digests: make(map[Digest]bool)}
 		t.losses[report.Instance] = known
 	}
@@ -124,14 +120,14 @@
 		}
 		known.digests[digest] = true
 		t.counts[digest]++
-		t.judge(now, digest)
-		t.endTrial(now, digest, report.Instance)
+		t.updateSuspect(now, digest)
+		t.failTrial(now, digest, report.Instance)
 	}
 	return isNew
 }
 
-// makeRoom forgets the oldest loss if there are too many.
-func (t *Tracker) makeRoom() {
+// evictLoss deletes the oldest loss if there are too many.
+func (t *Tracker) evictLoss() {
 	if len(t.losses) < maxLosses {
 		return
 	}
@@ -141,11 +137,11 @@
 			oldest = instance
 		}
 	}
-	t.forget(oldest)
+	t.deleteLoss(oldest)
 }
 
-// forget drops a loss.
-func (t *Tracker) forget(instance string) {
+// deleteLoss deletes a loss.
+func (t *Tracker) deleteLoss(instance string) {
 	for digest := range t.losses[instance].digests {
 		t.counts[digest]--
 		if t.counts[digest] == 0 {
@@ -155,21 +151,21 @@
 	delete(t.losses, instance)
 }
 
-// judge looks whether a request is a suspect now.
-func (t *Tracker) judge(now time.Time, digest Digest) {
+// updateSuspect updates a suspect after a further loss, or adds the request as one.
+func (t *Tracker) updateSuspect(now time.Time, digest Digest) {
 	count := t.counts[digest]
 	known := t.suspects[digest]
 	switch {
 	case known != nil && count > 0:
-		known.since, known.losses = now, max(known.losses, count)
-	case known == nil && count >= enoughLosses && len(t.suspects) < maxSuspects:
-		t.suspects[digest] = &suspect{since: now, losses: count}
-		t.changed(digest)
+		known.observedAt, known.losses = now, max(known.losses, count)
+	case known == nil && count >= minLosses && len(t.suspects) < maxSuspects:
+		t.suspects[digest] = &suspect{observedAt: now, losses: count}
+		t.recordChange(digest)
 	}
 }
 
-// endTrial refuses a suspect whose trial was at a runner that is lost.
-func (t *Tracker) endTrial(now time.Time, digest Digest, instance string) {
+// failTrial refuses a suspect if its trial was at the lost runner.
+func (t *Tracker) failTrial(now time.Time, digest Digest, instance string) {
 	tried, isTried := t.trials[digest]
 	known := t.suspects[digest]
 	if !isTried || tried.instance != instance || known == nil {
@@ -177,96 +173,95 @@
 	}
 	delete(t.trials, digest)
 	known.refusals++
-	known.convicted = instance
-	known.until = now.Add(refusalTime(known.refusals))
-	t.changed(digest)
+	known.lostInstance = instance
+	known.refusedUntil = now.Add(refusalTime(known.refusals))
+	t.recordChange(digest)
 }
 
-// refusalTime is how long a request is refused for the given time.
+// refusalTime returns the duration of a suspect's nth refusal.
 func refusalTime(refusals int) time.Duration {
-	length := firstRefusal
+	length := minRefusal
 	for range refusals - 1 {
-		if length >= longestRefusal {
+		if length >= maxRefusal {
 			break
 		}
 		length *= refusalGrowth
 	}
-	return min(length, longestRefusal)
+	return min(length, maxRefusal)
 }
 
-// Heard notes a heartbeat of a runner, newer than those before. It reports whether that refutes
-// its loss.
+// Heard records a new heartbeat of a runner. It reports whether the heartbeat refutes its loss.
 func (t *Tracker) Heard(now time.Time, instance string) bool {
 	known := t.losses[instance]
-	if known == nil || now.Sub(known.at) < refutingTime {
+	if known == nil || now.Sub(known.at) < refuteAfter {
 		return false
 	}
 	t.Refute(now, instance)
 	return true
 }
 
-// Refute forgets the loss of a runner that was none.
+// Refute discards the loss of a runner that was not lost.
 func (t *Tracker) Refute(now time.Time, instance string) {
 	known := t.losses[instance]
 	if known == nil {
 		return
 	}
-	t.forget(instance)
+	t.deleteLoss(instance)
 	for digest := range known.digests {
-		t.acquit(now, digest, instance)
+		t.revertLoss(now, digest, instance)
 	}
 }
 
-// acquit takes back what a loss that was none has done to a request.
-func (t *Tracker) acquit(now time.Time, digest Digest, instance string) {
+// revertLoss reverts the effects of a discarded loss on a request.
+func (t *Tracker) revertLoss(now time.Time, digest Digest, instance string) {
 	found := t.suspects[digest]
 	if found == nil {
 		return
 	}
-	if found.convicted == instance {
-		found.convicted, found.until = "", time.Time{}
+	if found.lostInstance == instance {
+		found.lostInstance, found.refusedUntil = "", time.Time{}
 		found.refusals--
-		t.changed(digest)
+		t.recordChange(digest)
 	}
-	if t.counts[digest] < enoughLosses && !found.isRecalled && !found.isRefused(now) {
-		t.drop(digest)
+	if t.counts[digest] < minLosses && !found.isRecalled && !found.isRefused(now) {
+		t.removeSuspect(digest)
 	}
 }
 
-// Ended notes how a run ended that did not lose its runner.
+// Ended records the outcome of an execution that did not lose its runner.
 func (t *Tracker) Ended(now time.Time, ending Ending) {
 	switch ending.How {
 	case EndedWell:
-		t.clear(ending.Digest)
+		t.clearRequest(ending.Digest)
 	case EndedOpen:
-		t.endOpen(now, ending.Digest, 1)
+		t.endInconclusive(now, ending.Digest, 1)
 	case TurnedAway:
-		t.endOpen(now, ending.Digest, 0)
+		t.endInconclusive(now, ending.Digest, 0)
 	case NotSent:
 		delete(t.trials, ending.Digest)
 	}
 }
 
-// clear forgets all that speaks against a request, as it has ended well.
-func (t *Tracker) clear(digest Digest) {
+// clearRequest removes a request from all losses and suspects after a successful execution.
+func (t *Tracker) clearRequest(digest Digest) {
 	for _, each := range t.losses {
 		delete(each.digests, digest)
 	}
 	delete(t.counts, digest)
 	delete(t.trials, digest)
 	if t.suspects[digest] != nil {
-		t.drop(digest)
+		t.removeSuspect(digest)
 	}
 }
 
-func (t *Tracker) drop(digest Digest) {
+func (t *Tracker) removeSuspect(digest Digest) {
 	delete(t.suspects, digest)
 	delete(t.trials, digest)
 	t.revision++
 	t.records = append(t.records, Record{Digest: digest, IsCleared: true})
 }
 
-// Excuse ends the trials of a report about a runner that had said that it leaves: its end says nothing.
+// Excuse cancels the reported trials at a runner that had announced that it leaves.
 func (t *Tracker) Excuse(report Report) {
 	for _, digest := range report.Digests {
 		if t.trials[digest].instance == report.Instance {
@@ -275,102 +270,102 @@
 	}
 }
 
-// Ask says whether a request may be sent to a runner now, and if not, when it may come back. An asker
-// whose answer was lost asks again under the same name.
+// Ask decides whether a request may be sent to a runner now, and if not, when the caller may retry.
+// An asker that missed the answer may ask again.
 func (t *Tracker) Ask(now time.Time, digest Digest, asker, instance string) (Permission, time.Duration) {
 	known := t.suspects[digest]
 	if known == nil {
 		return Free, 0
 	}
 	if known.isRefused(now) {
-		return Refused, known.until.Sub(now)
+		return Refused, known.refusedUntil.Sub(now)
 	}
-	if under, isTried := t.trials[digest]; isTried && under.asker != asker {
-		return Later, laterPause
+	if current, isTried := t.trials[digest]; isTried && current.asker != asker {
+		return Later, retryDelay
 	}
 	for tried, other := range t.trials {
 		if other.instance == instance && tried != digest {
-			return Later, laterPause
+			return Later, retryDelay
 		}
 	}
 	t.trials[digest] = trial{asker: asker, instance: instance, at: now}
 	return Trial, 0
 }
 
-// endOpen notes that a trial has ended and showed nothing. The request is refused at least as long as
-// after the given number of such trials before.
-func (t *Tracker) endOpen(now time.Time, digest Digest, atLeast int) {
+// endInconclusive ends a trial that was inconclusive. The refusal is at least as long as after
+// atLeast earlier inconclusive trials.
+func (t *Tracker) endInconclusive(now time.Time, digest Digest, atLeast int) {
 	if _, isTried := t.trials[digest]; !isTried {
 		return
 	}
 	delete(t.trials, digest)
 	known := t.suspects[digest]
-	before := max(known.openTrials, atLeast)
-	known.until = now.Add(openRefusalTime(before))
-	known.openTrials = before + 1
-	t.changed(digest)
+	before := max(known.inconclusiveTrials, atLeast)
+	known.refusedUntil = now.Add(inconclusiveRefusalTime(before))
+	known.inconclusiveTrials = before + 1
+	t.recordChange(digest)
 }
 
-// openRefusalTime is how long a request is not tried again after a trial that showed nothing, when
-// so many had shown nothing before.
-func openRefusalTime(before int) time.Duration {
+// inconclusiveRefusalTime returns the duration of the refusal after an inconclusive trial that had
+// the given number of such trials before it.
+func inconclusiveRefusalTime(before int) time.Duration {
 	if before == 0 {
-		return laterPause
+		return retryDelay
 	}
-	return openRefusal << min(before-1, maxDoublings)
+	return minInconclusiveRefusal << min(before-1, maxDoublings)
 }
 
-// maxDoublings bounds the growth of refusals after trials that showed nothing: to an hour.
+// maxDoublings bounds refusals after inconclusive trials to about an hour.
 const maxDoublings = 7
 
-// Expire forgets what is old, and ends refusals whose time is over.
+// Expire deletes expired losses and suspects, and ends overdue trials and refusals.
 func (t *Tracker) Expire(now time.Time) {
 	for digest, each := range t.trials {
-		if now.Sub(each.at) > trialLife {
-			t.endOpen(now, digest, 1)
+		if now.Sub(each.at) > trialTimeout {
+			t.endInconclusive(now, digest, 1)
 		}
 	}
 	for instance, each := range t.losses {
-		if now.Sub(each.at) > lossLife {
-			t.forget(instance)
+		if now.Sub(each.at) > lossTTL {
+			t.deleteLoss(instance)
 		}
 	}
 	for digest, each := range t.suspects {
 		switch {
 		case each.isRefused(now):
-		case each.until.IsZero() && now.Sub(each.since) > lossLife:
-			t.drop(digest)
-		case !each.until.IsZero():
-			each.since, each.until = now, time.Time{}
-			t.changed(digest)
+		case each.refusedUntil.IsZero() && now.Sub(each.observedAt) > lossTTL:
+			t.removeSuspect(digest)
+		case !each.refusedUntil.IsZero():
+			each.observedAt, each.refusedUntil = now, time.Time{}
+			t.recordChange(digest)
 		}
 	}
 }
 
-func (t *Tracker) changed(digest Digest) {
+func (t *Tracker) recordChange(digest Digest) {
 	t.revision++
 	known := t.suspects[digest]
 	record := Record{Digest: digest, Losses: known.losses, Refusals: known.refusals}
-	if !known.until.IsZero() {
+	if !known.refusedUntil.IsZero() {
 		record.RefusedFor = refusalTime(max(1, known.refusals))
-		if known.convicted == "" {
-			record.RefusedFor = openRefusal
+		if known.lostInstance == "" {
+			record.RefusedFor = minInconclusiveRefusal
 		}
 	}
 	t.records = append(t.records, record)
 }
 
-// TakeRecords hands out what has changed and must outlive this leader.
+// TakeRecords returns and clears the changes to be replicated for later leaders.
 func (t *Tracker) TakeRecords() []Record {
 	taken := t.records
 	t.records = nil
 	return taken
 }
 
-// Revision is that of the list.
+// Revision returns the revision of the list.
 func (t *Tracker) Revision() uint64 { return t.revision }
 
-// Counts returns how many requests are suspects and how many of them are refused.
+// Counts returns the number of suspects and how many of them are refused.
 func (t *Tracker) Counts(now time.Time) (suspects, refused int) {
 	for _, each := range t.suspects {
 		if each.isRefused(now) {
@@ -380,13 +375,13 @@
 	return len(t.suspects), refused
 }
 
-// List returns what routers are told.
+// List returns the suspects for routers, sorted by digest.
 func (t *Tracker) List(now time.Time) List {
 	listed := List{Revision: t.revision}
 	for _, digest := range slices.SortedFunc(maps.Keys(t.suspects), func(a, b Digest) int { return bytes.Compare(a[:], b[:]) }) {
 		entry := Entry{Digest: digest}
 		if known := t.suspects[digest]; known.isRefused(now) {
-			entry.RefusedFor = known.until.Sub(now)
+			entry.RefusedFor = known.refusedUntil.Sub(now)
 		}
 		listed.Entries = append(listed.Entries, entry)
 	}
--- a/placement/poison/tracker_test.go
+++ b/placement/poison/tracker_test.go
@@ -10,196 +10,194 @@
 
 var (
 	start    = time.Unix(1000, 0)
-	bad      = Content{URI: "/bad"}.Digest()
+	crashing = Content{URI: "/bad"}.Digest()
 	harmless = Content{URI: "/harmless"}.Digest()
 )
 
-// lose reports the loss of a runner under the requests.
-func lose(t *Tracker, at time.Time, instance string, digests ...Digest) {
+// reportLoss reports the loss of a runner with the requests in flight.
+func reportLoss(t *Tracker, at time.Time, instance string, digests ...Digest) {
 	t.Observe(at, Report{Instance: instance, Digests: digests})
 }
 
-// suspected makes a tracker that has seen enough losses under the request.
-func suspected(digest Digest) *Tracker {
+// newTrackerWithSuspect returns a tracker with enough losses to make the request a suspect.
+func newTrackerWithSuspect(digest Digest) *Tracker {
 	t := New()
-	for number := range enoughLosses {
-		lose(t, start, fmt.Sprint("r", number), digest)
+	for number := range minLosses {
+		reportLoss(t, start, fmt.Sprint("r", number), digest)
 	}
 	return t
 }
 
-// permission is that for a request that nobody has asked for before.
-func permission(t *Tracker, at time.Time, digest Digest, instance string) Permission {
-	asked++
-	found, _ := t.Ask(at, digest, fmt.Sprint("asker ", asked), instance)
+// askOnce returns the permission for a new asker.
+func askOnce(t *Tracker, at time.Time, digest Digest, instance string) Permission {
+	askCount++
+	found, _ := t.Ask(at, digest, fmt.Sprint("asker ", askCount), instance)
 	return found
 }
 
-// asked counts the askers.
-var asked int
+// askCount numbers the askers.
+var askCount int
 
-func TestRequestIsFreeUntilEnoughRunnersAreLost(t *testing.T) {
+func TestRequestIsFreeUntilMinLosses(t *testing.T) {
 	c := qt.New(t)
 	tracker := New()
-	for number := range enoughLosses - 1 {
-		// Several routers tell of the same loss.
+	for number := range minLosses - 1 {
+		// Several routers report the same loss.
 		for range 3 {
-			lose(tracker, start, fmt.Sprint("r", number), bad)
+			reportLoss(tracker, start, fmt.Sprint("r", number), crashing)
 		}
 	}
-	c.Assert(permission(tracker, start, bad, "next"), qt.Equals, Free)
-	lose(tracker, start, "last", bad, harmless)
-	c.Assert(permission(tracker, start, bad, "next"), qt.Equals, Trial)
-	c.Assert(permission(tracker, start, harmless, "next"), qt.Equals, Free)
+	c.Assert(askOnce(tracker, start, crashing, "next"), qt.Equals, Free)
+	reportLoss(tracker, start, "last", crashing, harmless)
+	c.Assert(askOnce(tracker, start, crashing, "next"), qt.Equals, Trial)
+	c.Assert(askOnce(tracker, start, harmless, "next"), qt.Equals, Free)
 }
 
-func TestSuspectsRunOneByOne(t *testing.T) {
+func TestOneTrialPerSuspectAndRunner(t *testing.T) {
 	c := qt.New(t)
-	tracker := suspected(bad)
-	for number := range enoughLosses {
-		lose(tracker, start, fmt.Sprint("r", number), harmless)
+	tracker := newTrackerWithSuspect(crashing)
+	for number := range minLosses {
+		reportLoss(tracker, start, fmt.Sprint("r", number), harmless)
 	}
-	c.Assert(permission(tracker, start, bad, "a"), qt.Equals, Trial)
-	c.Assert(permission(tracker, start, bad, "b"), qt.Equals, Later, qt.Commentf("at two runners at once"))
-	c.Assert(permission(tracker, start, harmless, "a"), qt.Equals, Later, qt.Commentf("two suspects at one runner"))
-	c.Assert(permission(tracker, start, harmless, "b"), qt.Equals, Trial)
+	c.Assert(askOnce(tracker, start, crashing, "a"), qt.Equals, Trial)
+	c.Assert(askOnce(tracker, start, crashing, "b"), qt.Equals, Later, qt.Commentf("one suspect at two runners"))
+	c.Assert(askOnce(tracker, start, harmless, "a"), qt.Equals, Later, qt.Commentf("two suspects at one runner"))
+	c.Assert(askOnce(tracker, start, harmless, "b"), qt.Equals, Trial)
 }
 
-func TestTrialDecides(t *testing.T) {
+func TestTrialOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		end  func(tracker *Tracker)
 		then Permission
 	}{
-		"it ends well":               {func(t *Tracker) { t.Ended(start, Ending{bad, EndedWell}) }, Free},
-		"its runner is lost":         {func(t *Tracker) { lose(t, start, "a", bad) }, Refused},
-		"another runner is lost":     {func(t *Tracker) { lose(t, start, "b", bad) }, Later},
-		"it shows nothing":           {func(t *Tracker) { t.Ended(start, Ending{bad, EndedOpen}) }, Refused},
-		"nothing is heard of it":     {func(t *Tracker) { t.Expire(start.Add(trialLife + time.Second)) }, Refused},
-		"it reached no runner":       {func(t *Tracker) { t.Ended(start, Ending{bad, NotSent}) }, Trial},
-		"its runner lives on":        {func(t *Tracker) { lose(t, start, "a", bad); t.Heard(start.Add(refutingTime), "a") }, Trial},
-		"heartbeats came late":       {func(t *Tracker) { lose(t, start, "a", bad); t.Heard(start.Add(refutingTime-1), "a") }, Refused},
-		"its runner said it leaves":  {func(t *Tracker) { lose(t, start, "a", bad); t.Refute(start, "a") }, Trial},
-		"it is lost under no router": {func(*Tracker) {}, Later},
-		"its runner had said so":     {func(t *Tracker) { t.Excuse(Report{Instance: "a", Digests: []Digest{bad}}) }, Trial},
-		"another had said so":        {func(t *Tracker) { t.Excuse(Report{Instance: "b", Digests: []Digest{bad}}) }, Later},
+		"succeeded":                     {func(t *Tracker) { t.Ended(start, Ending{crashing, EndedWell}) }, Free},
+		"runner lost":                   {func(t *Tracker) { reportLoss(t, start, "a", crashing) }, Refused},
+		"another runner lost":           {func(t *Tracker) { reportLoss(t, start, "b", crashing) }, Later},
+		"inconclusive":                  {func(t *Tracker) { t.Ended(start, Ending{crashing, EndedOpen}) }, Refused},
+		"timed out":                     {func(t *Tracker) { t.Expire(start.Add(trialTimeout + time.Second)) }, Refused},
+		"not sent":                      {func(t *Tracker) { t.Ended(start, Ending{crashing, NotSent}) }, Trial},
+		"loss refuted by heartbeat":     {func(t *Tracker) { reportLoss(t, start, "a", crashing); t.Heard(start.Add(refuteAfter), "a") }, Trial},
+		"heartbeat too soon to refute":  {func(t *Tracker) { reportLoss(t, start, "a", crashing); t.Heard(start.Add(refuteAfter-1), "a") }, Refused},
+		"loss refuted by departure":     {func(t *Tracker) { reportLoss(t, start, "a", crashing); t.Refute(start, "a") }, Trial},
+		"still running":                 {func(*Tracker) {}, Later},
+		"runner had announced leaving":  {func(t *Tracker) { t.Excuse(Report{Instance: "a", Digests: []Digest{crashing}}) }, Trial},
+		"another had announced leaving": {func(t *Tracker) { t.Excuse(Report{Instance: "b", Digests: []Digest{crashing}}) }, Later},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			tracker := suspected(bad)
-			c.Assert(permission(tracker, start, bad, "a"), qt.Equals, Trial)
+			tracker := newTrackerWithSuspect(crashing)
+			c.Assert(askOnce(tracker, start, crashing, "a"), qt.Equals, Trial)
 			test.end(tracker)
-			c.Assert(permission(tracker, start.Add(laterPause/2), bad, "c"), qt.Equals, test.then)
+			c.Assert(askOnce(tracker, start.Add(retryDelay/2), crashing, "c"), qt.Equals, test.then)
 		})
 	}
 }
 
-// A request that shows nothing in its trials is tried more and more seldom.
-func TestOpenTrialsGetRare(t *testing.T) {
+// Guards against a request with inconclusive trials being tried at a constant rate.
+func TestInconclusiveTrialsBackOff(t *testing.T) {
 	c := qt.New(t)
-	tracker := suspected(bad)
-	tracker.Ask(start, bad, "asker", "a")
-	tracker.Ended(start, Ending{bad, TurnedAway})
-	c.Assert(permission(tracker, start.Add(laterPause), bad, "a"), qt.Equals, Trial)
-	tracker.Ended(start.Add(laterPause), Ending{bad, TurnedAway})
-	c.Assert(permission(tracker, start.Add(2*laterPause), bad, "a"), qt.Equals, Refused)
-	tracker = suspected(bad)
+	tracker := newTrackerWithSuspect(crashing)
+	tracker.Ask(start, crashing, "asker", "a")
+	tracker.Ended(start, Ending{crashing, TurnedAway})
+	c.Assert(askOnce(tracker, start.Add(retryDelay), crashing, "a"), qt.Equals, Trial)
+	tracker.Ended(start.Add(retryDelay), Ending{crashing, TurnedAway})
+	c.Assert(askOnce(tracker, start.Add(2*retryDelay), crashing, "a"), qt.Equals, Refused)
+	tracker = newTrackerWithSuspect(crashing)
 	var trials []time.Duration
 	for at := start; at.Before(start.Add(5 * time.Minute)); at = at.Add(time.Second) {
 		tracker.Expire(at)
-		if permission(tracker, at, bad, "a") == Trial {
+		if askOnce(tracker, at, crashing, "a") == Trial {
 			trials = append(trials, at.Sub(start))
-			tracker.Ended(at, Ending{bad, EndedOpen})
+			tracker.Ended(at, Ending{crashing, EndedOpen})
 		}
 	}
 	c.Assert(trials, qt.DeepEquals, []time.Duration{0, 30 * time.Second, 90 * time.Second, 210 * time.Second})
 }
 
-// An asker that did not hear the answer has its turn still.
-func TestAskerMayAskAgain(t *testing.T) {
+// Guards against blocking an asker that repeats its question because the answer was lost.
+func TestAskerMayRepeatQuestion(t *testing.T) {
 	c := qt.New(t)
-	tracker := suspected(bad)
+	tracker := newTrackerWithSuspect(crashing)
 	for _, instance := range []string{"a", "a", "b"} {
-		found, _ := tracker.Ask(start, bad, "first", instance)
+		found, _ := tracker.Ask(start, crashing, "first", instance)
 		c.Assert(found, qt.Equals, Trial)
 	}
-	found, _ := tracker.Ask(start, bad, "second", "c")
+	found, _ := tracker.Ask(start, crashing, "second", "c")
 	c.Assert(found, qt.Equals, Later)
-	lose(tracker, start, "b", bad)
-	c.Assert(permission(tracker, start, bad, "c"), qt.Equals, Refused)
+	reportLoss(tracker, start, "b", crashing)
+	c.Assert(askOnce(tracker, start, crashing, "c"), qt.Equals, Refused)
 }
 
-// Losses that were none take the suspicion away.
+// Guards against counting losses of runners that were not lost.
 func TestRefutedLossesDoNotCount(t *testing.T) {
 	c := qt.New(t)
-	tracker := suspected(bad)
+	tracker := newTrackerWithSuspect(crashing)
 	tracker.Refute(start, "r1")
-	c.Assert(permission(tracker, start, bad, "a"), qt.Equals, Free)
-	lose(tracker, start, "r9", bad)
-	c.Assert(permission(tracker, start, bad, "a"), qt.Equals, Trial)
+	c.Assert(askOnce(tracker, start, crashing, "a"), qt.Equals, Free)
+	reportLoss(tracker, start, "r9", crashing)
+	c.Assert(askOnce(tracker, start, crashing, "a"), qt.Equals, Trial)
 }
 
-// In a day a request that crashes all that run it gets three trials at most, and at no time more
-// than one.
+// Guards against a crashing request getting more than three trials in a day.
 func TestRefusalsGrow(t *testing.T) {
 	c := qt.New(t)
-	tracker := suspected(bad)
+	tracker := newTrackerWithSuspect(crashing)
 	trials := 0
 	for at := start; at.Before(start.Add(24 * time.Hour)); at = at.Add(10 * time.Second) {
 		tracker.Expire(at)
 		instance := fmt.Sprint("a", trials)
-		if permission(tracker, at, bad, instance) == Trial {
+		if askOnce(tracker, at, crashing, instance) == Trial {
 			trials++
-			lose(tracker, at, instance, bad)
+			reportLoss(tracker, at, instance, crashing)
 		}
 	}
 	c.Assert(trials, qt.Equals, 3)
-	c.Assert(refusalTime(100), qt.Equals, longestRefusal)
+	c.Assert(refusalTime(100), qt.Equals, maxRefusal)
 }
 
-func TestWhatIsOldIsForgotten(t *testing.T) {
+func TestOldLossesExpire(t *testing.T) {
 	c := qt.New(t)
-	tracker := suspected(bad)
-	tracker.Expire(start.Add(lossLife + time.Second))
-	c.Assert(permission(tracker, start.Add(lossLife+time.Second), bad, "a"), qt.Equals, Free)
+	tracker := newTrackerWithSuspect(crashing)
+	tracker.Expire(start.Add(lossTTL + time.Second))
+	c.Assert(askOnce(tracker, start.Add(lossTTL+time.Second), crashing, "a"), qt.Equals, Free)
 	c.Assert(tracker.losses, qt.HasLen, 0)
 	records := tracker.TakeRecords()
 	c.Assert(records[len(records)-1].IsCleared, qt.IsTrue)
 }
 
-// A new leader goes on with what the records say.
-func TestRecordsOutliveALeader(t *testing.T) {
+// Guards against losing suspects and the growth of refusals at a change of the leader.
+func TestRecallRestoresSuspects(t *testing.T) {
 	c := qt.New(t)
-	tracker := suspected(bad)
-	permission(tracker, start, bad, "a")
-	lose(tracker, start, "a", bad)
+	tracker := newTrackerWithSuspect(crashing)
+	askOnce(tracker, start, crashing, "a")
+	reportLoss(tracker, start, "a", crashing)
 	records := tracker.TakeRecords()
 	next := New()
 	next.Recall(start, records[len(records)-1:])
-	c.Assert(permission(next, start.Add(time.Minute), bad, "a"), qt.Equals, Refused)
-	c.Assert(next.List(start).Entries, qt.DeepEquals, []Entry{{Digest: bad, RefusedFor: firstRefusal}})
-	next.Expire(start.Add(firstRefusal + time.Second))
-	c.Assert(permission(next, start.Add(firstRefusal+time.Second), bad, "a"), qt.Equals, Trial)
-	lose(next, start.Add(firstRefusal+time.Second), "a", bad)
-	_, comeBackIn := next.Ask(start.Add(firstRefusal+time.Second), bad, "asker", "a")
-	c.Assert(comeBackIn, qt.Equals, refusalGrowth*firstRefusal)
+	c.Assert(askOnce(next, start.Add(time.Minute), crashing, "a"), qt.Equals, Refused)
+	c.Assert(next.List(start).Entries, qt.DeepEquals, []Entry{{Digest: crashing, RefusedFor: minRefusal}})
+	next.Expire(start.Add(minRefusal + time.Second))
+	c.Assert(askOnce(next, start.Add(minRefusal+time.Second), crashing, "a"), qt.Equals, Trial)
+	reportLoss(next, start.Add(minRefusal+time.Second), "a", crashing)
+	_, comeBackIn := next.Ask(start.Add(minRefusal+time.Second), crashing, "asker", "a")
+	c.Assert(comeBackIn, qt.Equals, refusalGrowth*minRefusal)
 }
 
-func TestWhatIsKeptIsBounded(t *testing.T) {
+func TestMemoryIsBounded(t *testing.T) {
 	c := qt.New(t)
 	tracker := New()
 	for number := range 2 * maxLosses {
 		digest := Content{URI: fmt.Sprint(number)}.Digest()
-		lose(tracker, start.Add(time.Duration(number)), fmt.Sprint("r", number), digest)
+		reportLoss(tracker, start.Add(time.Duration(number)), fmt.Sprint("r", number), digest)
 	}
 	c.Assert(tracker.losses, qt.HasLen, maxLosses)
 	for number := range 2 * maxDigests {
-		lose(tracker, start, "r", Content{URI: fmt.Sprint("of one", number)}.Digest())
+		reportLoss(tracker, start, "r", Content{URI: fmt.Sprint("of one", number)}.Digest())
 	}
 	c.Assert(tracker.losses["r"].digests, qt.HasLen, maxDigests)
 }
 
-// BenchmarkObserve reports the loss of a runner with 64 requests, when as many losses are known as
-// are kept.
+// BenchmarkObserve measures the report of a loss with 64 requests while maxLosses losses are known.
 func BenchmarkObserve(b *testing.B) {
 	tracker := New()
 	digests := make([]Digest, 64)
@@ -207,10 +205,10 @@
 		digests[i] = Content{URI: fmt.Sprint(i)}.Digest()
 	}
 	for number := range maxLosses {
-		lose(tracker, start, fmt.Sprint("r", number), digests[:2]...)
+		reportLoss(tracker, start, fmt.Sprint("r", number), digests[:2]...)
 	}
 	b.ReportAllocs()
 	for number := 0; b.Loop(); number++ {
-		lose(tracker, start, fmt.Sprint("n", number), digests...)
+		reportLoss(tracker, start, fmt.Sprint("n", number), digests...)
 	}
 }
--- a/placement/poison/types.go
+++ b/placement/poison/types.go
@@ -2,79 +2,79 @@
 
 import "time"
 
-// Report is what a router saw of the loss of a runner.
+// Report is a router's report of the loss of a runner.
 type Report struct {
-	// Instance names the life of the runner.
+	// Instance is the incarnation of the runner.
 	Instance string
-	// Digests are those of requests that were under way there when its connections broke.
+	// Digests lists the requests that were in flight when the connections broke.
 	Digests []Digest
 }
 
-// Entry is what routers are told of a request that may crash runners.
+// Entry describes one suspect to routers.
 type Entry struct {
 	Digest Digest
-	// RefusedFor is how long the request is not to be run at all; 0 for one that may run
-	// by the leader's permission only.
+	// RefusedFor is how long the request must not be executed; 0 if it may be with the leader's
+	// permission.
 	RefusedFor time.Duration
 }
 
-// List is what routers are told of all such requests.
+// List describes all suspects to routers.
 type List struct {
-	// Revision rises with each change within one leadership.
+	// Revision increases with each change within one leadership.
 	Revision uint64
 	Entries  []Entry
 }
 
-// Record is what has to outlive a leader.
+// Record is the replicated state of a suspect.
 type Record struct {
 	Digest Digest
-	// Losses is at how many losses the request was under way.
+	// Losses is the number of losses at which the request was in flight.
 	Losses int
-	// Refusals is how often it has been refused for a while, and RefusedFor for how long the
-	// last time; 0 if it is not refused.
+	// Refusals is the number of refusals. RefusedFor is the duration of the current one; 0 if there
+	// is none.
 	Refusals   int
 	RefusedFor time.Duration
-	// IsCleared is set once nothing speaks against the request any more.
+	// IsCleared is set when the request is no longer a suspect.
 	IsCleared bool
 }
 
-// Ending is how a run of a request ended that did not lose its runner.
+// Ending is the end of an execution that did not lose its runner.
 type Ending struct {
 	Digest Digest
-	How    How
+	How    Outcome
 }
 
-// How is the way in which a run ended.
-type How uint8
+// Outcome is the way in which an execution ended.
+type Outcome uint8
 
-// The ways.
+// Outcomes of an execution.
 const (
-	// EndedWell: the answer is whole, so that the request crashes nothing.
-	EndedWell How = iota + 1
-	// EndedOpen: it was sent, and ended before it had shown anything.
+	// EndedWell: the answer is complete, so the request is harmless.
+	EndedWell Outcome = iota + 1
+	// EndedOpen: the request was sent, and ended inconclusively.
 	EndedOpen
-	// TurnedAway: the runner did not run it.
+	// TurnedAway: the runner rejected the request.
 	TurnedAway
-	// NotSent: it reached no runner.
+	// NotSent: the request reached no runner.
 	NotSent
 )
 
-// Permission is the leader's word on one sending of a request.
+// Permission is the leader's decision on one attempt to send a request.
 type Permission uint8
 
-// The permissions.
+// Permissions for an attempt.
 const (
-	// Free: nothing speaks against the request.
+	// Free: the request is no suspect.
 	Free Permission = iota
-	// Trial: it may be sent this once, and the leader must be told how that ended.
+	// Trial: the request may be sent once, and its outcome must be reported.
 	Trial
-	// Later: another trial is under way.
+	// Later: another trial is in progress.
 	Later
-	// Refused: it is not to be run.
+	// Refused: the request must not be sent.
 	Refused
 )
 
-// String names the permission in logs and metrics.
+// String returns the name of the permission in logs and metrics.
 func (p Permission) String() string {
 	switch p {
 	case Free:
