--- a/placement/notice/book.go
+++ b/placement/notice/book.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	// restMemory is how long after the end of a rest the next one counts as going on with it: a router that sends
-	// a request in some seconds to a model finds out so late that the runner turns it away again.
-	restMemory = 10 * time.Second
-	// leavingMemory is how long a runner is remembered to be leaving that is listed no more: a new leader, or a
-	// controller that was cut off, may list it once more. Runners end within a minute or so of saying it.
-	leavingMemory = 10 * time.Minute
-	// maxUnlisted bounds the runners that are remembered though they are listed no more. Some hundreds leave at once
-	// when a large service is released.
+	// backoffContinuation is how long after the end of a backoff a new one still counts as its
+	// continuation, since a router may send requests to a model only every few seconds.
+	backoffContinuation = 10 * time.Second
+	// leavingTTL is how long a leaving runner is remembered after it is no longer listed. A new
+	// leader or a partitioned controller may list it again.
+	leavingTTL = 10 * time.Minute
+	// maxUnlisted bounds the remembered runners that are no longer listed. A rollout of a large
+	// service may leave hundreds at once.
 	maxUnlisted = 4096
 )
 
-// Book is what a router holds of what runners said of themselves: until when each wants no requests from it, and which
-// are leaving. The methods must not run at the same time. Make one with NewBook.
+// Book is a router's record of the backoffs and departures that runners announced. Create one with
+// NewBook. Its methods are not safe for concurrent use.
 type Book struct {
 	runners map[string]*entry
-	// leaders counts those that there were.
-	leaders uint64
+	// leaderEpoch counts changes of the leader.
+	leaderEpoch uint64
 }
 
-// entry is what is held of one life of a runner.
+// entry is the state of one incarnation of a runner.
 type entry struct {
 	instance string
-	// restsUntil is the latest end of the rests that the runner asked for; zero for none.
-	restsUntil time.Time
-	// restsSince is when it asked for the first of them; it took no request since.
-	restsSince time.Time
-	isLeaving  bool
-	heardAt    time.Time
-	// changes counts what was heard of it, and told is how much of that the leader knows.
-	changes uint64
-	told    uint64
+	// backoffUntil is the latest end of the announced backoffs; zero for none.
+	backoffUntil time.Time
+	// backoffSince is when the first of them was announced. The runner has taken no request since.
+	backoffSince time.Time
+	isLeaving    bool
+	heardAt      time.Time
+	// changes counts the changes of the entry, reported those that the leader has acknowledged.
+	changes  uint64
+	reported uint64
 }
 
-// NewBook makes a Book in which nothing stands.
+// NewBook returns an empty Book.
 func NewBook() *Book { return &Book{runners: make(map[string]*entry)} }
 
-// Change is what an answer changed.
+// Change describes what an answer changed.
 type Change struct {
-	// IsResting is set if the runner wants no requests for longer than was known.
+	// IsResting is set if the backoff ends later than was known.
 	IsResting bool
-	// IsLeaving is set if it was not known that the runner is leaving.
+	// IsLeaving is set if the runner was not known to be leaving.
 	IsLeaving bool
 }
 
-// Hear takes what an answer tells of a runner. Rests don't end early: neither by a shorter one that is asked for
-// meanwhile, nor by answers to what was sent before.
-func (b *Book) Hear(now time.Time, instance string, heard Notice) Change {
+// Hear records the notice of a runner's answer. A backoff ends only when its time has passed, not by a
+// shorter one or by answers to earlier requests.
+func (b *Book) Hear(now time.Time, instance string, notice Notice) Change {
 	var change Change
-	if heard.Rest <= 0 && !heard.IsLeaving {
+	if notice.Rest <= 0 && !notice.IsLeaving {
 		return change
 	}
 	known := b.runners[instance]
@@ -64,84 +64,84 @@
 		b.runners[instance] = known
 	}
 	known.heardAt = now
-	if until := now.Add(heard.Rest); heard.Rest > 0 && until.After(known.restsUntil) {
-		if known.restsUntil.IsZero() || now.Sub(known.restsUntil) > restMemory {
-			known.restsSince = now
+	if until := now.Add(notice.Rest); notice.Rest > 0 && until.After(known.backoffUntil) {
+		if known.backoffUntil.IsZero() || now.Sub(known.backoffUntil) > backoffContinuation {
+			known.backoffSince = now
 		}
-		known.restsUntil = until
+		known.backoffUntil = until
 		change.IsResting = true
 	}
-	change.IsLeaving = heard.IsLeaving && !known.isLeaving
-	known.isLeaving = known.isLeaving || heard.IsLeaving
+	change.IsLeaving = notice.IsLeaving && !known.isLeaving
+	known.isLeaving = known.isLeaving || notice.IsLeaving
 	if change != (Change{}) {
 		known.changes++
 	}
 	return change
 }
 
-// Took notes that a runner took a request that was sent at a time. One that was sent before the end of a rest, and was
-// taken all the same, does not end it.
+// Took records that a runner accepted a request sent at the given time, which ends its backoff if that
+// is over. Requests sent before the end are ignored.
 func (b *Book) Took(sent time.Time, instance string) {
 	known := b.runners[instance]
-	if known == nil || known.restsUntil.IsZero() || sent.Before(known.restsUntil) {
+	if known == nil || known.backoffUntil.IsZero() || sent.Before(known.backoffUntil) {
 		return
 	}
-	known.restsUntil, known.restsSince = time.Time{}, time.Time{}
+	known.backoffUntil, known.backoffSince = time.Time{}, time.Time{}
 	if !known.isLeaving {
 		delete(b.runners, instance)
 	}
 }
 
-// IsEmpty reports whether no runner has said anything that still counts.
+// IsEmpty reports whether the book has no entries.
 func (b *Book) IsEmpty() bool { return len(b.runners) == 0 }
 
-// RestsUntil is until when a runner wants no requests; in the past or zero if it takes some.
+// RestsUntil returns the end of a runner's backoff; zero or in the past if it takes requests.
 func (b *Book) RestsUntil(instance string) time.Time {
 	if known := b.runners[instance]; known != nil {
-		return known.restsUntil
+		return known.backoffUntil
 	}
 	return time.Time{}
 }
 
-// IsLeaving reports whether a runner said that it is leaving.
+// IsLeaving reports whether a runner has announced that it is leaving.
 func (b *Book) IsLeaving(instance string) bool {
 	known := b.runners[instance]
 	return known != nil && known.isLeaving
 }
 
-// Resting counts the runners that want no requests now.
+// Resting returns the number of runners that want no requests now.
 func (b *Book) Resting(now time.Time) int {
 	count := 0
 	for _, known := range b.runners {
-		if now.Before(known.restsUntil) {
+		if now.Before(known.backoffUntil) {
 			count++
 		}
 	}
 	return count
 }
 
-// NextEnd is when the next rest ends, and false if nobody rests.
+// NextEnd returns the earliest end of a current backoff, and false if there is none.
 func (b *Book) NextEnd(now time.Time) (time.Time, bool) {
 	var next time.Time
 	for _, known := range b.runners {
-		if now.Before(known.restsUntil) && (next.IsZero() || known.restsUntil.Before(next)) {
-			next = known.restsUntil
+		if now.Before(known.backoffUntil) && (next.IsZero() || known.backoffUntil.Before(next)) {
+			next = known.backoffUntil
 		}
 	}
 	return next, !next.IsZero()
 }
 
-// Sweep forgets what counts no more: rests that ended long ago, and what is held of runners that ended.
+// Sweep deletes expired entries, and the oldest unlisted ones beyond maxUnlisted.
 func (b *Book) Sweep(now time.Time, isListed func(instance string) bool) {
 	var unlisted []*entry
 	for instance, known := range b.runners {
-		isRestOver := now.Sub(known.restsUntil) > restMemory
+		isBackoffOver := now.Sub(known.backoffUntil) > backoffContinuation
 		switch {
 		case isListed(instance):
-			if isRestOver && !known.isLeaving {
+			if isBackoffOver && !known.isLeaving {
 				delete(b.runners, instance)
 			}
-		case isRestOver && (!known.isLeaving || now.Sub(known.heardAt) > leavingMemory):
+		case isBackoffOver && (!known.isLeaving || now.Sub(known.heardAt) > leavingTTL):
 			delete(b.runners, instance)
 		default:
 			unlisted = append(unlisted, known)
@@ -157,51 +157,51 @@
 	}
 }
 
-// TellAnew has all that counts be told to a new leader, which knows nothing of it.
+// TellAnew queues reports of all entries for a new leader.
 func (b *Book) TellAnew() {
-	b.leaders++
+	b.leaderEpoch++
 	for _, known := range b.runners {
-		known.told = 0
+		known.reported = 0
 	}
 }
 
-// News are what the leader has not been told yet.
+// News holds the reports that the leader has not acknowledged.
 type News struct {
 	Reports []Report
-	// changes counts, for each report, what had been heard of its runner.
-	changes []uint64
-	leaders uint64
+	// changes holds the entry's count of changes for each report.
+	changes     []uint64
+	leaderEpoch uint64
 }
 
-// News lists what is to be told. It stays to be told until Told is called.
+// News returns the pending reports. They stay pending until Told is called.
 func (b *Book) News(now time.Time) News {
-	news := News{leaders: b.leaders}
+	news := News{leaderEpoch: b.leaderEpoch}
 	for instance, known := range b.runners {
-		if known.told < known.changes {
-			news.Reports = append(news.Reports, Report{Instance: instance, RestsFor: known.restsFor(now), IsLeaving: known.isLeaving})
+		if known.reported < known.changes {
+			news.Reports = append(news.Reports, Report{Instance: instance, RestsFor: known.remainingBackoff(now), IsLeaving: known.isLeaving})
 			news.changes = append(news.changes, known.changes)
 		}
 	}
 	return news
 }
 
-// restsFor is for how much longer the runner probably takes nothing: as long as it said, or as it has gone on for if
-// that is longer.
-func (e *entry) restsFor(now time.Time) time.Duration {
-	if !now.Before(e.restsUntil) {
+// remainingBackoff returns the expected remaining backoff: the announced time, or the time that it has
+// lasted so far if that is longer.
+func (e *entry) remainingBackoff(now time.Time) time.Duration {
+	if !now.Before(e.backoffUntil) {
 		return 0
 	}
-	return max(e.restsUntil.Sub(now), now.Sub(e.restsSince))
+	return max(e.backoffUntil.Sub(now), now.Sub(e.backoffSince))
 }
 
-// Told notes that the leader has been told, unless there is a new one by now.
+// Told marks the reports as acknowledged, unless the leader has changed since.
 func (b *Book) Told(news News) {
-	if news.leaders != b.leaders {
+	if news.leaderEpoch != b.leaderEpoch {
 		return
 	}
 	for i, report := range news.Reports {
 		if known := b.runners[report.Instance]; known != nil {
-			known.told = max(known.told, news.changes[i])
+			known.reported = max(known.reported, news.changes[i])
 		}
 	}
 }
--- a/placement/notice/book_test.go
+++ b/placement/notice/book_test.go
@@ -15,19 +15,21 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-func rest(seconds float64) Notice { return Notice{Rest: time.Duration(seconds * float64(time.Second))} }
+func backoff(seconds float64) Notice {
+	return Notice{Rest: time.Duration(seconds * float64(time.Second))}
+}
 
-func TestRestEndsWithItsTimeAlone(t *testing.T) {
+func TestBackoffEndsOnlyWhenItsTimeHasPassed(t *testing.T) {
 	c := qt.New(t)
 	b := NewBook()
-	c.Assert(b.Hear(at(0), testRunner, rest(3)), qt.Equals, Change{IsResting: true})
+	c.Assert(b.Hear(at(0), testRunner, backoff(3)), qt.Equals, Change{IsResting: true})
 	c.Assert(b.RestsUntil(testRunner), qt.Equals, at(3))
-	// A shorter one that is asked for meanwhile changes nothing, a longer one does.
-	c.Assert(b.Hear(at(1), testRunner, rest(1)), qt.Equals, Change{})
+	// A shorter backoff has no effect, a longer one extends it.
+	c.Assert(b.Hear(at(1), testRunner, backoff(1)), qt.Equals, Change{})
 	c.Assert(b.RestsUntil(testRunner), qt.Equals, at(3))
-	c.Assert(b.Hear(at(2), testRunner, rest(4)), qt.Equals, Change{IsResting: true})
+	c.Assert(b.Hear(at(2), testRunner, backoff(4)), qt.Equals, Change{IsResting: true})
 	c.Assert(b.RestsUntil(testRunner), qt.Equals, at(6))
-	// Answers to what was sent before don't end it.
+	// Answers to earlier requests don't end it.
 	b.Hear(at(2.5), testRunner, Notice{})
 	b.Took(at(2.5), testRunner)
 	c.Assert(b.RestsUntil(testRunner), qt.Equals, at(6))
@@ -37,32 +39,32 @@
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
 
-func TestRunnerThatIsLeavingLeavesForGood(t *testing.T) {
+func TestLeavingRunnerStaysLeaving(t *testing.T) {
 	c := qt.New(t)
 	b := NewBook()
 	c.Assert(b.Hear(at(0), testRunner, Notice{IsLeaving: true}), qt.Equals, Change{IsLeaving: true})
 	c.Assert(b.Hear(at(1), testRunner, Notice{}), qt.Equals, Change{})
 	b.Took(at(2), testRunner)
 	c.Assert(b.IsLeaving(testRunner), qt.IsTrue)
-	// The next life of the runner is another one.
+	// The next incarnation of the runner is not leaving.
 	c.Assert(b.IsLeaving("r#2"), qt.IsFalse)
-	// A view that does not list it for a while takes nothing back.
+	// The runner is remembered while it is not listed.
 	b.Sweep(at(60), func(string) bool { return false })
 	c.Assert(b.IsLeaving(testRunner), qt.IsTrue)
-	b.Sweep(at(0).Add(leavingMemory+time.Second), func(string) bool { return true })
+	b.Sweep(at(0).Add(leavingTTL+time.Second), func(string) bool { return true })
 	c.Assert(b.IsLeaving(testRunner), qt.IsTrue)
-	b.Sweep(at(0).Add(leavingMemory+time.Second), func(string) bool { return false })
+	b.Sweep(at(0).Add(leavingTTL+time.Second), func(string) bool { return false })
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
 
-func TestLongRestIsKeptAndMemoryIsBounded(t *testing.T) {
+func TestLongBackoffIsKeptAndMemoryIsBounded(t *testing.T) {
 	c := qt.New(t)
 	b := NewBook()
-	b.Hear(at(0), testRunner, rest(1e9))
+	b.Hear(at(0), testRunner, backoff(1e9))
 	b.Sweep(at(1e6), func(string) bool { return true })
 	c.Assert(b.Resting(at(1e6)), qt.Equals, 1)
 	for i := range maxUnlisted + 100 {
-		b.Hear(at(1e6+float64(i)), fmt.Sprint("other", i), rest(1e9))
+		b.Hear(at(1e6+float64(i)), fmt.Sprint("other", i), backoff(1e9))
 	}
 	b.Sweep(at(1e6), func(instance string) bool { return instance == testRunner })
 	c.Assert(b.runners, qt.HasLen, maxUnlisted+1)
@@ -70,13 +72,13 @@
 	c.Assert(b.Resting(at(1e6)), qt.Equals, maxUnlisted+1)
 }
 
-func TestNextEndIsThatOfTheRestThatEndsFirst(t *testing.T) {
+func TestNextEndReturnsEarliestEnd(t *testing.T) {
 	c := qt.New(t)
 	b := NewBook()
 	_, isAny := b.NextEnd(at(0))
 	c.Assert(isAny, qt.IsFalse)
-	b.Hear(at(0), "a", rest(5))
-	b.Hear(at(0), "b", rest(2))
+	b.Hear(at(0), "a", backoff(5))
+	b.Hear(at(0), "b", backoff(2))
 	b.Hear(at(0), "c", Notice{IsLeaving: true})
 	next, _ := b.NextEnd(at(0))
 	c.Assert(next, qt.Equals, at(2))
@@ -86,28 +88,28 @@
 	c.Assert(isAny, qt.IsFalse)
 }
 
-// What has gone on for long is expected to go on for as long again.
-func TestLeaderIsToldForHowLongARestProbablyLasts(t *testing.T) {
+// Guards against expecting a short backoff from a runner that has been backing off for longer.
+func TestReportsExpectedRemainingBackoff(t *testing.T) {
 	c := qt.New(t)
 	b := NewBook()
 	restsFor := func(now time.Time) time.Duration { return b.News(now).Reports[0].RestsFor }
-	b.Hear(at(0), testRunner, rest(3))
+	b.Hear(at(0), testRunner, backoff(3))
 	c.Assert(restsFor(at(0)), qt.Equals, 3*time.Second)
 	c.Assert(restsFor(at(1)), qt.Equals, 2*time.Second)
-	b.Hear(at(3.5), testRunner, rest(3))
+	b.Hear(at(3.5), testRunner, backoff(3))
 	c.Assert(restsFor(at(3.5)), qt.Equals, 3500*time.Millisecond)
 	b.Took(at(7), testRunner)
-	b.Hear(at(8), testRunner, rest(3))
+	b.Hear(at(8), testRunner, backoff(3))
 	c.Assert(restsFor(at(8)), qt.Equals, 3*time.Second)
 }
 
-func TestNewsStayUntilTheLeaderWasTold(t *testing.T) {
+func TestNewsStayPendingUntilTold(t *testing.T) {
 	c := qt.New(t)
 	b := NewBook()
-	b.Hear(at(0), testRunner, rest(3))
+	b.Hear(at(0), testRunner, backoff(3))
 	news := b.News(at(0))
 	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, RestsFor: 3 * time.Second}})
-	// What is heard while the leader is told is news all the same.
+	// Changes after News are not acknowledged by Told.
 	b.Hear(at(1), testRunner, Notice{IsLeaving: true, Rest: 10 * time.Second})
 	b.Told(news)
 	news = b.News(at(1))
@@ -121,15 +123,15 @@
 	c.Assert(b.News(at(1)).Reports, qt.HasLen, 1)
 }
 
-// In whichever order answers come, views drop and list the runner, and leaders change: no time that was asked for ends
-// early, and a runner that said that it is leaving stays so.
-func TestNothingThatARunnerSaidIsTakenBack(t *testing.T) {
+// Guards against a backoff that ends early, or a leaving runner that is forgotten, for random
+// interleavings of answers, views and leader changes.
+func TestAnnouncementsAreKept(t *testing.T) {
 	for seed := range uint64(300) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 5))
 		b := NewBook()
 		now := start
-		var wantsNoneUntil time.Time
+		var backoffUntil time.Time
 		isLeaving := false
 		for range 80 {
 			now = now.Add(time.Duration(random.IntN(900)) * time.Millisecond)
@@ -137,8 +139,8 @@
 			case 0:
 				asked := time.Duration(random.IntN(5000)) * time.Millisecond
 				b.Hear(now, testRunner, Notice{Rest: asked})
-				if asked > 0 && now.Add(asked).After(wantsNoneUntil) {
-					wantsNoneUntil = now.Add(asked)
+				if asked > 0 && now.Add(asked).After(backoffUntil) {
+					backoffUntil = now.Add(asked)
 				}
 			case 1:
 				b.Took(now.Add(-time.Duration(random.IntN(4000))*time.Millisecond), testRunner)
@@ -155,8 +157,8 @@
 					isLeaving = true
 				}
 			}
-			if now.Before(wantsNoneUntil) {
-				c.Assert(b.RestsUntil(testRunner), qt.Equals, wantsNoneUntil, qt.Commentf("seed %d", seed))
+			if now.Before(backoffUntil) {
+				c.Assert(b.RestsUntil(testRunner), qt.Equals, backoffUntil, qt.Commentf("seed %d", seed))
 			}
 			c.Assert(b.IsLeaving(testRunner), qt.Equals, isLeaving, qt.Commentf("seed %d", seed))
 		}
--- a/placement/notice/doc.go
+++ b/placement/notice/doc.go
@@ -1,10 +1,10 @@
-// Package notice has what runners say of themselves in their answers: at which rate they take requests, for how long
-// they want none, and that they are leaving.
+// Package notice defines what runners announce in their answers: a rate limit, a backoff during
+// which they want no requests, and that they are leaving.
 //
-// A rate limit is that of all routers together, and the leader lends it out: see package ratelimit. A rest binds the
-// router alone that was turned away. That a runner is leaving is true for all routers. Of the last two a Book keeps
-// what one router was told, by the life of the runner: a view that does not list a runner for a while, or lists it
-// anew, takes nothing back.
+// A rate limit applies to all routers together, and the leader grants its tokens: see package
+// ratelimit. A backoff applies only to the router whose request was rejected, leaving to all
+// routers. A Book keeps these two by incarnation of the runner, independent of whether views list
+// it.
 //
-// The package is pure: time comes in as an argument.
+// The package does no I/O and reads no clock: callers pass the time as an argument.
 package notice
--- a/placement/notice/notice.go
+++ b/placement/notice/notice.go
@@ -6,23 +6,23 @@
 	"github.com/lotusferry/lotusferry/placement/ratelimit"
 )
 
-// Notice is what an answer tells of the runner that gave it. The zero value tells nothing.
+// Notice is what a runner announces in an answer. The zero value announces nothing.
 type Notice struct {
-	// Limit is what it tells of the runner's rate limit.
+	// Limit is the announced rate limit.
 	Limit ratelimit.Notice
-	// Rest is for how long the runner wants no request from the router that it turned away; 0 if it does not say.
+	// Rest is how long the runner wants no requests from this router; 0 if not announced.
 	Rest time.Duration
-	// IsLeaving is set if the runner takes no new requests for the rest of its life.
+	// IsLeaving is set if the runner takes no new requests until it ends.
 	IsLeaving bool
-	// Problems tell which of Rest and IsLeaving could not be read.
+	// Problems describes invalid values of Rest and IsLeaving.
 	Problems []string
 }
 
-// Report is what a router tells the leader of what a runner said.
+// Report is a router's report of a runner's announcement to the leader.
 type Report struct {
 	Instance string
-	// RestsFor is for how much longer the router expects that the runner takes nothing from it; 0 if it takes
-	// requests.
+	// RestsFor is the expected remaining time without requests from this router; 0 if the runner
+	// takes requests.
 	RestsFor  time.Duration
 	IsLeaving bool
 }
