--- a/placement/fleet/benchmark_test.go
+++ b/placement/fleet/benchmark_test.go
@@ -115,9 +115,9 @@
 		qt.Assert(t, err, qt.IsNil)
 		directory.Learn(view)
 	}
-	each := float64(heapBytes()-before) / count
-	t.Logf("%.0f bytes per runner", each)
-	qt.Assert(t, each < maxRunnerBytes, qt.IsTrue, qt.Commentf("%.0f bytes per runner", each))
+	bytesPerRunner := float64(heapBytes()-before) / count
+	t.Logf("%.0f bytes per runner", bytesPerRunner)
+	qt.Assert(t, bytesPerRunner < maxRunnerBytes, qt.IsTrue, qt.Commentf("%.0f bytes per runner", bytesPerRunner))
 	runtime.KeepAlive(directory)
 	runtime.KeepAlive(encoded)
 }
--- a/placement/fleet/incarnation_test.go
+++ b/placement/fleet/incarnation_test.go
@@ -47,8 +47,8 @@
 			return
 		}
 		for i := range left {
-			rest := append(append([]event{}, left[:i]...), left[i+1:]...)
-			extend(append(done[:len(done):len(done)], left[i]), rest)
+			remaining := append(append([]event{}, left[:i]...), left[i+1:]...)
+			extend(append(done[:len(done):len(done)], left[i]), remaining)
 		}
 	}
 	extend(nil, events)
@@ -120,9 +120,9 @@
 	now := time.Unix(1000, 0)
 	r := NewRegistry(now, testTiming)
 	c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 4, false))), qt.IsTrue)
-	passedOn := heartbeatOf(0, 5, false)
-	c.Assert(r.Resolve(passedOn).Instance, qt.Equals, "i#200")
-	c.Assert(r.Hear(now, r.Resolve(passedOn)), qt.IsTrue)
+	forwarded := heartbeatOf(0, 5, false)
+	c.Assert(r.Resolve(forwarded).Instance, qt.Equals, "i#200")
+	c.Assert(r.Hear(now, r.Resolve(forwarded)), qt.IsTrue)
 	for name, change := range map[string]func(*Heartbeat){
 		"another address":   func(h *Heartbeat) { h.Address = "10.0.0.2:1" },
 		"another service":   func(h *Heartbeat) { h.Service = "t" },
--- a/placement/fleet/merge_test.go
+++ b/placement/fleet/merge_test.go
@@ -13,17 +13,17 @@
 
 // Merge is the reference implementation of Directory.Learn. It returns the view that a router knows
 // after applying a newer one.
-func Merge(known, learned View) View {
-	if learned.Partial {
-		return mergePartial(known, learned)
+func Merge(known, update View) View {
+	if update.Partial {
+		return mergePartial(known, update)
 	}
-	learned.Runners = slices.Clone(learned.Runners)
-	keepRecalled(known.Runners, learned.Runners)
-	if learned.Complete {
-		return learned
+	update.Runners = slices.Clone(update.Runners)
+	keepRecalled(known.Runners, update.Runners)
+	if update.Complete {
+		return update
 	}
-	merged := View{Runners: slices.Clone(learned.Runners), Gone: learned.Gone}
-	replaced := newReplaced(learned.Runners, learned.Gone)
+	merged := View{Runners: slices.Clone(update.Runners), Gone: update.Gone}
+	replaced := newReplaced(update.Runners, update.Gone)
 	for _, runner := range known.Runners {
 		if !replaced.contains(&runner) {
 			runner.Unconfirmed = true
@@ -86,15 +86,15 @@
 }
 
 // keepRecalled copies known state to runners that the leader has not heard from yet.
-func keepRecalled(known, learned []Runner) {
-	for i := range learned {
+func keepRecalled(known, update []Runner) {
+	for i := range update {
 		for _, former := range known {
-			if !learned[i].Recalled || former.Instance != learned[i].Instance {
+			if !update[i].Recalled || former.Instance != update[i].Instance {
 				continue
 			}
-			learned[i].Cold = learned[i].Cold || former.Cold
-			if len(learned[i].Models) == 0 {
-				learned[i].Models = former.Models
+			update[i].Cold = update[i].Cold || former.Cold
+			if len(update[i].Models) == 0 {
+				update[i].Models = former.Models
 			}
 		}
 	}
@@ -215,8 +215,8 @@
 func TestUpdateHoldsUntilNextViewOfRunner(t *testing.T) {
 	c := qt.New(t)
 	directory := NewDirectory()
-	told := View{Complete: true, Runners: []Runner{{Instance: "a", Service: "s", Models: []LoadedModel{{Name: "m"}}}}}
-	directory.Learn(told)
+	view := View{Complete: true, Runners: []Runner{{Instance: "a", Service: "s", Models: []LoadedModel{{Name: "m"}}}}}
+	directory.Learn(view)
 	directory.Update("a", func(runner *Runner) bool {
 		runner.Models = nil
 		return true
@@ -229,7 +229,7 @@
 		return count
 	}
 	c.Assert(count(), qt.Equals, 0)
-	c.Assert(directory.Learn(told).Changed, qt.DeepEquals, []string{"a"})
+	c.Assert(directory.Learn(view).Changed, qt.DeepEquals, []string{"a"})
 	c.Assert(count(), qt.Equals, 1)
 	directory.Update("a", func(*Runner) bool { return false })
 	c.Assert(directory.Len(), qt.Equals, 0)
--- a/placement/fleet/publisher.go
+++ b/placement/fleet/publisher.go
@@ -58,8 +58,8 @@
 func (p *Publisher) Spare() []Runner {
 	spare := p.spare
 	p.spare = nil
-	if most := len(p.view.Runners); cap(spare) < most {
-		spare = make([]Runner, 0, most)
+	if minCapacity := len(p.view.Runners); cap(spare) < minCapacity {
+		spare = make([]Runner, 0, minCapacity)
 	}
 	return spare[:0]
 }
@@ -138,11 +138,11 @@
 // trimRemovals bounds the remembered removals. The bound grows with the fleet, so that a rollout of
 // a tenth of it does not cause a full view for every router.
 func (p *Publisher) trimRemovals() {
-	most := max(minRemovals, len(p.view.Runners)/removalsDivisor)
-	if len(p.removals) <= most {
+	limit := max(minRemovals, len(p.view.Runners)/removalsDivisor)
+	if len(p.removals) <= limit {
 		return
 	}
-	dropped := len(p.removals) - most
+	dropped := len(p.removals) - limit
 	p.partialFrom = p.removals[dropped-1].revision
 	p.removals = slices.Delete(p.removals, 0, dropped)
 }
--- a/placement/fleet/publisher_test.go
+++ b/placement/fleet/publisher_test.go
@@ -36,14 +36,14 @@
 			}
 			current = next
 			publisher.Publish(current)
-			asking := random.IntN(len(known))
-			known[asking] = Merge(known[asking], publisher.Since(revisions[asking]))
-			revisions[asking] = publisher.Revision()
+			router := random.IntN(len(known))
+			known[router] = Merge(known[router], publisher.Since(revisions[router]))
+			revisions[router] = publisher.Revision()
 		}
-		for asking := range known {
-			known[asking] = Merge(known[asking], publisher.Since(revisions[asking]))
-			qt.Assert(t, slices.EqualFunc(sortedRunners(known[asking]), sortedRunners(current), Runner.Equal), qt.IsTrue,
-				qt.Commentf("seed %d router %d", seed, asking))
+		for router := range known {
+			known[router] = Merge(known[router], publisher.Since(revisions[router]))
+			qt.Assert(t, slices.EqualFunc(sortedRunners(known[router]), sortedRunners(current), Runner.Equal), qt.IsTrue,
+				qt.Commentf("seed %d router %d", seed, router))
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	for seed := range uint64(50) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 5))
-		inSpare, anew := NewPublisher(), NewPublisher()
+		inSpare, fresh := NewPublisher(), NewPublisher()
 		listed := make(map[string]int)
 		for range 60 {
 			for range random.IntN(3) {
@@ -170,11 +170,11 @@
 				}
 				return View{Complete: true, Runners: runners}
 			}
-			c.Assert(inSpare.Publish(fill(inSpare.Spare())), qt.Equals, anew.Publish(fill(nil)))
-			c.Assert(inSpare.Revision(), qt.Equals, anew.Revision())
-			known := uint64(random.IntN(int(anew.Revision()) + 1))
-			told, wanted := inSpare.Since(known), anew.Since(known)
-			c.Assert(told.Equal(wanted) && slices.Equal(told.Removed, wanted.Removed), qt.IsTrue, qt.Commentf("since %d", known))
+			c.Assert(inSpare.Publish(fill(inSpare.Spare())), qt.Equals, fresh.Publish(fill(nil)))
+			c.Assert(inSpare.Revision(), qt.Equals, fresh.Revision())
+			known := uint64(random.IntN(int(fresh.Revision()) + 1))
+			got, want := inSpare.Since(known), fresh.Since(known)
+			c.Assert(got.Equal(want) && slices.Equal(got.Removed, want.Removed), qt.IsTrue, qt.Commentf("since %d", known))
 		}
 	}
 }
--- a/placement/notice/book_test.go
+++ b/placement/notice/book_test.go
@@ -137,10 +137,10 @@
 			now = now.Add(time.Duration(random.IntN(900)) * time.Millisecond)
 			switch random.IntN(6) {
 			case 0:
-				asked := time.Duration(random.IntN(5000)) * time.Millisecond
-				b.Hear(now, testRunner, Notice{Rest: asked})
-				if asked > 0 && now.Add(asked).After(backoffUntil) {
-					backoffUntil = now.Add(asked)
+				duration := time.Duration(random.IntN(5000)) * time.Millisecond
+				b.Hear(now, testRunner, Notice{Rest: duration})
+				if duration > 0 && now.Add(duration).After(backoffUntil) {
+					backoffUntil = now.Add(duration)
 				}
 			case 1:
 				b.Took(now.Add(-time.Duration(random.IntN(4000))*time.Millisecond), testRunner)
--- a/placement/quota/bookings.go
+++ b/placement/quota/bookings.go
@@ -36,12 +36,12 @@
 
 // expire deletes bookings that were not redeemed and subtracts them from their classes' use.
 func (p *bookings) expire(at time.Time) {
-	kept := 0
-	for kept < len(p.entries) && at.Sub(p.entries[kept].at) > bookingTTL {
-		p.entries[kept].class.served -= p.entries[kept].cost
-		kept++
+	expired := 0
+	for expired < len(p.entries) && at.Sub(p.entries[expired].at) > bookingTTL {
+		p.entries[expired].class.served -= p.entries[expired].cost
+		expired++
 	}
-	p.entries = p.entries[kept:]
+	p.entries = p.entries[expired:]
 }
 
 // find returns the index of the first booking of a request, or -1.
@@ -74,12 +74,12 @@
 // required returns the amount that must be kept now to honor all bookings at the given rate per
 // second.
 func (p *bookings) required(at time.Time, rate float64) float64 {
-	need, sum := 0.0, 0.0
+	required, sum := 0.0, 0.0
 	for i := range p.entries {
 		sum += p.entries[i].cost
-		need = max(need, sum-rate*max(0, p.entries[i].at.Sub(at)).Seconds())
+		required = max(required, sum-rate*max(0, p.entries[i].at.Sub(at)).Seconds())
 	}
-	return need
+	return required
 }
 
 // earliest returns the first time, at least from, at which an amount of cost can be booked, given
--- a/placement/quota/classes.go
+++ b/placement/quota/classes.go
@@ -79,12 +79,12 @@
 		return
 	}
 	c.at = at
-	left := math.Exp(-passed.Seconds() / classDecayTime.Seconds())
+	factor := math.Exp(-passed.Seconds() / classDecayTime.Seconds())
 	c.total = classUse{}
 	for name, known := range c.byName {
-		known.asked *= left
-		known.count *= left
-		known.served = max(0, known.served*left)
+		known.asked *= factor
+		known.count *= factor
+		known.served = max(0, known.served*factor)
 		if known.asked < 1e-6 && known.served < 1e-6 {
 			// A booking may still refer to it, which is harmless.
 			delete(c.byName, name)
--- a/placement/quota/rejections.go
+++ b/placement/quota/rejections.go
@@ -57,10 +57,10 @@
 // expire deletes callers whose time is over. An entry behind a longer-lived one is deleted with
 // that one.
 func (n *rejections) expire(at time.Time) {
-	kept := 0
-	for kept < len(n.entries) && !at.Before(n.entries[kept].forgetAt) {
-		delete(n.byDigest, n.entries[kept].digest)
-		kept++
+	expired := 0
+	for expired < len(n.entries) && !at.Before(n.entries[expired].forgetAt) {
+		delete(n.byDigest, n.entries[expired].digest)
+		expired++
 	}
-	n.entries = n.entries[kept:]
+	n.entries = n.entries[expired:]
 }
--- a/placement/quota/window.go
+++ b/placement/quota/window.go
@@ -50,9 +50,9 @@
 
 // counts holds the numbers of requests by decision.
 type counts struct {
-	asked    int
-	refused  int
-	booked int
+	asked   int
+	refused int
+	booked  int
 }
 
 // grantedStep is the amount granted in one step. It counts until the window after its end has
@@ -259,16 +259,16 @@
 // lend returns the additional amount that a router may hold: its share of maxLeased, in proportion
 // to the reserves that routers ask for.
 func (w *window) lend(held, reserve float64, isNewLeader bool) float64 {
-	most := w.maxLeased
+	maxLeased := w.maxLeased
 	if isNewLeader {
-		most = min(most, w.shownHeld)
+		maxLeased = min(maxLeased, w.shownHeld)
 	}
 	part := reserve
-	if w.reserveSum > most {
-		part = reserve * most / w.reserveSum
+	if w.reserveSum > maxLeased {
+		part = reserve * maxLeased / w.reserveSum
 	}
-	free := min(most-w.leasedSum, w.maxGranted*maxLendingShare-w.used, w.available)
-	return max(0, min(part-held, free))
+	available := min(maxLeased-w.leasedSum, w.maxGranted*maxLendingShare-w.used, w.available)
+	return max(0, min(part-held, available))
 }
 
 // sweep deletes expired leases.
--- a/placement/ratelimit/belief_test.go
+++ b/placement/ratelimit/belief_test.go
@@ -12,13 +12,13 @@
 
 func limitNotice(perSecond float64) Notice { return Notice{IsNamed: true, PerSecond: perSecond} }
 
-// assertLimit checks the cached limit; wanted is 0 for no limit.
-func assertLimit(c *qt.C, b *Belief, wanted float64) {
+// assertLimit checks the cached limit; want is 0 for no limit.
+func assertLimit(c *qt.C, b *Belief, want float64) {
 	c.Helper()
 	perSecond, isNamed := b.Of(testRunner)
-	c.Assert(isNamed, qt.Equals, wanted > 0)
+	c.Assert(isNamed, qt.Equals, want > 0)
 	if isNamed {
-		c.Assert(perSecond, qt.Equals, wanted)
+		c.Assert(perSecond, qt.Equals, want)
 	}
 }
 
