--- a/agreement/raft/bench_test.go
+++ b/agreement/raft/bench_test.go
@@ -8,11 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// trio is three nodes whose messages arrive at once and whose disks cost nothing.
-type trio [3]*Node
+// benchmarkCluster is three nodes with immediate message delivery and no storage cost.
+type benchmarkCluster [3]*Node
 
-func newTrio(b *testing.B) *trio {
-	var nodes trio
+func newBenchmarkCluster(b *testing.B) *benchmarkCluster {
+	var nodes benchmarkCluster
 	for i := range nodes {
 		config := Config{ID: NodeID(i + 1), ElectionTicks: 10, HeartbeatTicks: 1, Random: rand.New(rand.NewPCG(1, uint64(i)))}
 		node, err := New(config, Restored{Snapshot: Snapshot{Membership: Membership{Voters: []NodeID{1, 2, 3}}}})
@@ -20,13 +20,13 @@
 		nodes[i] = node
 	}
 	nodes[0].startElection(false)
-	nodes.settle(b)
+	nodes.runUntilIdle(b)
 	qt.Assert(b, nodes[0].LeaseValid(), qt.IsTrue)
 	return &nodes
 }
 
-// settle does all work until there is none.
-func (nodes *trio) settle(b *testing.B) {
+// runUntilIdle processes Readys until no node has work.
+func (nodes *benchmarkCluster) runUntilIdle(b *testing.B) {
 	for busy := true; busy; {
 		busy = false
 		for _, node := range nodes {
@@ -47,7 +47,7 @@
 func BenchmarkProposeToCommit(b *testing.B) {
 	for _, batch := range []int{1, 64, 1024} {
 		b.Run("batch="+strconv.Itoa(batch), func(b *testing.B) {
-			nodes := newTrio(b)
+			nodes := newBenchmarkCluster(b)
 			data := make([]byte, 128)
 			b.ReportAllocs()
 			for proposed := 0; proposed < b.N; {
@@ -57,7 +57,7 @@
 					}
 					proposed++
 				}
-				nodes.settle(b)
+				nodes.runUntilIdle(b)
 				if nodes[2].log.applied-nodes[2].log.base > 1<<14 {
 					nodes.compact(b)
 				}
@@ -67,7 +67,7 @@
 	}
 }
 
-func (nodes *trio) compact(b *testing.B) {
+func (nodes *benchmarkCluster) compact(b *testing.B) {
 	for _, node := range nodes {
 		term, _ := node.log.term(node.log.applied)
 		snapshot := Snapshot{Index: node.log.applied, Term: term, Membership: node.MembershipAt(node.log.applied)}
@@ -75,26 +75,27 @@
 	}
 }
 
-// BenchmarkIdleTick is one tick of a whole idle group with a heartbeat a tick.
+// BenchmarkIdleTick measures one tick of an idle group that sends a heartbeat every
+// tick.
 func BenchmarkIdleTick(b *testing.B) {
-	nodes := newTrio(b)
+	nodes := newBenchmarkCluster(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		for _, node := range nodes {
 			node.Tick()
 		}
-		nodes.settle(b)
+		nodes.runUntilIdle(b)
 	}
 	qt.Assert(b, nodes[0].LeaseValid(), qt.IsTrue)
 }
 
 func BenchmarkReadIndex(b *testing.B) {
-	nodes := newTrio(b)
+	nodes := newBenchmarkCluster(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := nodes[0].ReadIndex(1); err != nil {
 			b.Fatal(err)
 		}
-		nodes.settle(b)
+		nodes.runUntilIdle(b)
 	}
 }
--- a/agreement/raft/cluster_test.go
+++ b/agreement/raft/cluster_test.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// stepsPerTick is the length of a tick in steps of the cluster's time.
+// stepsPerTick is the number of simulation steps per tick.
 const stepsPerTick = 4
 
-// disk is what survives a crash. A hard state whose sync was skipped does not.
+// disk is the durable state of a member. A hard state whose sync was skipped is lost
+// in a crash.
 type disk struct {
 	hardState HardState
 	snapshot  Snapshot
@@ -36,14 +37,14 @@
 }
 
 type member struct {
-	id    NodeID
-	node  *Node // nil while down
-	disk  disk
-	phase int
-	// ready is under way until the disk is done at readyAt.
+	id         NodeID
+	node       *Node // nil while down
+	disk       disk
+	tickOffset int
+	// ready is being written to disk until readyAt.
 	ready   *Ready
 	readyAt int
-	// applied and digest are the replicated state machine.
+	// applied and digest are the state of the replicated state machine.
 	applied, digest uint64
 }
 
@@ -52,31 +53,33 @@
 	message Message
 }
 
-// cluster runs members in virtual time on one goroutine. Every choice is drawn
-// from random.
+// cluster simulates members in virtual time on one goroutine. All random choices are
+// drawn from random.
 type cluster struct {
-	random  *rand.Rand
-	members []*member
-	now     int
-	flying  []delivery
-	cut     map[[2]NodeID]bool // from, to
-	history *history
-	// reads holds, by context, how much had been committed when the read was asked.
+	random   *rand.Rand
+	members  []*member
+	now      int
+	inFlight []delivery
+	blocked  map[[2]NodeID]bool // from, to
+	history  *history
+	// reads holds, by context, the number of committed entries when the read was
+	// requested.
 	reads []int
 
 	loss, duplicate, crash float64
 	delay, diskDelay       int
-	// sent, when set, sees every message and drops it by returning false.
-	sent func(m Message) bool
-	// mutate, when set, breaks a node after each step; forgetful disks lose votes.
-	mutate    func(n *Node)
-	forgetful bool
+	// filter, if set, receives every message and drops it by returning false.
+	filter func(m Message) bool
+	// mutate, if set, injects a fault into a node after each step; losesVotes makes a
+	// crash lose the stored vote.
+	mutate     func(n *Node)
+	losesVotes bool
 }
 
 func newCluster(seed uint64, founders, spares int) *cluster {
 	c := &cluster{
 		random:  rand.New(rand.NewPCG(seed, 1)),
-		cut:     map[[2]NodeID]bool{},
+		blocked: map[[2]NodeID]bool{},
 		history: newHistory(),
 		delay:   1, diskDelay: 1,
 	}
@@ -85,7 +88,7 @@
 		founding.Voters = append(founding.Voters, id)
 	}
 	for i := range founders + spares {
-		m := &member{id: NodeID(i + 1), phase: c.random.IntN(stepsPerTick)}
+		m := &member{id: NodeID(i + 1), tickOffset: c.random.IntN(stepsPerTick)}
 		if i < founders {
 			m.disk.snapshot.Membership = founding
 		}
@@ -115,7 +118,7 @@
 
 func (c *cluster) stop(m *member) {
 	m.node, m.ready = nil, nil
-	if c.forgetful {
+	if c.losesVotes {
 		m.disk.hardState.Vote = None
 	}
 }
@@ -124,17 +127,17 @@
 
 func (c *cluster) chance(probability float64) bool { return c.random.Float64() < probability }
 
-// step advances time by one: ticks, deliveries, then the work of every node.
+// step advances time by one step: ticks, deliveries, then the Readys of every node.
 func (c *cluster) step() {
 	c.now++
 	for _, m := range c.members {
-		if m.node != nil && c.now%stepsPerTick == m.phase {
+		if m.node != nil && c.now%stepsPerTick == m.tickOffset {
 			m.node.Tick()
 			c.observe(m)
 		}
 	}
 	var due []Message
-	c.flying = slices.DeleteFunc(c.flying, func(d delivery) bool {
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(d delivery) bool {
 		if d.at <= c.now {
 			due = append(due, d.message)
 		}
@@ -143,19 +146,19 @@
 	for _, message := range due {
 		if to := c.member(message.To); to.node != nil {
 			if err := to.node.Step(message); err != nil {
-				c.history.check(false, electionSafety, "refused by %d: %v", to.id, err)
+				c.history.check(false, electionSafety, "message rejected by %d: %v", to.id, err)
 			}
 			c.observe(to)
 		}
 	}
 	holders := 0
 	for _, m := range c.members {
-		c.work(m)
+		c.processReady(m)
 		if m.node != nil && m.node.LeaseValid() {
 			holders++
 		}
 	}
-	c.history.leases(holders)
+	c.history.checkLeases(holders)
 }
 
 func (c *cluster) observe(m *member) {
@@ -163,14 +166,14 @@
 		c.mutate(m.node)
 	}
 	if m.node.Role() == Leader {
-		c.history.lead(m.id, m.node.Term(), &m.node.log)
+		c.history.recordLeader(m.id, m.node.Term(), &m.node.log)
 	}
-	c.history.commit(m.node.Term(), &m.node.log)
+	c.history.recordCommits(m.node.Term(), &m.node.log)
 }
 
-// work does a node's Readys, each when the disk is done; the node crashes with some
-// chance at each of their steps.
-func (c *cluster) work(m *member) {
+// processReady processes a member's Readys, each once its disk write is done. The member
+// may crash at each step with probability crash.
+func (c *cluster) processReady(m *member) {
 	for m.node != nil && (m.ready != nil || m.node.HasReady()) {
 		if m.ready == nil {
 			c.observe(m)
@@ -197,14 +200,14 @@
 		}
 		c.apply(m, ready)
 		m.node.Advance()
-		c.history.status(m.node.Status())
+		c.history.checkStatus(m.node.Status())
 	}
 }
 
 func (c *cluster) record(m *member, ready Ready) {
 	for _, entry := range ready.Entries {
 		if previous, known := m.node.log.term(entry.Index - 1); known {
-			c.history.store(previous, entry)
+			c.history.recordEntry(previous, entry)
 		}
 	}
 }
@@ -212,28 +215,28 @@
 func (c *cluster) apply(m *member, ready Ready) {
 	if ready.Snapshot != nil {
 		m.applied, m.digest = ready.Snapshot.Index, binary.BigEndian.Uint64(ready.Snapshot.Data)
-		c.history.restore(m.id, m.applied, m.digest)
+		c.history.recordRestore(m.id, m.applied, m.digest)
 	}
 	for _, entry := range ready.Committed {
 		m.applied = entry.Index
 		for _, b := range append([]byte{byte(entry.Kind)}, entry.Data...) {
 			m.digest = m.digest*1099511628211 + uint64(b) + entry.Term
 		}
-		c.history.apply(m.id, entry, m.digest)
+		c.history.recordApply(m.id, entry, m.digest)
 	}
 	for _, state := range ready.ReadStates {
-		c.history.read(c.reads[state.Context], state.Index)
+		c.history.checkRead(c.reads[state.Context], state.Index)
 	}
 }
 
 func (c *cluster) send(message Message) {
 	if message.Kind == MessageVoteReply && !message.Reject {
-		c.history.grant(message.From, message.To, message.Term)
+		c.history.recordVote(message.From, message.To, message.Term)
 	}
-	if c.sent != nil && !c.sent(message) {
+	if c.filter != nil && !c.filter(message) {
 		return
 	}
-	if c.cut[[2]NodeID{message.From, message.To}] || c.chance(c.loss) {
+	if c.blocked[[2]NodeID{message.From, message.To}] || c.chance(c.loss) {
 		return
 	}
 	copies := 1
@@ -241,7 +244,7 @@
 		copies = 2
 	}
 	for range copies {
-		c.flying = append(c.flying, delivery{c.now + 1 + c.random.IntN(c.delay), message})
+		c.inFlight = append(c.inFlight, delivery{c.now + 1 + c.random.IntN(c.delay), message})
 	}
 }
 
@@ -251,7 +254,7 @@
 	}
 }
 
-// follower returns a running voter that does not lead.
+// follower returns the first running follower that is a voter.
 func (c *cluster) follower() *member {
 	i := slices.IndexFunc(c.members, func(m *member) bool { return m.node != nil && m.node.Role() == Follower })
 	return c.members[i]
@@ -268,16 +271,16 @@
 	return found
 }
 
-// isolate cuts both ways between id and every other member, or mends it.
-func (c *cluster) isolate(id NodeID, cut bool) {
+// isolate blocks or restores both directions between id and every other member.
+func (c *cluster) isolate(id NodeID, block bool) {
 	for _, m := range c.members {
-		c.cut[[2]NodeID{id, m.id}] = cut
-		c.cut[[2]NodeID{m.id, id}] = cut
+		c.blocked[[2]NodeID{id, m.id}] = block
+		c.blocked[[2]NodeID{m.id, id}] = block
 	}
 }
 
 func (c *cluster) heal() {
-	clear(c.cut)
+	clear(c.blocked)
 	c.loss, c.duplicate, c.crash, c.delay, c.diskDelay = 0, 0, 0, 1, 1
 	for _, m := range c.members {
 		if m.node == nil {
--- a/agreement/raft/config.go
+++ b/agreement/raft/config.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The values of Config fields that are left at zero.
+// Defaults of Config fields that are zero.
 const (
 	DefaultMaxMessageEntries     = 256
 	DefaultMaxMessageBytes       = 1 << 20
@@ -15,48 +15,49 @@
 	DefaultMaxUncommittedEntries = 1 << 14
 )
 
-// minimumLeaseTicks is how many ticks longer than a heartbeat interval an election
-// timeout must be, so that a lease can outlast the interval.
+// minimumLeaseTicks is the minimum difference between the election timeout and the
+// heartbeat interval, so that a lease can outlast the interval.
 const minimumLeaseTicks = 2
 
-// leaseDriftDivisor is the share of ElectionTicks kept for clocks of unequal rate.
+// leaseDriftDivisor sets the lease margin for clock drift: 1/leaseDriftDivisor of
+// ElectionTicks.
 const leaseDriftDivisor = 10
 
-// maxPosition bounds terms and indexes, so that no sum of them overflows. A group
-// that appends a billion entries a second reaches it after 146 years.
+// maxPosition bounds terms and indexes, so that sums of them do not overflow.
 const maxPosition = 1 << 62
 
-// Config says how a Node runs.
+// Config holds the parameters of a Node.
 type Config struct {
-	// ID is this node's identity; it must never have been used before with another disk.
+	// ID identifies this node; it must never have been used with another disk.
 	ID NodeID
-	// ElectionTicks is the least number of ticks without a leader before an election;
-	// the timeout of each one is drawn from [ElectionTicks, 2*ElectionTicks).
+	// ElectionTicks is the minimum number of ticks without a leader before an election;
+	// each timeout is drawn from [ElectionTicks, 2*ElectionTicks).
 	ElectionTicks int
-	// HeartbeatTicks is the interval of heartbeats.
+	// HeartbeatTicks is the heartbeat interval.
 	HeartbeatTicks int
-	// MaxMessageEntries is the greatest number of entries in one append.
+	// MaxMessageEntries is the maximum number of entries in one append.
 	MaxMessageEntries int
-	// MaxMessageBytes bounds the data of the entries in one append; an entry that is
-	// larger travels alone.
+	// MaxMessageBytes bounds the entry data in one append; a larger entry is sent
+	// alone.
 	MaxMessageBytes int
-	// MaxInflightMessages is how many appends a leader sends a member ahead of their
-	// acknowledgement.
+	// MaxInflightMessages is the maximum number of unacknowledged appends to one
+	// member.
 	MaxInflightMessages int
-	// MaxUncommittedEntries is how many entries may wait for their commit before
-	// proposals are refused.
+	// MaxUncommittedEntries is the maximum number of uncommitted entries; Propose
+	// fails beyond it.
 	MaxUncommittedEntries int
-	// Random is seeded by the caller.
+	// Random is the source of election timeouts, seeded by the caller.
 	Random *rand.Rand
 }
 
-// Restored is what the shell found on its disk.
+// Restored is the state that a node starts from, as read from stable storage.
 type Restored struct {
 	HardState HardState
-	// Snapshot is the newest one. A zero Index with a Membership set starts a new
-	// group; every founding member must be given the same Membership.
+	// Snapshot is the latest snapshot. A zero Index with a Membership set starts a
+	// new group; all initial members must be given the same Membership.
 	Snapshot Snapshot
-	// Entries follow the snapshot without a gap; older ones at their head are ignored.
+	// Entries follow the snapshot without a gap; leading entries that the snapshot
+	// covers are ignored.
 	Entries []Entry
 }
 
@@ -81,7 +82,7 @@
 	case c.ID == None:
 		return errInvalid("raft node has no ID", "Set Config.ID to the node's own ID.")
 	case c.Random == nil:
-		return errInvalid("raft node has no random source", "Set Config.Random to a seeded one.")
+		return errInvalid("raft node has no random source", "Set Config.Random to a seeded source.")
 	case c.HeartbeatTicks < 1:
 		return errInvalid("heartbeat interval is below one tick", "Set Config.HeartbeatTicks to 1 or more.")
 	case c.ElectionTicks < c.HeartbeatTicks+minimumLeaseTicks:
@@ -93,7 +94,8 @@
 	return nil
 }
 
-// leaseTicks is how long the leader trusts a heartbeat round that a quorum answered.
+// leaseTicks returns the lease length, counted from the sending of a heartbeat round
+// that a quorum answered.
 func (c Config) leaseTicks() int {
 	return c.ElectionTicks - 1 - c.ElectionTicks/leaseDriftDivisor
 }
--- a/agreement/raft/conformance_test.go
+++ b/agreement/raft/conformance_test.go
@@ -14,30 +14,30 @@
 const (
 	conformanceRuns  = 24
 	conformanceSteps = 2500
-	// explainDepth bounds the transitions between two looks at a node.
-	explainDepth = 6
+	// maxPathLength bounds the transitions between two observations of a node.
+	maxPathLength = 6
 )
 
-// conformance replays what a cluster does against the transitions of the
-// specification. It knows the sent messages as the specification does, and follows
-// each node from one state to the next.
+// conformance checks the steps of a cluster against the transitions of the
+// specification. It tracks the sent messages as the specification does, and the state
+// of each node.
 type conformance struct {
-	cluster *cluster
-	terms   map[uint64]*specTerm
-	highest uint64
-	states  map[NodeID]specNode
-	nodes   map[NodeID]*Node
-	taken   map[string]int
-	broken  string
+	cluster   *cluster
+	terms     map[uint64]*specTerm
+	highest   uint64
+	states    map[NodeID]specNode
+	nodes     map[NodeID]*Node
+	taken     map[string]int
+	violation string
 }
 
 func newConformance(c *cluster) *conformance {
-	watched := &conformance{
+	checker := &conformance{
 		cluster: c, terms: map[uint64]*specTerm{}, states: map[NodeID]specNode{},
 		nodes: map[NodeID]*Node{}, taken: map[string]int{},
 	}
-	c.sent = watched.send
-	return watched
+	c.filter = checker.send
+	return checker
 }
 
 func (c *conformance) at(term uint64) *specTerm {
@@ -49,7 +49,8 @@
 	return c.terms[term]
 }
 
-// abstract maps a node to the specification. What it has compacted is committed.
+// abstract maps a node to its state in the specification. Compacted entries are taken
+// from the committed history.
 func (c *conformance) abstract(n *Node) specNode {
 	state := specNode{role: n.role, term: n.term, vote: n.vote, commit: n.log.commit}
 	if n.role == PreCandidate {
@@ -64,17 +65,17 @@
 	return state
 }
 
-// observe follows a node to its present state, by transitions that the
-// specification allows from the state it was last seen in.
+// observe checks that transitions of the specification lead from the last observed
+// state of the node to its current one.
 func (c *conformance) observe(n *Node) {
 	from, to := c.states[n.id], c.abstract(n)
-	if c.broken == "" && (c.nodes[n.id] != n || !from.equal(to)) {
-		path, explained := c.explain(n, from, to, explainDepth)
+	if c.violation == "" && (c.nodes[n.id] != n || !from.equal(to)) {
+		path, explained := c.findPath(n, from, to, maxPathLength)
 		if from.term == to.term && slices.Contains(path, "AdvanceCommit") {
-			c.at(from.term).commit = to.commit // by a leader that may have left on it
+			c.at(from.term).commit = to.commit // the leader may have stepped down on this commit
 		}
 		if !explained {
-			c.broken = fmt.Sprintf("node %d went from %+v to %+v", n.id, from, to)
+			c.violation = fmt.Sprintf("no transitions lead node %d from %+v to %+v", n.id, from, to)
 		}
 		for _, name := range path {
 			c.taken[name]++
@@ -84,7 +85,7 @@
 	c.publish(n, to)
 }
 
-func (c *conformance) explain(n *Node, from, to specNode, depth int) ([]string, bool) {
+func (c *conformance) findPath(n *Node, from, to specNode, depth int) ([]string, bool) {
 	isSameNode := c.nodes[n.id] == n || c.nodes[n.id] == nil
 	if isSameNode && from.equal(to) {
 		return nil, true
@@ -100,14 +101,14 @@
 		if transition.name == "Restart" {
 			return []string{transition.name}, next.equal(to)
 		}
-		if path, explained := c.explain(n, next, to, depth-1); explained {
+		if path, explained := c.findPath(n, next, to, depth-1); explained {
 			return append([]string{transition.name}, path...), true
 		}
 	}
 	return nil, false
 }
 
-// publish records what a candidate asks and what a leader may have sent.
+// publish records the request of a candidate and the log that a leader may have sent.
 func (c *conformance) publish(n *Node, state specNode) {
 	c.highest = max(c.highest, state.term)
 	term := c.at(state.term)
@@ -121,16 +122,16 @@
 	}
 }
 
-// send records a promise, which must be durable by now.
+// send records a vote or an acknowledgement, which must be durable when it is sent.
 func (c *conformance) send(m Message) bool {
 	durable := c.cluster.member(m.From).disk
 	term := c.at(m.Term)
 	switch {
-	case c.broken != "" || m.Reject || durable.hardState.Term > m.Term:
+	case c.violation != "" || m.Reject || durable.hardState.Term > m.Term:
 	case m.Kind == MessageVoteReply && durable.hardState.Vote != m.To:
-		c.broken = fmt.Sprintf("node %d sent a vote that is not synced", m.From)
+		c.violation = fmt.Sprintf("node %d sent a vote that is not durable", m.From)
 	case m.Kind == MessageAppendReply && m.Index > durable.last():
-		c.broken = fmt.Sprintf("node %d acknowledged entries that are not synced", m.From)
+		c.violation = fmt.Sprintf("node %d acknowledged entries that are not durable", m.From)
 	}
 	switch {
 	case m.Kind == MessageVoteReply && !m.Reject:
@@ -151,59 +152,59 @@
 	return d.entries[len(d.entries)-1].Index
 }
 
-// replay drives a seeded run with faults until a step is not one of the specification.
-func replay(seed uint64, mutate func(*Node), forgetful bool) *conformance {
+// checkConformance runs a cluster with seeded faults until a step violates the specification.
+func checkConformance(seed uint64, mutate func(*Node), losesVotes bool) *conformance {
 	c := newCluster(seed, 3+2*int(seed%2), 2)
-	watched := newConformance(c)
-	c.forgetful = forgetful
+	checker := newConformance(c)
+	c.losesVotes = losesVotes
 	c.mutate = func(n *Node) {
 		if mutate != nil {
 			mutate(n)
 		}
-		watched.observe(n)
+		checker.observe(n)
 	}
 	c.loss, c.duplicate, c.crash = 0.05, 0.05, 0.001
 	c.delay, c.diskDelay = 1+int(seed%12), 1+int(seed%5)*2
 	for range conformanceSteps {
 		c.step()
 		if c.chance(0.3) {
-			c.disturb()
+			c.injectFault()
 		}
 		for _, m := range c.members {
 			if m.node != nil {
-				watched.observe(m.node)
+				checker.observe(m.node)
 			}
 		}
-		if watched.broken != "" {
+		if checker.violation != "" {
 			break
 		}
 	}
-	return watched
+	return checker
 }
 
 func TestEveryStepIsOneOfTheSpecification(t *testing.T) {
 	taken := map[string]int{}
 	for seed := range uint64(conformanceRuns) {
-		watched := replay(seed, nil, false)
-		qt.Assert(t, watched.broken, qt.Equals, "", qt.Commentf("seed %d", seed))
-		for name, count := range watched.taken {
+		checker := checkConformance(seed, nil, false)
+		qt.Assert(t, checker.violation, qt.Equals, "", qt.Commentf("seed %d", seed))
+		for name, count := range checker.taken {
 			taken[name] += count
 		}
 	}
 	t.Logf("transitions taken: %v", taken)
 	for _, transition := range transitions {
-		qt.Check(t, taken[transition.name] > 0, qt.IsTrue, qt.Commentf("%s was never taken", transition.name))
+		qt.Check(t, taken[transition.name] > 0, qt.IsTrue, qt.Commentf("transition %s was never taken", transition.name))
 	}
 }
 
 func TestSpecificationRefusesBrokenSteps(t *testing.T) {
 	cases := []struct {
-		name      string
-		mutate    func(*Node)
-		forgetful bool
+		name       string
+		mutate     func(*Node)
+		losesVotes bool
 	}{
 		{name: "votes twice", mutate: func(n *Node) { n.vote = None }},
-		{name: "disk loses the vote", forgetful: true},
+		{name: "disk loses the vote", losesVotes: true},
 		{name: "leads without a quorum", mutate: func(n *Node) {
 			if n.role == Candidate {
 				n.becomeLeader()
@@ -219,7 +220,7 @@
 				n.truncateFrom(n.log.last())
 			}
 		}},
-		{name: "changes two voters", mutate: func(n *Node) {
+		{name: "changes two voters at once", mutate: func(n *Node) {
 			if voters := n.membership().Voters; n.role == Leader && n.log.stable == n.log.last() && len(voters) > 2 {
 				n.propose(EntryMembership, EncodeMembership(Membership{Voters: voters[2:]}))
 			}
@@ -228,19 +229,19 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(conformanceRuns) {
-				if watched := replay(seed, test.mutate, test.forgetful); watched.broken != "" {
-					t.Logf("seed %d: %.200s", seed, watched.broken)
+				if checker := checkConformance(seed, test.mutate, test.losesVotes); checker.violation != "" {
+					t.Logf("seed %d: %.200s", seed, checker.violation)
 					return
 				}
 			}
-			t.Fatal("no run was refused")
+			t.Fatal("no run violated the specification")
 		})
 	}
 }
 
-// TestTransitionsHaveTheNamesOfTheSpecification holds the table against the models:
-// each transition of consensus.pml, and the change of membership.pml.
-func TestTransitionsHaveTheNamesOfTheSpecification(t *testing.T) {
+// TestTransitionNamesMatchSpecification checks that the transition table lists each
+// transition of consensus.pml and the ChangeMembership of membership.pml.
+func TestTransitionNamesMatchSpecification(t *testing.T) {
 	inline := regexp.MustCompile(`(?m)^inline ([A-Z]\w*)\(`)
 	named := map[string]bool{}
 	for _, match := range inline.FindAllStringSubmatch(readSpecification(t, "consensus.pml"), -1) {
--- a/agreement/raft/election.go
+++ b/agreement/raft/election.go
@@ -1,38 +1,38 @@
 package raft
 
 // mayCampaign reports whether the node is a voter or may still be one. A node whose
-// removal is not committed campaigns, without counting its own vote: it may be the
-// only one that can bring the removal to a quorum.
+// removal is not committed campaigns without counting its own vote: it may be the
+// only node that can replicate the removal to a quorum.
 func (n *Node) mayCampaign() bool {
 	return n.history.anySince(n.log.commit, func(m Membership) bool { return m.HasVoter(n.id) })
 }
 
-// ignoresVote reports whether a request for a vote gets no answer: the node cannot
-// be a member as far as it knows, or it hears from a leader that did not ask for
-// the election.
-func (n *Node) ignoresVote(m *Message) bool {
+// ignoresVoteRequest reports whether a vote request gets no reply: the node is not a
+// member in any membership that may be in effect, or it hears from a leader that did
+// not ask for the election.
+func (n *Node) ignoresVoteRequest(m *Message) bool {
 	if !n.history.anySince(n.log.commit, func(m Membership) bool { return m.Has(n.id) }) {
 		return true
 	}
 	if m.Transfer {
 		return false
 	}
-	return n.role == Leader || n.silence < n.config.ElectionTicks
+	return n.role == Leader || n.ticksSinceLeader < n.config.ElectionTicks
 }
 
-// startPreVote asks whether an election could be won, without raising the term.
+// startPreVote requests pre-votes without raising the term.
 func (n *Node) startPreVote() {
 	n.role = PreCandidate
 	n.leader = None
 	n.votes = map[NodeID]bool{n.id: true}
-	if n.decideElection() {
+	if n.tallyVotes() {
 		return
 	}
 	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
 }
 
-// startElection raises the term and votes for itself. The vote is durable before
-// the requests leave, because both are in the same Ready.
+// startElection raises the term and votes for the node itself. The vote is durable
+// before the requests are sent, because both are in the same Ready.
 func (n *Node) startElection(transfer bool) {
 	n.role = Candidate
 	n.leader = None
@@ -40,7 +40,7 @@
 	n.vote = n.id
 	n.votes = map[NodeID]bool{n.id: true}
 	n.resetElectionTimer()
-	if n.decideElection() {
+	if n.tallyVotes() {
 		return
 	}
 	n.requestVotes(Message{Kind: MessageVote, Term: n.term, Transfer: transfer})
@@ -58,11 +58,11 @@
 }
 
 func (n *Node) handleVoteRequest(m *Message) {
-	free := n.vote == m.From || (n.vote == None && n.leader == None)
+	canVote := n.vote == m.From || (n.vote == None && n.leader == None)
 	if m.Kind == MessagePreVote && m.Term > n.term {
-		free = true
+		canVote = true
 	}
-	granted := free && n.log.upToDate(m.Index, m.LogTerm)
+	granted := canVote && n.log.upToDate(m.Index, m.LogTerm)
 	reply := Message{Kind: MessageVoteReply, To: m.From, Reject: !granted}
 	if m.Kind == MessagePreVote {
 		reply.Kind = MessagePreVoteReply
@@ -88,19 +88,19 @@
 	if _, answered := n.votes[m.From]; !answered {
 		n.votes[m.From] = !m.Reject
 	}
-	n.decideElection()
+	n.tallyVotes()
 }
 
-// decideElection goes on when a majority of the voters granted or refused; true
-// when it did.
-func (n *Node) decideElection() bool {
+// tallyVotes advances or ends the election once a majority of the voters has
+// granted or rejected it, and reports whether it did.
+func (n *Node) tallyVotes() bool {
 	granted := n.quorumValue(func(id NodeID) uint64 {
 		if n.votes[id] {
 			return 1
 		}
 		return 0
 	})
-	open := n.quorumValue(func(id NodeID) uint64 {
+	winnable := n.quorumValue(func(id NodeID) uint64 {
 		if vote, answered := n.votes[id]; vote || !answered {
 			return 1
 		}
@@ -111,7 +111,7 @@
 		n.startElection(false)
 	case granted == 1:
 		n.becomeLeader()
-	case open == 0:
+	case winnable == 0:
 		n.becomeFollower(n.term, None)
 	default:
 		return false
--- a/agreement/raft/turn_test.go
+++ b/agreement/raft/election_latency_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// ticksToLeader plays until a member other than the former leader leads, and fails after
-// limit ticks.
+// ticksToLeader runs the cluster until a member other than the former leader leads, and
+// returns the ticks taken. The test fails after limit ticks.
 func (c *cluster) ticksToLeader(t *testing.T, former NodeID, limit int) int {
 	t.Helper()
 	for count := range limit {
@@ -22,14 +22,15 @@
 	return limit
 }
 
-// Voters that lose their leader, or start together, campaign one after the other.
-func TestElectionsAreWonInTheFirstTurns(t *testing.T) {
+// Voters that lose their leader or restart together campaign one after the other, so
+// that elections rarely split.
+func TestElectionLatency(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// disturb returns the former leader if it may still hold itself for one.
+		// disturb returns the former leader if it may still consider itself leader.
 		disturb func(c *cluster) NodeID
 	}{
-		{"leader cut off", func(c *cluster) NodeID {
+		{"leader isolated", func(c *cluster) NodeID {
 			leader := c.leader().id
 			c.isolate(leader, true)
 			return leader
@@ -54,8 +55,8 @@
 				c.ticks(60)
 				took := c.ticksToLeader(t, test.disturb(c), 60)
 				total += took
-				// Two turns, the ticks of pre-vote and vote, and what heartbeats were late.
-				qt.Check(t, took <= 10+2*turnTicks+6, qt.IsTrue, qt.Commentf("seed %d took %d ticks", seed, took))
+				// Two stagger periods, the ticks of pre-vote and vote, and late heartbeats.
+				qt.Check(t, took <= 10+2*staggerTicks+6, qt.IsTrue, qt.Commentf("seed %d took %d ticks", seed, took))
 			}
 			qt.Check(t, total <= seeds*16, qt.IsTrue, qt.Commentf("%d ticks in all", total))
 		})
--- a/agreement/raft/history_test.go
+++ b/agreement/raft/history_test.go
@@ -34,36 +34,36 @@
 	term  uint64
 }
 
-// electedLeader is one term's leader.
+// electedLeader is the leader of a term.
 type electedLeader struct {
 	id NodeID
-	// elected is its log when it became the leader.
+	// elected is the leader's log at its election.
 	elected memoryLog
 }
 
 // commitment is an entry that a leader committed.
 type commitment struct {
 	entry position
-	// term is the lowest term of a member that knew it as committed, and so that of
-	// the leader that committed it. Leaders of later terms must have the entry; one of
-	// an earlier term, elected late, may lack it.
+	// term is the lowest term of a member that knew the entry as committed, which is
+	// the term of the leader that committed it. Leaders of later terms must have the
+	// entry; a leader of an earlier term that is elected late may lack it.
 	term uint64
 }
 
-// history records what all members of a cluster did and names the first check broken.
+// history records the actions of all members of a cluster and the first violated check.
 type history struct {
 	leaders map[uint64]*electedLeader
-	// commits is by term the highest commit index seen.
+	// commits is the highest observed commit index by term.
 	commits map[uint64]uint64
 	ballots map[ballot]NodeID
 	entries map[position]recordedEntry
-	// commitments, committed and digests hold, at index i, the entry i+1 as a leader
-	// committed it, as members applied it, and the state after it.
+	// commitments, committed and digests hold, at position i, entry i+1 as a leader
+	// committed it, as members applied it, and the digest of the state after it.
 	commitments []commitment
 	committed   []Entry
 	digests     []uint64
 	reads       int
-	broken      string
+	violated    string
 	detail      string
 }
 
@@ -77,75 +77,76 @@
 }
 
 func (h *history) check(holds bool, name, format string, values ...any) {
-	if !holds && h.broken == "" {
-		h.broken = name
+	if !holds && h.violated == "" {
+		h.violated = name
 		h.detail = fmt.Sprintf(format, values...)
 	}
 }
 
-// lead records the leader of a term, with its log as it is now, when it is new.
-func (h *history) lead(id NodeID, term uint64, log *memoryLog) {
+// recordLeader records the leader of a term with its current log, unless it is known.
+func (h *history) recordLeader(id NodeID, term uint64, log *memoryLog) {
 	if earlier, known := h.leaders[term]; known {
 		h.check(earlier.id == id, electionSafety, "term %d has leaders %d and %d", term, earlier.id, id)
 		return
 	}
-	// The log never overwrites entries in place, so that this copy stays as it is.
+	// The log never overwrites entries in place, so this shallow copy does not change.
 	h.leaders[term] = &electedLeader{id: id, elected: *log}
 	for _, committed := range h.commitments {
-		h.complete(term, committed)
+		h.checkCompleteness(term, committed)
 	}
 }
 
-// commit records what a member in a term knows as committed. It sees each member
-// after each step, so that a leader comes before those that it tells, also one whose
-// own removal ends its leadership in that step.
-func (h *history) commit(term uint64, log *memoryLog) {
+// recordCommits records the entries that a member in a term knows as committed. It is
+// called for each member after each step, so that a leader precedes the members it
+// informs, even if its own removal ends its leadership in that step.
+func (h *history) recordCommits(term uint64, log *memoryLog) {
 	for index := max(h.commits[term], log.base) + 1; index <= log.commit; index++ {
 		entryTerm, _ := log.term(index)
-		h.commitEntry(term, position{index, entryTerm})
+		h.recordCommit(term, position{index, entryTerm})
 	}
 	h.commits[term] = max(h.commits[term], log.commit)
 }
 
-func (h *history) commitEntry(term uint64, entry position) {
+func (h *history) recordCommit(term uint64, entry position) {
 	known := uint64(len(h.commitments))
 	if entry.index > known {
 		h.check(entry.index == known+1, stateMachineSafety, "a member in term %d skipped to %d", term, entry.index)
 		h.commitments = append(h.commitments, commitment{entry, term})
-		h.completeSince(term, h.commitments[known])
+		h.checkCompletenessSince(term, h.commitments[known])
 		return
 	}
 	earlier := &h.commitments[entry.index-1]
 	h.check(earlier.entry == entry, stateMachineSafety, "a member in term %d has another entry committed at %d", term, entry.index)
 	if term < earlier.term {
-		// Acknowledgements that arrived late: the entry was committed before the
-		// leaders of the terms in between were elected.
+		// Acknowledgements arrived late: the entry was committed before the leaders of
+		// the terms in between were elected.
 		earlier.term = term
-		h.completeSince(term, *earlier)
+		h.checkCompletenessSince(term, *earlier)
 	}
 }
 
-// completeSince checks the leaders after a term for an entry committed in it.
-func (h *history) completeSince(term uint64, committed commitment) {
+// checkCompletenessSince checks the leaders after a term for an entry committed in it.
+func (h *history) checkCompletenessSince(term uint64, committed commitment) {
 	for _, later := range slices.Sorted(maps.Keys(h.leaders)) {
 		if later > term {
-			h.complete(later, committed)
+			h.checkCompleteness(later, committed)
 		}
 	}
 }
 
-// complete checks that the leader of a term was elected with an entry committed in
-// an earlier term. What its snapshot holds is checked by restore.
-func (h *history) complete(term uint64, committed commitment) {
+// checkCompleteness checks that the leader of a term had, at its election, an entry that
+// was committed in an earlier term. Entries in its snapshot are checked by
+// recordRestore.
+func (h *history) checkCompleteness(term uint64, committed commitment) {
 	leader := h.leaders[term]
 	if committed.term >= term || committed.entry.index <= leader.elected.base {
 		return
 	}
 	h.check(leader.elected.matches(committed.entry.index, committed.entry.term), leaderCompleteness,
-		"leader %d of term %d misses entry %d, committed in term %d", leader.id, term, committed.entry.index, committed.term)
+		"leader %d of term %d lacks entry %d, committed in term %d", leader.id, term, committed.entry.index, committed.term)
 }
 
-func (h *history) grant(voter, candidate NodeID, term uint64) {
+func (h *history) recordVote(voter, candidate NodeID, term uint64) {
 	key := ballot{voter, term}
 	if earlier, known := h.ballots[key]; known {
 		h.check(earlier == candidate, oneVote, "node %d voted twice in term %d", voter, term)
@@ -153,7 +154,7 @@
 	h.ballots[key] = candidate
 }
 
-func (h *history) store(previousTerm uint64, entry Entry) {
+func (h *history) recordEntry(previousTerm uint64, entry Entry) {
 	key := position{entry.Index, entry.Term}
 	record := recordedEntry{previousTerm, entry.Kind, string(entry.Data)}
 	if earlier, known := h.entries[key]; known {
@@ -162,7 +163,7 @@
 	h.entries[key] = record
 }
 
-func (h *history) apply(id NodeID, entry Entry, digest uint64) {
+func (h *history) recordApply(id NodeID, entry Entry, digest uint64) {
 	h.check(entry.Index <= uint64(len(h.commitments)), stateMachineSafety, "node %d applied %d, which was not committed", id, entry.Index)
 	if entry.Index > uint64(len(h.committed)) {
 		h.check(entry.Index == uint64(len(h.committed))+1, stateMachineSafety, "node %d skipped to %d", id, entry.Index)
@@ -176,28 +177,28 @@
 		"node %d applied another entry at %d", id, entry.Index)
 }
 
-func (h *history) restore(id NodeID, index, digest uint64) {
+func (h *history) recordRestore(id NodeID, index, digest uint64) {
 	h.check(index <= uint64(len(h.digests)) && h.digests[index-1] == digest, snapshotFaithful,
 		"node %d restored another state at %d", id, index)
 }
 
-func (h *history) read(asked int, answer uint64) {
+func (h *history) checkRead(asked int, answer uint64) {
 	h.reads++
-	h.check(answer >= uint64(asked), readLinearizable, "read at %d answered %d", asked, answer)
+	h.check(answer >= uint64(asked), readLinearizable, "read requested at commit index %d returned index %d", asked, answer)
 }
 
-func (h *history) leases(holders int) {
+func (h *history) checkLeases(holders int) {
 	h.check(holders <= 1, leaseExclusive, "%d nodes hold a lease", holders)
 }
 
-func (h *history) status(status Status) {
+func (h *history) checkStatus(status Status) {
 	ordered := status.Applied <= status.Commit && status.Commit <= status.LastIndex
 	h.check(ordered, commitWithinLog, "%+v", status)
 }
 
-// converged checks a healed cluster: every member in the leader's membership has
-// applied everything that anyone ever applied.
-func (h *history) converged(id NodeID, applied uint64) {
+// checkConverged checks that a member of a healed cluster has applied every entry that
+// any member ever applied.
+func (h *history) checkConverged(id NodeID, applied uint64) {
 	h.check(applied >= uint64(len(h.committed)), committedNeverLost,
 		"node %d has applied %d of %d", id, applied, len(h.committed))
 }
--- a/agreement/raft/log.go
+++ b/agreement/raft/log.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// memoryLog holds the entries after the last snapshot.
+// memoryLog is the in-memory part of the log: the entries after the last snapshot.
 type memoryLog struct {
 	// base and baseTerm are the index and term of the last snapshot.
 	base     uint64
@@ -25,7 +25,7 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// term returns the term of the entry at index; false when the log does not have it.
+// term returns the term of the entry at index, and whether the log has it.
 func (l *memoryLog) term(index uint64) (uint64, bool) {
 	if index < l.base || index > l.last() {
 		return 0, false
@@ -41,8 +41,8 @@
 	return known && own == term
 }
 
-// slice returns the entries from low to high, both included, without a copy. It
-// is empty when the log does not have them all.
+// slice returns the entries from low to high, inclusive, without copying. It returns
+// nil if the log lacks one of them.
 func (l *memoryLog) slice(low, high uint64) []Entry {
 	if low <= l.base || high > l.last() || low > high {
 		return nil
@@ -51,8 +51,8 @@
 	return l.entries[from:to:to]
 }
 
-// upToDate reports whether a log that ends with (index, term) is at least as
-// complete as this one.
+// upToDate reports whether a log whose last entry is (index, term) is at least as
+// up-to-date as this one.
 func (l *memoryLog) upToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -60,8 +60,8 @@
 	return index >= l.last()
 }
 
-// lastAtOrBelowTerm returns the highest index up to bound whose term is not above
-// term, and the term there. It never goes below base.
+// lastAtOrBelowTerm returns the highest index in [base, bound] whose term is at most
+// term, and the term of that entry; it returns base if there is none.
 func (l *memoryLog) lastAtOrBelowTerm(bound, term uint64) (index, found uint64) {
 	bound = max(min(bound, l.last()), l.base)
 	count := sort.Search(int(bound-l.base), func(i int) bool { return l.entries[i].Term > term })
@@ -74,8 +74,8 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncateFrom drops the entries at and after index, which is above commit. The
-// capacity is cut too, because slices of the dropped entries may still be in use.
+// truncateFrom removes the entries at and after index, which must be above commit. It
+// limits the capacity too, because slices of the removed entries may be in use.
 func (l *memoryLog) truncateFrom(index uint64) {
 	kept := index - l.base - 1
 	l.entries = l.entries[:kept:kept]
@@ -91,7 +91,7 @@
 	return true
 }
 
-// compactTo drops the entries up to index, which is applied.
+// compactTo removes the entries up to index, which must be applied.
 func (l *memoryLog) compactTo(index, term uint64) {
 	rest := l.entries[index-l.base:]
 	l.entries = append(make([]Entry, 0, len(rest)), rest...)
@@ -99,7 +99,7 @@
 	l.baseTerm = term
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *memoryLog) restore(index, term uint64) {
 	l.base = index
 	l.baseTerm = term
--- a/agreement/raft/membership.go
+++ b/agreement/raft/membership.go
@@ -19,8 +19,8 @@
 	return data
 }
 
-// DecodeMembership reads the data of an EntryMembership. The error is a
-// *structs.Error of kind corrupt when the data is not one valid membership.
+// DecodeMembership decodes the data of an EntryMembership. The error is a
+// *structs.Error of kind corrupt if the data is not a valid membership.
 func DecodeMembership(data []byte) (Membership, error) {
 	var membership Membership
 	var err error
@@ -68,13 +68,13 @@
 // Has reports whether id is a voter or a learner.
 func (m Membership) Has(id NodeID) bool { return m.HasVoter(id) || m.HasLearner(id) }
 
-// Equal reports whether both list the same voters and learners, in any order.
+// Equal reports whether m and other have the same voters and learners, in any order.
 func (m Membership) Equal(other Membership) bool {
 	own, others := m.sorted(), other.sorted()
 	return slices.Equal(own.Voters, others.Voters) && slices.Equal(own.Learners, others.Learners)
 }
 
-// sorted returns a copy with both lists in order.
+// sorted returns a copy with both lists sorted.
 func (m Membership) sorted() Membership {
 	return Membership{
 		Voters:   slices.Sorted(slices.Values(m.Voters)),
@@ -82,22 +82,22 @@
 	}
 }
 
-// all returns voters and learners in order.
+// all returns the voters and learners, sorted together.
 func (m Membership) all() []NodeID {
 	return slices.Sorted(slices.Values(slices.Concat(m.Voters, m.Learners)))
 }
 
-// valid reports whether there is a voter, no zero ID and no ID twice.
+// valid reports whether there is a voter, no zero ID and no duplicate ID.
 func (m Membership) valid() bool {
 	all := m.all()
 	distinct := len(slices.Compact(slices.Clone(all))) == len(all)
 	return len(m.Voters) > 0 && all[0] != None && distinct
 }
 
-// empty reports whether nothing is known of the membership.
+// empty reports whether the membership lists no node.
 func (m Membership) empty() bool { return len(m.Voters) == 0 && len(m.Learners) == 0 }
 
-// voterDifference counts the voters that are in one of the two only.
+// voterDifference returns the size of the symmetric difference of the voters.
 func (m Membership) voterDifference(other Membership) int {
 	difference := 0
 	for _, id := range m.Voters {
@@ -113,19 +113,19 @@
 	return difference
 }
 
-// membershipRecord says that membership is in force from index on.
+// membershipRecord is a membership and the index from which it is in effect.
 type membershipRecord struct {
 	index      uint64
 	membership Membership
 }
 
-// membershipHistory is the memberships of the log in index order. The first one
-// is that of the last snapshot; the last one is in force.
+// membershipHistory holds the memberships of the log in index order. The first is
+// that of the last snapshot; the last is in effect.
 type membershipHistory []membershipRecord
 
 func (h membershipHistory) current() membershipRecord { return h[len(h)-1] }
 
-// at returns the membership in force after index.
+// at returns the membership in effect after the entry at index.
 func (h membershipHistory) at(index uint64) Membership {
 	for i := len(h) - 1; i > 0; i-- {
 		if h[i].index <= index {
@@ -135,9 +135,8 @@
 	return h[0].membership
 }
 
-// anySince reports whether accepts holds for the membership in force at commit or
-// for a later one. The later ones may yet be truncated or committed: a node cannot
-// know whether it is removed before the removal is committed.
+// anySince reports whether accepts holds for the membership in effect at commit or
+// for a later one. Later memberships may still be truncated or committed.
 func (h membershipHistory) anySince(commit uint64, accepts func(Membership) bool) bool {
 	for i := len(h) - 1; i >= 0; i-- {
 		if accepts(h[i].membership) {
@@ -150,7 +149,8 @@
 	return false
 }
 
-// truncateFrom drops the records at and after index; true when one was dropped.
+// truncateFrom removes the records at and after index, and reports whether there were
+// any.
 func (h *membershipHistory) truncateFrom(index uint64) bool {
 	records := *h
 	kept := len(records)
--- a/agreement/raft/node.go
+++ b/agreement/raft/node.go
@@ -6,7 +6,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Node is one member of a raft group. Use New to make one.
+// Node is one member of a Raft group, created by New.
 type Node struct {
 	config Config
 	id     NodeID
@@ -18,7 +18,7 @@
 
 	log     memoryLog
 	history membershipHistory
-	// snapshot is the newest one, sent to members that need dropped entries.
+	// snapshot is the latest snapshot, sent to members that need compacted entries.
 	snapshot Snapshot
 
 	// now counts the ticks since New.
@@ -26,22 +26,23 @@
 	electionElapsed  int
 	electionTimeout  int
 	heartbeatElapsed int
-	// silence is the ticks since a leader was last heard, up to ElectionTicks.
-	silence int
-	// votes holds the answers of the current election.
+	// ticksSinceLeader counts the ticks since the last message of a leader, up to
+	// ElectionTicks.
+	ticksSinceLeader int
+	// votes holds the replies of the current election, by voter.
 	votes map[NodeID]bool
 
-	leading leadership
+	leading leaderState
 	pending pendingReady
 	scratch []uint64
 }
 
-// leadership is the state that only a leader has.
-type leadership struct {
+// leaderState is the state that only a leader maintains.
+type leaderState struct {
 	progress map[NodeID]*progress
-	// peers lists the keys of progress in order.
+	// peers lists the keys of progress in ascending order.
 	peers []NodeID
-	// firstIndex is the index of the noop of this term; electedAt is in ticks.
+	// firstIndex is the index of the first entry of this term; electedAt is in ticks.
 	firstIndex uint64
 	electedAt  uint64
 	appendDue  bool
@@ -53,11 +54,11 @@
 
 	transferee      NodeID
 	transferElapsed int
-	// transferSent is set once the transferee was told to start an election.
+	// transferSent is set once MessageTimeoutNow was sent to the transferee.
 	transferSent bool
 }
 
-// New makes a node from what the shell found on its disk. The error is a
+// New returns a node that starts from the restored state. The error is a
 // *structs.Error of kind invalid (config) or corrupt (restored state).
 func New(config Config, restored Restored) (*Node, error) {
 	config = config.withDefaults()
@@ -68,13 +69,13 @@
 	if err := n.restoreState(restored); err != nil {
 		return nil, err
 	}
-	n.silence = config.ElectionTicks
+	n.ticksSinceLeader = config.ElectionTicks
 	if n.term > 0 {
-		n.silence = 0
+		n.ticksSinceLeader = 0
 	}
 	n.becomeFollower(n.term, None)
 	if n.term > 0 {
-		n.awaitTurn()
+		n.setStaggeredTimeout()
 	}
 	return n, nil
 }
@@ -85,7 +86,7 @@
 		return errCorruptState("snapshot has no term or no valid membership")
 	}
 	if !snapshot.Membership.empty() && !snapshot.Membership.valid() {
-		return errCorruptState("membership lists no voter or an ID twice")
+		return errCorruptState("membership has no voter or a duplicate ID")
 	}
 	n.snapshot = snapshot
 	n.term, n.vote = restored.HardState.Term, restored.HardState.Vote
@@ -99,12 +100,12 @@
 		return errCorruptState(err.Error())
 	}
 	if snapshot.Term > n.term {
-		return errCorruptState("snapshot is of a later term than the hard state")
+		return errCorruptState("snapshot term is above the term of the hard state")
 	}
 	n.appendEntries(entries)
 	n.log.stable = n.log.last()
 	if restored.HardState.Commit > n.log.last() {
-		return errCorruptState("commit index is past the log")
+		return errCorruptState("commit index is beyond the end of the log")
 	}
 	n.log.commit = max(snapshot.Index, restored.HardState.Commit)
 	n.log.applied = snapshot.Index
@@ -113,25 +114,25 @@
 }
 
 func errCorruptState(message string) error {
-	return structs.NewError(structs.ErrorCorrupt, "stored raft state is not usable: "+message,
+	return structs.NewError(structs.ErrorCorrupt, "stored raft state is invalid: "+message,
 		"Remove this member and add it again with an empty disk under a new node ID.")
 }
 
-// Tick advances the node's clock by one tick.
+// Tick advances the node's logical clock by one tick.
 func (n *Node) Tick() {
 	n.now++
 	if n.role == Leader {
 		n.tickLeader()
 		return
 	}
-	n.silence = min(n.silence+1, n.config.ElectionTicks)
+	n.ticksSinceLeader = min(n.ticksSinceLeader+1, n.config.ElectionTicks)
 	n.electionElapsed++
 	if n.electionElapsed < n.electionTimeout {
 		return
 	}
 	n.resetElectionTimer()
 	if n.mayCampaign() {
-		n.awaitPreVote()
+		n.setPreVoteTimeout()
 		n.startPreVote()
 	}
 }
@@ -141,7 +142,7 @@
 	if n.heartbeatElapsed >= n.config.HeartbeatTicks {
 		n.broadcastHeartbeat()
 		n.retrySnapshots()
-		n.forgetDeparted()
+		n.dropRemovedMembers()
 	}
 	if n.quorumLost() {
 		n.becomeFollower(n.term, None)
@@ -156,30 +157,30 @@
 }
 
 const (
-	// turnTicks separate the turns in which the voters campaign when their leader falls
-	// silent, or after a restart: the first has won before the second begins.
-	turnTicks = 3
-	// preVoteTicks is the least pause between two pre-votes, of which those that come a
-	// moment too early are not answered.
-	preVoteTicks = 3
+	// staggerTicks is the delay between the first election timeouts of successive voters,
+	// long enough for an election to end before the next voter campaigns.
+	staggerTicks = 3
+	// preVoteRetryTicks is the minimum delay between pre-votes. One that is sent too early
+	// gets no reply.
+	preVoteRetryTicks = 3
 )
 
-// awaitTurn sets the election timer by the node's place among the voters that do not
-// lead. Turns only make split votes rare: each later timeout is random.
-func (n *Node) awaitTurn() {
-	turn := 0
+// setStaggeredTimeout sets the election timeout by the node's rank among the voters other
+// than the leader, which makes split votes rare. Later timeouts are random.
+func (n *Node) setStaggeredTimeout() {
+	rank := 0
 	for _, id := range n.membership().Voters {
 		if id < n.id && id != n.leader {
-			turn++
+			rank++
 		}
 	}
 	n.electionElapsed = 0
-	n.electionTimeout = n.config.ElectionTicks + 1 + min(turn*turnTicks, n.config.ElectionTicks-1)
+	n.electionTimeout = n.config.ElectionTicks + 1 + min(rank*staggerTicks, n.config.ElectionTicks-1)
 }
 
-// awaitPreVote sets the election timer to the next pre-vote, which disturbs nobody.
-func (n *Node) awaitPreVote() {
-	n.electionTimeout = preVoteTicks + n.config.Random.IntN(preVoteTicks)
+// setPreVoteTimeout sets the election timeout to the time of the next pre-vote.
+func (n *Node) setPreVoteTimeout() {
+	n.electionTimeout = preVoteRetryTicks + n.config.Random.IntN(preVoteRetryTicks)
 }
 
 func (n *Node) becomeFollower(term uint64, leader NodeID) {
@@ -190,7 +191,7 @@
 	n.role = Follower
 	n.leader = leader
 	n.votes = nil
-	n.leading = leadership{}
+	n.leading = leaderState{}
 	n.resetElectionTimer()
 }
 
@@ -198,8 +199,8 @@
 	n.role = Leader
 	n.leader = n.id
 	n.votes = nil
-	n.silence = n.config.ElectionTicks
-	n.leading = leadership{
+	n.ticksSinceLeader = n.config.ElectionTicks
+	n.leading = leaderState{
 		progress:   make(map[NodeID]*progress),
 		firstIndex: n.log.last() + 1,
 		electedAt:  n.now,
@@ -210,8 +211,8 @@
 	n.broadcastHeartbeat()
 }
 
-// firstEntry is what a new leader appends. The first leader of a group writes the
-// founding membership into the log, so that members that join later learn it.
+// firstEntry returns the entry that a new leader appends: a no-op, or, for the first
+// leader of a group, the initial membership, so that it is in the log.
 func (n *Node) firstEntry() Entry {
 	entry := Entry{Term: n.term, Index: n.leading.firstIndex, Kind: EntryNoop}
 	if n.history.current().index == 0 {
@@ -221,12 +222,12 @@
 	return entry
 }
 
-// membership is the one in force: the last in the log, committed or not.
+// membership returns the membership in effect: the last in the log, committed or not.
 func (n *Node) membership() Membership { return n.history.current().membership }
 
 func (n *Node) isVoter() bool { return n.membership().HasVoter(n.id) }
 
-// appendEntries puts entries, which are valid, at the end of the log.
+// appendEntries appends entries, which must be valid, to the log.
 func (n *Node) appendEntries(entries []Entry) {
 	n.log.append(entries...)
 	changed := false
@@ -244,14 +245,15 @@
 	}
 }
 
-// truncateFrom drops the entries at and after index, with their memberships.
+// truncateFrom removes the entries at and after index, and their memberships.
 func (n *Node) truncateFrom(index uint64) {
 	n.log.truncateFrom(index)
 	n.history.truncateFrom(index)
 	n.pending.truncateFrom(index)
 }
 
-// quorumValue returns the highest value that a majority of the voters has reached.
+// quorumValue returns the highest value that a majority of the voters has reached, or 0
+// without voters.
 func (n *Node) quorumValue(valueOf func(id NodeID) uint64) uint64 {
 	voters := n.membership().Voters
 	if len(voters) == 0 {
--- a/agreement/raft/progress.go
+++ b/agreement/raft/progress.go
@@ -1,11 +1,11 @@
 package raft
 
-// ProgressState says how a leader sends the log to a member.
+// ProgressState is how a leader replicates the log to a member.
 type ProgressState uint8
 
 // The states of a member's progress.
 const (
-	// ProgressProbe: the leader looks for the last common entry, one message at a time.
+	// ProgressProbe: the leader searches for the last common entry, one append at a time.
 	ProgressProbe ProgressState = iota
 	// ProgressReplicate: the leader sends entries ahead of their acknowledgement.
 	ProgressReplicate
@@ -13,37 +13,37 @@
 	ProgressSnapshot
 )
 
-// maxSnapshotBackoff bounds how often the wait for a snapshot's reply is doubled.
+// maxSnapshotBackoff bounds the number of doublings of the snapshot reply timeout.
 const maxSnapshotBackoff = 6
 
-// progress is what a leader knows of one other member.
+// progress tracks the replication to one other member.
 type progress struct {
 	match uint64
 	next  uint64
 	state ProgressState
-	// probing is set between the sending of a probe and an answer to it.
+	// probing is set while a probe awaits its reply.
 	probing bool
-	// probeWanted asks for an append even when there is no entry to send.
+	// probeWanted requests an append even if there are no entries to send.
 	probeWanted bool
 	// sentCommit is the highest commit index sent in an append.
 	sentCommit uint64
 	inflight   inflightWindow
-	// ackedRound is the newest heartbeat round answered; heardUntil is the tick
-	// ElectionTicks after that round was sent, 0 before any answer.
-	ackedRound uint64
-	heardUntil uint64
+	// ackedRound is the newest heartbeat round answered; activeUntil is the tick
+	// ElectionTicks after that round was sent, 0 before any reply.
+	ackedRound  uint64
+	activeUntil uint64
 
 	pendingSnapshot  uint64
 	snapshotSentAt   uint64
 	snapshotAttempts int
 
-	// knownCommit is the commit index that the member told in a heartbeat reply.
+	// knownCommit is the highest commit index the member reported in a heartbeat reply.
 	knownCommit uint64
-	// departsAt is the index of the entry that removed the member, 0 for members.
-	// The member is sent the log until it knows that the entry is committed, or until
-	// departsUntil.
-	departsAt    uint64
-	departsUntil uint64
+	// removalIndex is the index of the entry that removed the member, 0 for current members.
+	// The leader keeps replicating to it until the member knows that the entry is
+	// committed, or until removalDeadline.
+	removalIndex    uint64
+	removalDeadline uint64
 }
 
 func newProgress(last uint64, window int) *progress {
@@ -98,7 +98,7 @@
 	return p.next <= last || p.probeWanted || p.sentCommit < commit
 }
 
-// sent records an append of the entries up to last.
+// sent records that an append with count entries, up to last, was sent.
 func (p *progress) sent(last uint64, count int, commit uint64) {
 	p.probeWanted = false
 	p.sentCommit = commit
@@ -112,7 +112,8 @@
 	}
 }
 
-// acknowledged records that the member has the log up to index; true when new.
+// acknowledged records that the member has the log up to index, and reports whether
+// that is progress.
 func (p *progress) acknowledged(index uint64) bool {
 	moved := index > p.match
 	p.match = max(p.match, index)
@@ -129,8 +130,8 @@
 	return moved
 }
 
-// rejected goes back to probing at next after an append behind rejectedIndex was
-// refused; false when the refusal is stale.
+// rejected returns to probing at next after the member rejected an append at
+// rejectedIndex. It reports false if the rejection is stale.
 func (p *progress) rejected(rejectedIndex, next uint64) bool {
 	switch p.state {
 	case ProgressReplicate:
@@ -149,8 +150,8 @@
 	return true
 }
 
-// snapshotOverdue reports whether the reply to a snapshot is given up on; the
-// wait doubles with every attempt.
+// snapshotOverdue reports whether the reply to a snapshot has timed out. The timeout
+// doubles with every attempt.
 func (p *progress) snapshotOverdue(now uint64, electionTicks int) bool {
 	if p.state != ProgressSnapshot {
 		return false
@@ -159,16 +160,15 @@
 	return now-p.snapshotSentAt >= uint64(electionTicks)<<backoff
 }
 
-// departed reports whether a removed member needs the log no longer.
-func (p *progress) departed(now uint64) bool {
-	if p.departsAt == 0 {
+// removalDone reports whether a removed member no longer needs the log.
+func (p *progress) removalDone(now uint64) bool {
+	if p.removalIndex == 0 {
 		return false
 	}
-	return now >= p.departsUntil || p.knownCommit >= p.departsAt
+	return now >= p.removalDeadline || p.knownCommit >= p.removalIndex
 }
 
-// inflightWindow is a ring of the last indexes of the appends that are not
-// acknowledged yet.
+// inflightWindow is a ring buffer of the last index of each unacknowledged append.
 type inflightWindow struct {
 	limit  int
 	start  int
--- a/agreement/raft/ready.go
+++ b/agreement/raft/ready.go
@@ -1,15 +1,15 @@
 package raft
 
-// pendingReady is the work for the shell.
+// pendingReady accumulates the contents of the next Ready.
 type pendingReady struct {
 	// outstanding is set between a Ready with work and its Advance.
 	outstanding bool
 	messages    []Message
 	readStates  []ReadState
 	snapshot    *Snapshot
-	// hardState is the last one handed out.
+	// hardState is the last one returned by Ready.
 	hardState HardState
-	// entriesTo and appliedTo are what Advance confirms.
+	// entriesTo and appliedTo are the indexes that Advance marks stable and applied.
 	entriesTo uint64
 	appliedTo uint64
 }
@@ -38,8 +38,8 @@
 		n.log.last() > n.log.stable || n.log.commit > n.log.applied || n.hardState() != p.hardState
 }
 
-// Ready hands out the work that has come up. It is empty until the one before it
-// has been confirmed by Advance; a Ready without work needs no Advance.
+// Ready returns the pending work. It is empty until the previous Ready has been
+// confirmed by Advance; an empty Ready needs no Advance.
 func (n *Node) Ready() Ready {
 	p := &n.pending
 	if p.outstanding {
@@ -72,7 +72,7 @@
 	return ready
 }
 
-// Advance says that the shell has done all the work of the last Ready.
+// Advance confirms that all work of the last Ready is done.
 func (n *Node) Advance() {
 	p := &n.pending
 	if !p.outstanding {
@@ -86,23 +86,23 @@
 	}
 }
 
-// Compact drops the log up to a snapshot that the shell made durable. The
-// snapshot's Index must be applied, and its Term and Membership those of the log
-// there (see MembershipAt). The node keeps it to send to other members. The error
-// is a *structs.Error of kind invalid; compacting twice at an index is no error.
+// Compact discards the log up to a durable snapshot. The snapshot's Index must be
+// applied, and its Term and Membership must match the log at that index (see
+// MembershipAt). The node retains the snapshot for members that lag behind. The error
+// is a *structs.Error of kind invalid; compacting again at the same index is a no-op.
 func (n *Node) Compact(snapshot Snapshot) error {
 	if snapshot.Index == n.log.base {
 		return nil
 	}
 	if snapshot.Index < n.log.base || snapshot.Index > n.log.applied {
-		return errInvalid("snapshot is not at an applied index after the last snapshot",
+		return errInvalid("snapshot index is not applied or not after the last snapshot",
 			"Take the snapshot at Status().Applied.")
 	}
 	if !n.log.matches(snapshot.Index, snapshot.Term) {
-		return errInvalid("snapshot has another term than the log", "Set Term to that of the applied entry.")
+		return errInvalid("snapshot term does not match the log", "Set Term to that of the applied entry.")
 	}
 	if !snapshot.valid() || !snapshot.Membership.Equal(n.history.at(snapshot.Index)) {
-		return errInvalid("snapshot has another membership than the log",
+		return errInvalid("snapshot membership does not match the log",
 			"Set Membership to MembershipAt(Index) before the snapshot is stored.")
 	}
 	n.log.compactTo(snapshot.Index, snapshot.Term)
--- a/agreement/raft/replication.go
+++ b/agreement/raft/replication.go
@@ -1,7 +1,7 @@
 package raft
 
-// flushAppends sends every member what is due. Ready calls it, so that proposals
-// made between two Readys share messages.
+// flushAppends queues the appends that are due. It runs once per Ready, so that
+// proposals made since the last one share messages.
 func (n *Node) flushAppends() {
 	if !n.leading.appendDue {
 		return
@@ -36,7 +36,8 @@
 	member.sent(last, len(entries), n.log.commit)
 }
 
-// limitBytes cuts entries, but never to none, so that their data fits into limit.
+// limitBytes returns the longest prefix of entries whose data fits into limit, and at
+// least one entry.
 func limitBytes(entries []Entry, limit int) []Entry {
 	size := 0
 	for i, entry := range entries {
@@ -54,8 +55,8 @@
 	member.becomeSnapshot(snapshot.Index, n.now)
 }
 
-// retrySnapshots probes the members whose reply to a snapshot is overdue: the
-// probe succeeds if only the reply was lost, and brings a new snapshot if not.
+// retrySnapshots probes the members whose snapshot reply is overdue. The probe
+// succeeds if only the reply was lost; otherwise its rejection triggers a new snapshot.
 func (n *Node) retrySnapshots() {
 	for _, id := range n.leading.peers {
 		member := n.leading.progress[id]
@@ -66,7 +67,7 @@
 	}
 }
 
-// handleMemberReply takes what a member answered to its leader.
+// handleMemberReply processes a reply to a message of the leader.
 func (n *Node) handleMemberReply(m *Message) {
 	if n.role != Leader {
 		return
@@ -124,12 +125,12 @@
 		member.probeWanted = true
 		n.leading.appendDue = true
 	}
-	n.answerReads()
+	n.releaseReads()
 }
 
-// advanceCommit commits the entries that a majority of the voters has made
-// durable. Only an entry of the current term is committed by counting; the
-// earlier ones are committed with it.
+// advanceCommit commits the entries that a majority of the voters has made durable.
+// Only entries of the current term are committed by counting replicas; earlier entries
+// are committed with them.
 func (n *Node) advanceCommit() {
 	index := n.quorumValue(func(id NodeID) uint64 {
 		if id == n.id {
@@ -145,12 +146,12 @@
 		return
 	}
 	n.leading.appendDue = true
-	n.leaveIfRemoved()
+	n.stepDownIfRemoved()
 }
 
-// leaveIfRemoved makes a leader step down once the membership without it as a
-// voter is committed, and hands over to the most advanced voter.
-func (n *Node) leaveIfRemoved() {
+// stepDownIfRemoved makes the leader step down once a membership in which it is no
+// voter is committed. It transfers leadership to the voter with the longest log.
+func (n *Node) stepDownIfRemoved() {
 	record := n.history.current()
 	if n.isVoter() || record.index > n.log.commit {
 		return
--- a/agreement/raft/safety_test.go
+++ b/agreement/raft/safety_test.go
@@ -10,13 +10,13 @@
 
 const (
 	seededRuns  = 150
-	chaosSteps  = 2500
+	faultSteps  = 2500
 	healedTicks = 200
 )
 
-// disturb makes one random choice of fault, proposal, read, snapshot, transfer or
+// injectFault makes one random choice of fault, proposal, read, snapshot, transfer or
 // membership change.
-func (c *cluster) disturb() {
+func (c *cluster) injectFault() {
 	m := c.members[c.random.IntN(len(c.members))]
 	other := c.members[c.random.IntN(len(c.members))]
 	if leader := c.leader(); leader != nil && c.chance(0.3) {
@@ -24,11 +24,11 @@
 	}
 	switch choice := c.random.IntN(100); {
 	case choice < 1:
-		clear(c.cut)
+		clear(c.blocked)
 	case choice < 2:
 		c.isolate(m.id, c.chance(0.5))
 	case choice < 6:
-		c.cut[[2]NodeID{m.id, other.id}] = c.chance(0.5)
+		c.blocked[[2]NodeID{m.id, other.id}] = c.chance(0.5)
 	case choice < 8 && m.node != nil:
 		c.stop(m)
 	case choice < 14 && m.node == nil:
@@ -53,7 +53,7 @@
 	return slices.DeleteFunc(slices.Clone(ids), func(other NodeID) bool { return other == id })
 }
 
-// changeMembership moves id one way through absent, learner, voter, absent.
+// changeMembership moves id to the next state of absent, learner, voter, absent.
 func (c *cluster) changeMembership(m *member, id NodeID) {
 	next := m.node.membership().sorted()
 	switch {
@@ -67,18 +67,19 @@
 	_, _, _ = m.node.ProposeMembership(next)
 }
 
-// run drives a seeded run with faults, heals it and checks that it goes on.
-func run(seed uint64, mutate func(*Node), forgetful bool) *history {
+// runWithFaults runs a cluster with seeded faults, heals it and checks that it makes
+// progress.
+func runWithFaults(seed uint64, mutate func(*Node), losesVotes bool) *history {
 	c := newCluster(seed, 3+2*int(seed%2), 2)
-	c.mutate, c.forgetful = mutate, forgetful
+	c.mutate, c.losesVotes = mutate, losesVotes
 	c.loss, c.duplicate, c.crash = 0.05, 0.05, 0.001
 	c.delay, c.diskDelay = 1+int(seed%12), 1+int(seed%5)*2
-	for range chaosSteps {
+	for range faultSteps {
 		c.step()
 		if c.chance(0.3) {
-			c.disturb()
+			c.injectFault()
 		}
-		if c.history.broken != "" {
+		if c.history.violated != "" {
 			return c.history
 		}
 	}
@@ -90,11 +91,11 @@
 		return c.history
 	}
 	index, _, err := leader.node.Propose([]byte("last"))
-	c.history.check(err == nil, progressAfterHealed, "proposal refused: %v", err)
+	c.history.check(err == nil, progressAfterHealed, "proposal rejected: %v", err)
 	c.ticks(healedTicks / 2)
 	c.history.check(uint64(len(c.history.committed)) >= index, progressAfterHealed, "entry %d not committed", index)
 	for _, id := range leader.node.membership().all() {
-		c.history.converged(id, c.member(id).applied)
+		c.history.checkConverged(id, c.member(id).applied)
 	}
 	return c.history
 }
@@ -102,8 +103,8 @@
 func TestSeededFaultsKeepEveryCheck(t *testing.T) {
 	committed, leaders, reads := 0, 0, 0
 	for seed := range uint64(seededRuns) {
-		h := run(seed, nil, false)
-		qt.Assert(t, h.broken, qt.Equals, "", qt.Commentf("seed %d: %s", seed, h.detail))
+		h := runWithFaults(seed, nil, false)
+		qt.Assert(t, h.violated, qt.Equals, "", qt.Commentf("seed %d: %s", seed, h.detail))
 		committed += len(h.committed)
 		leaders += len(h.leaders)
 		reads += h.reads
@@ -114,17 +115,17 @@
 	qt.Assert(t, reads > 2*seededRuns, qt.IsTrue)
 }
 
-// TestChecksFindBrokenNodes breaks the protocol in one place at a time: the run
-// must notice.
-func TestChecksFindBrokenNodes(t *testing.T) {
+// TestChecksDetectFaultyNodes injects one protocol violation at a time, which a run
+// must detect.
+func TestChecksDetectFaultyNodes(t *testing.T) {
 	cases := []struct {
-		name      string
-		mutate    func(*Node)
-		forgetful bool
-		breaks    []string
+		name       string
+		mutate     func(*Node)
+		losesVotes bool
+		breaks     []string
 	}{
 		{name: "votes twice", mutate: func(n *Node) { n.vote = None }, breaks: []string{oneVote, electionSafety}},
-		{name: "disk loses the vote", forgetful: true, breaks: []string{oneVote, electionSafety}},
+		{name: "disk loses the vote", losesVotes: true, breaks: []string{oneVote, electionSafety}},
 		{name: "leader commits alone", mutate: func(n *Node) {
 			if n.role == Leader {
 				n.log.commit = n.log.stable
@@ -140,26 +141,26 @@
 		{name: "never elects", mutate: func(n *Node) { n.electionElapsed = 0 }, breaks: []string{progressAfterHealed}},
 		{name: "lease outlives the quorum", mutate: func(n *Node) {
 			for _, p := range n.leading.progress {
-				p.heardUntil = n.now + 100
+				p.activeUntil = n.now + 100
 			}
 		}, breaks: []string{leaseExclusive}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(seededRuns) {
-				if h := run(seed, test.mutate, test.forgetful); h.broken != "" {
-					t.Logf("seed %d: %s: %s", seed, h.broken, h.detail)
-					qt.Assert(t, test.breaks, qt.Contains, h.broken)
+				if h := runWithFaults(seed, test.mutate, test.losesVotes); h.violated != "" {
+					t.Logf("seed %d: %s: %s", seed, h.violated, h.detail)
+					qt.Assert(t, test.breaks, qt.Contains, h.violated)
 					return
 				}
 			}
-			t.Fatal("no run noticed")
+			t.Fatal("no run detected the fault")
 		})
 	}
 }
 
-// TestChecksFindCorruptHistory gives each check a history that breaks just it.
-func TestChecksFindCorruptHistory(t *testing.T) {
+// TestChecksDetectInvalidHistory violates each check with a history of its own.
+func TestChecksDetectInvalidHistory(t *testing.T) {
 	entry := func(index, term uint64, data string) Entry {
 		return Entry{Index: index, Term: term, Data: []byte(data)}
 	}
@@ -167,61 +168,61 @@
 		check string
 		spoil func(h *history)
 	}{
-		{electionSafety, func(h *history) { h.lead(1, 2, &memoryLog{base: 1}); h.lead(2, 2, &memoryLog{base: 1}) }},
-		{oneVote, func(h *history) { h.grant(1, 2, 3); h.grant(1, 3, 3) }},
-		{logMatching, func(h *history) { h.store(1, entry(2, 2, "a")); h.store(1, entry(2, 2, "b")) }},
-		{logMatching, func(h *history) { h.store(1, entry(2, 2, "a")); h.store(2, entry(2, 2, "a")) }},
-		{stateMachineSafety, func(h *history) { h.apply(2, entry(1, 1, "other"), 7) }},
-		{stateMachineSafety, func(h *history) { h.apply(2, entry(1, 1, "first"), 8) }},
-		{stateMachineSafety, func(h *history) { h.apply(2, entry(3, 1, "gap"), 9) }},
-		{stateMachineSafety, func(h *history) { h.apply(2, entry(2, 1, "uncommitted"), 9) }},
-		{stateMachineSafety, func(h *history) { h.commitEntry(2, position{1, 2}) }},
-		{stateMachineSafety, func(h *history) { h.commitEntry(2, position{3, 1}) }},
-		{leaderCompleteness, func(h *history) { h.lead(1, 2, &memoryLog{}) }},
-		{leaderCompleteness, func(h *history) { h.lead(1, 2, &memoryLog{entries: []Entry{entry(1, 2, "other")}}) }},
-		// The entry was committed before, and the acknowledgement was late.
-		{leaderCompleteness, func(h *history) { h.lead(1, 3, &memoryLog{base: 1}); h.commitEntry(2, position{2, 1}) }},
+		{electionSafety, func(h *history) { h.recordLeader(1, 2, &memoryLog{base: 1}); h.recordLeader(2, 2, &memoryLog{base: 1}) }},
+		{oneVote, func(h *history) { h.recordVote(1, 2, 3); h.recordVote(1, 3, 3) }},
+		{logMatching, func(h *history) { h.recordEntry(1, entry(2, 2, "a")); h.recordEntry(1, entry(2, 2, "b")) }},
+		{logMatching, func(h *history) { h.recordEntry(1, entry(2, 2, "a")); h.recordEntry(2, entry(2, 2, "a")) }},
+		{stateMachineSafety, func(h *history) { h.recordApply(2, entry(1, 1, "other"), 7) }},
+		{stateMachineSafety, func(h *history) { h.recordApply(2, entry(1, 1, "first"), 8) }},
+		{stateMachineSafety, func(h *history) { h.recordApply(2, entry(3, 1, "gap"), 9) }},
+		{stateMachineSafety, func(h *history) { h.recordApply(2, entry(2, 1, "uncommitted"), 9) }},
+		{stateMachineSafety, func(h *history) { h.recordCommit(2, position{1, 2}) }},
+		{stateMachineSafety, func(h *history) { h.recordCommit(2, position{3, 1}) }},
+		{leaderCompleteness, func(h *history) { h.recordLeader(1, 2, &memoryLog{}) }},
+		{leaderCompleteness, func(h *history) { h.recordLeader(1, 2, &memoryLog{entries: []Entry{entry(1, 2, "other")}}) }},
+		// The entry was committed before the election; its acknowledgement arrived late.
+		{leaderCompleteness, func(h *history) { h.recordLeader(1, 3, &memoryLog{base: 1}); h.recordCommit(2, position{2, 1}) }},
 		{leaderCompleteness, func(h *history) {
-			h.commitEntry(4, position{2, 1})
-			h.lead(1, 3, &memoryLog{base: 1})
-			h.commitEntry(2, position{2, 1})
+			h.recordCommit(4, position{2, 1})
+			h.recordLeader(1, 3, &memoryLog{base: 1})
+			h.recordCommit(2, position{2, 1})
 		}},
-		{snapshotFaithful, func(h *history) { h.restore(1, 1, 8) }},
-		{readLinearizable, func(h *history) { h.read(1, 0) }},
-		{leaseExclusive, func(h *history) { h.leases(2) }},
-		{commitWithinLog, func(h *history) { h.status(Status{Commit: 2, LastIndex: 1}) }},
-		{committedNeverLost, func(h *history) { h.converged(3, 0) }},
+		{snapshotFaithful, func(h *history) { h.recordRestore(1, 1, 8) }},
+		{readLinearizable, func(h *history) { h.checkRead(1, 0) }},
+		{leaseExclusive, func(h *history) { h.checkLeases(2) }},
+		{commitWithinLog, func(h *history) { h.checkStatus(Status{Commit: 2, LastIndex: 1}) }},
+		{committedNeverLost, func(h *history) { h.checkConverged(3, 0) }},
 	}
 	for _, test := range cases {
 		h := newHistory()
-		h.commitEntry(1, position{1, 1})
-		h.apply(1, entry(1, 1, "first"), 7)
-		qt.Check(t, h.broken, qt.Equals, "")
+		h.recordCommit(1, position{1, 1})
+		h.recordApply(1, entry(1, 1, "first"), 7)
+		qt.Check(t, h.violated, qt.Equals, "")
 		test.spoil(h)
-		qt.Check(t, h.broken, qt.Equals, test.check, qt.Commentf("%s", h.detail))
+		qt.Check(t, h.violated, qt.Equals, test.check, qt.Commentf("%s", h.detail))
 	}
 }
 
-// A candidate of term 2 whose votes are late becomes its leader after term 3 has
-// committed entries; its term comes before theirs, so it need not have them.
-func TestLateLeaderOfAnEarlierTermMayLackLaterEntries(t *testing.T) {
+// A candidate of term 2 whose votes arrive late may become leader after term 3 has
+// committed entries. Leader completeness does not require it to have them.
+func TestLeaderOfEarlierTermMayLackLaterEntries(t *testing.T) {
 	first := []Entry{{Index: 1, Term: 1}}
 	for _, test := range []struct {
-		name   string
-		term   uint64
-		log    memoryLog
-		broken string
+		name     string
+		term     uint64
+		log      memoryLog
+		violated string
 	}{
 		{"earlier term without the later entry", 2, memoryLog{entries: first}, ""},
 		{"earlier term without the earlier entry", 2, memoryLog{}, leaderCompleteness},
 		{"later term without the later entry", 4, memoryLog{entries: first}, leaderCompleteness},
 	} {
 		h := newHistory()
-		h.lead(1, 1, &memoryLog{})
-		h.commit(1, &memoryLog{entries: first, commit: 1})
-		h.lead(3, 3, &memoryLog{entries: first})
-		h.commit(3, &memoryLog{entries: append(first, Entry{Index: 2, Term: 3}), commit: 2})
-		h.lead(2, test.term, &test.log)
-		qt.Check(t, h.broken, qt.Equals, test.broken, qt.Commentf("%s: %s", test.name, h.detail))
+		h.recordLeader(1, 1, &memoryLog{})
+		h.recordCommits(1, &memoryLog{entries: first, commit: 1})
+		h.recordLeader(3, 3, &memoryLog{entries: first})
+		h.recordCommits(3, &memoryLog{entries: append(first, Entry{Index: 2, Term: 3}), commit: 2})
+		h.recordLeader(2, test.term, &test.log)
+		qt.Check(t, h.violated, qt.Equals, test.violated, qt.Commentf("%s: %s", test.name, h.detail))
 	}
 }
--- a/agreement/raft/scenario_test.go
+++ b/agreement/raft/scenario_test.go
@@ -7,12 +7,13 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// scenarios start with three settled voters and member 4, which has an empty disk.
+// scenarios start with three voters, an elected leader, and member 4, whose disk is
+// empty.
 var scenarios = []struct {
 	name string
 	play func(t *testing.T, c *cluster, leader, follower *member)
 }{
-	{"pre-vote keeps the term of a cut-off member", func(t *testing.T, c *cluster, leader, follower *member) {
+	{"pre-vote keeps the term of an isolated member", func(t *testing.T, c *cluster, leader, follower *member) {
 		term := leader.node.Term()
 		c.isolate(follower.id, true)
 		c.ticks(60)
@@ -22,7 +23,7 @@
 		qt.Assert(t, follower.node.Term(), qt.Equals, term)
 		qt.Assert(t, follower.node.Leader(), qt.Equals, leader.id)
 	}},
-	{"cut-off leader loses its lease, then its role", func(t *testing.T, c *cluster, leader, _ *member) {
+	{"isolated leader loses its lease, then steps down", func(t *testing.T, c *cluster, leader, _ *member) {
 		qt.Assert(t, leader.node.LeaseValid(), qt.IsTrue)
 		c.isolate(leader.id, true)
 		qt.Assert(t, c.read(leader), qt.IsNil)
@@ -42,8 +43,8 @@
 		c.ticks(3)
 		qt.Assert(t, c.leader().id, qt.Equals, follower.id)
 	}},
-	{"transfer whose order may still arrive costs the role", func(t *testing.T, c *cluster, leader, follower *member) {
-		c.sent = func(m Message) bool { return m.Kind != MessageTimeoutNow }
+	{"leader steps down if the transfer message may still arrive", func(t *testing.T, c *cluster, leader, follower *member) {
+		c.filter = func(m Message) bool { return m.Kind != MessageTimeoutNow }
 		qt.Assert(t, leader.node.TransferLeadership(follower.id), qt.IsNil)
 		c.ticks(3)
 		qt.Assert(t, leader.node.Role(), qt.Equals, Leader)
@@ -51,7 +52,7 @@
 		c.ticks(8)
 		qt.Assert(t, leader.node.Role(), qt.Equals, Follower)
 	}},
-	{"transfer to a member that does not answer is given up", func(t *testing.T, c *cluster, leader, follower *member) {
+	{"transfer to an unreachable member is aborted", func(t *testing.T, c *cluster, leader, follower *member) {
 		c.isolate(follower.id, true)
 		_, _, _ = leader.node.Propose(nil)
 		qt.Assert(t, leader.node.TransferLeadership(follower.id), qt.IsNil)
@@ -60,7 +61,7 @@
 		_, _, err := leader.node.Propose(nil)
 		qt.Assert(t, err, qt.IsNil)
 	}},
-	{"snapshot that was lost is sent again", func(t *testing.T, c *cluster, leader, follower *member) {
+	{"lost snapshot is sent again", func(t *testing.T, c *cluster, leader, follower *member) {
 		c.isolate(follower.id, true)
 		for range 20 {
 			_, _, _ = leader.node.Propose([]byte("x"))
@@ -68,7 +69,7 @@
 		}
 		qt.Assert(t, c.compact(leader), qt.IsNil)
 		snapshots := 0
-		c.sent = func(m Message) bool {
+		c.filter = func(m Message) bool {
 			if m.Kind == MessageSnapshot {
 				snapshots++
 			}
@@ -79,11 +80,11 @@
 		qt.Assert(t, snapshots, qt.Equals, 2)
 		qt.Assert(t, follower.applied, qt.Equals, leader.applied)
 	}},
-	{"window bounds what is sent unacknowledged", func(t *testing.T, c *cluster, leader, follower *member) {
-		c.cut[[2]NodeID{follower.id, leader.id}] = true
+	{"window bounds unacknowledged appends", func(t *testing.T, c *cluster, leader, follower *member) {
+		c.blocked[[2]NodeID{follower.id, leader.id}] = true
 		var entries []int
 		next := leader.node.Status().LastIndex
-		c.sent = func(m Message) bool {
+		c.filter = func(m Message) bool {
 			if m.Kind == MessageAppend && m.To == follower.id {
 				qt.Assert(t, m.Index, qt.Equals, next)
 				next += uint64(len(m.Entries))
@@ -95,9 +96,9 @@
 			_, _, _ = leader.node.Propose(make([]byte, min(i/4, 1)*6))
 		}
 		c.ticks(5)
-		qt.Assert(t, entries, qt.DeepEquals, []int{4, 1, 1}, qt.Commentf("4 entries, 10 bytes, 3 messages at most"))
+		qt.Assert(t, entries, qt.DeepEquals, []int{4, 1, 1}, qt.Commentf("limits: 4 entries, 10 bytes, 3 messages"))
 	}},
-	{"proposals without a quorum are bounded", func(t *testing.T, c *cluster, leader, _ *member) {
+	{"uncommitted proposals are bounded", func(t *testing.T, c *cluster, leader, _ *member) {
 		c.isolate(leader.id, true)
 		for range 64 {
 			_, _, err := leader.node.Propose(nil)
@@ -118,7 +119,7 @@
 	}},
 	{"removed member stops campaigning", func(t *testing.T, c *cluster, leader, follower *member) {
 		requests := 0
-		c.sent = func(m Message) bool {
+		c.filter = func(m Message) bool {
 			if m.From == follower.id && m.Kind == MessagePreVote {
 				requests++
 			}
@@ -133,53 +134,53 @@
 		qt.Assert(t, follower.node.Status().Role, qt.Equals, Learner)
 		qt.Assert(t, leader.node.LeaseValid(), qt.IsTrue)
 	}},
-	{"leader that removes itself hands over", func(t *testing.T, c *cluster, leader, _ *member) {
+	{"leader that removes itself transfers leadership", func(t *testing.T, c *cluster, leader, _ *member) {
 		c.change(t, leader, without(leader.node.membership().Voters, leader.id))
 		c.ticks(5)
 		qt.Assert(t, leader.node.Role(), qt.Equals, Learner)
 		qt.Assert(t, c.leader(), qt.Not(qt.IsNil))
 	}},
-	{"leader alone with its own removal brings it to a quorum", func(t *testing.T, c *cluster, leader, follower *member) {
+	{"restarted leader replicates its own removal", func(t *testing.T, c *cluster, leader, follower *member) {
 		c.change(t, leader, []NodeID{leader.id, follower.id})
 		c.ticks(5)
 		c.isolate(leader.id, true)
 		c.change(t, leader, []NodeID{follower.id})
-		c.work(leader)
+		c.processReady(leader)
 		c.stop(leader)
 		c.heal()
 		c.ticks(60)
 		qt.Assert(t, c.leader().id, qt.Equals, follower.id)
 		qt.Assert(t, follower.node.membership().Voters, qt.DeepEquals, []NodeID{follower.id})
 	}},
-	{"second member lost right after a repair", func(t *testing.T, c *cluster, leader, follower *member) {
+	{"second member lost right after a replacement", func(t *testing.T, c *cluster, leader, follower *member) {
 		c.stop(follower)
 		voters := without(leader.node.membership().Voters, follower.id)
 		c.change(t, leader, voters)
 		c.ticks(5)
 		c.change(t, leader, voters, 4)
 		c.ticks(8)
-		c.sent = func(m Message) bool { return m.Kind != MessageAppend || m.To != 4 }
+		c.filter = func(m Message) bool { return m.Kind != MessageAppend || m.To != 4 }
 		c.change(t, leader, append(voters, 4))
 		c.ticks(3)
 		status := leader.node.Status()
 		qt.Assert(t, status.Commit >= status.MembershipIndex, qt.IsTrue)
 		c.stop(leader)
-		c.sent = nil
+		c.filter = nil
 		c.ticks(60)
 		qt.Assert(t, c.leader(), qt.Not(qt.IsNil))
 	}},
-	{"learner that does not know that it is one is not promoted", func(t *testing.T, c *cluster, leader, _ *member) {
+	{"learner without its own addition is not promoted", func(t *testing.T, c *cluster, leader, _ *member) {
 		voters := []NodeID{1, 2, 3}
 		c.change(t, leader, voters, 4)
 		c.ticks(8)
-		c.sent = func(m Message) bool { return m.Kind != MessageAppend || m.To != 4 }
+		c.filter = func(m Message) bool { return m.Kind != MessageAppend || m.To != 4 }
 		c.change(t, leader, voters)
 		c.ticks(1)
 		c.change(t, leader, voters, 4)
 		c.ticks(2)
 		_, _, err := leader.node.ProposeMembership(Membership{Voters: []NodeID{1, 2, 3, 4}})
 		qt.Assert(t, structs.KindOf(err), qt.Equals, structs.ErrorUnavailable)
-		c.sent = nil
+		c.filter = nil
 		c.ticks(5)
 		c.change(t, leader, []NodeID{1, 2, 3, 4})
 	}},
@@ -191,7 +192,7 @@
 		qt.Assert(t, stranger.HasReady(), qt.IsFalse)
 		qt.Assert(t, stranger.Status().Term, qt.Equals, uint64(0))
 	}},
-	{"memberships that are refused", func(t *testing.T, c *cluster, leader, _ *member) {
+	{"invalid memberships are rejected", func(t *testing.T, c *cluster, leader, _ *member) {
 		for _, refused := range []struct {
 			voters, learners []NodeID
 			kind             structs.ErrorKind
@@ -217,7 +218,7 @@
 			c := newCluster(7, 3, 1)
 			c.ticks(40)
 			scenario.play(t, c, c.leader(), c.follower())
-			qt.Assert(t, c.history.broken, qt.Equals, "", qt.Commentf(c.history.detail))
+			qt.Assert(t, c.history.violated, qt.Equals, "", qt.Commentf(c.history.detail))
 		})
 	}
 }
@@ -227,42 +228,43 @@
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// TestLeaseNeverOverlaps cuts a member from the leader, then the leader from all
-// while the third member restarts: the first member wins as soon as it can.
+// TestLeaseNeverOverlaps blocks messages from the leader to one member, then isolates
+// the leader while the third member restarts. The first member is elected as early as
+// possible, which must not be before the old lease ends.
 func TestLeaseNeverOverlaps(t *testing.T) {
 	cases := map[string]struct {
 		mutate func(n *Node)
 		breaks string
 	}{
 		"correct": {},
-		"votes although it hears a leader": {func(n *Node) {
+		"votes while it hears from a leader": {func(n *Node) {
 			if n.role != Leader {
-				n.silence = n.config.ElectionTicks
+				n.ticksSinceLeader = n.config.ElectionTicks
 			}
 		}, leaseExclusive},
 		"votes right after a restart": {func(n *Node) {
 			if n.now < 10 && n.role != Leader {
-				n.silence = n.config.ElectionTicks
+				n.ticksSinceLeader = n.config.ElectionTicks
 			}
 		}, leaseExclusive},
 	}
 	for name, test := range cases {
-		broken := ""
-		for seed := uint64(0); seed < 200 && broken == ""; seed++ {
+		violated := ""
+		for seed := uint64(0); seed < 200 && violated == ""; seed++ {
 			c := newCluster(seed, 3, 0)
 			c.delay = 1 + int(seed%3)*6
 			c.ticks(60)
 			leader, eager := c.leader(), c.follower()
 			c.mutate = test.mutate
-			c.cut[[2]NodeID{leader.id, eager.id}] = true
+			c.blocked[[2]NodeID{leader.id, eager.id}] = true
 			c.ticks(c.random.IntN(20))
 			c.isolate(leader.id, true)
 			third := c.member(6 - leader.id - eager.id)
 			c.stop(third)
 			c.start(third)
 			c.ticks(20)
-			broken = c.history.broken
+			violated = c.history.violated
 		}
-		qt.Check(t, broken, qt.Equals, test.breaks, qt.Commentf(name))
+		qt.Check(t, violated, qt.Equals, test.breaks, qt.Commentf(name))
 	}
 }
--- a/agreement/raft/specification_test.go
+++ b/agreement/raft/specification_test.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// specNode is a node as spec/consensus.pml has it: pre-candidates and learners are
-// followers there, and the log is the terms of all its entries.
+// specNode is the state of a node in spec/consensus.pml, where pre-candidates and
+// learners are followers and the log is the list of entry terms.
 type specNode struct {
 	role   Role
 	term   uint64
@@ -24,7 +24,7 @@
 	return s.log[len(s.log)-1]
 }
 
-// specTerm is TermState of spec/consensus.pml: what was sent in a term, by whom.
+// specTerm is TermState of spec/consensus.pml: the messages sent in a term.
 type specTerm struct {
 	requests map[NodeID]position
 	granted  map[NodeID]map[NodeID]bool // by candidate, then voter
@@ -34,9 +34,9 @@
 	matched  map[NodeID]uint64
 }
 
-// transition moves a node from a state towards the state that it was seen in next;
-// false when the specification does not allow it. The names are those of the
-// inlines in spec/*.pml.
+// transition is a transition of the specification, named after its inline in
+// spec/*.pml. next returns the state after a step from one observed state towards the
+// next, and whether the specification allows the step.
 type transition struct {
 	name string
 	next func(c *conformance, n *Node, from, to specNode) (specNode, bool)
@@ -96,7 +96,7 @@
 	return from, true
 }
 
-// quorum reports whether a majority of the voters in force is in the set.
+// quorum reports whether a majority of the current voters is in the set.
 func quorum(n *Node, has func(NodeID) bool) bool {
 	return n.quorumValue(func(id NodeID) uint64 {
 		if has(id) {
@@ -106,8 +106,7 @@
 	}) == 1
 }
 
-// changesVoters reports whether the node's entry at index has other voters than
-// were in force before it.
+// changesVoters reports whether the node's entry at index changes the voters.
 func changesVoters(n *Node, index uint64) bool {
 	return n.history.at(index).voterDifference(n.history.at(index-1)) > 0
 }
@@ -187,7 +186,8 @@
 	return from, true
 }
 
-// restart loses what was not durable, which nobody may have been told of.
+// restart allows a node to lose state that was not durable, unless it had sent a vote
+// or an acknowledgement of it.
 func restart(c *conformance, n *Node, _, to specNode) (specNode, bool) {
 	if c.nodes[n.id] == n || to.role != Follower {
 		return to, false
--- a/agreement/raft/status.go
+++ b/agreement/raft/status.go
@@ -1,6 +1,6 @@
 package raft
 
-// Status is a node's view of itself and, on a leader, of the members.
+// Status is a snapshot of a node's state and, on a leader, of the members' progress.
 type Status struct {
 	ID NodeID
 	// Role is Learner for a follower that is not a voter in its own membership.
@@ -12,30 +12,30 @@
 	Applied    uint64
 	FirstIndex uint64
 	LastIndex  uint64
-	// Membership is the one in force, whether committed or not.
+	// Membership is the one in effect, whether committed or not.
 	Membership Membership
-	// MembershipIndex is the index of its entry; the change is over once Commit
-	// has reached it.
+	// MembershipIndex is the index of the membership's entry; the change is committed
+	// once Commit has reached it.
 	MembershipIndex uint64
-	// Progress is set on a leader only and holds no entry for itself.
+	// Progress is set on a leader only and excludes the leader itself.
 	Progress   map[NodeID]Progress
 	LeaseValid bool
 }
 
-// Progress is what a leader knows of another member.
+// Progress is the replication state of another member, as the leader knows it.
 type Progress struct {
-	// Match is the last entry known to be durable on the member; Next is the next
-	// one to send.
+	// Match is the index of the last entry known to be durable on the member; Next is
+	// the index of the next entry to send.
 	Match uint64
 	Next  uint64
 	State ProgressState
-	// Active is true when the member answered a heartbeat sent within ElectionTicks.
+	// Active reports whether the member answered a heartbeat sent within ElectionTicks.
 	Active bool
-	// CaughtUp is true for a learner that may become a voter.
+	// CaughtUp reports whether the member is a learner that may be promoted.
 	CaughtUp bool
 }
 
-// Status returns the node's status.
+// Status returns the current status of the node.
 func (n *Node) Status() Status {
 	record := n.history.current()
 	status := Status{
@@ -56,21 +56,21 @@
 	}
 	status.Progress = make(map[NodeID]Progress, len(n.leading.progress))
 	for id, member := range n.leading.progress {
-		if member.departsAt != 0 {
+		if member.removalIndex != 0 {
 			continue
 		}
 		status.Progress[id] = Progress{
 			Match:    member.match,
 			Next:     member.next,
 			State:    member.state,
-			Active:   member.heardUntil > n.now,
+			Active:   member.activeUntil > n.now,
 			CaughtUp: n.caughtUp(id),
 		}
 	}
 	return status
 }
 
-// Role returns the role that Status reports, without the cost of a Status.
+// Role returns the role that Status reports, without building a Status.
 func (n *Node) Role() Role {
 	if n.role == Follower && !n.isVoter() {
 		return Learner
--- a/agreement/raft/step.go
+++ b/agreement/raft/step.go
@@ -1,23 +1,22 @@
 package raft
 
-// Step takes a message from another node. The error is a *structs.Error of kind
-// invalid when no correct node could have sent the message; the node is then as
-// it was before.
+// Step processes a message from another node. The error is a *structs.Error of kind
+// invalid if no correct node could have sent the message; the node is then unchanged.
 func (n *Node) Step(m Message) error {
 	if err := n.validate(&m); err != nil {
 		return err
 	}
-	if (m.Kind == MessageVote || m.Kind == MessagePreVote) && n.ignoresVote(&m) {
+	if (m.Kind == MessageVote || m.Kind == MessagePreVote) && n.ignoresVoteRequest(&m) {
 		return nil
 	}
 	if m.Term < n.term {
-		n.answerOldTerm(&m)
+		n.rejectStaleTerm(&m)
 		return nil
 	}
 	if err := n.validateInState(&m); err != nil {
 		return err
 	}
-	if m.Term > n.term && movesTerm(&m) {
+	if m.Term > n.term && confirmsTerm(&m) {
 		n.becomeFollower(m.Term, None)
 	}
 	switch m.Kind {
@@ -35,16 +34,17 @@
 	return nil
 }
 
-// movesTerm reports whether a message of a later term is proof that the term has
-// begun. A pre-vote and its grant speak of a term that may never begin.
-func movesTerm(m *Message) bool {
+// confirmsTerm reports whether a message of a later term proves that the term has
+// started. A pre-vote and its grant name a term that may never start.
+func confirmsTerm(m *Message) bool {
 	if m.Kind == MessagePreVoteReply {
 		return m.Reject
 	}
 	return m.Kind != MessagePreVote
 }
 
-// validateInState refuses messages of this term that contradict what the node knows.
+// validateInState rejects messages of the current term that contradict the node's
+// state.
 func (n *Node) validateInState(m *Message) error {
 	switch m.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
@@ -52,7 +52,7 @@
 			return errMessage(m, "the term has another leader")
 		}
 		if m.Kind == MessageAppend && n.contradictsCommitted(m) {
-			return errMessage(m, "entries contradict committed ones")
+			return errMessage(m, "entries conflict with committed entries")
 		}
 	case MessageAppendReply, MessageSnapshotReply:
 		if m.Term == n.term && n.role == Leader && m.Index > n.log.last() {
@@ -80,10 +80,10 @@
 	return false
 }
 
-// answerOldTerm tells the sender of an earlier term that the term is over. A
-// leader that was cut off, or that a member with a later term cannot follow,
-// steps down on this.
-func (n *Node) answerOldTerm(m *Message) {
+// rejectStaleTerm answers a message of an earlier term with the current term. A leader
+// that was partitioned, or that a member with a later term cannot follow, steps down
+// on this reply.
+func (n *Node) rejectStaleTerm(m *Message) {
 	switch m.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		n.send(Message{Kind: MessageAppendReply, To: m.From, Reject: true, Index: m.Index, Hint: n.log.commit})
@@ -95,10 +95,10 @@
 func (n *Node) handleLeaderMessage(m *Message) {
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(n.term, m.From)
-		n.awaitTurn()
+		n.setStaggeredTimeout()
 	}
 	n.electionElapsed = 0
-	n.silence = 0
+	n.ticksSinceLeader = 0
 	switch m.Kind {
 	case MessageAppend:
 		n.handleAppend(m)
@@ -134,8 +134,8 @@
 	n.send(Message{Kind: MessageAppendReply, To: m.From, Index: matched})
 }
 
-// rejectAppend names the last entry that could match: no entry after it is of a
-// term that the leader's entry at that place can have.
+// rejectAppend replies with a hint, the last entry that can match the leader's log:
+// later entries have terms above the leader's term at that index.
 func (n *Node) rejectAppend(m *Message) {
 	bound := min(m.Index, n.log.last())
 	hint, hintTerm := n.log.lastAtOrBelowTerm(bound, m.LogTerm)
--- a/agreement/raft/step_test.go
+++ b/agreement/raft/step_test.go
@@ -9,8 +9,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// newVoter returns node 1 of three in term 5 with entries of the terms 1 1 2 2 4,
-// the first two applied, that has not heard from a leader.
+// newVoter returns node 1 of three voters, in term 5, with entries of terms 1 1 2 2 4 of
+// which two are applied. The node has not heard from a leader recently.
 func newVoter(t testing.TB) *Node {
 	restored := Restored{
 		HardState: HardState{Term: 5, Commit: 2},
@@ -24,7 +24,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, n.Ready().Committed, qt.HasLen, 2)
 	n.Advance()
-	n.silence = config.ElectionTicks
+	n.ticksSinceLeader = config.ElectionTicks
 	return n
 }
 
@@ -44,14 +44,14 @@
 		{"pre-vote of an old term", Message{Kind: MessagePreVote, Term: 4}, Message{Kind: MessagePreVoteReply, Term: 5, Reject: true}, 0},
 		{"append that matches", Message{Kind: MessageAppend, Term: 5, Index: 5, LogTerm: 4, Entries: []Entry{{Term: 5, Index: 6}}}, Message{Kind: MessageAppendReply, Term: 5, Index: 6}, 0},
 		{"append that truncates", Message{Kind: MessageAppend, Term: 5, Index: 3, LogTerm: 2, Entries: []Entry{{Term: 3, Index: 4}}}, Message{Kind: MessageAppendReply, Term: 5, Index: 4}, 0},
-		{"append after the end", Message{Kind: MessageAppend, Term: 5, Index: 9, LogTerm: 5}, Message{Kind: MessageAppendReply, Term: 5, Index: 9, Reject: true, Hint: 5, LogTerm: 4}, 0},
-		{"append skips whole terms back", Message{Kind: MessageAppend, Term: 5, Index: 5, LogTerm: 1}, Message{Kind: MessageAppendReply, Term: 5, Index: 5, Reject: true, Hint: 2, LogTerm: 1}, 0},
-		{"append commits only what it matches", Message{Kind: MessageAppend, Term: 5, Index: 3, LogTerm: 2, Commit: 5}, Message{Kind: MessageAppendReply, Term: 5, Index: 3}, 3},
+		{"append beyond the end of the log", Message{Kind: MessageAppend, Term: 5, Index: 9, LogTerm: 5}, Message{Kind: MessageAppendReply, Term: 5, Index: 9, Reject: true, Hint: 5, LogTerm: 4}, 0},
+		{"rejection hint skips terms", Message{Kind: MessageAppend, Term: 5, Index: 5, LogTerm: 1}, Message{Kind: MessageAppendReply, Term: 5, Index: 5, Reject: true, Hint: 2, LogTerm: 1}, 0},
+		{"append commits only matching entries", Message{Kind: MessageAppend, Term: 5, Index: 3, LogTerm: 2, Commit: 5}, Message{Kind: MessageAppendReply, Term: 5, Index: 3}, 3},
 		{"append before the commit index", Message{Kind: MessageAppend, Term: 5, Index: 1, LogTerm: 1}, Message{Kind: MessageAppendReply, Term: 5, Index: 2}, 0},
 		{"append of an old term", Message{Kind: MessageAppend, Term: 4, Index: 1, LogTerm: 1}, Message{Kind: MessageAppendReply, Term: 5, Reject: true, Index: 1, Hint: 2}, 0},
 		{"heartbeat", Message{Kind: MessageHeartbeat, Term: 5, Context: 7, Commit: math.MaxInt32}, Message{Kind: MessageHeartbeatReply, Term: 5, Context: 7, Commit: 5}, 5},
-		{"snapshot of what is there", Message{Kind: MessageSnapshot, Term: 5, Snapshot: &Snapshot{Index: 4, Term: 2, Membership: whole.Membership}}, Message{Kind: MessageSnapshotReply, Term: 5, Index: 4}, 4},
-		{"snapshot of what is committed", Message{Kind: MessageSnapshot, Term: 5, Snapshot: &Snapshot{Index: 1, Term: 2, Membership: whole.Membership}}, Message{Kind: MessageSnapshotReply, Term: 5, Index: 2}, 0},
+		{"snapshot that matches the log", Message{Kind: MessageSnapshot, Term: 5, Snapshot: &Snapshot{Index: 4, Term: 2, Membership: whole.Membership}}, Message{Kind: MessageSnapshotReply, Term: 5, Index: 4}, 4},
+		{"snapshot below the commit index", Message{Kind: MessageSnapshot, Term: 5, Snapshot: &Snapshot{Index: 1, Term: 2, Membership: whole.Membership}}, Message{Kind: MessageSnapshotReply, Term: 5, Index: 2}, 0},
 		{"snapshot", Message{Kind: MessageSnapshot, Term: 5, Snapshot: whole}, Message{Kind: MessageSnapshotReply, Term: 5, Index: 9}, 9},
 	}
 	for _, test := range cases {
@@ -69,20 +69,20 @@
 	}
 }
 
-func TestStepRefusesMalformedMessages(t *testing.T) {
+func TestStepRejectsMalformedMessages(t *testing.T) {
 	for name, m := range map[string]Message{
 		"unknown kind":                  {Kind: MessageTimeoutNow + 1, From: 2, To: 1, Term: 5},
 		"another receiver":              {Kind: MessageHeartbeat, From: 2, To: 3, Term: 5},
 		"own message":                   {Kind: MessageHeartbeat, From: 1, To: 1, Term: 5},
 		"no term":                       {Kind: MessageHeartbeat, From: 2, To: 1},
 		"second leader of the term":     {Kind: MessageHeartbeat, From: 3, To: 1, Term: 5},
-		"greatest term":                 {Kind: MessageVote, From: 2, To: 1, Term: math.MaxUint64},
-		"greatest index":                {Kind: MessageAppend, From: 2, To: 1, Term: 5, Index: math.MaxUint64},
+		"term out of range":             {Kind: MessageVote, From: 2, To: 1, Term: math.MaxUint64},
+		"index out of range":            {Kind: MessageAppend, From: 2, To: 1, Term: 5, Index: math.MaxUint64},
 		"no snapshot":                   {Kind: MessageSnapshot, From: 2, To: 1, Term: 5},
 		"empty snapshot":                {Kind: MessageSnapshot, From: 2, To: 1, Term: 5, Snapshot: &Snapshot{}},
 		"gap in entries":                {Kind: MessageAppend, From: 2, To: 1, Term: 5, Index: 5, LogTerm: 4, Entries: []Entry{{Index: 7, Term: 5}}},
 		"falling terms":                 {Kind: MessageAppend, From: 2, To: 1, Term: 5, Index: 5, LogTerm: 4, Entries: []Entry{{Index: 6, Term: 3}}},
-		"membership that is no such":    {Kind: MessageAppend, From: 2, To: 1, Term: 5, Index: 5, LogTerm: 4, Entries: []Entry{{Index: 6, Term: 5, Kind: EntryMembership}}},
+		"invalid membership":            {Kind: MessageAppend, From: 2, To: 1, Term: 5, Index: 5, LogTerm: 4, Entries: []Entry{{Index: 6, Term: 5, Kind: EntryMembership}}},
 		"conflict with committed entry": {Kind: MessageAppend, From: 2, To: 1, Term: 5, Index: 1, LogTerm: 1, Entries: []Entry{{Index: 2, Term: 3}}},
 	} {
 		n := newVoter(t)
@@ -92,13 +92,13 @@
 	}
 }
 
-func TestNewRefusesCorruptState(t *testing.T) {
+func TestNewRejectsCorruptState(t *testing.T) {
 	config := newVoter(t).config
 	for name, restored := range map[string]Restored{
-		"commit past the log":    {HardState: HardState{Term: 1, Commit: 1}},
+		"commit beyond the log":  {HardState: HardState{Term: 1, Commit: 1}},
 		"gap":                    {HardState: HardState{Term: 1}, Entries: []Entry{{Index: 2, Term: 1}}},
 		"entry of a later term":  {HardState: HardState{Term: 1}, Entries: []Entry{{Index: 1, Term: 2}}},
-		"snapshot not whole":     {HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1}},
+		"invalid snapshot":       {HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1}},
 		"member listed twice":    {Snapshot: Snapshot{Membership: Membership{Voters: []NodeID{1, 1}}}},
 		"snapshot of later term": {Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: []NodeID{1}}}},
 	} {
@@ -110,8 +110,8 @@
 	qt.Check(t, structs.KindOf(err), qt.Equals, structs.ErrorInvalid)
 }
 
-// TestOnlyEntriesOfTheTermAreCommittedByCounting is figure 8 of the raft paper.
-func TestOnlyEntriesOfTheTermAreCommittedByCounting(t *testing.T) {
+// TestOnlyCurrentTermEntriesAreCommittedByCounting tests figure 8 of the Raft paper.
+func TestOnlyCurrentTermEntriesAreCommittedByCounting(t *testing.T) {
 	n := newVoter(t)
 	n.history[0].index = 1
 	n.startElection(false)
@@ -119,17 +119,17 @@
 	ready := n.Ready()
 	qt.Assert(t, ready.MustSync, qt.IsTrue)
 	qt.Assert(t, n.Step(Message{Kind: MessageAppendReply, From: 2, To: 1, Term: 6, Index: 5}), qt.IsNil)
-	qt.Assert(t, n.Ready(), qt.DeepEquals, Ready{}, qt.Commentf("work handed out before Advance"))
+	qt.Assert(t, n.Ready(), qt.DeepEquals, Ready{}, qt.Commentf("Ready returned work before Advance"))
 	n.Advance()
 	qt.Assert(t, n.Status().Commit, qt.Equals, uint64(2))
 	_, _, err := n.ProposeMembership(Membership{Voters: []NodeID{1, 2}})
 	qt.Assert(t, structs.KindOf(err), qt.Equals, structs.ErrorUnavailable)
 	qt.Assert(t, n.Step(Message{Kind: MessageAppendReply, From: 2, To: 1, Term: 6, Index: 6}), qt.IsNil)
 	qt.Assert(t, n.Status().Commit, qt.Equals, uint64(6))
-	qt.Assert(t, n.Ready().Entries, qt.HasLen, 0, qt.Commentf("entries handed out twice"))
+	qt.Assert(t, n.Ready().Entries, qt.HasLen, 0, qt.Commentf("Ready returned entries twice"))
 }
 
-func TestLeaseCountsFromTheSending(t *testing.T) {
+func TestLeaseStartsAtHeartbeatSend(t *testing.T) {
 	for ticks, valid := range map[int]bool{0: true, 7: true, 8: false, 9: false} {
 		n := newVoter(t)
 		n.startElection(false)
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestOldGrantOfAPreVoteIsNotCounted(t *testing.T) {
+func TestStalePreVoteGrantIsNotCounted(t *testing.T) {
 	n := newVoter(t)
 	n.startPreVote()
 	qt.Assert(t, n.Step(Message{Kind: MessagePreVoteReply, From: 2, To: 1, Term: 5}), qt.IsNil)
@@ -152,8 +152,9 @@
 	qt.Assert(t, n.Role(), qt.Equals, Candidate)
 }
 
-// TestAdvanceConfirmsOnlyWhatWasHandedOut replaces the log while the disk is busy.
-func TestAdvanceConfirmsOnlyWhatWasHandedOut(t *testing.T) {
+// TestAdvanceConfirmsOnlyReturnedReady replaces the log between Ready and
+// Advance.
+func TestAdvanceConfirmsOnlyReturnedReady(t *testing.T) {
 	n := newVoter(t)
 	old := []Entry{{Index: 6, Term: 5}, {Index: 7, Term: 5}, {Index: 8, Term: 5}}
 	qt.Assert(t, n.Step(Message{Kind: MessageAppend, From: 2, To: 1, Term: 5, Index: 5, LogTerm: 4, Entries: old}), qt.IsNil)
@@ -168,11 +169,12 @@
 	qt.Assert(t, ready.Snapshot, qt.DeepEquals, snapshot)
 	n.truncateFrom(7)
 	n.appendEntries([]Entry{{Index: 7, Term: 7}})
-	qt.Assert(t, [][]Entry{handed, ready.Entries}, qt.DeepEquals, [][]Entry{old, renewed}, qt.Commentf("handed out entries changed"))
+	qt.Assert(t, [][]Entry{handed, ready.Entries}, qt.DeepEquals, [][]Entry{old, renewed}, qt.Commentf("entries of an earlier Ready changed"))
 }
 
-// TestUncommittedRemovalKeepsTheVote: the removal may be truncated yet.
-func TestUncommittedRemovalKeepsTheVote(t *testing.T) {
+// TestUncommittedRemovalKeepsVote checks that a node votes until its removal is
+// committed, because the removal may be truncated.
+func TestUncommittedRemovalKeepsVote(t *testing.T) {
 	n := newVoter(t)
 	removal := Entry{Index: 6, Term: 5, Kind: EntryMembership, Data: EncodeMembership(Membership{Voters: []NodeID{2, 3}})}
 	n.appendEntries([]Entry{removal})
@@ -186,11 +188,11 @@
 	qt.Assert(t, n.Ready().Messages, qt.HasLen, 0)
 }
 
-// fuzzNumbers are the values that arbitrary messages are made of.
+// fuzzNumbers are the numeric values of fuzzed messages.
 var fuzzNumbers = []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, maxPosition - 1, maxPosition, maxPosition + 1, math.MaxUint64}
 
-// FuzzStep feeds arbitrary messages, ticks and proposals: nothing may panic, and
-// what was committed stays.
+// FuzzStep applies arbitrary messages, ticks and proposals. The node must not panic,
+// and committed entries must not change.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 4, 2, 1, 5, 4, 5, 1, 5, 0, 6, 1})
 	f.Add([]byte{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 2, 3, 6, 2, 1, 6, 0, 0, 0, 0, 0, 0, 2, 4})
--- a/agreement/raft/transfer.go
+++ b/agreement/raft/transfer.go
@@ -8,11 +8,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// TransferLeadership hands leadership to a voter: the leader takes no proposals,
-// brings the voter up to date and tells it to start an election. If that has not
-// ended within ElectionTicks, the leader goes on, or steps down when the voter may
-// still start the election. The error is a *structs.Error of kind not_leader,
-// invalid, or conflict while another transfer is under way.
+// TransferLeadership transfers leadership to a voter: the leader rejects proposals,
+// brings the voter up to date and tells it to start an election. If the transfer does
+// not finish within ElectionTicks, the leader resumes, or steps down if the voter may
+// still start the election. The error is a *structs.Error of kind not_leader, invalid,
+// or conflict while another transfer is in progress.
 func (n *Node) TransferLeadership(to NodeID) error {
 	l := &n.leading
 	switch {
@@ -23,7 +23,7 @@
 	case l.transferee == to:
 		return nil
 	case l.transferee != None:
-		return structs.NewError(structs.ErrorConflict, "another transfer is under way", "Retry once it has ended.")
+		return structs.NewError(structs.ErrorConflict, "another leadership transfer is in progress", "Retry once it has finished.")
 	}
 	l.transferee = to
 	l.transferElapsed = 0
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// continueTransfer tells the transferee to start an election once it has the log.
+// continueTransfer sends MessageTimeoutNow once the transferee has the whole log.
 func (n *Node) continueTransfer() {
 	l := &n.leading
 	member := l.progress[l.transferee]
@@ -43,9 +43,9 @@
 	n.send(Message{Kind: MessageTimeoutNow, To: l.transferee})
 }
 
-// tickTransfer ends a transfer that takes too long. After the order to start an
-// election was sent, it may arrive at any time, and the lease would be void for
-// good: only a new term makes the order harmless.
+// tickTransfer aborts a transfer after ElectionTicks. Once MessageTimeoutNow has been
+// sent it may arrive at any time, so the lease stays invalid until a new term makes the
+// message stale: the leader steps down.
 func (n *Node) tickTransfer() {
 	l := &n.leading
 	if l.transferee == None {
@@ -62,20 +62,21 @@
 	l.transferee = None
 }
 
-// forgetDeparted drops the progress of removed members that know it or are given up.
-func (n *Node) forgetDeparted() {
-	forgotten := false
+// dropRemovedMembers stops tracking removed members that know of their removal or whose
+// deadline has passed.
+func (n *Node) dropRemovedMembers() {
+	dropped := false
 	for id, member := range n.leading.progress {
-		if member.departed(n.now) {
+		if member.removalDone(n.now) {
 			delete(n.leading.progress, id)
-			forgotten = true
+			dropped = true
 		}
 	}
-	if forgotten {
-		n.listPeers()
+	if dropped {
+		n.updatePeers()
 	}
 }
 
-func (n *Node) listPeers() {
+func (n *Node) updatePeers() {
 	n.leading.peers = slices.Sorted(maps.Keys(n.leading.progress))
 }
--- a/agreement/raft/types.go
+++ b/agreement/raft/types.go
@@ -1,14 +1,13 @@
 package raft
 
-// NodeID identifies one incarnation of a member. A member that lost its disk
-// rejoins under a new NodeID, so a vote given before the loss is never
-// contradicted by the same identity.
+// NodeID identifies one incarnation of a member. A member that lost its disk rejoins
+// under a new NodeID, so that no NodeID votes twice in a term.
 type NodeID uint64
 
 // None is the zero NodeID: no node.
 const None NodeID = 0
 
-// Role is the part a node plays in its current term.
+// Role is the role of a node in its current term.
 type Role uint8
 
 // The roles of a node.
@@ -20,7 +19,7 @@
 	Learner
 )
 
-// EntryKind tells what a log entry carries.
+// EntryKind is the kind of a log entry.
 type EntryKind uint8
 
 // The kinds of log entry.
@@ -28,7 +27,7 @@
 	// EntryCommand carries a command of the replicated state machine.
 	EntryCommand EntryKind = iota
 	// EntryNoop is appended by a new leader so that it can commit entries of earlier
-	// terms. The first leader of a group appends the founding membership instead.
+	// terms. The first leader of a group appends the initial membership instead.
 	EntryNoop
 	// EntryMembership carries an encoded Membership that replaces the current one.
 	EntryMembership
@@ -42,15 +41,14 @@
 	Data  []byte
 }
 
-// HardState is the state that must be durable before any message of the same
-// Ready is sent.
+// HardState must be durable before any message of the same Ready is sent.
 type HardState struct {
 	Term   uint64
 	Vote   NodeID
 	Commit uint64
 }
 
-// Membership lists the members of a group. Learners receive the log and do not vote.
+// Membership lists the members of a group. Learners receive the log but do not vote.
 type Membership struct {
 	Voters   []NodeID
 	Learners []NodeID
@@ -64,7 +62,7 @@
 	Data       []byte
 }
 
-// MessageKind tells what a Message asks or answers.
+// MessageKind is the kind of a Message.
 type MessageKind uint8
 
 // The kinds of message between nodes.
@@ -83,52 +81,53 @@
 	MessageTimeoutNow
 )
 
-// Message is what nodes of a group send each other. One type serves all kinds;
-// the comment of each field names the kinds that use it.
+// Message is a message between nodes of a group. One type serves all kinds; the field
+// comments name the kinds that use them.
 type Message struct {
 	Kind MessageKind
 	From NodeID
 	To   NodeID
 	Term uint64
-	// LogTerm and Index name the entry before Entries (append), the candidate's
+	// LogTerm and Index identify the entry before Entries (append), the candidate's
 	// last entry (votes), or the last entry matched (replies).
 	LogTerm uint64
 	Index   uint64
 	Entries []Entry
 	// Commit is the sender's commit index (append, heartbeat and its reply).
 	Commit uint64
-	// Reject and Hint answer an append that does not match: Hint is the index to try next.
+	// Reject is set in replies that refuse a vote or an append; Hint is the index to try
+	// next after a rejected append.
 	Reject bool
 	Hint   uint64
-	// Context is the read-index round that a heartbeat and its reply carry.
+	// Context is the number of the heartbeat round (heartbeat and its reply).
 	Context  uint64
 	Snapshot *Snapshot
-	// Transfer is set on the votes of an election that the leader itself asked for
-	// (MessageTimeoutNow): receivers answer it although they hear from a leader.
+	// Transfer is set on the vote requests of an election that the leader asked for
+	// (MessageTimeoutNow); receivers answer them even while they hear from a leader.
 	Transfer bool
 }
 
-// ReadState says that a read asked for under Context may be served once the
-// state machine has applied Index.
+// ReadState reports that the read requested with Context may be served once the state
+// machine has applied Index.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 }
 
-// Ready is the work a node hands to its shell. The shell must, in this order:
+// Ready is the work that a node returns to its driver. The driver must, in this order:
 //
 //  1. make Snapshot, Entries and HardState durable (one sync) when any is set;
-//  2. send Messages (a reply promises what step 1 made durable);
+//  2. send Messages (replies acknowledge what step 1 made durable);
 //  3. restore Snapshot, then apply Committed, in index order;
 //  4. serve ReadStates once their Index is applied;
 //  5. call Advance.
 //
-// A Snapshot replaces the whole stored log. Entries replace whatever is stored at
-// and after the index of the first of them. The slices are shared with the node
-// and are read only.
+// A Snapshot replaces the whole stored log. Entries replace everything stored at and
+// after the index of the first of them. The slices are shared with the node and must
+// not be modified.
 type Ready struct {
-	// MustSync is false when step 1 may skip the sync: nothing but
-	// HardState.Commit changed, and a lost commit index is found again.
+	// MustSync is false if step 1 may skip the sync: only HardState.Commit changed, and
+	// a lost commit index is recovered from the other members.
 	MustSync   bool
 	HardState  *HardState
 	Snapshot   *Snapshot
--- a/agreement/raft/validate.go
+++ b/agreement/raft/validate.go
@@ -6,9 +6,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// validate refuses a message that no correct node sends to this one. The rest of
-// the package relies on it: terms and indexes of a valid message can be added
-// without overflow, its entries are contiguous and decodable, its snapshot is whole.
+// validate rejects messages that no correct node sends to this one. In a valid message
+// terms and indexes can be added without overflow, entries are contiguous and can be
+// decoded, and the snapshot is complete.
 func (n *Node) validate(m *Message) error {
 	switch {
 	case m.Kind > MessageTimeoutNow:
@@ -16,43 +16,44 @@
 	case m.To != n.id:
 		return errMessage(m, "addressed to another node")
 	case m.From == None || m.From == n.id:
-		return errMessage(m, "impossible sender")
+		return errMessage(m, "invalid sender")
 	case m.Term == 0 || m.Term > maxPosition:
-		return errMessage(m, "impossible term")
+		return errMessage(m, "term out of range")
 	case m.Index > maxPosition || m.Hint > maxPosition || m.Commit > maxPosition:
-		return errMessage(m, "impossible index")
+		return errMessage(m, "index out of range")
 	}
 	switch m.Kind {
 	case MessageVote, MessagePreVote:
 		if m.LogTerm >= m.Term {
-			return errMessage(m, "log of a term that the candidate has not reached")
+			return errMessage(m, "last log term is not below the candidate's term")
 		}
 	case MessageAppend:
 		if m.LogTerm > m.Term {
-			return errMessage(m, "log of a term that the leader has not reached")
+			return errMessage(m, "log term is above the leader's term")
 		}
 		if err := validateEntries(m.Entries, m.Index, m.LogTerm, m.Term); err != nil {
 			return errMessage(m, err.Error())
 		}
 	case MessageSnapshot:
 		if m.Snapshot == nil || !m.Snapshot.valid() || m.Snapshot.Term > m.Term {
-			return errMessage(m, "snapshot is missing or not whole")
+			return errMessage(m, "snapshot is missing or invalid")
 		}
 	}
 	return nil
 }
 
-// validateEntries checks that entries follow (index, term) and end by lastTerm.
+// validateEntries checks that entries directly follow (index, term) and that their
+// terms do not decrease or exceed lastTerm.
 func validateEntries(entries []Entry, index, term, lastTerm uint64) error {
 	for _, entry := range entries {
 		index++
 		switch {
 		case entry.Index != index || entry.Index > maxPosition:
-			return fmt.Errorf("gap in the entries at index %d", index)
+			return fmt.Errorf("entries are not contiguous at index %d", index)
 		case entry.Term == 0 || entry.Term < term || entry.Term > lastTerm:
-			return fmt.Errorf("entry %d has an impossible term", index)
+			return fmt.Errorf("entry %d has a term out of range", index)
 		case entry.Kind > EntryMembership:
-			return fmt.Errorf("entry %d is of an unknown kind", index)
+			return fmt.Errorf("entry %d has an unknown kind", index)
 		}
 		if entry.Kind == EntryMembership {
 			if _, err := DecodeMembership(entry.Data); err != nil {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// valid reports whether the snapshot can replace a log.
+// valid reports whether the snapshot can replace the log.
 func (s Snapshot) valid() bool {
 	bounded := s.Index > 0 && s.Index <= maxPosition && s.Term > 0 && s.Term <= maxPosition
 	return bounded && s.Membership.valid()
@@ -72,6 +73,6 @@
 
 func errMessage(m *Message, problem string) error {
 	return structs.NewError(structs.ErrorInvalid,
-		fmt.Sprintf("raft message of kind %d from node %d refused: %s", m.Kind, m.From, problem),
-		"Check that all members run the same version and that no two share an ID.")
+		fmt.Sprintf("rejected raft message of kind %d from node %d: %s", m.Kind, m.From, problem),
+		"Check that all members run the same version and that no two have the same ID.")
 }
