--- a/agreement/group/addressbook.go
+++ b/agreement/group/addressbook.go
@@ -6,13 +6,13 @@
 	"github.com/lotusferry/lotusferry/agreement/raft"
 )
 
-// addressBook holds the addresses of nodes by where they are known from.
+// addressBook holds the addresses of nodes by source.
 type addressBook struct {
-	// replicated ones came with the log and are part of snapshots.
+	// replicated addresses come from the log and are part of snapshots.
 	replicated map[raft.NodeID]string
-	// configured ones are from the settings.
+	// configured addresses come from the settings.
 	configured map[raft.NodeID]string
-	// learned ones were named by the node itself.
+	// learned addresses were announced by the nodes themselves.
 	learned map[raft.NodeID]string
 	// names are replicated with the addresses.
 	names map[raft.NodeID]string
@@ -31,7 +31,7 @@
 	return book
 }
 
-// replicate notes a member that came with the log.
+// replicate records a member from the log.
 func (b addressBook) replicate(member Member) {
 	b.replicated[member.Node] = member.Address
 	if member.Name != "" {
@@ -39,7 +39,8 @@
 	}
 }
 
-// all merges the addresses; replicated ones prevail, learned ones give way.
+// all returns the merged addresses. Replicated addresses take precedence over
+// configured ones, and those over learned ones.
 func (b addressBook) all() map[raft.NodeID]string {
 	merged := maps.Clone(b.learned)
 	maps.Copy(merged, b.configured)
@@ -56,7 +57,7 @@
 	return ""
 }
 
-// restore replaces what is replicated by what a snapshot holds.
+// restore replaces the replicated addresses and names by those of a snapshot.
 func (b *addressBook) restore(decoded groupSnapshot) {
 	b.replicated = decoded.Addresses
 	b.names = decoded.Names
--- a/agreement/group/apply.go
+++ b/agreement/group/apply.go
@@ -14,7 +14,7 @@
 const (
 	// commandStateMachine carries a command of the state machine.
 	commandStateMachine commandKind = iota + 1
-	// commandAddress carries a Member: the address of a node that is to be added.
+	// commandAddress carries the Member with the address of a node to be added.
 	commandAddress
 )
 
@@ -32,7 +32,7 @@
 	return append([]byte{byte(commandAddress)}, encoded...), nil
 }
 
-// apply applies committed entries in index order and answers their proposers.
+// apply applies committed entries in index order and replies to their proposers.
 func (g *Group) apply(entries []raft.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -50,8 +50,8 @@
 	g.stateMutex.Unlock()
 	last := entries[len(entries)-1]
 	g.loop.applied = last.Index
-	g.loop.appliedAt = last.Term
-	// Who gets an answer may look at the status next, and must find it there.
+	g.loop.appliedTerm = last.Term
+	// Publish first: a proposer may read the status as soon as it has its reply.
 	g.publish()
 	for position, entry := range entries {
 		g.answerProposal(entry, results[position])
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// applyEntry runs under stateMutex.
+// applyEntry applies one entry. The caller must hold stateMutex.
 func (g *Group) applyEntry(entry raft.Entry) (any, error) {
 	if entry.Kind != raft.EntryCommand {
 		return nil, nil
@@ -88,8 +88,8 @@
 		"Run the same version of the daemon on all members."), "entry %d", index)
 }
 
-// View runs read while nothing is applied. Views may run at the same time, so
-// read must not change the state machine; it should be short.
+// View calls read while no entry is applied. Views run concurrently, so read must not
+// modify the state machine. It should be short, because it delays the group.
 func (g *Group) View(read func()) {
 	g.stateMutex.RLock()
 	defer g.stateMutex.RUnlock()
--- a/agreement/group/backup.go
+++ b/agreement/group/backup.go
@@ -11,40 +11,40 @@
 	"github.com/lotusferry/lotusferry/agreement/raft"
 )
 
-// nodeIDBits keeps node IDs exact in every JSON reader; the highest bit is set, so
-// that they differ from small numbers given by hand.
+// nodeIDBits keeps node IDs exact in JSON readers that use float64. The highest bit is
+// set to distinguish them from small IDs assigned manually.
 const nodeIDBits = 53
 
-// restoreTerms is by how many terms a restored group is ahead of its backup. A
-// group that held an election every second for twelve days since the backup is
-// still behind it, so that orders of its leaders are fenced off.
-const restoreTerms = 1 << 20
+// restoreTermIncrement is added to the term of a backup, so that a restored group's
+// terms exceed those that the old group can have reached since. The fencing epochs of
+// the old leaders are then stale.
+const restoreTermIncrement = 1 << 20
 
-// NewNodeID makes the identity of a new store. It is random, so that a store that
-// replaces a lost one never has the identity that voted before.
+// NewNodeID returns a random node ID for a new store, so that a store that replaces a
+// lost one does not reuse an ID that may have voted.
 func NewNodeID() raft.NodeID {
 	var random [8]byte
-	// Reading never fails.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(random[:])
 	const highest = uint64(1) << (nodeIDBits - 1)
 	return raft.NodeID(binary.BigEndian.Uint64(random[:])&(highest-1) | highest)
 }
 
-// backup asks the loop for a snapshot.
-type backup struct{ answer chan outcome }
+// backupRequest requests a snapshot from the loop.
+type backupRequest struct{ answer chan outcome }
 
-// Backup returns a snapshot of this member, the leader, that holds every command
-// whose Propose had returned before Backup was called, with the membership and the
+// Backup returns a snapshot of this member, which must be the leader. It includes every
+// command whose Propose returned before Backup was called, the membership, and the
 // members' addresses and names. The errors are those of Read.
 func (g *Group) Backup(ctx context.Context) (raft.Snapshot, error) {
 	if err := g.Read(ctx); err != nil {
 		return raft.Snapshot{}, err
 	}
-	asked := &backup{answer: newAnswer()}
+	asked := &backupRequest{answer: newAnswer()}
 	if err := g.submit(ctx, asked); err != nil {
 		return raft.Snapshot{}, err
 	}
-	result, err := g.await(ctx, asked.answer, g.lateReadError)
+	result, err := g.await(ctx, asked.answer, g.readTimeoutError)
 	if err != nil {
 		return raft.Snapshot{}, err
 	}
@@ -52,14 +52,14 @@
 }
 
 // start implements request.
-func (b *backup) start(g *Group) {
+func (b *backupRequest) start(g *Group) {
 	snapshot, err := g.takeSnapshot()
 	b.answer <- outcome{result: snapshot, err: err}
 }
 
-// Refound makes of a backup what the store of the only voter of a restored group
-// holds. No other member of the old group belongs to the new one, and its terms
-// begin above those of the old one.
+// Refound returns the snapshot and hard state with which member, as the only voter,
+// restores a group from a backup. No other member of the old group belongs to the new
+// one, and its terms start above those of the old one.
 func Refound(backup raft.Snapshot, member Member) (raft.Snapshot, raft.HardState, error) {
 	decoded, err := decodeGroupSnapshot(backup.Data)
 	if err != nil {
@@ -76,5 +76,5 @@
 	}
 	backup.Data = data
 	backup.Membership = raft.Membership{Voters: []raft.NodeID{member.Node}}
-	return backup, raft.HardState{Term: backup.Term + restoreTerms, Commit: backup.Index}, nil
+	return backup, raft.HardState{Term: backup.Term + restoreTermIncrement, Commit: backup.Index}, nil
 }
--- a/agreement/group/benchmark_test.go
+++ b/agreement/group/benchmark_test.go
@@ -11,10 +11,10 @@
 	"github.com/lotusferry/lotusferry/internal/transport"
 )
 
-// plannedEntries and plannedBytes are a log of one entry an adapter.
+// benchmarkEntries and benchmarkEntryBytes describe a log with one entry per adapter.
 const (
-	plannedEntries = 58_000
-	plannedBytes   = 200
+	benchmarkEntries    = 58_000
+	benchmarkEntryBytes = 200
 )
 
 // proposeMany proposes count commands from several goroutines.
@@ -24,7 +24,7 @@
 	for proposer := range proposers {
 		waiting.Go(func() {
 			for number := proposer; number < count; number += proposers {
-				if _, err := leader.Propose(cl.ctx, make([]byte, plannedBytes)); err != nil {
+				if _, err := leader.Propose(cl.ctx, make([]byte, benchmarkEntryBytes)); err != nil {
 					failures <- err
 					return
 				}
@@ -62,8 +62,8 @@
 	}
 }
 
-// BenchmarkIdleTraffic reports what one follower and its leader exchange, in both
-// directions together, with the default heartbeat.
+// BenchmarkIdleTraffic reports the traffic between a leader and one follower, summed over
+// both directions, with the default heartbeat.
 func BenchmarkIdleTraffic(b *testing.B) {
 	c := qt.New(b)
 	cl := newCluster(c, 3, Options{TickInterval: DefaultTickInterval})
@@ -83,20 +83,20 @@
 	b.ReportMetric(float64(traffic()-before)/time.Since(started).Seconds()/2, "bytes/s/follower")
 }
 
-// BenchmarkRestart measures from opening the file until the log that was known to
-// be committed is applied.
+// BenchmarkRestart measures the time from opening the store until the entries known to be
+// committed are applied.
 func BenchmarkRestart(b *testing.B) {
 	c := qt.New(b)
-	cl := newCluster(c, 1, Options{TickInterval: DefaultTickInterval, SnapshotEntries: 10 * plannedEntries})
+	cl := newCluster(c, 1, Options{TickInterval: DefaultTickInterval, SnapshotEntries: 10 * benchmarkEntries})
 	only := cl.leader(cl.members...)
-	proposeMany(c, cl, only, 64, plannedEntries)
+	proposeMany(c, cl, only, 64, benchmarkEntries)
 	for b.Loop() {
 		b.StopTimer()
 		only.stop()
 		b.StartTimer()
 		only.start()
 		committed := only.Status().CommitIndex
-		c.Assert(committed > plannedEntries*9/10, qt.IsTrue)
-		only.wait("the log", func(status Status) bool { return status.AppliedIndex >= committed })
+		c.Assert(committed > benchmarkEntries*9/10, qt.IsTrue)
+		only.waitFor("the log", func(status Status) bool { return status.AppliedIndex >= committed })
 	}
 }
--- a/agreement/group/cluster_test.go
+++ b/agreement/group/cluster_test.go
@@ -23,21 +23,20 @@
 
 const (
 	testTick = 20 * time.Millisecond
-	// testElectionTicks keeps leaders in office on a machine that stalls for less
-	// than the election timeout of 2 s. First elections do not wait for it.
+	// testElectionTicks gives an election timeout of 2 s, so that short stalls of the
+	// machine cause no elections.
 	testElectionTicks = 100
-	// testLimit ends a test that would otherwise wait for ever. It is no measure of
-	// speed.
+	// testLimit ends a test that hangs.
 	testLimit = 5 * time.Minute
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// journal is a state machine that keeps the first of all equal commands, in order,
-// and returns its position, counted from 1.
-type journal struct{ Commands []string }
+// commandLog is a state machine that stores each distinct command once, in order. Apply
+// returns the position of the command, counted from 1.
+type commandLog struct{ Commands []string }
 
-func (j *journal) Apply(_, _ uint64, command []byte) any {
+func (j *commandLog) Apply(_, _ uint64, command []byte) any {
 	if position := slices.Index(j.Commands, string(command)); position >= 0 {
 		return position + 1
 	}
@@ -45,9 +44,9 @@
 	return len(j.Commands)
 }
 
-func (j *journal) Snapshot() ([]byte, error) { return json.Marshal(j.Commands) }
+func (j *commandLog) Snapshot() ([]byte, error) { return json.Marshal(j.Commands) }
 
-func (j *journal) Restore(data []byte) error {
+func (j *commandLog) Restore(data []byte) error {
 	j.Commands = nil
 	return json.Unmarshal(data, &j.Commands)
 }
@@ -61,19 +60,19 @@
 	path    string
 	faults  *transport.Faults
 	options Options
-	// unaware members are told no address but their own.
-	unaware bool
+	// knowsNoPeers members are configured with their own address only.
+	knowsNoPeers bool
 
-	journal *journal
-	store   *logstore.Store
-	client  *transport.Client
-	server  *transport.Server
-	cancel  context.CancelFunc
-	ended   chan error
+	state     *commandLog
+	store     *logstore.Store
+	client    *transport.Client
+	server    *transport.Server
+	cancel    context.CancelFunc
+	runResult chan error
 }
 
-// cluster is a group whose members run in this process. In a test, which runs in
-// virtual time, its network is in memory; in a benchmark it is nil, which is TCP.
+// cluster is a group whose members run in this process. Tests run in virtual time on an
+// in-memory network; benchmarks use a nil network, which is TCP.
 type cluster struct {
 	c       *qt.C
 	ctx     context.Context
@@ -99,17 +98,16 @@
 		each.start()
 	}
 	if size > 0 {
-		c.Assert(made.members[0].submit(ctx, hurry{}), qt.IsNil)
+		c.Assert(made.members[0].submit(ctx, electNow{}), qt.IsNil)
 	}
 	return made
 }
 
-// hurry lets the time of a member that knows no leader pass until it stands for
-// election.
-type hurry struct{}
+// electNow ticks a member that knows no leader until it starts an election.
+type electNow struct{}
 
 // start implements request.
-func (hurry) start(g *Group) {
+func (electNow) start(g *Group) {
 	for range 2 * g.options.ElectionTicks {
 		status := g.loop.node.Status()
 		if status.Leader == raft.None && status.Role == raft.Follower {
@@ -118,7 +116,7 @@
 	}
 }
 
-// add makes a member that is not started yet.
+// add creates a member without starting it.
 func (cl *cluster) add(options Options) *member {
 	node := raft.NodeID(len(cl.members) + 1)
 	server, err := transport.NewServer(log.NewNopLogger(), transport.Options{Address: "127.0.0.1:0", Network: cl.network})
@@ -139,12 +137,12 @@
 func (m *member) start() {
 	m.open()
 	ctx, cancel := context.WithCancel(context.Background())
-	m.cancel, m.ended = cancel, make(chan error, 1)
+	m.cancel, m.runResult = cancel, make(chan error, 1)
 	go m.server.Serve()
-	go func(running *Group, ended chan error) { ended <- running.Run(ctx) }(m.Group, m.ended)
+	go func(running *Group, ended chan error) { ended <- running.Run(ctx) }(m.Group, m.runResult)
 }
 
-// open makes the member's group, which does not run yet.
+// open creates the member's group without running it.
 func (m *member) open() {
 	c := m.cluster.c
 	var err error
@@ -157,12 +155,12 @@
 	})
 	m.store, err = logstore.Open(m.path, logstore.Identity{Group: "test", Daemon: "control", Node: m.node})
 	c.Assert(err, qt.IsNil)
-	m.journal = &journal{}
+	m.state = &commandLog{}
 	options := m.options
-	options.Store, options.Client, options.Server, options.StateMachine = m.store, m.client, m.server, m.journal
+	options.Store, options.Client, options.Server, options.StateMachine = m.store, m.client, m.server, m.state
 	options.Members = nil
 	for _, each := range m.cluster.members {
-		if each == m || !m.unaware {
+		if each == m || !m.knowsNoPeers {
 			options.Members = append(options.Members, Member{Node: each.node, Address: each.address})
 		}
 	}
@@ -170,7 +168,7 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// stop ends the member as a process would end; its file stays.
+// stop stops the member like a process exit; its file remains.
 func (m *member) stop() {
 	if m.cancel != nil {
 		m.cancel()
@@ -185,8 +183,8 @@
 	}
 }
 
-// wait returns once condition holds, which is asked after every change of m.
-func (m *member) wait(what string, condition func(Status) bool) {
+// waitFor returns once condition holds; it is evaluated after every change of m.
+func (m *member) waitFor(what string, condition func(Status) bool) {
 	for {
 		changed := m.Applied()
 		if condition(m.Status()) {
@@ -195,12 +193,12 @@
 		select {
 		case <-changed:
 		case <-m.cluster.ctx.Done():
-			m.cluster.c.Fatalf("node %d: %s did not come about: %+v", m.node, what, m.Status())
+			m.cluster.c.Fatalf("node %d: timed out waiting for %s: %+v", m.node, what, m.Status())
 		}
 	}
 }
 
-// leader waits until one of the members given leads with a valid lease.
+// leader waits until one of the given members leads with a valid lease.
 func (cl *cluster) leader(among ...*member) *member {
 	found := make(chan *member, len(among))
 	ctx, cancel := context.WithCancel(cl.ctx)
@@ -224,7 +222,7 @@
 	case leader := <-found:
 		return leader
 	case <-ctx.Done():
-		cl.c.Fatalf("no leader came about")
+		cl.c.Fatalf("no leader was elected")
 		return nil
 	}
 }
@@ -233,8 +231,8 @@
 	return slices.DeleteFunc(slices.Clone(cl.members), func(each *member) bool { return each == excluded })
 }
 
-// propose proposes numbered commands. One whose outcome is unknown is sent again to
-// the next leader, which the state machine makes safe.
+// propose proposes numbered commands. A command with an unknown outcome is retried at the
+// next leader; the state machine ignores duplicates.
 func (cl *cluster) propose(first, count int) {
 	for number := first; number < first+count; number++ {
 		result, err := cl.proposeOnce(number)
@@ -256,13 +254,13 @@
 
 func (m *member) commands() []string {
 	var commands []string
-	m.View(func() { commands = slices.Clone(m.journal.Commands) })
+	m.View(func() { commands = slices.Clone(m.state.Commands) })
 	return commands
 }
 
 func (cl *cluster) assertConverged(count int) {
 	for _, each := range cl.members {
-		each.wait(fmt.Sprint(count, " commands"), func(Status) bool { return len(each.commands()) >= count })
+		each.waitFor(fmt.Sprint(count, " commands"), func(Status) bool { return len(each.commands()) >= count })
 		commands := each.commands()
 		cl.c.Assert(commands, qt.HasLen, count)
 		for number, command := range commands {
@@ -271,8 +269,8 @@
 	}
 }
 
-// cut cuts all traffic between m and the others.
-func (m *member) cut() {
+// partition blocks all traffic between m and the others.
+func (m *member) partition() {
 	for _, other := range m.cluster.others(m) {
 		m.faults.Cut(other.address)
 		other.faults.Cut(m.address)
--- a/agreement/group/doc.go
+++ b/agreement/group/doc.go
@@ -1,23 +1,22 @@
-// Package group runs one raft group: it feeds a raft.Node with ticks, messages and
-// proposals, makes its log durable through a logstore.Store, exchanges messages
-// over net/rpc and applies committed commands to a StateMachine.
+// Package group runs one member of a Raft group: it drives a raft.Node with ticks,
+// messages and proposals, persists its log in a logstore.Store, exchanges messages over
+// net/rpc and applies committed commands to a StateMachine.
 //
-// One goroutine owns the node. Each pass takes everything that waits (messages,
-// proposals, reads), makes it durable with one sync, sends, applies, and answers:
-// proposals that arrive during a sync share the next one. Messages to each peer go
-// through a bounded queue of their own, and are dropped when it is full, so that a
-// stalled peer never holds up the leader; raft sends again.
+// One goroutine owns the node. Each iteration takes all pending messages, proposals and
+// reads, persists them with one sync, then sends, applies and replies, so that proposals
+// that arrive during a sync share the next one. Each peer has a bounded message queue;
+// messages are dropped when it is full, so that a stalled peer does not block the
+// leader. Raft retransmits them.
 //
 // # Lease
 //
-// A leader's lease is checked by ticks (raft) and by the monotonic clock: every
-// batch of messages carries its sender's clock reading, which the receiver echoes
-// once it has accepted the sender as leader. The lease counts from the newest
-// reading that a quorum echoed. A process that was paused finds its lease over when
-// it wakes, before it has read a single message.
+// A leader's lease is checked by ticks (raft) and by the monotonic clock: every batch of
+// messages carries its sender's clock reading, which the receiver echoes once it has
+// accepted the sender as leader. The lease starts at the newest reading that a quorum
+// echoed. After a pause of the process the lease has expired before any message is read.
 //
 // # Failure
 //
-// When storage fails, Run returns the error and nothing that was not synced has
-// been promised to a peer or a caller.
+// When storage fails, Run returns the error. Peers and callers have been sent only
+// results that were synced.
 package group
--- a/agreement/group/found.go
+++ b/agreement/group/found.go
@@ -10,33 +10,33 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// founding asks the loop to begin a new group.
-type founding struct {
+// foundRequest asks the loop to create a new group.
+type foundRequest struct {
 	members []Member
 	answer  chan outcome
 }
 
-// Found begins a new group whose first voters are members, this one among them.
-// Every founding member must be given the same list. The list is durable when
-// Found returns. Founding again with a list that names the same nodes changes
-// nothing. ErrorConflict: the member already belongs to a group, or the list does
-// not name its node, as when its disk was replaced since the list was made.
+// Found creates a new group whose initial voters are members, including this one. All
+// initial members must be given the same list, which is durable when Found returns.
+// Calling it again with the same nodes is a no-op. It returns ErrorConflict if the
+// member already belongs to a group, or if the list does not contain its node, such as
+// after its disk was replaced.
 func (g *Group) Found(ctx context.Context, members []Member) error {
-	return g.ask(ctx, func(answer chan outcome) request { return &founding{members: members, answer: answer} })
+	return g.submitAndWait(ctx, func(answer chan outcome) request { return &foundRequest{members: members, answer: answer} })
 }
 
 // start implements request.
-func (f *founding) start(g *Group) { f.answer <- outcome{err: g.found(f.members)} }
+func (f *foundRequest) start(g *Group) { f.answer <- outcome{err: g.found(f.members)} }
 
 func (g *Group) found(members []Member) error {
-	membership, snapshot, err := foundation(members)
+	membership, snapshot, err := foundingSnapshot(members)
 	if err != nil {
 		return err
 	}
 	if !membership.HasVoter(g.options.Node) {
 		return structs.NewError(structs.ErrorConflict,
-			"the founding members of group "+g.options.Name+" do not name this node",
-			"Found the group again with the members as they are now.")
+			"the initial members of group "+g.options.Name+" do not include this node",
+			"Create the group again with its current members.")
 	}
 	if g.loop.node.Status().Membership.Equal(membership) {
 		return nil
@@ -47,7 +47,7 @@
 	}
 	if !isEmpty(restored) || !g.loop.held {
 		return structs.NewError(structs.ErrorConflict,
-			"this member of group "+g.options.Name+" already belongs to one",
+			"this member of group "+g.options.Name+" already belongs to a group",
 			"Add members to the running group with `lotusferryctl member add`.")
 	}
 	if err := g.options.Store.Save(nil, nil, &snapshot); err != nil {
@@ -57,8 +57,8 @@
 	return g.startNode(restored)
 }
 
-// foundation makes the snapshot, at index 0, that a new group begins with.
-func foundation(members []Member) (raft.Membership, raft.Snapshot, error) {
+// foundingSnapshot returns the initial snapshot of a new group, at index 0.
+func foundingSnapshot(members []Member) (raft.Membership, raft.Snapshot, error) {
 	book := newAddressBook(nil)
 	var membership raft.Membership
 	for _, member := range members {
@@ -66,12 +66,12 @@
 		book.replicate(member)
 	}
 	data, err := msgpack.Marshal(&groupSnapshot{Addresses: book.replicated, Names: book.names})
-	return membership, raft.Snapshot{Membership: membership, Data: data}, errors.Wrap(err, "encode founding members")
+	return membership, raft.Snapshot{Membership: membership, Data: data}, errors.Wrap(err, "encode initial members")
 }
 
-// restoreFoundation takes the addresses and names of a group that has no other
-// snapshot than the one it was founded with.
-func (g *Group) restoreFoundation(snapshot raft.Snapshot) error {
+// restoreFoundingSnapshot restores the addresses and names from the initial snapshot. It
+// does nothing if the group has a later one.
+func (g *Group) restoreFoundingSnapshot(snapshot raft.Snapshot) error {
 	if snapshot.Index > 0 || len(snapshot.Data) == 0 {
 		return nil
 	}
@@ -85,27 +85,27 @@
 	return nil
 }
 
-// admission asks the loop to take part.
-type admission struct{ answer chan outcome }
+// admitRequest asks the loop to end the hold of the member.
+type admitRequest struct{ answer chan outcome }
 
-// Admit ends the hold of a member that its group has added as a learner, or that
-// the group lists already. It is harmless for a member that is not held.
+// Admit ends the hold of a member that its group has added as a learner or already
+// lists. It is a no-op for a member that is not held.
 func (g *Group) Admit(ctx context.Context) error {
-	return g.ask(ctx, func(answer chan outcome) request { return &admission{answer: answer} })
+	return g.submitAndWait(ctx, func(answer chan outcome) request { return &admitRequest{answer: answer} })
 }
 
 // start implements request.
-func (a *admission) start(g *Group) {
+func (a *admitRequest) start(g *Group) {
 	g.loop.held = false
 	a.answer <- outcome{}
 }
 
-// ask hands the loop a request that is answered at once.
-func (g *Group) ask(ctx context.Context, newRequest func(chan outcome) request) error {
+// submitAndWait submits a request that the loop answers immediately, and returns its error.
+func (g *Group) submitAndWait(ctx context.Context, newRequest func(chan outcome) request) error {
 	answer := newAnswer()
 	if err := g.submit(ctx, newRequest(answer)); err != nil {
 		return err
 	}
-	_, err := g.await(ctx, answer, func(context.Context) error { return overdueError(g.options.Name) })
+	_, err := g.await(ctx, answer, func(context.Context) error { return notStartedError(g.options.Name) })
 	return err
 }
--- a/agreement/group/found_test.go
+++ b/agreement/group/found_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestHeldMemberTakesNoPartUntilItIsAdmitted(t *testing.T) {
+func TestHeldMemberIsPassiveUntilAdmitted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -18,11 +18,11 @@
 		leader := cl.leader(cl.members...)
 		cl.propose(0, 5)
 		joining := cl.add(Options{Hold: true})
-		joining.unaware = true
+		joining.knowsNoPeers = true
 		joining.start()
 		added := Member{Node: joining.node, Address: joining.address, Name: "fourth"}
 		c.Assert(leader.AddLearner(cl.ctx, added), qt.IsNil)
-		// The leader's first append is lost on the held member, and heartbeats follow.
+		// The held member drops the leader's first append and the heartbeats after it.
 		before := leader.server.Stats().BytesIn
 		cl.propose(5, 5)
 		c.Assert(leader.server.Stats().BytesIn > before, qt.IsTrue)
@@ -30,14 +30,14 @@
 		c.Assert(joining.Status().Term, qt.Equals, uint64(0))
 		c.Assert(leader.Status().Progress[joining.node].Match, qt.Equals, uint64(0))
 		c.Assert(joining.Admit(cl.ctx), qt.IsNil)
-		leader.wait("the learner to catch up", func(status Status) bool { return status.Progress[joining.node].CaughtUp })
+		leader.waitFor("the learner to catch up", func(status Status) bool { return status.Progress[joining.node].CaughtUp })
 		c.Assert(leader.Promote(cl.ctx, added), qt.IsNil)
 		cl.assertConverged(10)
-		joining.wait("the names", func(status Status) bool { return status.Names[joining.node] == "fourth" })
+		joining.waitFor("the names", func(status Status) bool { return status.Names[joining.node] == "fourth" })
 	})
 }
 
-func TestFoundingIsDurableAndDoneOnce(t *testing.T) {
+func TestFoundIsDurableAndIdempotent(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -49,7 +49,7 @@
 		}
 		for _, each := range cl.members {
 			each.start()
-			c.Assert(structs.KindOf(each.Found(cl.ctx, members[:each.node-1])) != "", qt.IsTrue) // does not name it
+			c.Assert(structs.KindOf(each.Found(cl.ctx, members[:each.node-1])) != "", qt.IsTrue) // the list lacks this node
 			c.Assert(each.Found(cl.ctx, members), qt.IsNil)
 			c.Assert(each.Found(cl.ctx, members), qt.IsNil)
 			other := append([]Member{{Node: 9, Address: each.address}}, members...)
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestRestoredGroupIsAheadOfItsBackup(t *testing.T) {
+func TestRestoredGroupStartsAtLaterTerm(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -83,7 +83,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(restored.Index, qt.Equals, saved.Index)
 		c.Assert(restored.Membership.Voters, qt.DeepEquals, []raft.NodeID{node})
-		c.Assert(state.Term > saved.Term+restoreTerms-1, qt.IsTrue)
+		c.Assert(state.Term > saved.Term+restoreTermIncrement-1, qt.IsTrue)
 		_, _, err = Refound(raft.Snapshot{Index: 1, Term: 1, Data: []byte{0xc1}}, Member{Node: node})
 		c.Assert(err, qt.IsNotNil)
 	})
--- a/agreement/group/group.go
+++ b/agreement/group/group.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// incomingBatches bounds the batches of messages that wait for the loop.
-	incomingBatches = 256
-	// waitingRequests bounds the requests that wait for the loop, and how many one
-	// pass takes.
-	waitingRequests = 1024
+	// maxIncomingBatches is the capacity of the queue of incoming message batches.
+	maxIncomingBatches = 256
+	// maxPendingRequests is the capacity of the request queue, and the maximum number of
+	// batches and requests taken per iteration.
+	maxPendingRequests = 1024
 )
 
-// Group runs one member of one raft group.
+// Group runs one member of a Raft group.
 type Group struct {
 	logger  log.Logger
 	options Options
 	service *raftService
-	// now is the time since the group was made, that of suspensions of the machine included.
+	// now returns the time since New, including machine suspensions.
 	now func() time.Duration
 
 	incoming chan StepArguments
 	requests chan request
-	// stopped is closed when Run has returned.
+	// stopped is closed when Run returns.
 	stopped chan struct{}
 	running sync.Once
 
-	// stateMutex guards the state machine and addresses. Only the loop writes.
+	// stateMutex guards the state machine and addresses. Only the loop modifies them.
 	stateMutex sync.RWMutex
 	addresses  addressBook
 
-	// statusMutex guards what the loop publishes.
+	// statusMutex guards the state that the loop publishes.
 	statusMutex sync.Mutex
 	status      Status
 	lease       leaseState
@@ -48,30 +48,30 @@
 	loop loop
 }
 
-// loop is the state that only the goroutine of Run touches.
+// loop is the state owned by the goroutine of Run.
 type loop struct {
-	node      *raft.Node
-	applied   uint64
-	appliedAt uint64 // term of the last entry applied
-	proposals map[uint64]*proposal
-	reads     readQueue
-	echoes    echoes
-	senders   map[raft.NodeID]*sender
-	snapshots snapshotState
-	standbys  standbys
-	// held members neither step messages nor vote; see Options.Hold.
+	node        *raft.Node
+	applied     uint64
+	appliedTerm uint64
+	proposals   map[uint64]*proposal
+	reads       readQueue
+	echoes      echoes
+	senders     map[raft.NodeID]*sender
+	snapshots   snapshotState
+	standbys    standbyState
+	// held disables ticks and messages; see Options.Hold.
 	held bool
-	// heard is when the last batch came from each node.
-	heard map[raft.NodeID]time.Duration
-	// leading is the term in which this node leads, 0 when it does not.
-	leading uint64
-	// unsaved is the hard state that differs from the stored one in its commit index
-	// only, or nil.
-	unsaved *raft.HardState
+	// lastHeard is the time of the last batch from each node.
+	lastHeard map[raft.NodeID]time.Duration
+	// leaderTerm is the term in which this node leads, or 0.
+	leaderTerm uint64
+	// unsavedHardState is a hard state that differs from the stored one only in its
+	// commit index, or nil.
+	unsavedHardState *raft.HardState
 }
 
 // New loads the member's state from the store and restores the state machine. The
-// group takes part once Run is called.
+// member becomes active when Run is called.
 func New(logger log.Logger, options Options) (*Group, error) {
 	options, err := options.withDefaults()
 	if err != nil {
@@ -82,15 +82,15 @@
 		logger:    log.With(logger, "component", "group", "group", options.Name),
 		options:   options,
 		now:       func() time.Duration { return options.Now().Sub(started) },
-		incoming:  make(chan StepArguments, incomingBatches),
-		requests:  make(chan request, waitingRequests),
+		incoming:  make(chan StepArguments, maxIncomingBatches),
+		requests:  make(chan request, maxPendingRequests),
 		stopped:   make(chan struct{}),
 		addresses: newAddressBook(options.Members),
 		changed:   make(chan struct{}),
 		loop: loop{
 			proposals: make(map[uint64]*proposal),
 			senders:   make(map[raft.NodeID]*sender),
-			heard:     make(map[raft.NodeID]time.Duration),
+			lastHeard: make(map[raft.NodeID]time.Duration),
 			echoes:    newEchoes(),
 		},
 	}
@@ -124,9 +124,9 @@
 	return g.startNode(restored)
 }
 
-// startNode makes the raft node of what the store holds.
+// startNode creates the raft node from the restored state.
 func (g *Group) startNode(restored raft.Restored) error {
-	if err := g.restoreFoundation(restored.Snapshot); err != nil {
+	if err := g.restoreFoundingSnapshot(restored.Snapshot); err != nil {
 		return err
 	}
 	node, err := raft.New(raft.Config{
@@ -151,11 +151,11 @@
 		len(restored.Snapshot.Membership.Voters) == 0 && len(restored.Entries) == 0
 }
 
-// Run takes part in the group until ctx ends, and then returns nil, or until
-// storage fails. It may be called once. Requests that still wait when it returns
-// are answered as unavailable.
+// Run runs the member until ctx ends, and then returns nil, or until storage or the
+// state machine fails. It may be called only once. Requests pending when it returns
+// fail with ErrorUnavailable.
 func (g *Group) Run(ctx context.Context) error {
-	err := errors.New("a group runs only once")
+	err := errors.New("Run was called more than once")
 	g.running.Do(func() { err = g.run(ctx) })
 	return err
 }
@@ -179,7 +179,7 @@
 	defer ticker.Stop()
 	for {
 		if err := g.process(sending, senders); err != nil {
-			level.Error(g.logger).Log("msg", "The group stops because a step failed.", "err", err)
+			level.Error(g.logger).Log("msg", "Stopping the group after a processing error.", "err", err)
 			return err
 		}
 		select {
@@ -192,7 +192,7 @@
 		case next := <-g.requests:
 			next.start(g)
 		}
-		g.takeWaiting()
+		g.drainPending()
 		g.startReads()
 	}
 }
@@ -200,13 +200,14 @@
 func (g *Group) tick() {
 	if !g.loop.held {
 		g.loop.node.Tick()
-		g.yield()
+		g.yieldLeadership()
 	}
 }
 
-// takeWaiting takes what else waits, so that it shares the next sync.
-func (g *Group) takeWaiting() {
-	for range waitingRequests {
+// drainPending takes the other pending batches and requests, so that they share the next
+// sync.
+func (g *Group) drainPending() {
+	for range maxPendingRequests {
 		select {
 		case batch := <-g.incoming:
 			g.step(batch)
@@ -218,11 +219,11 @@
 	}
 }
 
-// process carries out what the node hands out, in the order that raft.Ready
-// prescribes, until there is no more.
+// process handles Readys of the node until there are none, then compacts the log and
+// publishes the state.
 func (g *Group) process(sending context.Context, senders *sync.WaitGroup) error {
 	for g.loop.node.HasReady() {
-		if err := g.carryOut(g.loop.node.Ready(), sending, senders); err != nil {
+		if err := g.handleReady(g.loop.node.Ready(), sending, senders); err != nil {
 			return err
 		}
 		g.loop.node.Advance()
@@ -230,23 +231,23 @@
 	if err := g.compact(); err != nil {
 		return err
 	}
-	g.noteLeadership()
+	g.updateLeadership()
 	g.publish()
 	g.finishReads()
 	return nil
 }
 
-func (g *Group) carryOut(ready raft.Ready, sending context.Context, senders *sync.WaitGroup) error {
+func (g *Group) handleReady(ready raft.Ready, sending context.Context, senders *sync.WaitGroup) error {
 	if ready.Snapshot != nil {
 		if _, err := decodeGroupSnapshot(ready.Snapshot.Data); err != nil {
 			return err
 		}
 	}
-	// Messages promise what this call makes durable, so it comes first.
+	// Messages acknowledge what save makes durable.
 	if err := g.save(ready); err != nil {
 		return err
 	}
-	// One of the messages may hand leadership over, so the lease ends before it.
+	// A message may transfer leadership, so the lease must end before it is sent.
 	if !g.loop.node.LeaseValid() {
 		g.endLease()
 	}
@@ -260,28 +261,28 @@
 	if err := g.apply(ready.Committed); err != nil {
 		return err
 	}
-	g.noteReadStates(ready.ReadStates)
+	g.confirmReads(ready.ReadStates)
 	return nil
 }
 
-// save makes the work durable. A commit index alone is kept for the next sync: one
-// that is lost is found again from the other members.
+// save persists a Ready. A changed commit index alone is deferred to the next sync,
+// because a lost one is recovered from the other members.
 func (g *Group) save(ready raft.Ready) error {
 	if ready.HardState != nil {
-		g.loop.unsaved = ready.HardState
+		g.loop.unsavedHardState = ready.HardState
 	}
 	if !ready.MustSync {
 		return nil
 	}
-	err := g.options.Store.Save(g.loop.unsaved, ready.Entries, ready.Snapshot)
-	g.loop.unsaved = nil
+	err := g.options.Store.Save(g.loop.unsavedHardState, ready.Entries, ready.Snapshot)
+	g.loop.unsavedHardState = nil
 	return err
 }
 
-// stop answers everything that waits. Nothing is added afterwards, because
-// callers watch the stopped channel.
+// stop fails all pending requests. No request is added afterwards, because callers
+// watch the stopped channel.
 func (g *Group) stop() {
-	g.loop.leading = 0
+	g.loop.leaderTerm = 0
 	g.failProposals()
 	g.failReads()
 	g.statusMutex.Lock()
--- a/agreement/group/group_test.go
+++ b/agreement/group/group_test.go
@@ -15,7 +15,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestGroupGoesOnWithoutItsLeaderAndTakesItBack(t *testing.T) {
+func TestGroupSurvivesLeaderRestart(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -39,14 +39,14 @@
 	})
 }
 
-func TestFollowerRefusesWithTheLeadersAddress(t *testing.T) {
+func TestFollowerErrorNamesLeader(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cl := newCluster(c, 3, Options{})
 		leader := cl.leader(cl.members...)
 		follower := cl.others(leader)[0]
-		follower.wait("the leader's name", func(status Status) bool { return status.LeaderNode == leader.node })
+		follower.waitFor("the leader's name", func(status Status) bool { return status.LeaderNode == leader.node })
 		_, err := follower.Propose(cl.ctx, []byte("command"))
 		for _, err := range []error{err, follower.Read(cl.ctx), follower.TransferLeadership(cl.ctx)} {
 			var typed *structs.Error
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestMemberFarBehindCatchesUpBySnapshot(t *testing.T) {
+func TestLaggingMemberCatchesUpBySnapshot(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -75,13 +75,13 @@
 		c.Assert(behind.Status().AppliedIndex < leader.Status().SnapshotIndex, qt.IsTrue)
 		cl.assertConverged(105)
 		c.Assert(behind.Status().SnapshotIndex > 20, qt.IsTrue)
-		leader.stop() // the snapshot also serves a restart
+		leader.stop() // a restart restores the snapshot
 		leader.start()
 		cl.assertConverged(105)
 	})
 }
 
-func TestLeaderThatIsCutOffLosesItsLeaseAndSaysTheOutcomeIsUnknown(t *testing.T) {
+func TestPartitionedLeaderLosesLeaseAndReportsUnknownOutcome(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -89,7 +89,7 @@
 		old := cl.leader(cl.members...)
 		cl.propose(0, 3)
 		epoch, _ := old.LeaderLease()
-		old.cut()
+		old.partition()
 		_, err := old.Propose(cl.ctx, []byte("lost"))
 		c.Assert(structs.KindOf(err), qt.Equals, structs.ErrorUnavailable)
 		c.Assert(err, qt.ErrorMatches, "the outcome of the command is unknown: .*same edit or claim ID.*")
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestProposalOfAnEndedContextIsNotMade(t *testing.T) {
+func TestProposalWithEndedContextIsNotMade(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -121,7 +121,7 @@
 	})
 }
 
-func TestStalledPeerHoldsUpNobody(t *testing.T) {
+func TestStalledPeerDoesNotBlockGroup(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -140,7 +140,7 @@
 	})
 }
 
-func TestReadSeesEveryEarlierProposal(t *testing.T) {
+func TestReadReflectsEarlierProposals(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -162,7 +162,7 @@
 	})
 }
 
-func TestConcurrentProposalsAreAppliedOnceInTheSameOrder(t *testing.T) {
+func TestConcurrentProposalsAreAppliedOnceInSameOrder(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -191,7 +191,7 @@
 		}
 		expected := leader.commands()
 		for _, follower := range cl.others(leader) {
-			follower.wait("all commands", func(Status) bool { return len(follower.commands()) == len(expected) })
+			follower.waitFor("all commands", func(Status) bool { return len(follower.commands()) == len(expected) })
 			c.Assert(follower.commands(), qt.DeepEquals, expected)
 		}
 	})
@@ -212,7 +212,7 @@
 	})
 }
 
-func TestNodeJoinsIsPromotedAndReplacesAnother(t *testing.T) {
+func TestJoinedNodeReplacesVoter(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -220,12 +220,12 @@
 		leader := cl.leader(cl.members...)
 		cl.propose(0, 40)
 		joining := cl.add(Options{})
-		joining.unaware = true
+		joining.knowsNoPeers = true
 		joining.start()
 		added := Member{Node: joining.node, Address: joining.address}
 		c.Assert(structs.KindOf(leader.Promote(cl.ctx, added)), qt.Equals, structs.ErrorNotFound)
 		c.Assert(leader.AddLearner(cl.ctx, added), qt.IsNil)
-		leader.wait("the learner to catch up", func(status Status) bool { return status.Progress[joining.node].CaughtUp })
+		leader.waitFor("the learner to catch up", func(status Status) bool { return status.Progress[joining.node].CaughtUp })
 		c.Assert(leader.Promote(cl.ctx, added), qt.IsNil)
 		removed := cl.others(leader)[0]
 		c.Assert(leader.Remove(cl.ctx, Member{Node: removed.node}), qt.IsNil)
@@ -239,7 +239,7 @@
 			c.Assert(membership.HasVoter(joining.node), qt.IsTrue)
 			c.Assert(each.Status().Addresses[joining.node], qt.Equals, joining.address)
 		}
-		// The address outlives a restart, with and without a snapshot.
+		// The address must survive a restart.
 		other := cl.others(leader)[0]
 		other.stop()
 		other.start()
@@ -249,7 +249,7 @@
 	})
 }
 
-func TestStorageFailureEndsRunAndPromisesNothing(t *testing.T) {
+func TestStorageFailureEndsRun(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -259,7 +259,7 @@
 		c.Assert(leader.store.Close(), qt.IsNil)
 		_, err := leader.Propose(cl.ctx, []byte("not durable here"))
 		c.Assert(structs.KindOf(err), qt.Equals, structs.ErrorUnavailable)
-		c.Assert(<-leader.ended, qt.ErrorMatches, ".*writing .* failed.*")
+		c.Assert(<-leader.runResult, qt.ErrorMatches, ".*writing .* failed.*")
 		_, valid := leader.LeaderLease()
 		c.Assert(valid, qt.IsFalse)
 		_, err = leader.Propose(cl.ctx, []byte("too late"))
@@ -268,7 +268,7 @@
 	})
 }
 
-func TestOptionsThatLeaveNoLeaseAreRefused(t *testing.T) {
+func TestNewRejectsOptionsWithoutLease(t *testing.T) {
 	c := qt.New(t)
 	for _, options := range []Options{{ElectionTicks: 4, HeartbeatTicks: 1}, {ElectionTicks: 10, HeartbeatTicks: 6}} {
 		_, err := New(log.NewNopLogger(), options)
--- a/agreement/group/lease.go
+++ b/agreement/group/lease.go
@@ -10,44 +10,45 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// leaseMarginTicks is taken off the election timeout: a follower's ticker may
-// deliver one tick at once and the next one right after it.
+// leaseMarginTicks is subtracted from the election timeout: a follower's ticker may
+// deliver two ticks in quick succession.
 const leaseMarginTicks = 2
 
-// acknowledgement is a clock reading of a leader in a term.
-type acknowledgement struct {
+// clockReading is a monotonic clock reading of a leader, in nanoseconds, and its term.
+type clockReading struct {
 	sent int64
 	term uint64
 }
 
-// echoes follows who accepted whom as leader, and when.
+// echoes tracks the clock readings of leaders that this node accepted, and of this node
+// that members accepted.
 type echoes struct {
-	// accepted holds the newest reading of each node that this one accepted as
-	// leader; it is echoed to that node.
-	accepted map[raft.NodeID]acknowledgement
-	// acknowledged holds the newest reading of this node, as leader of the current
-	// term, that each member echoed.
-	acknowledged map[raft.NodeID]acknowledgement
+	// accepted holds the newest reading of each node that this one accepted as leader,
+	// to be echoed to that node.
+	accepted map[raft.NodeID]clockReading
+	// acknowledged holds, by member, the newest echoed reading of this node as leader of
+	// the current term.
+	acknowledged map[raft.NodeID]clockReading
 }
 
 func newEchoes() echoes {
 	return echoes{
-		accepted:     make(map[raft.NodeID]acknowledgement),
-		acknowledged: make(map[raft.NodeID]acknowledgement),
+		accepted:     make(map[raft.NodeID]clockReading),
+		acknowledged: make(map[raft.NodeID]clockReading),
 	}
 }
 
-// leaseState is what LeaderLease judges by.
+// leaseState is the published state that LeaderLease evaluates.
 type leaseState struct {
 	epoch structs.Epoch
-	// held is set while this node leads, raft holds its lease valid, and an entry
-	// of the current term has been applied.
+	// held is set while this node leads, its raft lease is valid, and an entry of the
+	// current term has been applied.
 	held bool
-	// start is when the newest round began that a quorum answered.
+	// start is the newest clock reading echoed by a quorum; see leaseStart.
 	start time.Duration
 }
 
-// step gives a batch of messages to the node and notes the clock readings in it.
+// step passes a batch of messages to the node and records the clock readings in it.
 func (g *Group) step(batch StepArguments) {
 	if batch.Address != "" {
 		g.learnAddress(batch.From, batch.Address)
@@ -55,26 +56,26 @@
 	if g.loop.held {
 		return
 	}
-	g.loop.heard[batch.From] = g.now()
+	g.loop.lastHeard[batch.From] = g.now()
 	fromLeader := false
 	for _, message := range batch.Messages {
 		if message.From != batch.From || message.To != g.options.Node {
 			continue
 		}
 		if err := g.loop.node.Step(message); err != nil {
-			level.Warn(g.logger).Log("msg", "A message was refused.", "from", message.From, "err", err)
+			level.Warn(g.logger).Log("msg", "A raft message was rejected.", "from", message.From, "err", err)
 			continue
 		}
 		fromLeader = fromLeader || g.acceptedAsLeader(message)
 	}
 	if fromLeader {
-		g.loop.echoes.accepted[batch.From] = acknowledgement{sent: batch.Sent, term: g.loop.node.Term()}
+		g.loop.echoes.accepted[batch.From] = clockReading{sent: batch.Sent, term: g.loop.node.Term()}
 	}
-	g.noteEcho(batch)
+	g.recordEcho(batch)
 }
 
-// acceptedAsLeader reports whether the message, just stepped, was one by which a
-// leader holds off elections, and the node follows its sender in its term.
+// acceptedAsLeader reports whether the message, which was just stepped, is from a leader
+// that the node follows in the message's term and resets the election timeout.
 func (g *Group) acceptedAsLeader(message raft.Message) bool {
 	switch message.Kind {
 	case raft.MessageAppend, raft.MessageHeartbeat, raft.MessageSnapshot:
@@ -84,18 +85,18 @@
 	}
 }
 
-func (g *Group) noteEcho(batch StepArguments) {
+func (g *Group) recordEcho(batch StepArguments) {
 	term := g.loop.node.Term()
 	if g.loop.node.Role() != raft.Leader || batch.EchoTerm != term {
 		return
 	}
 	if batch.Echo > g.loop.echoes.acknowledged[batch.From].sent {
-		g.loop.echoes.acknowledged[batch.From] = acknowledgement{sent: batch.Echo, term: term}
+		g.loop.echoes.acknowledged[batch.From] = clockReading{sent: batch.Echo, term: term}
 	}
 }
 
-// leaseStart returns the newest clock reading that a quorum of the voters has
-// echoed in the term; the leader itself counts with the present.
+// leaseStart returns the newest clock reading that a quorum of the voters has echoed in
+// the current term, or -1. The leader's own reading is the current time.
 func (g *Group) leaseStart(status raft.Status) time.Duration {
 	readings := make([]int64, 0, len(status.Membership.Voters))
 	for _, voter := range status.Membership.Voters {
@@ -115,8 +116,7 @@
 	return time.Duration(readings[len(readings)-quorum])
 }
 
-// leaseDuration is how long a lease lasts from its start. A tenth is taken off
-// for clocks of unequal rate.
+// leaseDuration returns the length of a lease. It is reduced by a tenth for clock drift.
 func (g *Group) leaseDuration() time.Duration {
 	ticks := g.options.ElectionTicks - leaseMarginTicks
 	return time.Duration(ticks) * g.options.TickInterval * 9 / 10
@@ -126,11 +126,11 @@
 	return time.Duration(g.options.ElectionTicks) * g.options.TickInterval
 }
 
-// LeaderLease returns the epoch of this node's leadership and whether its lease is
-// valid now: no other node can lead, and the state machine shows every command of
-// earlier epochs. The lease is judged by the clock at the moment of the call, also
-// when the process was paused just before. Orders carry the epoch, because nothing
-// holds the time between this answer and their arrival.
+// LeaderLease returns the epoch of this node's leadership and whether its lease is valid
+// now: no other node can lead, and the state machine reflects every command of earlier
+// epochs. Validity is evaluated by the clock at the time of the call, so it is correct
+// even right after a pause of the process. Commands to other processes must carry the epoch, because
+// the lease may expire before they arrive.
 func (g *Group) LeaderLease() (epoch structs.Epoch, valid bool) {
 	g.statusMutex.Lock()
 	lease := g.lease
@@ -138,7 +138,7 @@
 	return lease.epoch, g.leaseHolds(lease)
 }
 
-// endLease makes LeaderLease report no lease from now on, until publish.
+// endLease invalidates the published lease until the next publish.
 func (g *Group) endLease() {
 	g.statusMutex.Lock()
 	defer g.statusMutex.Unlock()
--- a/agreement/group/lease_test.go
+++ b/agreement/group/lease_test.go
@@ -11,9 +11,9 @@
 	"github.com/lotusferry/lotusferry/agreement/raft"
 )
 
-// A process that was stopped and goes on has read no message yet, but its clock
-// tells that the lease is over.
-func TestPausedLeaderDoesNotBelieveItsOldLease(t *testing.T) {
+// A process that resumes after a pause must see its lease expired before it has read any
+// message.
+func TestPausedLeaderSeesLeaseExpired(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -29,9 +29,9 @@
 			pause time.Duration
 			valid bool
 		}{
-			{"just short of the lease", leader.leaseDuration() - 1, true},
-			{"the lease", leader.leaseDuration(), false},
-			{"long", time.Hour, false},
+			{"just below the lease duration", leader.leaseDuration() - 1, true},
+			{"exactly the lease duration", leader.leaseDuration(), false},
+			{"much longer than the lease", time.Hour, false},
 		} {
 			paused := &Group{options: leader.options, lease: lease}
 			paused.now = func() time.Duration { return lease.start + test.pause }
@@ -43,57 +43,57 @@
 	})
 }
 
-// A process that stalls longer than its lease finds it renewed when it goes on. Who
-// saw it over must be woken: nothing else may ever change in an idle group.
-func TestRenewalOfALeaseThatHadRunOutIsSignalled(t *testing.T) {
+// A lease that expired and was renewed must signal waiters that saw it expired, because
+// nothing else may change in an idle group.
+func TestRenewalOfExpiredLeaseIsSignaled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cl := newCluster(c, 0, Options{})
-		alone := cl.add(Options{Bootstrap: raft.Membership{Voters: []raft.NodeID{1}}})
-		alone.open()
-		defer alone.client.Close()
-		defer alone.store.Close()
+		single := cl.add(Options{Bootstrap: raft.Membership{Voters: []raft.NodeID{1}}})
+		single.open()
+		defer single.client.Close()
+		defer single.store.Close()
 		clock := time.Second
-		alone.now = func() time.Duration { return clock }
+		single.now = func() time.Duration { return clock }
 		var senders sync.WaitGroup
-		hurry{}.start(alone.Group)
-		c.Assert(alone.process(cl.ctx, &senders), qt.IsNil)
-		_, valid := alone.LeaderLease()
+		electNow{}.start(single.Group)
+		c.Assert(single.process(cl.ctx, &senders), qt.IsNil)
+		_, valid := single.LeaderLease()
 		c.Assert(valid, qt.IsTrue)
 
-		clock += alone.leaseDuration()
-		changed := alone.Applied()
-		_, valid = alone.LeaderLease()
+		clock += single.leaseDuration()
+		changed := single.Applied()
+		_, valid = single.LeaderLease()
 		c.Assert(valid, qt.IsFalse)
-		c.Assert(alone.process(cl.ctx, &senders), qt.IsNil)
-		_, valid = alone.LeaderLease()
+		c.Assert(single.process(cl.ctx, &senders), qt.IsNil)
+		_, valid = single.LeaderLease()
 		c.Assert(valid, qt.IsTrue)
 		select {
 		case <-changed:
 		default:
-			c.Fatal("nobody is told that the lease holds again")
+			c.Fatal("the renewed lease was not signaled")
 		}
 	})
 }
 
-// The lease counts from the moment before the oldest batch of the newest quorum.
-func TestLeaseCountsFromTheQuorumsEchoesOfThisTerm(t *testing.T) {
+// The lease starts at the oldest reading of the quorum with the newest echoes.
+func TestLeaseStartsAtQuorumEchoOfCurrentTerm(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		name     string
 		voters   []raft.NodeID
-		echoes   map[raft.NodeID]acknowledgement
+		echoes   map[raft.NodeID]clockReading
 		expected time.Duration
 	}{
-		{"alone", []raft.NodeID{1}, nil, 100},
+		{"single voter", []raft.NodeID{1}, nil, 100},
 		{"no echo", []raft.NodeID{1, 2, 3}, nil, -1},
-		{"one of two", []raft.NodeID{1, 2, 3}, map[raft.NodeID]acknowledgement{2: {70, 5}}, 70},
-		{"the newer of two", []raft.NodeID{1, 2, 3}, map[raft.NodeID]acknowledgement{2: {70, 5}, 3: {90, 5}}, 90},
-		{"an older term", []raft.NodeID{1, 2, 3}, map[raft.NodeID]acknowledgement{2: {70, 4}}, -1},
-		{"no voter", []raft.NodeID{1, 2, 3}, map[raft.NodeID]acknowledgement{4: {70, 5}}, -1},
-		{"both of three others", []raft.NodeID{1, 2, 3, 4}, map[raft.NodeID]acknowledgement{2: {70, 5}, 3: {90, 5}}, 70},
-		{"leader is no voter", []raft.NodeID{2, 3}, map[raft.NodeID]acknowledgement{2: {70, 5}, 3: {90, 5}}, 70},
+		{"one of two", []raft.NodeID{1, 2, 3}, map[raft.NodeID]clockReading{2: {70, 5}}, 70},
+		{"the newer of two", []raft.NodeID{1, 2, 3}, map[raft.NodeID]clockReading{2: {70, 5}, 3: {90, 5}}, 90},
+		{"an older term", []raft.NodeID{1, 2, 3}, map[raft.NodeID]clockReading{2: {70, 4}}, -1},
+		{"echo of a non-voter", []raft.NodeID{1, 2, 3}, map[raft.NodeID]clockReading{4: {70, 5}}, -1},
+		{"both of three others", []raft.NodeID{1, 2, 3, 4}, map[raft.NodeID]clockReading{2: {70, 5}, 3: {90, 5}}, 70},
+		{"leader is not a voter", []raft.NodeID{2, 3}, map[raft.NodeID]clockReading{2: {70, 5}, 3: {90, 5}}, 70},
 	} {
 		g := &Group{options: Options{Node: 1}, now: func() time.Duration { return 100 }}
 		g.loop.echoes.acknowledged = test.echoes
--- a/agreement/group/options.go
+++ b/agreement/group/options.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The defaults for options that are zero.
+// Defaults of Options fields that are zero.
 const (
 	DefaultTickInterval    = 100 * time.Millisecond
 	DefaultElectionTicks   = 12
@@ -20,33 +20,33 @@
 )
 
 const (
-	// minElectionTicks leaves a lease after its margin (see leaseDuration).
+	// minElectionTicks leaves a positive lease duration; see leaseDuration.
 	minElectionTicks = 5
-	// maxMessageEntries bounds the entries of one append.
+	// maxMessageEntries bounds the number of entries in one append.
 	maxMessageEntries = 256
-	// maxInflightMessages bounds the appends to one peer that are not answered.
+	// maxInflightMessages bounds the unacknowledged appends to one peer.
 	maxInflightMessages = 64
-	// maxUncommittedEntries bounds the entries that wait for a quorum.
+	// maxUncommittedEntries bounds the uncommitted entries of a leader.
 	maxUncommittedEntries = 8192
-	// MaxCommandBytes bounds one command.
+	// MaxCommandBytes is the maximum size of a command.
 	MaxCommandBytes = 16 << 20
 )
 
-// StateMachine is what the group replicates. The group never calls its methods
-// at the same time, nor during a View. It sends no heartbeat while one of them
-// runs, so each must take much less than the election timeout.
+// StateMachine is the replicated state machine. The group never calls its methods
+// concurrently, and calls neither Apply nor Restore during a View. It sends no heartbeats
+// while a method runs, so each must take much less than the election timeout.
 type StateMachine interface {
-	// Apply executes the command of the entry at index and returns its result to
-	// the proposer. It must depend on nothing but its arguments and earlier calls.
+	// Apply executes the command of the entry at index and returns the result for the
+	// proposer. It must be deterministic.
 	Apply(index, term uint64, command []byte) any
 	// Snapshot encodes the whole state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the whole state by one that Snapshot encoded.
+	// Restore replaces the whole state with one encoded by Snapshot.
 	Restore(data []byte) error
 }
 
-// Member is a node with the address (host:port) of its transport server and the
-// name of the process that holds it, which outlives a replaced disk.
+// Member is a node, the address (host:port) of its transport server, and the name of
+// its process, which is kept when a disk is replaced.
 type Member struct {
 	Node    raft.NodeID
 	Address string
@@ -55,22 +55,22 @@
 
 // Options configure a Group.
 type Options struct {
-	// Name tells apart the groups that share a transport.
+	// Name identifies the group among those that share a transport.
 	Name string
 	Node raft.NodeID
-	// Members gives the addresses known from the settings. Addresses of members
-	// added later come with the log.
+	// Members lists the addresses from the settings. Addresses of members added later
+	// are replicated in the log.
 	Members []Member
-	// Bootstrap is the first membership. It must be the same at all first members,
-	// and empty at a node that joins an existing group. It is read only when the
-	// store is empty.
+	// Bootstrap is the initial membership. It must be the same on all initial members,
+	// and empty on a node that joins an existing group. It is used only if the store is
+	// empty.
 	Bootstrap raft.Membership
-	// Hold keeps a member that knows no membership from taking part until Found or
-	// Admit: a new store must not vote, nor take a log, before it is known whether
-	// its group exists.
+	// Hold keeps a member without a membership passive until Found or Admit is called: a
+	// new store must neither vote nor accept a log before it is known whether its group
+	// exists.
 	Hold bool
-	// Standbys names the processes that vote and keep the log but lead only while no
-	// other voter is fit to. It should be the same at all members.
+	// Standbys names the processes whose nodes vote and store the log but lead only while
+	// no other voter can. It should be the same on all members.
 	Standbys []string
 	// Store is opened and closed by the caller.
 	Store        *logstore.Store
@@ -78,16 +78,16 @@
 	Server       *transport.Server
 	StateMachine StateMachine
 	TickInterval time.Duration
-	// ElectionTicks is how many ticks without a leader lead to an election;
-	// HeartbeatTicks is how many ticks lie between a leader's heartbeats.
+	// ElectionTicks is the minimum number of ticks without a leader before an election;
+	// HeartbeatTicks is the interval between a leader's heartbeats.
 	ElectionTicks  int
 	HeartbeatTicks int
-	// SnapshotEntries is how many applied entries lead to a snapshot.
+	// SnapshotEntries is the number of applied entries between snapshots.
 	SnapshotEntries uint64
-	// Seed makes the random election timeouts; members need different ones.
+	// Seed seeds the random election timeouts, together with Node.
 	Seed uint64
-	// Now is the clock that leases are held against, which counts suspensions of the machine;
-	// nil means clock.Now.
+	// Now is the clock for leases, which must include machine suspensions; nil means
+	// clock.Now.
 	Now func() time.Time
 }
 
@@ -109,7 +109,7 @@
 	}
 	if o.ElectionTicks < minElectionTicks || o.HeartbeatTicks*2 > o.ElectionTicks {
 		return o, structs.NewError(structs.ErrorInvalid,
-			fmt.Sprintf("group %s: %d election ticks and %d heartbeat ticks do not fit", o.Name, o.ElectionTicks, o.HeartbeatTicks),
+			fmt.Sprintf("group %s: %d election ticks are too few for %d heartbeat ticks", o.Name, o.ElectionTicks, o.HeartbeatTicks),
 			fmt.Sprintf("Set at least %d election ticks, and at most half as many heartbeat ticks.", minElectionTicks))
 	}
 	return o, nil
--- a/agreement/group/propose.go
+++ b/agreement/group/propose.go
@@ -11,20 +11,20 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// proposal is a command or membership that waits to be applied.
+// proposal is a command or membership change that is pending until it is applied.
 type proposal struct {
 	ctx context.Context
-	// propose hands it to the node.
+	// propose passes the proposal to the node.
 	propose func(*raft.Node) (index, term uint64, err error)
 	term    uint64
 	answer  chan outcome
 }
 
-// Propose replicates command and returns what Apply returned for it. The errors:
-// ErrorNotLeader with the leader's address, ErrorInvalid for a command above
-// MaxCommandBytes, and ErrorOverloaded say that the command was not and will not be
-// applied; ErrorDeadline (ctx ended) and ErrorUnavailable say that the outcome is
-// unknown, unless their remedy says that nothing was done.
+// Propose replicates command and returns the result of Apply. ErrorNotLeader with the
+// leader's address, ErrorInvalid for a command above MaxCommandBytes, and
+// ErrorOverloaded mean that the command was not and will not be applied. ErrorDeadline
+// (ctx ended) and ErrorUnavailable mean that the outcome is unknown, unless their remedy
+// states that nothing was done.
 func (g *Group) Propose(ctx context.Context, command []byte) (any, error) {
 	if len(command) > MaxCommandBytes {
 		return nil, structs.NewError(structs.ErrorInvalid,
@@ -40,10 +40,10 @@
 	if err := g.submit(ctx, proposed); err != nil {
 		return nil, err
 	}
-	return g.await(ctx, proposed.answer, g.lateProposalError)
+	return g.await(ctx, proposed.answer, g.proposalTimeoutError)
 }
 
-func (g *Group) lateProposalError(ctx context.Context) error {
+func (g *Group) proposalTimeoutError(ctx context.Context) error {
 	err := g.unknownOutcomeError("did not answer in time")
 	var typed *structs.Error
 	if errors.As(err, &typed) && errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -55,7 +55,7 @@
 // start implements request.
 func (p *proposal) start(g *Group) {
 	if p.ctx.Err() != nil {
-		p.answer <- outcome{err: overdueError(g.options.Name)}
+		p.answer <- outcome{err: notStartedError(g.options.Name)}
 		return
 	}
 	if g.loop.node.Role() != raft.Leader {
@@ -74,8 +74,8 @@
 	g.loop.proposals[index] = p
 }
 
-// answerProposal answers the proposal at the index of an applied entry. Another
-// term there means that the proposal was replaced and will never be applied.
+// answerProposal completes the proposal at the index of an applied entry. If the terms
+// differ, the proposal was overwritten and will never be applied.
 func (g *Group) answerProposal(entry raft.Entry, result any) {
 	proposed, found := g.loop.proposals[entry.Index]
 	if !found {
@@ -89,7 +89,7 @@
 	proposed.answer <- outcome{result: result}
 }
 
-// failProposals answers all proposals with an unknown outcome.
+// failProposals fails all pending proposals with an unknown outcome.
 func (g *Group) failProposals() {
 	for index, proposed := range g.loop.proposals {
 		delete(g.loop.proposals, index)
@@ -97,32 +97,32 @@
 	}
 }
 
-// failProposalsUpTo answers the proposals that a snapshot passed by.
+// failProposalsUpTo fails the proposals up to last, which a snapshot has superseded.
 func (g *Group) failProposalsUpTo(last uint64) {
 	for index, proposed := range g.loop.proposals {
 		if index <= last {
 			delete(g.loop.proposals, index)
-			proposed.answer <- outcome{err: g.unknownOutcomeError("went on without this member")}
+			proposed.answer <- outcome{err: g.unknownOutcomeError("replaced this member's log by a snapshot")}
 		}
 	}
 }
 
-// noteLeadership fails what waits when this node has stopped leading, or leads in
-// another term than the one in which it was asked.
-func (g *Group) noteLeadership() {
+// updateLeadership fails the pending proposals and reads when this node has stopped
+// leading or leads in another term.
+func (g *Group) updateLeadership() {
 	term := g.loop.node.Term()
 	leading := uint64(0)
 	if g.loop.node.Role() == raft.Leader {
 		leading = term
 	}
-	if leading == g.loop.leading {
+	if leading == g.loop.leaderTerm {
 		return
 	}
-	if g.loop.leading != 0 {
+	if g.loop.leaderTerm != 0 {
 		g.failProposals()
 		g.failReads()
 	}
-	g.loop.leading = leading
-	g.loop.echoes.acknowledged = make(map[raft.NodeID]acknowledgement)
+	g.loop.leaderTerm = leading
+	g.loop.echoes.acknowledged = make(map[raft.NodeID]clockReading)
 	level.Info(g.logger).Log("msg", "The leadership changed.", "term", term, "leader", g.loop.node.Leader())
 }
--- a/agreement/group/read.go
+++ b/agreement/group/read.go
@@ -8,20 +8,21 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// read is a caller that waits for a read barrier.
+// read is a pending linearizable read.
 type read struct {
 	ctx    context.Context
 	answer chan outcome
 }
 
-// readQueue holds reads by the step they have reached.
+// readQueue holds the pending reads by stage.
 type readQueue struct {
-	// arrived reads share the next read-index round.
+	// arrived holds the reads for the next read-index round.
 	arrived []*read
-	// lastContext is the newest round; rounds holds the reads of those unanswered.
+	// lastContext identifies the newest round; rounds holds the reads of unconfirmed
+	// rounds.
 	lastContext uint64
 	rounds      map[uint64][]*read
-	// confirmed reads wait for their index to be applied.
+	// confirmed holds the reads whose index is not applied yet.
 	confirmed []confirmedReads
 }
 
@@ -30,26 +31,26 @@
 	reads []*read
 }
 
-// Read returns once the state machine of this node, the leader, shows every
-// command whose Propose had returned anywhere before Read was called. The errors
-// are ErrorNotLeader, ErrorDeadline, ErrorOverloaded and ErrorUnavailable; a read
-// may always be asked for again.
+// Read returns once the state machine of this node, which must be the leader, reflects
+// every command whose Propose returned on any node before Read was called. The errors are
+// ErrorNotLeader, ErrorDeadline, ErrorOverloaded and ErrorUnavailable; a read may always
+// be retried.
 func (g *Group) Read(ctx context.Context) error {
 	asked := &read{ctx: ctx, answer: newAnswer()}
 	if err := g.submit(ctx, asked); err != nil {
 		return err
 	}
-	_, err := g.await(ctx, asked.answer, g.lateReadError)
+	_, err := g.await(ctx, asked.answer, g.readTimeoutError)
 	return err
 }
 
-func (g *Group) lateReadError(ctx context.Context) error {
+func (g *Group) readTimeoutError(ctx context.Context) error {
 	kind := structs.ErrorUnavailable
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		kind = structs.ErrorDeadline
 	}
 	typed := structs.NewError(kind, "group "+g.options.Name+" did not confirm a read in time",
-		"Ask again; a quorum of the members must be running.")
+		"Retry; a quorum of the members must be running.")
 	typed.RetryAfter = g.electionTimeout()
 	return typed
 }
@@ -57,13 +58,13 @@
 // start implements request.
 func (r *read) start(g *Group) {
 	if r.ctx.Err() != nil {
-		r.answer <- outcome{err: overdueError(g.options.Name)}
+		r.answer <- outcome{err: notStartedError(g.options.Name)}
 		return
 	}
 	g.loop.reads.arrived = append(g.loop.reads.arrived, r)
 }
 
-// startReads begins one round for all reads that arrived.
+// startReads starts one read-index round for all arrived reads.
 func (g *Group) startReads() {
 	queue := &g.loop.reads
 	if len(queue.arrived) == 0 {
@@ -86,7 +87,7 @@
 	queue.rounds[queue.lastContext] = reads
 }
 
-func (g *Group) noteReadStates(states []raft.ReadState) {
+func (g *Group) confirmReads(states []raft.ReadState) {
 	queue := &g.loop.reads
 	for _, state := range states {
 		reads := queue.rounds[state.Context]
@@ -95,7 +96,7 @@
 	}
 }
 
-// finishReads answers the confirmed reads whose index is applied.
+// finishReads completes the confirmed reads whose index is applied.
 func (g *Group) finishReads() {
 	queue := &g.loop.reads
 	waiting := queue.confirmed[:0]
@@ -110,7 +111,7 @@
 	queue.confirmed = waiting
 }
 
-// failReads answers all reads when this node has stopped leading.
+// failReads fails all pending reads after this node has stopped leading.
 func (g *Group) failReads() {
 	queue := &g.loop.reads
 	err := g.notLeaderError()
--- a/agreement/group/request.go
+++ b/agreement/group/request.go
@@ -7,21 +7,21 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// request is something that a caller asks of the loop; start runs on its goroutine.
+// request is a caller's request to the loop; start runs on the loop's goroutine.
 type request interface{ start(*Group) }
 
-// outcome is the answer to a request.
+// outcome is the result of a request.
 type outcome struct {
 	result any
 	err    error
 }
 
-// newAnswer makes the channel on which the loop answers one request. The loop never
-// waits for the caller to take the answer.
+// newAnswer returns the channel for the outcome of one request. It is buffered, so that
+// the loop never blocks on the caller.
 func newAnswer() chan outcome { return make(chan outcome, 1) }
 
-// submit hands a request to the loop. When it returns an error, the request was
-// not and will not be started.
+// submit queues a request for the loop. If it returns an error, the request was not and
+// will not be started.
 func (g *Group) submit(ctx context.Context, submitted request) error {
 	select {
 	case <-g.stopped:
@@ -34,21 +34,21 @@
 	case <-g.stopped:
 		return stoppedError(g.options.Name)
 	case <-ctx.Done():
-		return overdueError(g.options.Name)
+		return notStartedError(g.options.Name)
 	}
 }
 
-// await waits for the answer of a submitted request; late makes the error for a
-// context that ends first.
-func (g *Group) await(ctx context.Context, answer <-chan outcome, late func(context.Context) error) (any, error) {
+// await waits for the outcome of a submitted request. timeoutError returns the error for
+// a context that ends first.
+func (g *Group) await(ctx context.Context, answer <-chan outcome, timeoutError func(context.Context) error) (any, error) {
 	select {
 	case done := <-answer:
 		return done.result, done.err
 	case <-ctx.Done():
-		return nil, late(ctx)
+		return nil, timeoutError(ctx)
 	case <-g.stopped:
 	}
-	// stop answers before it closes stopped.
+	// stop completes all requests before it closes stopped.
 	select {
 	case done := <-answer:
 		return done.result, done.err
@@ -57,18 +57,18 @@
 	}
 }
 
-// notLeaderError names the leader, as far as this node knows one.
+// notLeaderError returns an ErrorNotLeader with the leader's address, if known.
 func (g *Group) notLeaderError() error {
 	leader := g.loop.node.Leader()
 	typed := structs.NewError(structs.ErrorNotLeader,
 		fmt.Sprintf("node %d does not lead group %s", g.options.Node, g.options.Name),
-		"Ask the leader that this error names, or any other member.")
+		"Retry at the leader named in this error, or at any other member.")
 	if leader != g.options.Node {
 		typed.Leader = g.addressOf(leader)
 	}
 	if typed.Leader == "" {
 		typed.RetryAfter = g.electionTimeout()
-		typed.Remedy = "Ask again after an election; a quorum of the members must be running."
+		typed.Remedy = "Retry after an election; a quorum of the members must be running."
 	}
 	return typed
 }
@@ -76,18 +76,18 @@
 func (g *Group) unknownOutcomeError(reason string) error {
 	typed := structs.NewError(structs.ErrorUnavailable,
 		fmt.Sprintf("the outcome of the command is unknown: group %s %s", g.options.Name, reason),
-		"Send it again with the same edit or claim ID; that is safe and gives the first answer.")
+		"Retry with the same edit or claim ID; that is safe and returns the first result.")
 	typed.RetryAfter = g.electionTimeout()
 	return typed
 }
 
-// overdueError is for a request whose context ended before it was started.
-func overdueError(name string) error {
+// notStartedError is the error of a request whose context ended before it was started.
+func notStartedError(name string) error {
 	return structs.NewError(structs.ErrorOverloaded,
-		"group "+name+" did not take the request in time", "Ask again later; nothing was done.")
+		"group "+name+" did not start the request in time", "Retry later; nothing was done.")
 }
 
 func stoppedError(name string) error {
 	return structs.NewError(structs.ErrorUnavailable,
-		"this daemon's member of group "+name+" is stopped", "Ask another member; nothing was done.")
+		"this daemon's member of group "+name+" is stopped", "Retry at another member; nothing was done.")
 }
--- a/agreement/group/sender.go
+++ b/agreement/group/sender.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// maxQueuedMessages and maxQueuedBytes bound the queue to one peer. The bytes
-	// are checked before a message is added, so one large message always fits.
+	// maxQueuedMessages and maxQueuedBytes bound the queue to one peer. The size is
+	// checked before a message is added, so that one large message always fits.
 	maxQueuedMessages = 512
 	maxQueuedBytes    = 32 << 20
-	// maxAppendBytes bounds the entries of one append, but for the first of them.
+	// maxAppendBytes bounds the entry data of one append of several entries.
 	maxAppendBytes = 8 << 20
-	// messageOverheadBytes stands for the fixed part of a message.
+	// messageOverheadBytes estimates the fixed size of a message or entry.
 	messageOverheadBytes = 64
 )
 
-// sender sends messages to one peer, one batch at a time.
+// sender sends queued messages to one peer, one batch at a time.
 type sender struct {
 	group *Group
 	peer  raft.NodeID
 	wake  chan struct{}
 
-	mutex  sync.Mutex
-	queue  []raft.Message
-	bytes  int
-	echo   acknowledgement
-	broken bool
-	// named asks for this node's address in the next batch.
-	named bool
+	mutex   sync.Mutex
+	queue   []raft.Message
+	bytes   int
+	echo    clockReading
+	failing bool
+	// includeAddress adds this node's address to the next batch.
+	includeAddress bool
 }
 
-// send queues messages for their peers.
+// send queues messages for their peers, and starts missing senders.
 func (g *Group) send(messages []raft.Message, sending context.Context, senders *sync.WaitGroup) {
 	for _, message := range messages {
 		target := g.loop.senders[message.To]
@@ -49,18 +49,18 @@
 	}
 }
 
-// isSilent reports whether a peer has not been heard of for an election timeout. It
-// may be a node that joins and does not know where to answer.
+// isSilent reports whether a peer has sent nothing for an election timeout. It may be a
+// joining node that does not know this node's address.
 func (g *Group) isSilent(peer raft.NodeID) bool {
-	last, known := g.loop.heard[peer]
+	last, known := g.loop.lastHeard[peer]
 	return !known || g.now()-last >= g.electionTimeout()
 }
 
-func (s *sender) add(message raft.Message, echo acknowledgement, named bool) {
+func (s *sender) add(message raft.Message, echo clockReading, includeAddress bool) {
 	message.Entries = limitEntries(message.Entries)
 	s.mutex.Lock()
 	s.echo = echo
-	s.named = named
+	s.includeAddress = includeAddress
 	if len(s.queue) < maxQueuedMessages && s.bytes < maxQueuedBytes {
 		s.queue = append(s.queue, message)
 		s.bytes += messageBytes(message)
@@ -72,8 +72,8 @@
 	}
 }
 
-// limitEntries keeps as many entries as fit one append. The peer's reply tells
-// the leader where to go on.
+// limitEntries returns the longest prefix of entries that fits into one append, and at
+// least one entry. The peer's reply tells the leader where to continue.
 func limitEntries(entries []raft.Entry) []raft.Entry {
 	bytes := 0
 	for position, entry := range entries {
@@ -107,7 +107,7 @@
 	}
 }
 
-// sendQueued sends what is queued as one batch. A batch that fails is dropped.
+// sendQueued sends the queued messages as one batch. A failed batch is dropped.
 func (s *sender) sendQueued(ctx context.Context) {
 	s.mutex.Lock()
 	batch := StepArguments{
@@ -118,7 +118,7 @@
 		EchoTerm: s.echo.term,
 		Messages: s.queue,
 	}
-	named := s.named
+	named := s.includeAddress
 	s.queue = nil
 	s.bytes = 0
 	s.mutex.Unlock()
@@ -129,17 +129,17 @@
 	if len(batch.Messages) == 0 || address == "" {
 		return
 	}
-	// The receiver acts on the batch after this moment, so that a lease counted
-	// from here ends before the receiver may elect another leader.
+	// The receiver processes the batch after this reading, so a lease that starts here
+	// ends before the receiver may elect another leader.
 	batch.Sent = int64(s.group.now())
 	err := s.call(ctx, address, &batch)
 	if ctx.Err() == nil {
-		s.logChange(address, err)
+		s.logReachability(address, err)
 	}
 }
 
-// call sends a batch. But for a snapshot, which is large, a batch that takes an
-// election timeout has come too late to be of use.
+// call sends a batch. Batches without a snapshot time out after an election timeout,
+// because their messages are then stale.
 func (s *sender) call(ctx context.Context, address string, batch *StepArguments) error {
 	isSnapshot := func(message raft.Message) bool { return message.Snapshot != nil }
 	if !slices.ContainsFunc(batch.Messages, isSnapshot) {
@@ -150,20 +150,20 @@
 	return s.group.options.Client.Call(ctx, address, stepMethod, batch, &StepReply{})
 }
 
-// carriesLog reports whether one of the messages brings a part of the log.
+// carriesLog reports whether one of the messages is an append or a snapshot.
 func carriesLog(messages []raft.Message) bool {
 	return slices.ContainsFunc(messages, func(message raft.Message) bool {
 		return message.Kind == raft.MessageAppend || message.Kind == raft.MessageSnapshot
 	})
 }
 
-// logChange logs the first failure and the recovery, not each failure between.
-func (s *sender) logChange(address string, err error) {
+// logReachability logs the first of consecutive failures, and the recovery.
+func (s *sender) logReachability(address string, err error) {
 	switch {
-	case err != nil && !s.broken:
-		level.Warn(s.group.logger).Log("msg", "A member cannot be reached.", "node", s.peer, "address", address, "err", err)
-	case err == nil && s.broken:
-		level.Info(s.group.logger).Log("msg", "A member can be reached again.", "node", s.peer, "address", address)
+	case err != nil && !s.failing:
+		level.Warn(s.group.logger).Log("msg", "A member is unreachable.", "node", s.peer, "address", address, "err", err)
+	case err == nil && s.failing:
+		level.Info(s.group.logger).Log("msg", "A member is reachable again.", "node", s.peer, "address", address)
 	}
-	s.broken = err != nil
+	s.failing = err != nil
 }
--- a/agreement/group/service.go
+++ b/agreement/group/service.go
@@ -20,23 +20,23 @@
 	Group string
 	From  raft.NodeID
 	To    raft.NodeID
-	// Sent is the sender's monotonic clock, in nanoseconds, when it sent the batch.
+	// Sent is the sender's monotonic clock reading at sending, in nanoseconds.
 	Sent int64
-	// Echo is the newest Sent of a batch in which the sender of this one accepted
-	// its receiver as leader of EchoTerm.
+	// Echo is the newest Sent of a batch by which the sender accepted the receiver as
+	// leader of EchoTerm.
 	Echo     int64
 	EchoTerm uint64
-	// Address is the sender's own. A node that joins needs it to answer before it
-	// has the log; it is left out of batches that only keep a leadership up, unless
-	// the receiver is silent.
+	// Address is the sender's own address, with which a joining node can reply before it
+	// has the log. It is omitted from batches without appends or snapshots, unless the
+	// receiver is silent.
 	Address  string
 	Messages []raft.Message
 }
 
-// StepReply is empty: answers travel as messages of their own.
+// StepReply is empty, because replies are sent as separate messages.
 type StepReply struct{}
 
-// raftService is the net/rpc service that hands batches to the groups of a server.
+// raftService is the net/rpc service that dispatches batches to the groups of a server.
 type raftService struct {
 	mutex  sync.Mutex
 	groups map[string]*Group
@@ -56,13 +56,13 @@
 	return service, nil
 }
 
-// Step takes a batch. It never waits: a batch that its group cannot take now is
-// dropped, like one that the network lost.
+// Step queues a batch for its group. It never blocks: the batch is dropped if the queue
+// is full.
 func (s *raftService) Step(arguments *StepArguments, _ *StepReply) error {
 	s.mutex.Lock()
 	target := s.groups[arguments.Group]
 	s.mutex.Unlock()
-	// A node of an earlier incarnation may have had this address.
+	// The batch may be addressed to an earlier node at this address.
 	if target == nil || target.options.Node != arguments.To {
 		return nil
 	}
@@ -78,7 +78,7 @@
 	defer s.mutex.Unlock()
 	if s.groups[g.options.Name] != nil {
 		return structs.NewError(structs.ErrorInvalid,
-			"group "+g.options.Name+" runs twice on one server", "Give each group its own name.")
+			"group "+g.options.Name+" is already running on this server", "Use a unique name for each group.")
 	}
 	s.groups[g.options.Name] = g
 	return nil
--- a/agreement/group/snapshot.go
+++ b/agreement/group/snapshot.go
@@ -7,9 +7,9 @@
 	"github.com/lotusferry/lotusferry/agreement/raft"
 )
 
-// keptFraction is the part of SnapshotEntries that the log keeps behind its end
-// when it is compacted, so that a member a little behind needs no snapshot.
-const keptFraction = 4
+// retainedLogDivisor sets the number of entries that compaction retains,
+// SnapshotEntries/retainedLogDivisor, so that a slightly lagging member needs no snapshot.
+const retainedLogDivisor = 4
 
 // groupSnapshot is the data of a raft.Snapshot.
 type groupSnapshot struct {
@@ -18,11 +18,11 @@
 	Names     map[raft.NodeID]string
 }
 
-// snapshotState follows the snapshots that this member takes.
+// snapshotState tracks the snapshots of this member.
 type snapshotState struct {
-	// last is the index of the newest snapshot, taken or restored.
+	// last is the index of the latest snapshot, taken or restored.
 	last uint64
-	// pending is taken but the log is not compacted to it yet.
+	// pending is a snapshot to which the log is not compacted yet, or nil.
 	pending *raft.Snapshot
 }
 
@@ -44,13 +44,13 @@
 	}
 	g.addresses.restore(decoded)
 	g.loop.applied = snapshot.Index
-	g.loop.appliedAt = snapshot.Term
+	g.loop.appliedTerm = snapshot.Term
 	g.loop.snapshots = snapshotState{last: snapshot.Index}
 	return nil
 }
 
-// compact takes a snapshot when enough entries have been applied since the last
-// one, and compacts the log to it some entries later.
+// compact takes a snapshot once SnapshotEntries entries have been applied since the last
+// one, and compacts the log to it after the entries to retain have been applied.
 func (g *Group) compact() error {
 	state := &g.loop.snapshots
 	interval := g.options.SnapshotEntries
@@ -62,7 +62,7 @@
 		state.pending = &taken
 		state.last = taken.Index
 	}
-	if state.pending == nil || g.loop.applied < state.pending.Index+interval/keptFraction {
+	if state.pending == nil || g.loop.applied < state.pending.Index+interval/retainedLogDivisor {
 		return nil
 	}
 	snapshot := *state.pending
@@ -86,7 +86,7 @@
 	}
 	return raft.Snapshot{
 		Index:      g.loop.applied,
-		Term:       g.loop.appliedAt,
+		Term:       g.loop.appliedTerm,
 		Membership: g.loop.node.MembershipAt(g.loop.applied),
 		Data:       data,
 	}, nil
--- a/agreement/group/standby.go
+++ b/agreement/group/standby.go
@@ -6,35 +6,35 @@
 	"github.com/lotusferry/lotusferry/agreement/raft"
 )
 
-// steadyElections is for how many election timeouts in a row a member must have
-// answered and had the log before a standby hands leadership over to it, so that
-// one which comes and goes does not take leadership with it each time.
-const steadyElections = 3
+// stableElectionTimeouts is the number of consecutive election timeouts for which a
+// member must be able to lead before a standby transfers leadership to it. It prevents
+// repeated transfers to a member that keeps failing.
+const stableElectionTimeouts = 3
 
-// standbys decides when a standby that leads hands leadership over, and to whom.
-type standbys struct {
-	// steady counts the ticks for which each member has been fit to lead.
-	steady map[raft.NodeID]int
+// standbyState decides when a leading standby transfers leadership, and to which member.
+type standbyState struct {
+	// stableTicks counts the consecutive ticks for which each member could lead.
+	stableTicks map[raft.NodeID]int
 }
 
-// tick returns the member to which a standby that leads hands over now, or
-// raft.None. isStandby tells it of every node, the leader itself among them.
-func (s *standbys) tick(status raft.Status, electionTicks int, isStandby func(raft.NodeID) bool) raft.NodeID {
+// tick returns the member to which a leading standby transfers leadership now, or
+// raft.None. isStandby is called for the leader as well.
+func (s *standbyState) tick(status raft.Status, electionTicks int, isStandby func(raft.NodeID) bool) raft.NodeID {
 	if status.Role != raft.Leader || !isStandby(status.ID) {
-		s.steady = nil
+		s.stableTicks = nil
 		return raft.None
 	}
-	if s.steady == nil {
-		s.steady = make(map[raft.NodeID]int)
+	if s.stableTicks == nil {
+		s.stableTicks = make(map[raft.NodeID]int)
 	}
 	best := raft.None
 	for _, voter := range status.Membership.Voters {
-		if isStandby(voter) || !isFitToLead(status, voter) {
-			delete(s.steady, voter)
+		if isStandby(voter) || !canLead(status, voter) {
+			delete(s.stableTicks, voter)
 			continue
 		}
-		s.steady[voter]++
-		if s.steady[voter] < steadyElections*electionTicks {
+		s.stableTicks[voter]++
+		if s.stableTicks[voter] < stableElectionTimeouts*electionTicks {
 			continue
 		}
 		if best == raft.None || status.Progress[voter].Match > status.Progress[best].Match {
@@ -42,20 +42,20 @@
 		}
 	}
 	if best != raft.None {
-		// A hand-over that fails is tried again after as long a time.
-		s.steady = nil
+		// A failed transfer is retried after the same time.
+		s.stableTicks = nil
 	}
 	return best
 }
 
-// isFitToLead reports whether another voter answers and lacks no more of the log
-// than one message brings it.
-func isFitToLead(status raft.Status, voter raft.NodeID) bool {
+// canLead reports whether another voter is active and lags the commit index by at most
+// one append.
+func canLead(status raft.Status, voter raft.NodeID) bool {
 	progress, isKnown := status.Progress[voter]
 	return isKnown && progress.Active && progress.Match+maxMessageEntries >= status.Commit
 }
 
-// isStandby reports whether the settings name the node's process as a standby.
+// isStandby reports whether the node's process is listed in Options.Standbys.
 func (g *Group) isStandby(node raft.NodeID) bool {
 	if len(g.options.Standbys) == 0 {
 		return false
@@ -65,11 +65,11 @@
 	return slices.Contains(g.options.Standbys, g.addresses.names[node])
 }
 
-// yield hands leadership over when this member is a standby and leads while another
-// voter, which is none, is fit to.
-func (g *Group) yield() {
+// yieldLeadership transfers leadership if this member is a leading standby and a voter that
+// is not a standby can lead.
+func (g *Group) yieldLeadership() {
 	if g.loop.node.Role() != raft.Leader || !g.isStandby(g.options.Node) {
-		g.loop.standbys.steady = nil
+		g.loop.standbys.stableTicks = nil
 		return
 	}
 	target := g.loop.standbys.tick(g.loop.node.Status(), g.options.ElectionTicks, g.isStandby)
@@ -77,5 +77,5 @@
 		return
 	}
 	err := g.loop.node.TransferLeadership(target)
-	_ = g.logger.Log("msg", "A standby hands leadership over.", "to", target, "err", err)
+	_ = g.logger.Log("msg", "A standby transfers leadership.", "to", target, "err", err)
 }
--- a/agreement/group/status.go
+++ b/agreement/group/status.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// addressOf returns the address of a node, or "" when none is known.
+// addressOf returns the address of a node, or "" if it is unknown.
 func (g *Group) addressOf(node raft.NodeID) string {
 	g.stateMutex.RLock()
 	defer g.stateMutex.RUnlock()
@@ -23,36 +23,36 @@
 	g.addresses.learned[node] = address
 }
 
-// Status is a member's view of its group.
+// Status is the state of a group as one member sees it.
 type Status struct {
 	Node     raft.NodeID
 	IsLeader bool
-	// LeaseValid is as LeaderLease reported it when the status was taken.
+	// LeaseValid is the validity that LeaderLease reports at the time of Status.
 	LeaseValid bool
 	Term       uint64
-	// LeaderNode is raft.None, and LeaderAddress empty, when no leader is known.
+	// LeaderNode is raft.None and LeaderAddress is empty if no leader is known.
 	LeaderNode    raft.NodeID
 	LeaderAddress string
 	CommitIndex   uint64
 	AppliedIndex  uint64
 	SnapshotIndex uint64
-	// Membership is the one in force, whether committed or not; the change to it is
-	// committed once AppliedIndex has reached MembershipIndex.
+	// Membership is the one in effect, whether committed or not. It is committed once
+	// AppliedIndex has reached MembershipIndex.
 	Membership      raft.Membership
 	MembershipIndex uint64
-	// CommittedMembership is the one in force at the applied index.
+	// CommittedMembership is the membership at the applied index.
 	CommittedMembership raft.Membership
-	// Held is set until a member with the option Hold takes part.
+	// Held reports whether Options.Hold still keeps the member passive.
 	Held bool
-	// Progress is what a leader knows of the other members; nil elsewhere.
+	// Progress is the replication state of the other members; nil unless this node leads.
 	Progress map[raft.NodeID]raft.Progress
-	// Addresses are those of all nodes known.
+	// Addresses holds the addresses of all known nodes.
 	Addresses map[raft.NodeID]string
-	// Names are those given with the members, also of members that have left.
+	// Names holds the process names of members, including removed ones.
 	Names map[raft.NodeID]string
 }
 
-// Members lists the members of a membership with their addresses and names.
+// Members returns nodes with their addresses and names.
 func (s Status) Members(nodes []raft.NodeID) []Member {
 	members := make([]Member, 0, len(nodes))
 	for _, node := range nodes {
@@ -61,7 +61,7 @@
 	return members
 }
 
-// Status returns the member's present view.
+// Status returns the current status.
 func (g *Group) Status() Status {
 	g.statusMutex.Lock()
 	status := g.status
@@ -76,27 +76,26 @@
 	return status
 }
 
-// Applied returns a channel that is closed at the next change of the applied
-// index, the term, the leader, the membership, the lease, or of a member's being
-// active or caught up, and when Run returns. A lease that runs out by the clock
-// alone is not signalled; its renewal afterwards is.
-// Get the channel before looking at the status, so that no change is missed.
+// Applied returns a channel that is closed at the next change of the applied index, the
+// term, the leader, the membership, the lease, or a member's Active or CaughtUp state, and
+// when Run returns. The expiry of a lease by the clock is not signaled; its renewal is.
+// To miss no change, call Applied before Status.
 func (g *Group) Applied() <-chan struct{} {
 	g.statusMutex.Lock()
 	defer g.statusMutex.Unlock()
 	return g.changed
 }
 
-// publish makes the loop's state visible to other goroutines.
+// publish updates the status and lease that other goroutines see.
 func (g *Group) publish() {
 	current := g.loop.node.Status()
 	leads := current.Role == raft.Leader
 	lease := leaseState{epoch: structs.Epoch(current.Term), start: g.leaseStart(current)}
-	lease.held = leads && g.loop.node.LeaseValid() && g.loop.appliedAt == current.Term
+	lease.held = leads && g.loop.node.LeaseValid() && g.loop.appliedTerm == current.Term
 	g.statusMutex.Lock()
 	defer g.statusMutex.Unlock()
 	previous := g.status
-	// The clock may have ended the lease since the last time, while nothing ran.
+	// The lease may have expired since the last publish.
 	heldBefore, validBefore := g.lease.held, g.leaseHolds(g.lease)
 	g.lease = lease
 	g.status = Status{
