--- a/agreement/logstore/benchmark_test.go
+++ b/agreement/logstore/benchmark_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/agreement/raft"
 )
 
-// BenchmarkOpen reads a log of the number of adapters planned for.
+// BenchmarkOpen opens a store with 58,000 entries of 200 bytes.
 func BenchmarkOpen(b *testing.B) {
 	const count = 58_000
 	c := qt.New(b)
--- a/agreement/logstore/read.go
+++ b/agreement/logstore/read.go
@@ -14,8 +14,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The layout of a bbolt meta page: a page header, then the meta record whose last
-// eight bytes are its FNV-1a checksum.
+// Layout of a bbolt meta page: a page header, followed by the meta record, whose last
+// eight bytes are its FNV-1a checksum. Offsets are relative to the meta record.
 const (
 	pageHeaderBytes   = 16
 	metaChecksumStart = 56
@@ -24,16 +24,16 @@
 	metaHighPageStart = 40
 )
 
-// contents is everything a file holds.
+// contents is the decoded content of a file.
 type contents struct {
 	state    stateRecord
 	restored raft.Restored
 }
 
-// checkMetaPages refuses a file with a damaged meta page or a lost tail. bbolt
-// itself would fall back to the older of its two meta pages and so silently
-// forget the last synced transaction, which may hold a vote. A crash does not
-// damage a meta page, because it lies within one disk sector.
+// checkMetaPages rejects a file with a damaged meta page or a truncated tail. bbolt itself
+// would fall back to the older of its two meta pages and silently lose the last synced
+// transaction, which may contain a vote. A crash does not damage a meta page, because the
+// meta record fits into one disk sector.
 func checkMetaPages(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -59,17 +59,17 @@
 			return corruptError(path, fmt.Sprintf("the checksum of meta page %d does not match", number))
 		}
 		if int64(binary.NativeEndian.Uint32(meta[metaPageSizeStart:])) != pageSize {
-			return corruptError(path, "the page size is not this machine's")
+			return corruptError(path, "the page size differs from that of this machine")
 		}
 		if int64(binary.NativeEndian.Uint64(meta[metaHighPageStart:]))*pageSize > info.Size() {
-			return corruptError(path, "the file is shorter than its pages")
+			return corruptError(path, "the file is truncated")
 		}
 	}
 	return nil
 }
 
-// checkPages has bbolt compare its page tree with its list of free pages: a page
-// that is in both would be overwritten by a later transaction.
+// checkPages runs the consistency check of bbolt, which detects pages that are both in use
+// and free and would be overwritten by a later transaction.
 func checkPages(tx *bbolt.Tx, path string) error {
 	var first error
 	for problem := range tx.Check() {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// checkIdentity returns the identity that the file names. A wanted node of 0
-// stands for any.
+// checkIdentity returns the identity stored in the file, and an ErrorConflict if it is not
+// the wanted one. A wanted node of 0 matches any node.
 func checkIdentity(tx *bbolt.Tx, path string, wanted Identity) (Identity, error) {
 	var found Identity
 	if err := readRecord(tx, identityKey, &found); err != nil {
@@ -114,7 +114,7 @@
 	return decodeRecord(key, value, record)
 }
 
-// readAll reads and checks every record.
+// readAll reads and validates all records.
 func readAll(tx *bbolt.Tx, path string) (contents, error) {
 	var result contents
 	if err := readRecord(tx, stateKey, &result.state); err != nil {
@@ -129,7 +129,7 @@
 		return contents{}, corruptError(path, "log: "+err.Error())
 	}
 	if snapshot.Index+1 != result.state.First {
-		return contents{}, corruptError(path, "the snapshot does not reach the log")
+		return contents{}, corruptError(path, "the snapshot and the log are not contiguous")
 	}
 	if result.state.Commit > result.state.Last {
 		return contents{}, corruptError(path, "committed entries are missing")
@@ -142,8 +142,8 @@
 	return result, nil
 }
 
-// readEntries reads the log, which must hold exactly the indexes that the state
-// record names, under terms that never fall.
+// readEntries reads the log. It must contain exactly the indexes of the state record, and
+// terms must not decrease.
 func readEntries(tx *bbolt.Tx, state stateRecord) ([]raft.Entry, error) {
 	bucket := tx.Bucket(entriesBucket)
 	if bucket == nil {
@@ -159,14 +159,14 @@
 			return nil, errors.Wrapf(err, "entry %d", next)
 		}
 		if entry.Index != next || entry.Term < term {
-			return nil, errors.Errorf("entry %d of term %d stands where %d is due", entry.Index, entry.Term, next)
+			return nil, errors.Errorf("entry %d of term %d is out of order at index %d", entry.Index, entry.Term, next)
 		}
 		entries = append(entries, entry)
 		term = entry.Term
 		next++
 	}
 	if next != state.Last+1 {
-		return nil, errors.Errorf("the log ends before %d instead of after %d", next, state.Last)
+		return nil, errors.Errorf("the log ends before index %d instead of after index %d", next, state.Last)
 	}
 	return entries, nil
 }
--- a/agreement/logstore/record.go
+++ b/agreement/logstore/record.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// checksumBytes is the length of the checksum before each payload.
+	// checksumBytes is the size of the checksum that precedes each payload.
 	checksumBytes = 8
-	// snapshotWindowBytes is the compressor's window. Decompression refuses a larger
-	// one, so that a forged record cannot make it take more memory at once.
+	// snapshotWindowBytes is the compression window size. Decompression rejects a larger
+	// window, which bounds its memory for a forged record.
 	snapshotWindowBytes = 8 << 20
-	// maxSnapshotBytes bounds the data of a snapshot.
+	// maxSnapshotBytes is the maximum size of uncompressed snapshot data.
 	maxSnapshotBytes = 256 << 20
 )
 
-// errChecksum says that a record is not what was written.
+// errChecksum is the error for a record that differs from what was written.
 var errChecksum = errors.New("checksum does not match")
 
-// stateRecord is rewritten by every transaction. The log holds exactly the
-// indexes First to Last; it is empty when Last is First-1.
+// stateRecord is rewritten by every transaction. The log contains exactly the indexes
+// First to Last, and is empty if Last is First-1.
 type stateRecord struct {
 	Term   uint64
 	Vote   raft.NodeID
@@ -44,8 +44,8 @@
 	Data  []byte
 }
 
-// snapshotRecord is the stored form of a raft.Snapshot; Compressed is its data, of
-// Size bytes, under zstd.
+// snapshotRecord is the stored form of a raft.Snapshot. Compressed is its data compressed
+// with zstd; Size is the uncompressed size.
 type snapshotRecord struct {
 	Index      uint64
 	Term       uint64
@@ -55,11 +55,11 @@
 	Compressed []byte
 }
 
-// maxMembers bounds the members of a stored membership.
+// maxMembers is the maximum number of voters, and of learners, in a stored membership.
 const maxMembers = 4096
 
-// nodeList is a list of members. Its decoder takes no memory for a length that the
-// record only announces.
+// nodeList is a list of members whose decoder allocates memory only for the elements
+// present, not for the announced length.
 type nodeList []raft.NodeID
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
@@ -69,7 +69,7 @@
 		return err
 	}
 	if count > maxMembers {
-		return errors.Errorf("%d members are too many", count)
+		return errors.Errorf("%d members exceed the maximum", count)
 	}
 	*l = nil
 	for range count {
@@ -96,7 +96,7 @@
 	return value, nil
 }
 
-// decodeRecord checks value against its key and decodes the payload into record.
+// decodeRecord verifies the checksum of key and value and decodes the payload into record.
 func decodeRecord(key, value []byte, record any) error {
 	if len(value) < checksumBytes {
 		return errors.New("record is too short")
@@ -115,7 +115,7 @@
 	return digest.Sum64()
 }
 
-// indexKey is the key of a log entry: big-endian, so that keys sort by index.
+// indexKey returns the key of a log entry, big-endian so that keys sort by index.
 func indexKey(index uint64) []byte {
 	return binary.BigEndian.AppendUint64(nil, index)
 }
@@ -133,7 +133,7 @@
 		return raft.Entry{}, err
 	}
 	if len(key) != 8 || binary.BigEndian.Uint64(key) != record.Index {
-		return raft.Entry{}, errors.New("entry stands under another index")
+		return raft.Entry{}, errors.New("entry is stored under another index")
 	}
 	return raft.Entry{Term: record.Term, Index: record.Index, Kind: record.Kind, Data: record.Data}, nil
 }
@@ -144,7 +144,7 @@
 	}
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(snapshotWindowBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "make compressor")
+		return nil, errors.Wrap(err, "create compressor")
 	}
 	defer encoder.Close()
 	return encodeRecord(key, &snapshotRecord{
@@ -174,7 +174,8 @@
 	}, nil
 }
 
-// decompress takes memory as the data comes, not as its header announces.
+// decompress decompresses size bytes. It allocates memory for the data as it is read,
+// not for the size in the header.
 func decompress(compressed []byte, size int64) ([]byte, error) {
 	if size < 0 || size > maxSnapshotBytes {
 		return nil, errors.Errorf("size %d is out of range", size)
@@ -190,7 +191,7 @@
 		return nil, err
 	}
 	if int64(len(data)) != size {
-		return nil, errors.Errorf("%d bytes instead of %d", len(data), size)
+		return nil, errors.Errorf("got %d bytes instead of %d", len(data), size)
 	}
 	return data, nil
 }
--- a/agreement/logstore/snapshotfile.go
+++ b/agreement/logstore/snapshotfile.go
@@ -12,7 +12,7 @@
 )
 
 var (
-	// snapshotFileMagic starts every snapshot file; its last byte is the version.
+	// snapshotFileMagic is the prefix of snapshot files; its last byte is the format version.
 	snapshotFileMagic = []byte("lotusferry snapshot\x01")
 	snapshotFileKey   = []byte("snapshot file")
 )
@@ -20,12 +20,12 @@
 // snapshotFileRecord is the content of a snapshot file.
 type snapshotFileRecord struct {
 	Identity Identity
-	// Snapshot is an encoded record with its own checksum.
+	// Snapshot is an encoded snapshotRecord with its own checksum.
 	Snapshot []byte
 }
 
-// EncodeSnapshotFile returns the content of a snapshot file, for a backup that is
-// taken over the network.
+// EncodeSnapshotFile returns the content of a snapshot file, for a backup taken over the
+// network.
 func EncodeSnapshotFile(snapshot raft.Snapshot, identity Identity) ([]byte, error) {
 	encoded, err := encodeSnapshot(snapshotKey, snapshot)
 	if err != nil {
@@ -41,9 +41,9 @@
 	return append(bytes.Clone(snapshotFileMagic), record...), nil
 }
 
-// WriteSnapshotFile writes a backup of snapshot, taken by the given member, to
-// path. The file is synced before it gets its name: path holds either what it
-// held before or the whole backup.
+// WriteSnapshotFile writes a backup of snapshot, taken by the given member, to path. It
+// replaces the file atomically: after a crash path has either its previous content or the
+// whole backup.
 func WriteSnapshotFile(path string, snapshot raft.Snapshot, identity Identity) error {
 	content, err := EncodeSnapshotFile(snapshot, identity)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return err
 }
 
-// ReadSnapshotFile reads a backup and says which member wrote it. A file that is
-// not exactly what was written is refused with ErrorCorrupt.
+// ReadSnapshotFile returns the snapshot in a backup and the member that wrote it. It
+// returns ErrorCorrupt if the file differs from what was written.
 func ReadSnapshotFile(path string) (raft.Snapshot, Identity, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -88,7 +88,7 @@
 func decodeSnapshotFile(content []byte) (raft.Snapshot, Identity, error) {
 	value, found := bytes.CutPrefix(content, snapshotFileMagic)
 	if !found {
-		return raft.Snapshot{}, Identity{}, errors.New("it is no snapshot file of this version")
+		return raft.Snapshot{}, Identity{}, errors.New("not a snapshot file of this version")
 	}
 	var record snapshotFileRecord
 	if err := decodeRecord(snapshotFileKey, value, &record); err != nil {
--- a/agreement/logstore/store.go
+++ b/agreement/logstore/store.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// lockTimeout is how long Open waits for another process to let go of the file.
+	// lockTimeout is how long Open waits for another process to release the file.
 	lockTimeout = time.Second
 	fileMode    = 0o600
 	folderMode  = 0o700
-	// entryFillPercent suits appends in key order.
+	// entryFillPercent is high because entries are appended in key order.
 	entryFillPercent = 0.95
 )
 
@@ -35,7 +35,7 @@
 	snapshotKey   = []byte("snapshot")
 )
 
-// Identity says whose state a file holds. Daemon and Node together name one
+// Identity identifies the owner of a file. Daemon and Node together identify one
 // incarnation of a member.
 type Identity struct {
 	Group  string
@@ -43,8 +43,8 @@
 	Node   raft.NodeID
 }
 
-// Store is the durable state of one member of one raft group. Its methods may be
-// called from several goroutines.
+// Store is the durable state of one member of a Raft group. Its methods may be called
+// concurrently.
 type Store struct {
 	path     string
 	identity Identity
@@ -54,16 +54,16 @@
 	state stateRecord
 	// snapshotIndex is the index of the stored snapshot.
 	snapshotIndex uint64
-	// restored is what Open read, handed out by the first Load.
+	// restored is the state read by Open, returned by the first Load.
 	restored *raft.Restored
-	// failed is the first write error; all later writes are refused with it.
-	failed error
+	// writeFailure is the first write error, returned by all later writes.
+	writeFailure error
 }
 
-// Open opens the store at path and creates it, with its folder, when there is no
-// file. It reads and checks the whole file: ErrorConflict says that the file is
-// of another identity (node 0 stands for any), ErrorCorrupt that its content is not what was written,
-// ErrorUnavailable that another process has it open.
+// Open opens the store at path, and creates it and its folder if the file does not exist.
+// It reads and validates the whole file. It returns ErrorConflict if the file has another
+// identity (node 0 matches any node), ErrorCorrupt if its content differs from what was
+// written, and ErrorUnavailable if another process has it open.
 func Open(path string, identity Identity) (*Store, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		if err := create(path, identity); err != nil {
@@ -80,8 +80,8 @@
 	return store, nil
 }
 
-// OpenMember is Open for a member that keeps the node its file names: node is used
-// only when there is no file yet, and must never have been used before.
+// OpenMember is like Open but keeps the node ID stored in the file. node is used only if
+// the file does not exist, and must never have been used before.
 func OpenMember(path string, group string, daemon structs.DaemonID, node raft.NodeID) (*Store, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return Open(path, Identity{Group: group, Daemon: daemon, Node: node})
@@ -89,11 +89,11 @@
 	return Open(path, Identity{Group: group, Daemon: daemon})
 }
 
-// Identity returns the identity that the file names.
+// Identity returns the identity stored in the file.
 func (s *Store) Identity() Identity { return s.identity }
 
 func (s *Store) openChecked(identity Identity) error {
-	return guarded(s.path, func() error {
+	return recoverFaults(s.path, func() error {
 		db, err := openFile(s.path)
 		if err != nil {
 			return err
@@ -137,7 +137,7 @@
 	return db, nil
 }
 
-// openError tells errors of the operating system from those about the content.
+// openError wraps errors of the operating system and reports others as corruption.
 func openError(path string, err error) error {
 	var pathError *fs.PathError
 	var number syscall.Errno
@@ -147,8 +147,8 @@
 	return corruptError(path, err.Error())
 }
 
-// create makes the file under another name and renames it, so that a crash
-// leaves either no file or a whole one.
+// create writes a new file under a temporary name and renames it, so that a crash leaves
+// either no file or a complete one.
 func create(path string, identity Identity) error {
 	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
 		return writeError(path, err)
@@ -188,8 +188,8 @@
 	return putRecord(bucket, stateKey, &stateRecord{First: 1})
 }
 
-// renameSynced gives a synced file its name and syncs the folder, without which
-// the name could be lost in a crash.
+// renameSynced renames a synced file and syncs the folder, so that the new name survives a
+// crash.
 func renameSynced(from, to string) error {
 	if err := os.Rename(from, to); err != nil {
 		return writeError(to, err)
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// Load returns what the last successful Save and Compact left.
+// Load returns the state after the last successful Save or Compact.
 func (s *Store) Load() (raft.Restored, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -215,7 +215,7 @@
 		return restored, nil
 	}
 	var restored raft.Restored
-	err := guarded(s.path, func() error {
+	err := recoverFaults(s.path, func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
 			contents, err := readAll(tx, s.path)
 			restored = contents.restored
@@ -225,14 +225,14 @@
 	return restored, err
 }
 
-// Close closes the file. It loses nothing that Save or Compact reported done.
+// Close closes the file. Completed calls of Save and Compact are already durable.
 func (s *Store) Close() error {
 	return errors.Wrapf(s.db.Close(), "close %s", s.path)
 }
 
-// guarded runs a function that reads the file's memory map. A damaged page can
-// make bbolt panic or fault; both are reported as corruption.
-func guarded(path string, run func() error) (err error) {
+// recoverFaults calls run, which accesses the memory-mapped file. A damaged page can make
+// bbolt panic or cause a memory fault; both are returned as corruption.
+func recoverFaults(path string, run func() error) (err error) {
 	previous := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(previous)
 	defer func() {
--- a/agreement/logstore/store_test.go
+++ b/agreement/logstore/store_test.go
@@ -22,7 +22,7 @@
 	return store
 }
 
-// crashCopy copies the file as a crash would leave it: without a Close.
+// crashCopy copies the file without closing the store, as after a crash.
 func crashCopy(c *qt.C, path string) string {
 	content, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
@@ -56,12 +56,12 @@
 	return entries
 }
 
-// model is what a store must read back.
+// model is the state that a store is expected to return.
 type model struct{ raft.Restored }
 
 func (m *model) last() uint64 { return m.Snapshot.Index + uint64(len(m.Entries)) }
 
-// mutate makes one random step on the store and on the model.
+// mutate applies one random write to the store and to the model.
 func (m *model) mutate(store *Store, random *rand.Rand) error {
 	switch random.IntN(8) {
 	case 0:
@@ -110,7 +110,7 @@
 	c.Assert(string(restored.Snapshot.Data), qt.Equals, string(m.Snapshot.Data))
 }
 
-func TestCrashReadsBackExactlyWhatWasSynced(t *testing.T) {
+func TestCrashPreservesSyncedState(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -133,8 +133,9 @@
 	}
 }
 
-// A crash before the meta page is written leaves any part of the other pages.
-func TestCrashDuringWriteLeavesThePreviousState(t *testing.T) {
+// A crash before the meta page is written may leave any subset of the other pages
+// written. The previous state must be read back.
+func TestCrashDuringWriteKeepsPreviousState(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(5, 1))
@@ -162,8 +163,8 @@
 	}
 }
 
-// filledFile returns a file with every kind of record, and what it reads back.
-func filledFile(c *qt.C) ([]byte, model) {
+// populatedFile returns the content of a file with all kinds of records, and its model.
+func populatedFile(c *qt.C) ([]byte, model) {
 	path := filepath.Join(c.TempDir(), "raft.db")
 	store := openStore(c, path)
 	random := rand.New(rand.NewPCG(6, 1))
@@ -178,11 +179,11 @@
 	return content, expected
 }
 
-// A changed byte is either found or lies where nothing is stored.
-func TestChangedBytesAreFound(t *testing.T) {
+// A changed byte must be detected unless it is in an unused part of the file.
+func TestChangedBytesAreDetected(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	content, expected := filledFile(c)
+	content, expected := populatedFile(c)
 	random := rand.New(rand.NewPCG(7, 1))
 	var positions []int
 	for page := range 2 {
@@ -194,7 +195,7 @@
 	for range 200 {
 		positions = append(positions, random.IntN(len(content)))
 	}
-	// The headers of pages are few bytes that random positions rarely hit.
+	// Page headers are small, so random positions rarely hit them.
 	for page := 2; page < len(content)/os.Getpagesize(); page++ {
 		positions = append(positions, page*os.Getpagesize()+random.IntN(64))
 	}
@@ -215,17 +216,17 @@
 	c.Assert(found > metaPositions, qt.IsTrue)
 }
 
-func TestShortenedFileIsRefused(t *testing.T) {
+func TestTruncatedFileIsRejected(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	content, _ := filledFile(c)
+	content, _ := populatedFile(c)
 	for _, length := range []int{0, 1, 100, os.Getpagesize(), 3 * os.Getpagesize(), len(content) / 2} {
 		_, err := loadCopy(c, writeFile(c, content[:length]))
 		c.Check(structs.KindOf(err), qt.Equals, structs.ErrorCorrupt, qt.Commentf("length %d: %v", length, err))
 	}
 }
 
-func TestFileOfAnotherIdentityIsRefused(t *testing.T) {
+func TestFileOfOtherIdentityIsRejected(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "raft.db")
@@ -244,14 +245,14 @@
 	c.Assert(structs.KindOf(err), qt.Equals, structs.ErrorUnavailable)
 }
 
-func TestFailedWriteStopsTheStore(t *testing.T) {
+func TestFailedWriteBlocksLaterWrites(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "raft.db")
 	store := openStore(c, path)
 	saved := makeEntries(1, 3, 1)
 	c.Assert(store.Save(&raft.HardState{Term: 1}, saved, nil), qt.IsNil)
-	store.db.MaxSize = 1 // as if the disk were full
+	store.db.MaxSize = 1 // simulates a full disk
 	large := raft.Entry{Term: 1, Index: 4, Data: make([]byte, 1<<20)}
 	err := store.Save(nil, []raft.Entry{large}, nil)
 	c.Assert(err, qt.ErrorMatches, ".*Check the disk for free space.*")
@@ -263,7 +264,7 @@
 	c.Assert(restored.Entries, qt.DeepEquals, saved)
 }
 
-func TestWritesOutOfOrderAreRefusedAndChangeNothing(t *testing.T) {
+func TestInvalidWritesChangeNothing(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	store := openStore(c, filepath.Join(c.TempDir(), "raft.db"))
@@ -285,7 +286,7 @@
 	c.Assert(store.Save(nil, makeEntries(6, 1, 2), nil), qt.IsNil)
 }
 
-func TestSnapshotFileReadsBackOrIsRefused(t *testing.T) {
+func TestSnapshotFileRoundTripAndCorruption(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "backup")
@@ -311,8 +312,8 @@
 	c.Assert(WriteSnapshotFile(filepath.Join(path, "no folder"), written, testIdentity), qt.IsNotNil)
 }
 
-// FuzzDecodeRecord: no input makes decoding panic, and what decodes encodes to a
-// record that decodes to the same.
+// FuzzDecodeRecord checks that decoding does not panic on any input, and that decoded
+// entries survive another round trip.
 func FuzzDecodeRecord(f *testing.F) {
 	key, value, err := encodeEntry(makeEntries(3, 1, 2)[0])
 	if err != nil {
@@ -328,8 +329,8 @@
 	f.Fuzz(func(t *testing.T, key, payload []byte) {
 		c := qt.New(t)
 		_, err := decodeEntry(key, payload)
-		c.Assert(err, qt.IsNotNil) // without its checksum
-		// A right checksum lets the payload through to the decoder.
+		c.Assert(err, qt.IsNotNil) // no valid checksum
+		// With a valid checksum the payload reaches the decoder.
 		value := append(make([]byte, checksumBytes), payload...)
 		sum := checksum(key, payload)
 		for position := range checksumBytes {
--- a/agreement/logstore/write.go
+++ b/agreement/logstore/write.go
@@ -9,11 +9,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Save makes a raft.Ready durable in one synced transaction; nil and empty
-// arguments leave that part as it was. A snapshot replaces the whole log. Entries
-// replace the stored suffix from their first index on. They must be contiguous and
-// leave no gap, or the call changes nothing and returns ErrorInvalid. After any
-// other error nothing may be relied on, and the store refuses further writes.
+// Save persists the parts of a raft.Ready in one synced transaction; nil or empty arguments
+// leave their part unchanged. A snapshot replaces the whole log. Entries replace the stored
+// entries from their first index on. If they are not contiguous, or leave a gap after the
+// log, Save returns ErrorInvalid and changes nothing. After any other error the stored
+// state is unknown, and the store rejects further writes.
 func (s *Store) Save(hardState *raft.HardState, entries []raft.Entry, snapshot *raft.Snapshot) error {
 	if hardState == nil && len(entries) == 0 && snapshot == nil {
 		return nil
@@ -36,32 +36,32 @@
 	}, snapshot)
 }
 
-// Compact stores a snapshot of the member's own state machine and removes the
-// log up to the snapshot's index, in one synced transaction. The log must reach
-// that index, and the snapshot must be newer than the stored one (ErrorInvalid).
+// Compact stores a snapshot of the member's state machine and removes the log up to the
+// snapshot's index, in one synced transaction. It returns ErrorInvalid if the index is not
+// in the log or the snapshot is older than the stored one.
 func (s *Store) Compact(snapshot raft.Snapshot) error {
 	return s.update(func(tx *bbolt.Tx, next *stateRecord) error {
 		if snapshot.Index < next.First || snapshot.Index > next.Last {
 			return invalidError(fmt.Sprintf("snapshot index %d is outside the log (%d to %d)",
 				snapshot.Index, next.First, next.Last))
 		}
-		return cutLog(tx, next, snapshot)
+		return compactLog(tx, next, snapshot)
 	}, &snapshot)
 }
 
-// update runs one synced transaction. The state in memory changes only after the
-// transaction is on disk.
+// update runs one synced transaction, and updates the state in memory after it is
+// committed.
 func (s *Store) update(change func(*bbolt.Tx, *stateRecord) error, snapshot *raft.Snapshot) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.failed != nil {
-		return s.failed
+	if s.writeFailure != nil {
+		return s.writeFailure
 	}
 	if snapshot != nil && snapshot.Index < s.snapshotIndex {
 		return invalidError(fmt.Sprintf("snapshot index %d is older than the stored %d", snapshot.Index, s.snapshotIndex))
 	}
 	next := s.state
-	err := guarded(s.path, func() error {
+	err := recoverFaults(s.path, func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error {
 			if err := change(tx, &next); err != nil {
 				return err
@@ -74,11 +74,11 @@
 	case structs.ErrorInvalid:
 		return err
 	case structs.ErrorCorrupt:
-		s.failed = err
+		s.writeFailure = err
 		return err
 	default:
-		s.failed = writeError(s.path, err)
-		return s.failed
+		s.writeFailure = writeError(s.path, err)
+		return s.writeFailure
 	}
 	s.state = next
 	s.restored = nil
@@ -94,13 +94,13 @@
 	}
 	first := entries[0].Index
 	if first < next.First || first > next.Last+1 {
-		return invalidError(fmt.Sprintf("entry %d does not join the log (%d to %d)", first, next.First, next.Last))
+		return invalidError(fmt.Sprintf("entry %d is not contiguous with the log (%d to %d)", first, next.First, next.Last))
 	}
 	bucket := tx.Bucket(entriesBucket)
 	bucket.FillPercent = entryFillPercent
 	for offset, entry := range entries {
 		if entry.Index != first+uint64(offset) {
-			return invalidError(fmt.Sprintf("entry %d stands where %d is due", entry.Index, first+uint64(offset)))
+			return invalidError(fmt.Sprintf("entry %d is out of order at index %d", entry.Index, first+uint64(offset)))
 		}
 		key, value, err := encodeEntry(entry)
 		if err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// replaceLog puts the snapshot in the place of the whole log.
+// replaceLog replaces the whole log with the snapshot.
 func replaceLog(tx *bbolt.Tx, next *stateRecord, snapshot raft.Snapshot) error {
 	if err := tx.DeleteBucket(entriesBucket); err != nil {
 		return err
@@ -132,8 +132,8 @@
 	return putSnapshot(tx.Bucket(stateBucket), snapshot)
 }
 
-// cutLog puts the snapshot in the place of the log up to its index.
-func cutLog(tx *bbolt.Tx, next *stateRecord, snapshot raft.Snapshot) error {
+// compactLog replaces the log up to the index of the snapshot with the snapshot.
+func compactLog(tx *bbolt.Tx, next *stateRecord, snapshot raft.Snapshot) error {
 	bucket := tx.Bucket(entriesBucket)
 	key := indexKey(snapshot.Index)
 	entry, err := decodeEntry(key, bucket.Get(key))
@@ -178,5 +178,5 @@
 }
 
 func invalidError(problem string) error {
-	return structs.NewError(structs.ErrorInvalid, problem, "Report this fault: the log must be written in index order.")
+	return structs.NewError(structs.ErrorInvalid, problem, "Report this bug: the log must be written in index order.")
 }
