--- a/agreement/leadercall/caller.go
+++ b/agreement/leadercall/caller.go
@@ -1,4 +1,4 @@
-// Package leadercall calls the leader of a raft group from any process.
+// Package leadercall calls the leader of a Raft group from any process.
 package leadercall
 
 import (
@@ -13,30 +13,30 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// RetryPause separates two rounds over the members of a group.
+// RetryPause is the delay between two rounds of attempts at all members.
 const RetryPause = 50 * time.Millisecond
 
-// Caller calls the leader of a group from any daemon: it remembers who led, follows
-// redirections, and tries the other members in turn. It is only used for calls that
-// may be repeated.
+// Caller calls the leader of a group: it remembers the last known leader, follows
+// redirects, and tries the other members in order. It retries calls, which must therefore
+// be idempotent.
 type Caller struct {
 	client *transport.Client
 
 	mutex sync.Mutex
-	// addresses are those of the members, as far as they are known.
+	// addresses are the known addresses of the members.
 	addresses []string
 	leader    string
-	// tryTimeout bounds one call; 0 leaves it to the caller's context.
+	// tryTimeout bounds each attempt; 0 means no limit but that of the context.
 	tryTimeout time.Duration
 }
 
-// New makes a caller of the group whose members are reached at the addresses.
+// New returns a caller of the group with the given member addresses.
 func New(client *transport.Client, addresses []string) *Caller {
 	return &Caller{client: client, addresses: addresses}
 }
 
-// WithTryTimeout bounds each single call, so that one silent member does not use up
-// the time of a call that another could answer.
+// WithTryTimeout sets the timeout of each attempt, so that an unresponsive member does not
+// use up the deadline of the call. It returns c.
 func (c *Caller) WithTryTimeout(timeout time.Duration) *Caller {
 	c.tryTimeout = timeout
 	return c
@@ -49,27 +49,26 @@
 	c.addresses = slices.Clone(addresses)
 }
 
-// Addresses returns the members' addresses, which must not be changed.
+// Addresses returns the members' addresses, which must not be modified.
 func (c *Caller) Addresses() []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.addresses
 }
 
-// Client returns what the calls are made with.
 func (c *Caller) Client() *transport.Client { return c.client }
 
-// Reply is a reply that carries a typed error.
+// Reply is an RPC reply that can carry a typed error.
 type Reply interface {
 	Failure() *structs.Error
 }
 
-// Call calls method at the group's leader until it answers or ctx ends. newReply
-// makes a fresh reply for each try, because a failed call may leave one half filled.
+// Call calls method at the group's leader until it replies or ctx ends. newReply returns a
+// new reply for each attempt, because a failed call may leave one partially filled.
 func Call[R Reply](ctx context.Context, c *Caller, method string, arguments any, newReply func() R) (R, error) {
 	var last error
 	for {
-		round := newRound(c.Addresses())
+		round := newAttemptRound(c.Addresses())
 		for address := round.next(c.knownLeader()); address != ""; address = round.next(c.knownLeader()) {
 			reply := newReply()
 			err := c.try(ctx, address, method, arguments, reply)
@@ -82,7 +81,7 @@
 			last = err
 		}
 		if !pause.For(ctx, RetryPause) {
-			return newReply(), unavailable(last)
+			return newReply(), unavailableError(last)
 		}
 	}
 }
@@ -96,18 +95,19 @@
 	return c.client.Call(ctx, address, method, arguments, reply)
 }
 
-// round tries each member once: the known leader first.
-type round struct {
+// attemptRound tracks the addresses tried in one attemptRound: the known leader first, then the
+// other members.
+type attemptRound struct {
 	addresses []string
 	tried     map[string]bool
 }
 
-func newRound(addresses []string) *round {
-	return &round{addresses: addresses, tried: make(map[string]bool, len(addresses))}
+func newAttemptRound(addresses []string) *attemptRound {
+	return &attemptRound{addresses: addresses, tried: make(map[string]bool, len(addresses))}
 }
 
-// next returns the next address to try, or "" when all were tried.
-func (r *round) next(leader string) string {
+// next returns the next address to try, or "" if all were tried.
+func (r *attemptRound) next(leader string) string {
 	if leader != "" && !r.tried[leader] {
 		r.tried[leader] = true
 		return leader
@@ -127,8 +127,8 @@
 	return c.leader
 }
 
-// retryElsewhere notes what the outcome says of the leader and reports whether
-// another member should be asked.
+// retryElsewhere updates the known leader from the result of an attempt and reports
+// whether to try another member.
 func (c *Caller) retryElsewhere(address string, err error) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -153,17 +153,17 @@
 	return false
 }
 
-func unavailable(cause error) *structs.Error {
-	message := "no member of the group answered in time"
+func unavailableError(cause error) *structs.Error {
+	message := "no member of the group replied in time"
 	if cause != nil {
 		message += " (" + cause.Error() + ")"
 	}
-	refusal := structs.NewError(structs.ErrorUnavailable, message, "Check that a majority of the group's members runs and is reachable, then send it again.")
-	refusal.RetryAfter = time.Second
-	return refusal
+	failure := structs.NewError(structs.ErrorUnavailable, message, "Check that a majority of the group's members is running and reachable, then retry.")
+	failure.RetryAfter = time.Second
+	return failure
 }
 
-// Unique merges lists of addresses in their order, each address once.
+// Unique concatenates lists of addresses without duplicates, in order of first occurrence.
 func Unique(lists ...[]string) []string {
 	seen := make(map[string]bool)
 	var addresses []string
