--- a/spec/incarnations.pml
+++ b/spec/incarnations.pml
@@ -1,6 +1,6 @@
 /*
  * What a leader knows of a runner that starts again under its ID, across changes of the leader. Written after
- * fleet/registry.go, fleet/lives.go and domain/machine.go.
+ * fleet/registry.go, fleet/supersede.go and domain/machine.go.
  *
  * A runner has LIVES lives, one after the other; each ends without a word or says that it departs. Its words,
  * heartbeats and departures, may come in any order, however late, and more than once. A leader takes a word only if
