--- a/daemon/offer_test.go
+++ b/daemon/offer_test.go
@@ -11,8 +11,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// offer has the first zone's router offer a request to zone-1, as its core does for
-// a row without a ready replica, and waits until the offer is over.
+// offer makes the first zone's router offer a request to zone-1, as for a row without a
+// ready replica, and waits until the offer ends.
 func (s *streamSite) offer(request structs.Request, budget time.Duration) *call {
 	own := s.daemons[0].router
 	submitted := newCall(request, func() {})
@@ -20,12 +20,12 @@
 	own.calls[request.ID] = submitted
 	own.offer(router.Offer{ID: request.ID, Zones: []structs.ZoneID{"zone-1"}, Budget: budget})
 	own.mutex.Unlock()
-	s.await("the end of the offer", &own.quiet, func() bool { return own.working.Load() == 0 })
+	s.await("the end of the offer", &own.workDone, func() bool { return own.working.Load() == 0 })
 	return submitted
 }
 
-// generous is a budget that no test comes near.
-const generous = time.Minute
+// longBudget is a budget that no test exhausts.
+const longBudget = time.Minute
 
 func TestOfferIsTakenByAZoneWithAReadyReplica(t *testing.T) {
 	t.Parallel()
@@ -38,7 +38,7 @@
 			for _, embedding := range []bool{false, true} {
 				request := streamRequest("offered", "r0", 5)
 				request.Embedding = embedding
-				answer := s.offer(request, generous)
+				answer := s.offer(request, longBudget)
 				s.Assert(answer.sent, qt.IsTrue)
 				text, err := readRest(answer, "")
 				s.Assert(err, qt.IsNil)
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestOfferThatNoZoneTakesGoesBack checks that the request is not ended: its own
-// zone's queue does that.
+// TestOfferThatNoZoneTakesGoesBack checks that the request is returned to the queue of
+// its own zone and not ended.
 func TestOfferThatNoZoneTakesGoesBack(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -63,7 +63,7 @@
 			row    string
 			budget time.Duration
 		}{
-			{"no replica there", func() {}, "absent", generous},
+			{"no replica there", func() {}, "absent", longBudget},
 			{"no time", func() {}, "r0", 0},
 			{"too late", func() { s.daemons[0].faults.Delay(s.settings[1].Listen.Callers, 2*shortLimit) }, "r0", shortLimit},
 			{"cut off", func() {
@@ -90,16 +90,16 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newStreamSite(t, streamSiteOptions{zones: 2})
-		newTry := func() *offerTry {
+		newTry := func() *offerAttempt {
 			submitted := newCall(streamRequest("offered", "r0", 5), func() {})
-			return s.daemons[0].router.newOfferTry(s.ctx, submitted, "zone-1", time.Now().Add(generous))
+			return s.daemons[0].router.newOfferAttempt(s.ctx, submitted, "zone-1", time.Now().Add(longBudget))
 		}
 		taken := newTry()
 		s.Assert(taken.accept(), qt.IsTrue)
-		taken.giveUp()
+		taken.timeOut()
 		s.Assert(taken.ctx.Err(), qt.IsNil)
 		late := newTry()
-		late.giveUp()
+		late.timeOut()
 		s.Assert(late.ctx.Err(), qt.IsNotNil)
 		s.Assert(late.accept(), qt.IsFalse)
 	})
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -14,18 +14,17 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// zoneStatusTimeout bounds asking one zone for its status; a zone that does not
-// answer in time is shown as not reachable.
+// zoneStatusTimeout bounds a status query to one zone. A zone that exceeds it is shown
+// as unreachable.
 const zoneStatusTimeout = time.Second
 
-// operatorService implements operatorapi.Service on any daemon, by calling the
-// leader of the global group and the controllers of the zones.
+// operatorService implements operatorapi.Service by calling the leader of the global
+// group and the controllers of the zones.
 type operatorService struct {
 	site   config.Site
 	client *transport.Client
 	global *leadercall.Caller
-	// local is this daemon's own service.
-	local *DaemonService
+	local  *DaemonService
 }
 
 // Table implements operatorapi.Service.
@@ -65,8 +64,8 @@
 	return reply.Entries, nil
 }
 
-// Watch implements operatorapi.Service: it asks any member that answers, in
-// steps of at most maxWait.
+// Watch implements operatorapi.Service. It polls any member that replies, for at most
+// maxWait per call.
 func (s *operatorService) Watch(ctx context.Context, since uint64, wait time.Duration) (operatorapi.TableChanges, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+maxWait)
 	defer cancel()
@@ -113,8 +112,8 @@
 	return status, nil
 }
 
-// zoneStatus asks the zone's controllers in turn. The revision in force is the
-// one the zone reported to the global group, which never runs ahead of the zone.
+// zoneStatus queries the zone's controllers in turn. The revision in force is the one
+// reported to the global group, which never exceeds that of the zone.
 func (s *operatorService) zoneStatus(ctx context.Context, settings config.Zone, inForce uint64) structs.ZoneStatus {
 	ctx, cancel := context.WithTimeout(ctx, zoneStatusTimeout)
 	defer cancel()
@@ -145,7 +144,8 @@
 	return list
 }
 
-// Drain implements operatorapi.Service: it finds the runner's zone by asking the zones.
+// Drain implements operatorapi.Service. It finds the runner's zone by trying the zones
+// in turn.
 func (s *operatorService) Drain(ctx context.Context, request operatorapi.DrainRequest) error {
 	if request.Daemon != "" {
 		return s.drainDaemon(ctx, request)
@@ -173,7 +173,8 @@
 	return last
 }
 
-// SaveSnapshot implements operatorapi.Service with the bytes of a snapshot file.
+// SaveSnapshot implements operatorapi.Service. It returns the contents of a snapshot
+// file.
 func (s *operatorService) SaveSnapshot(ctx context.Context, name string) ([]byte, error) {
 	caller := s.groupCaller(name)
 	if caller == nil {
--- a/daemon/replies.go
+++ b/daemon/replies.go
@@ -2,8 +2,6 @@
 
 import "github.com/lotusferry/lotusferry/structs"
 
-// The replies implement leadercall.Reply.
-
 // Failure implements leadercall.Reply.
 func (r *GlobalReply) Failure() *structs.Error { return r.Error }
 
--- a/daemon/reportrelay.go
+++ b/daemon/reportrelay.go
@@ -12,22 +12,23 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// relayEvery is how many report intervals lie between two messages to the leader.
-const relayEvery = 2
+// intervalsPerRelay is the number of report intervals between two messages to the
+// leader.
+const intervalsPerRelay = 2
 
-// relayTries bounds the messages of one turn: one that brings a new share, and one
-// about it.
-const relayTries = 2
+// maxRelayMessages bounds the messages sent at a time: one that may return a new share,
+// and one for that share.
+const maxRelayMessages = 2
 
-// relayLoop reads the router's share of the engines' reports and tells the zone
-// leader what has changed. The first message asks for a share.
+// relayLoop reads the engine reports of the router's share and relays changes to the
+// zone leader. The first message asks for a share.
 func (r *requestRouter) relayLoop(ctx context.Context) {
 	next := time.NewTicker(r.timing.ReportInterval)
 	defer next.Stop()
 	for interval := 0; ; interval++ {
 		r.readShare(ctx)
-		if interval%relayEvery == 0 {
-			r.tellReports(ctx)
+		if interval%intervalsPerRelay == 0 {
+			r.sendReports(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -37,14 +38,14 @@
 	}
 }
 
-// readShare reads the reports that are due.
+// readShare reads the reports of the share that are due.
 func (r *requestRouter) readShare(ctx context.Context) {
 	due := r.relay.Due()
 	reports := make([]*structs.EngineReport, len(due))
 	asked := clock.Now()
 	var reads sync.WaitGroup
 	for i, runner := range due {
-		reads.Go(func() { reports[i] = r.readShared(ctx, runner) })
+		reads.Go(func() { reports[i] = r.readReport(ctx, runner) })
 	}
 	reads.Wait()
 	for _, report := range reports {
@@ -54,8 +55,8 @@
 	}
 }
 
-// readShared reads one report; nil means that the engine gave none in time.
-func (r *requestRouter) readShared(ctx context.Context, runner structs.ShareRunner) *structs.EngineReport {
+// readReport reads one report. It returns nil if the engine does not reply in time.
+func (r *requestRouter) readReport(ctx context.Context, runner structs.ShareRunner) *structs.EngineReport {
 	ctx, cancel := context.WithTimeout(ctx, r.timing.ReportInterval)
 	defer cancel()
 	report, err := r.engines.Report(ctx, runner.Address)
@@ -65,14 +66,14 @@
 	return &report
 }
 
-// tellReports tells the leader, and once more when that gives a new share of which
-// reports are known.
-func (r *requestRouter) tellReports(ctx context.Context) {
-	for range relayTries {
+// sendReports relays the reports to the leader, and again if the reply assigns a new
+// share.
+func (r *requestRouter) sendReports(ctx context.Context) {
+	for range maxRelayMessages {
 		message := r.relay.Message(clock.Now())
 		share, err := r.sendRelay(ctx, message)
 		if err != nil {
-			level.Debug(r.logger).Log("msg", "The leader could not be told of engine reports.", "err", err)
+			level.Debug(r.logger).Log("msg", "Engine reports could not be sent to the leader.", "err", err)
 			return
 		}
 		if !r.relay.Told(message, share) || len(share.Runners) == 0 {
--- a/daemon/reportrelay_test.go
+++ b/daemon/reportrelay_test.go
@@ -28,7 +28,7 @@
 			pause.For(s.ctx, leadercall.RetryPause)
 		}
 		s.Assert(relayed(), qt.IsTrue)
-		// What is loaded then is seen by the leader itself.
+		// Rows loaded afterwards are read by the leader itself.
 		request := streamRequest("first", "r0", 5)
 		text, err := s.ask(0, request)
 		s.Assert(err, qt.IsNil)
--- a/daemon/requestrouter.go
+++ b/daemon/requestrouter.go
@@ -18,9 +18,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// requestRouter feeds the router's decisions (router.Core) from callers, engines
-// and the zone group, and carries out their effects. All access to the core is
-// under mutex; whatever may block is done outside it, on its own goroutine.
+// requestRouter feeds events from callers, engines and the zone group to router.Core
+// and executes its effects. The core is accessed only with mutex held; blocking work
+// runs in separate goroutines without it.
 type requestRouter struct {
 	logger  log.Logger
 	site    config.Site
@@ -29,10 +29,10 @@
 	engines *engineapi.Client
 	peers   peerRouters
 	leader  *leadercall.Caller
-	claims  *claimKeeper
-	answers *answerKeeper
+	claims  *claimManager
+	answers *answerManager
 	timing  config.Timing
-	// unrecorded are the ends that an earlier life may not have recorded.
+	// unrecorded are the ends of claims that a previous run may not have recorded.
 	unrecorded []router.FinishClaim
 
 	mutex    sync.Mutex
@@ -40,35 +40,35 @@
 	calls    map[structs.RequestID]*call
 	attempts map[router.AttemptID]*attempt
 	metrics  *requestMetrics
-	// view is the zone's view; viewed is set once it was read.
-	view   *router.ViewCopy
-	viewed bool
-	// viewStore keeps the view on disk. Only the view's loop uses it.
+	// view is the zone's view; viewReady is set once it is complete.
+	view      *router.ViewCopy
+	viewReady bool
+	// viewStore persists the view. Used only by viewLoop.
 	viewStore viewStore
-	// relay is the router's part in reading engine reports; only its loop uses it.
+	// relay tracks the router's share of the engine reports. Used only by relayLoop.
 	relay *controller.ReportRelay
 	// followed are the engines whose cache events are read.
 	followed map[structs.RunnerID]*followedEngine
-	// running holds the goroutines that carry out effects; working counts them.
+	// running tracks the goroutines that execute effects; working is their number.
 	running sync.WaitGroup
 	working atomic.Int64
-	// draining is set once a planned stop has begun.
+	// draining is set when a graceful shutdown begins.
 	draining bool
-	// drained is set while an operator drains the daemon: it takes no new request.
+	// drained is set while an operator drains the daemon.
 	drained bool
-	// waiting wakes the demand loop when requests wait for a row without a replica.
+	// waiting is signalled when requests wait for a row without a ready replica.
 	waiting notifier
-	// viewChanged is signalled when a view was adopted.
+	// viewChanged is signalled when a view is adopted.
 	viewChanged notifier
-	// quiet is signalled when less is in progress.
-	quiet notifier
-	ctx   context.Context
+	// workDone is signalled when a request or a background task ends.
+	workDone notifier
+	ctx      context.Context
 }
 
-// routerTick is how often time passes for the router's decisions.
+// routerTick is the interval between tick events to the core.
 const routerTick = 20 * time.Millisecond
 
-// run drives the router until ctx ends: ticks, demand reports and the view.
+// run runs the router's loops until ctx is done.
 func (r *requestRouter) run(ctx context.Context) {
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){r.tickLoop, r.demandLoop, r.viewLoop, r.relayLoop, r.cacheLoop, r.claims.renewLoop, r.recoverLoop, r.answers.expireLoop} {
@@ -88,7 +88,7 @@
 	submitted := newCall(request, func() { r.step(router.CallerGone{ID: request.ID}) })
 	r.metrics.accepted.Inc()
 	r.mutex.Lock()
-	if refusal := r.cannotTake(); refusal != nil {
+	if refusal := r.refusalOfNew(); refusal != nil {
 		r.mutex.Unlock()
 		r.metrics.end(refusal)
 		return nil, &api.RefusedError{Refusal: *refusal}
@@ -97,17 +97,18 @@
 	r.mutex.Unlock()
 	r.step(router.Arrived{Request: request})
 	if request.IfReady {
-		return submitted.unlessRefused()
+		return submitted.answerOrRefusal()
 	}
 	return submitted, nil
 }
 
-// cannotTake is the answer to every new request, or nil; it is called under the lock.
-func (r *requestRouter) cannotTake() *structs.Refusal {
+// refusalOfNew returns the refusal of every new request, or nil if requests are
+// accepted. The caller must hold r.mutex.
+func (r *requestRouter) refusalOfNew() *structs.Refusal {
 	var refusal structs.Refusal
 	switch {
-	case !r.viewed:
-		refusal = notViewed()
+	case !r.viewReady:
+		refusal = viewMissingRefusal()
 	case r.drained:
 		refusal = drainedRefusal()
 	default:
@@ -123,29 +124,29 @@
 	return r.core.Rows(), nil
 }
 
-// step hands one event to the core and carries out the effects.
+// step passes an event to the core and executes the effects.
 func (r *requestRouter) step(event router.Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.stepLocked(event)
 }
 
-// stepLocked is step for those who hold the lock.
+// stepLocked is like step, but the caller must hold r.mutex.
 func (r *requestRouter) stepLocked(event router.Event) {
 	for _, effect := range r.core.Step(time.Now(), event) {
-		r.carryOut(effect)
+		r.execute(effect)
 	}
-	r.forgetGone(event)
+	r.removeClosed(event)
 	if r.core.DemandUrgent() {
 		r.waiting.broadcast()
 	}
 	if r.draining {
-		r.quiet.broadcast()
+		r.workDone.broadcast()
 	}
 }
 
-// carryOut is called under the lock: it only touches memory and starts goroutines.
-func (r *requestRouter) carryOut(effect router.Effect) {
+// execute executes an effect. The caller must hold r.mutex, so it does not block.
+func (r *requestRouter) execute(effect router.Effect) {
 	switch effect := effect.(type) {
 	case *router.Deliver:
 		r.deliver(effect.ID, effect.Token)
@@ -174,13 +175,13 @@
 	}
 }
 
-// background runs work that may block; a planned stop waits for it.
+// background runs blocking work in a goroutine that a graceful shutdown waits for.
 func (r *requestRouter) background(work func(context.Context)) {
 	r.working.Add(1)
 	r.running.Go(func() {
 		work(r.ctx)
 		r.working.Add(-1)
-		r.quiet.broadcast()
+		r.workDone.broadcast()
 	})
 }
 
@@ -191,7 +192,8 @@
 	}
 }
 
-// end removes a call from the table; its handler still reads what was delivered.
+// end removes a call from the table. Its handler may still read tokens already
+// delivered.
 func (r *requestRouter) end(id structs.RequestID, refusal *structs.Refusal) {
 	target, waiting := r.calls[id]
 	if !waiting {
@@ -202,10 +204,10 @@
 	if refusal != nil {
 		target.refuse(*refusal)
 	}
-	r.quiet.broadcast()
+	r.workDone.broadcast()
 }
 
-// replay answers a call with the answer that is kept under its key.
+// replay answers a call with the stored answer of its key.
 func (r *requestRouter) replay(effect router.Replay) {
 	target, waiting := r.calls[effect.ID]
 	if !waiting {
@@ -220,14 +222,14 @@
 	r.end(effect.ID, nil)
 }
 
-// forgetGone removes a call whose caller is gone from the table.
-func (r *requestRouter) forgetGone(event router.Event) {
+// removeClosed removes a call whose caller has disconnected.
+func (r *requestRouter) removeClosed(event router.Event) {
 	gone, isGone := event.(router.CallerGone)
 	if !isGone {
 		return
 	}
 	delete(r.calls, gone.ID)
-	r.quiet.broadcast()
+	r.workDone.broadcast()
 }
 
 func (r *requestRouter) openCalls() int {
--- a/daemon/signals.go
+++ b/daemon/signals.go
@@ -9,11 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSecondSignal is the cause of a cut that a second signal asked for.
+// ErrSecondSignal is the cancellation cause when a second signal aborts a graceful
+// shutdown.
 var ErrSecondSignal = errors.New("a second signal came")
 
-// StopSignals returns a context that ends at the first SIGTERM or SIGINT, for a
-// planned stop, and one that ends at the second, which cuts what is left.
+// StopSignals returns a context that is cancelled by the first SIGTERM or SIGINT, to
+// request a graceful shutdown, and one that is cancelled by the second, to abort it.
 func StopSignals() (stop, cut context.Context) {
 	stop, stopNow := context.WithCancel(context.Background())
 	cut, cutNow := context.WithCancelCause(context.Background())
@@ -24,7 +25,7 @@
 		stopNow()
 		<-signals
 		cutNow(ErrSecondSignal)
-		// A third signal ends the process.
+		// A third signal terminates the process.
 		signal.Stop(signals)
 	}()
 	return stop, cut
--- a/daemon/site_test.go
+++ b/daemon/site_test.go
@@ -22,11 +22,10 @@
 )
 
 const (
-	// siteTestLimit ends a test whose site never gets where it should. It is no
-	// measure of speed.
+	// siteTestLimit aborts a test that does not make progress.
 	siteTestLimit = 5 * time.Minute
-	// siteTickInterval and siteElectionTicks keep leaders in office on a machine
-	// that stalls for less than the election timeout of 600 ms.
+	// siteTickInterval and siteElectionTicks give an election timeout of 600 ms, so
+	// that shorter stalls of the machine cause no election.
 	siteTickInterval  = 10 * time.Millisecond
 	siteElectionTicks = 60
 )
@@ -48,7 +47,7 @@
 	return newTestSiteOver(newSiteNetwork(c.TB), c, daemons)
 }
 
-// newTestSiteOver makes a site on a network; nil means TCP.
+// newTestSiteOver returns a site on a network; nil means TCP.
 func newTestSiteOver(over network.Network, c *qt.C, daemons int) *testSite {
 	ctx, cancel := context.WithTimeout(context.Background(), siteTestLimit)
 	c.Cleanup(cancel)
@@ -97,12 +96,12 @@
 	return newDaemon(log.NewNopLogger(), s.settings[index], s.options())
 }
 
-// options are those of a daemon on the site's network.
+// options returns the options of a daemon on the site's network.
 func (s *testSite) options() options {
 	return options{limits: defaultHTTPLimits(), network: s.network, random: s.random}
 }
 
-// kill ends a daemon without handing anything over.
+// kill closes a daemon without transferring its leadership.
 func (s *testSite) kill(index int) {
 	id := s.settings[index].Daemon
 	ctx, cancel := context.WithCancel(context.Background())
@@ -111,7 +110,7 @@
 	delete(s.running, id)
 }
 
-// loseDisk ends a daemon and empties its data folder.
+// loseDisk closes a daemon and deletes the files in its data directory.
 func (s *testSite) loseDisk(index int) {
 	if s.running[s.settings[index].Daemon] != nil {
 		s.kill(index)
@@ -139,7 +138,7 @@
 	return nil
 }
 
-// edit makes an edit of one row, repeating it until it is accepted.
+// edit applies an edit of one row, retrying until it is accepted.
 func (s *testSite) edit(name string) {
 	edit := structs.Edit{
 		ID:     structs.EditID(uuid.NewString()),
@@ -168,7 +167,7 @@
 	return names
 }
 
-// await asks the leader of the global group until its membership satisfies done.
+// await polls the leader of the global group until done reports true of its membership.
 func (s *testSite) await(what string, done func(operatorapi.GroupMembers) bool) operatorapi.GroupMembers {
 	var last operatorapi.GroupMembers
 	for s.ctx.Err() == nil {
@@ -185,8 +184,8 @@
 	return last
 }
 
-// whole reports whether all daemons of the site are active voters.
-func (s *testSite) whole(members operatorapi.GroupMembers) bool {
+// allVotersActive reports whether all daemons of the site are active voters.
+func (s *testSite) allVotersActive(members operatorapi.GroupMembers) bool {
 	voters := map[structs.DaemonID]bool{}
 	for _, member := range members.Members {
 		if !member.Voter || !member.Active {
@@ -197,15 +196,16 @@
 	return len(voters) == len(s.settings) && len(members.Members) == len(s.settings)
 }
 
-// wholeWithout is whole once the identity of a lost disk is gone.
-func (s *testSite) wholeWithout(lost uint64) func(operatorapi.GroupMembers) bool {
+// allVotersActiveWithout returns a condition like allVotersActive that also requires
+// the lost node to have been removed.
+func (s *testSite) allVotersActiveWithout(lost uint64) func(operatorapi.GroupMembers) bool {
 	return func(members operatorapi.GroupMembers) bool {
 		for _, member := range members.Members {
 			if member.Node == lost {
 				return false
 			}
 		}
-		return s.whole(members)
+		return s.allVotersActive(members)
 	}
 }
 
--- a/daemon/standby_test.go
+++ b/daemon/standby_test.go
@@ -16,8 +16,8 @@
 func globalGroupOf(running *Daemon) *group.Group { return running.global.group }
 func zoneGroupOf(running *Daemon) *group.Group   { return running.zone.group }
 
-// leads waits until one of the daemons leads the group, and returns which.
-func (s *testSite) leads(groupOf func(*Daemon) *group.Group, indexes ...int) int {
+// awaitLeader waits until one of the daemons awaitLeader the group, and returns its index.
+func (s *testSite) awaitLeader(groupOf func(*Daemon) *group.Group, indexes ...int) int {
 	for s.ctx.Err() == nil {
 		for _, index := range indexes {
 			running := s.running[s.settings[index].Daemon]
@@ -31,7 +31,8 @@
 	return 0
 }
 
-// standbySite is a site in which the daemons that are not named are standbys.
+// standbySite returns a site in which all daemons except the preferred ones are
+// standbys.
 func standbySite(c *qt.C, preferred ...int) *testSite {
 	s := newTestSite(c, 3)
 	members := s.settings[0].Site.Zones[0].Controllers
@@ -45,7 +46,7 @@
 		s.settings[i].Site.GlobalVoters = members
 	}
 	s.start(0, 1, 2)
-	s.await("the founding", s.whole)
+	s.await("the founding", s.allVotersActive)
 	return s
 }
 
@@ -54,15 +55,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := standbySite(c, 0)
-		s.leads(globalGroupOf, 0)
-		s.leads(zoneGroupOf, 0)
+		s.awaitLeader(globalGroupOf, 0)
+		s.awaitLeader(zoneGroupOf, 0)
 		s.kill(0)
-		s.leads(globalGroupOf, 1, 2)
-		s.leads(zoneGroupOf, 1, 2)
+		s.awaitLeader(globalGroupOf, 1, 2)
+		s.awaitLeader(zoneGroupOf, 1, 2)
 		s.edit("edited-meanwhile")
 		s.start(0)
-		s.leads(globalGroupOf, 0)
-		s.leads(zoneGroupOf, 0)
+		s.awaitLeader(globalGroupOf, 0)
+		s.awaitLeader(zoneGroupOf, 0)
 		c.Assert(s.rows(), qt.DeepEquals, []structs.RowName{"edited-meanwhile"})
 	})
 }
@@ -72,15 +73,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		s := standbySite(c, 0, 1)
-		leader := s.leads(globalGroupOf, 0, 1)
-		heir := 1 - leader
+		leader := s.awaitLeader(globalGroupOf, 0, 1)
+		successor := 1 - leader
 		stopping := s.running[s.settings[leader].Daemon]
 		delete(s.running, s.settings[leader].Daemon)
 		term := stopping.global.group.Status().Term
 		c.Assert(stopping.Stop(context.Background()), qt.Equals, 0)
-		// It has seen the election that it asked for before it stopped, and the one that is
-		// no standby wins.
+		// The daemon observed the election that it requested before it stopped, which a
+		// daemon that is no standby wins.
 		c.Assert(stopping.global.group.Status().Term > term, qt.IsTrue)
-		s.leads(globalGroupOf, heir)
+		s.awaitLeader(globalGroupOf, successor)
 	})
 }
--- a/daemon/stream_benchmark_test.go
+++ b/daemon/stream_benchmark_test.go
@@ -18,11 +18,11 @@
 
 const (
 	benchmarkTokens = 32
-	// benchmarkPace separates the tokens where latency is measured.
+	// benchmarkPace is the interval between tokens in latency benchmarks.
 	benchmarkPace = time.Millisecond
 )
 
-// benchmarkEngine answers with tokens that carry the time of their sending.
+// benchmarkEngine returns an engine whose tokens carry their send time.
 func benchmarkEngine(pace time.Duration, began time.Time) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		request := generateRequest(r)
@@ -36,7 +36,7 @@
 	})
 }
 
-// requestPath is one way of a request: directly to the engine, or by a daemon.
+// requestPath sends a request, either directly to the engine or through a daemon.
 type requestPath func(number int64, take func(structs.Token)) error
 
 func directPath(ctx context.Context, address string, client *engineapi.Client) requestPath {
@@ -83,10 +83,10 @@
 	}
 }
 
-// BenchmarkRequestPath compares calls by a daemon with calls of the engine. Client
-// and engine run in this process in both cases, so that the difference is the
-// daemon's. Latency: microseconds from the sending of a request to its first token,
-// and from the sending of a further token to its receipt.
+// BenchmarkRequestPath compares calls through a daemon with direct calls of the engine.
+// Client and engine run in this process in both cases, so the difference is the cost of
+// the daemon. Latencies, in microseconds, are from sending a request to its first
+// token, and from sending a later token to its receipt.
 func BenchmarkRequestPath(b *testing.B) {
 	for _, pace := range []time.Duration{benchmarkPace, 0} {
 		began := time.Now()
--- a/daemon/stream_test.go
+++ b/daemon/stream_test.go
@@ -20,8 +20,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// shortLimit is a limit that a test waits for, yet long enough for a busy machine to
-// send a request within it.
+// shortLimit is a timeout that tests wait for; it is long enough to send a request on a
+// busy machine.
 const shortLimit = 2 * time.Second
 
 func TestStreamMayLastLongerThanTheReadingOfItsRequest(t *testing.T) {
@@ -60,7 +60,7 @@
 				defer conn.Close()
 				_, err = conn.Write([]byte(test.sent))
 				s.Check(err, qt.IsNil)
-				// The read ends only when the daemon closes the connection.
+				// The read returns only when the daemon closes the connection.
 				answer, _ := io.ReadAll(conn)
 				s.Check(strings.HasPrefix(string(answer), test.answer), qt.IsTrue, qt.Commentf("%s: %s", test.about, answer))
 			})
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestListenerTakesSoManyConnectionsAtOnce(t *testing.T) {
+func TestLimitListenerBoundsOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := networktest.NewMemory(0)
@@ -102,14 +102,13 @@
 	})
 }
 
-// largeToken is the text of one token of an engine that fills all buffers, and
-// largeTokens how many it sends: more than the sockets hold, and less than what
-// the router takes as one answer.
+// largeToken and largeTokens are the text and number of tokens that fill all buffers:
+// more than the sockets hold, but less than the maximum answer of the router.
 var largeToken = strings.Repeat("x", 32<<10)
 
 const largeTokens = 220
 
-// writeTokens writes one token after another until the function says no more.
+// writeTokens writes tokens until next returns false.
 func writeTokens(w http.ResponseWriter, next func(index int) (structs.Token, bool)) {
 	w.Header().Set("Content-Type", engineapi.ContentTypeEvents)
 	for index := 0; ; index++ {
@@ -156,7 +155,7 @@
 		case <-s.ctx.Done():
 			s.TB.Fatal("the engine still runs the request of a caller that does not read")
 		}
-		s.await("the end of the request", &s.daemons[0].router.quiet, func() bool { return s.daemons[0].router.openCalls() == 0 })
+		s.await("the end of the request", &s.daemons[0].router.workDone, func() bool { return s.daemons[0].router.openCalls() == 0 })
 	})
 }
 
@@ -164,10 +163,11 @@
 	t.Parallel()
 	for _, test := range []struct {
 		about string
-		// token makes the answer to a request for 3 tokens; false ends it.
+		// token returns a token of the answer to a request for 3 tokens; false ends the
+		// answer.
 		token func(id structs.RequestID, index int) (structs.Token, bool)
-		// want is what a caller is told: where no token came, the engine was asked
-		// and knows nothing of the request.
+		// want is the execution state reported to the caller. If no token arrived, the
+		// engine was asked and does not know the request.
 		want structs.Execution
 	}{
 		{"truncated", func(id structs.RequestID, index int) (structs.Token, bool) {
@@ -215,7 +215,7 @@
 	}
 }
 
-// lastAt gives the token with this index a finish.
+// lastAt sets the finish reason of the token with the last index.
 func lastAt(token structs.Token, last int) structs.Token {
 	if token.Index == last {
 		token.Finish = structs.FinishLength
--- a/daemon/streamcache.go
+++ b/daemon/streamcache.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// cacheInterval passes between two reads of the engines' cache events.
-	cacheInterval = time.Second
-	// cacheUse is how long after its last request an engine is still followed. An
-	// engine that this router does not use tells it nothing that it needs, so that
-	// the cost does not grow with the number of runners.
-	cacheUse = 30 * time.Second
-	// cacheReads bounds the reads of one round.
-	cacheReads = 64
+	// cachePollInterval is the time between reads of the engines' cache events.
+	cachePollInterval = time.Second
+	// followTimeout is how long after its last request an engine's events are read.
+	// Only engines in use matter to this router, so the cost does not grow with the
+	// number of runners.
+	followTimeout = 30 * time.Second
+	// maxCacheReads bounds the engines read in one round.
+	maxCacheReads = 64
 )
 
-// followedEngine is where the reading of one engine's cache events stands.
+// followedEngine is the position in one engine's cache events.
 type followedEngine struct {
 	address     string
 	usedAt      time.Time
@@ -32,7 +32,7 @@
 	after       uint64
 }
 
-// use notes that a request goes to the engine. It is called under the lock.
+// use records that a request is sent to the engine. The caller must hold r.mutex.
 func (r *requestRouter) use(runner structs.RunnerID, address string) {
 	followed := r.followed[runner]
 	if followed == nil {
@@ -43,14 +43,14 @@
 	followed.usedAt = time.Now()
 }
 
-// cacheLoop reads the cache events of the engines in use until ctx ends.
+// cacheLoop reads the cache events of the engines in use until ctx is done.
 func (r *requestRouter) cacheLoop(ctx context.Context) {
-	for pause.For(ctx, cacheInterval) {
+	for pause.For(ctx, cachePollInterval) {
 		r.readCaches(ctx)
 	}
 }
 
-// readCaches makes one round over the engines in use.
+// readCaches reads the events of the engines in use once.
 func (r *requestRouter) readCaches(ctx context.Context) {
 	var reads sync.WaitGroup
 	for runner, followed := range r.enginesInUse() {
@@ -66,26 +66,26 @@
 	reads.Wait()
 }
 
-// enginesInUse returns the engines to read, and forgets those out of use.
+// enginesInUse returns the engines to read, and removes those no longer in use.
 func (r *requestRouter) enginesInUse() map[structs.RunnerID]followedEngine {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	list := map[structs.RunnerID]followedEngine{}
 	for runner, followed := range r.followed {
-		if time.Since(followed.usedAt) > cacheUse {
+		if time.Since(followed.usedAt) > followTimeout {
 			delete(r.followed, runner)
 			continue
 		}
-		if len(list) < cacheReads {
+		if len(list) < maxCacheReads {
 			list[runner] = *followed
 		}
 	}
 	return list
 }
 
-// takeCachePage notes how far the engine was read and returns the router's
-// events. An engine with another incarnation has an empty cache and counts its
-// events anew, which are read in the next round.
+// takeCachePage advances the position in the engine's events and returns the events for
+// the router core. An engine with a new incarnation has an empty cache and numbers its
+// events from the start; they are read in the next round.
 func (r *requestRouter) takeCachePage(runner structs.RunnerID, page engineapi.EventPage) []router.Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -107,7 +107,7 @@
 	return events
 }
 
-// cacheEvents translates one event of an engine.
+// cacheEvents converts an engine's event to events of the router core.
 func cacheEvents(runner structs.RunnerID, event engineapi.CacheEvent) []router.Event {
 	translated := router.CacheEvent{
 		Runner:   runner,
@@ -116,8 +116,8 @@
 		Evicted:  event.Kind != engineapi.CacheStored,
 	}
 	if event.Kind == engineapi.CacheCleared {
-		// The row left the engine, so that no request for it is sent there. The
-		// hints of other rows stay; the event only carries its sequence on.
+		// The row was unloaded, so no request for it is sent to the engine. The hints
+		// of other rows remain valid; the event only advances the sequence.
 		return []router.Event{translated}
 	}
 	events := make([]router.Event, 0, len(event.Blocks))
@@ -128,7 +128,7 @@
 	return events
 }
 
-// stepAll hands events to the core together.
+// stepAll passes events to the core in one critical section.
 func (r *requestRouter) stepAll(events []router.Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/daemon/streamcache_test.go
+++ b/daemon/streamcache_test.go
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestCachePagesKeepTheirPlaceOverGapsAndRestarts(t *testing.T) {
+func TestCachePagePositionSurvivesGapsAndRestarts(t *testing.T) {
 	c := qt.New(t)
 	own := &requestRouter{followed: map[structs.RunnerID]*followedEngine{"e": {}}}
 	page := engineapi.EventPage{Incarnation: 1, Next: 7, Events: []engineapi.CacheEvent{
--- a/daemon/streamlimits.go
+++ b/daemon/streamlimits.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// httpLimits bound what peers of the HTTP servers may take. Answers are streams
-// and have no timeout of their own: a request's deadline and the timeout of each
+// httpLimits bounds the resources that clients of the HTTP servers may use. Answers are
+// streams without an overall timeout; the request's deadline and the timeout of each
 // write bound them.
 type httpLimits struct {
-	// header, body and idle bound reading a request's header, reading its body,
-	// and a connection without a request.
+	// header, body and idle bound reading a request's header, reading its body, and
+	// keeping an idle connection.
 	header time.Duration
 	body   time.Duration
 	idle   time.Duration
-	// write bounds one write to a caller that does not read.
+	// write bounds one write to a caller.
 	write time.Duration
-	// connections bounds the open connections of one listener; further ones wait.
+	// connections bounds the open connections of a listener; further ones wait.
 	connections int
 }
 
@@ -33,16 +33,15 @@
 	}
 }
 
-// maxHeaderBytes bounds the header of a request.
 const maxHeaderBytes = 32 << 10
 
-// boundBody gives the reading of a request's body a deadline, which is taken off
-// at the body's end: an answer may last longer.
-func boundBody(next http.Handler, timeout time.Duration) http.Handler {
+// withBodyTimeout sets a deadline for reading a request's body and clears it at the end
+// of the body, because the answer may last longer.
+func withBodyTimeout(next http.Handler, timeout time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
-		// A connection that was used before may have the deadline of its last write.
-		// Connections of this server always take deadlines.
+		// A reused connection may still have the deadline of its last write. Errors are
+		// ignored because this server's connections support deadlines.
 		_ = control.SetWriteDeadline(time.Time{})
 		if r.Body != nil && r.Body != http.NoBody {
 			_ = control.SetReadDeadline(time.Now().Add(timeout))
@@ -52,7 +51,7 @@
 	})
 }
 
-// timedBody takes the deadline off its connection once it has been read.
+// timedBody clears the connection's read deadline at EOF.
 type timedBody struct {
 	io.ReadCloser
 	control *http.ResponseController
@@ -67,7 +66,7 @@
 	return count, err
 }
 
-// limitListener accepts at most a number of connections at once.
+// limitListener is a net.Listener that limits the number of open connections.
 type limitListener struct {
 	net.Listener
 	slots  chan struct{}
@@ -100,7 +99,7 @@
 	return l.Listener.Close()
 }
 
-// limitedConn gives its slot back when it is closed.
+// limitedConn releases its slot when closed.
 type limitedConn struct {
 	net.Conn
 	release func()
--- a/daemon/streammetrics.go
+++ b/daemon/streammetrics.go
@@ -8,20 +8,20 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// requestMetrics measure the request path of a router, in seconds.
+// requestMetrics holds the metrics of a router's requests. Times are in seconds.
 type requestMetrics struct {
 	accepted prometheus.Counter
 	answered prometheus.Counter
 	refused  *prometheus.CounterVec
-	// queue is from the arrival to the first sending to an engine or another zone.
+	// queue is the time from arrival to the first send to an engine or another zone.
 	queue prometheus.Histogram
-	// firstToken is from the arrival to the first token.
+	// firstToken is the time from arrival to the first token.
 	firstToken prometheus.Histogram
-	// betweenTokens is between two tokens of an answer.
+	// betweenTokens is the time between consecutive tokens of an answer.
 	betweenTokens prometheus.Histogram
 }
 
-// The buckets of the histograms go from firstBucket up by bucketFactor.
+// Exponential buckets of the histograms, in seconds.
 const (
 	firstBucket  = 0.001
 	bucketFactor = 2
@@ -56,20 +56,20 @@
 	m.refused.WithLabelValues(string(refusal.Error.Kind), string(refusal.Execution)).Inc()
 }
 
-// callTimes are the times of one call, for the metrics.
+// callTimes holds the times of one call for the metrics.
 type callTimes struct {
 	arrived time.Time
 	token   time.Time
 }
 
-// sentAt notes the first sending of a call.
+// sentAt records the first send of a call.
 func (m *requestMetrics) sentAt(open *call, now time.Time) {
 	if !open.sent {
 		m.queue.Observe(now.Sub(open.times.arrived).Seconds())
 	}
 }
 
-// tokenAt notes a token of a call.
+// tokenAt records a token of a call.
 func (m *requestMetrics) tokenAt(open *call, now time.Time) {
 	if open.times.token.IsZero() {
 		m.firstToken.Observe(now.Sub(open.times.arrived).Seconds())
--- a/daemon/streamsite_test.go
+++ b/daemon/streamsite_test.go
@@ -23,7 +23,8 @@
 
 const testGigabyte = 1 << 30
 
-// streamSite is a site that serves requests: one daemon and one engine a zone. Its rows are r0, r1 and so on.
+// streamSite is a site that serves requests, with one daemon and one engine per zone.
+// Its rows are named r0, r1 and so on.
 type streamSite struct {
 	testing.TB
 	*qt.C
@@ -38,15 +39,14 @@
 	scheme   string
 }
 
-// streamSiteOptions shape a streamSite.
 type streamSiteOptions struct {
 	zones  int
 	secure bool
-	// absent is how many machines of the first zone are listed without an engine.
+	// absent is the number of machines listed in the first zone without an engine.
 	absent int
-	// engine answers the generate calls of the first zone when set.
+	// engine, if set, handles the generate calls of the first zone.
 	engine http.Handler
-	// limits changes the limits of the HTTP servers.
+	// limits, if set, modifies the limits of the HTTP servers.
 	limits func(*httpLimits)
 }
 
@@ -131,7 +131,7 @@
 	return machine
 }
 
-// overridden is an engine that answers generate calls in its own way.
+// overridden is an engine with another handler for generate calls.
 type overridden struct{ generate, rest http.Handler }
 
 func (o overridden) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -152,7 +152,7 @@
 	return listener.Addr().String()
 }
 
-// secure gives the daemons certificates of one CA.
+// secure issues certificates of one CA to the daemons.
 func (s *streamSite) secure() {
 	authority, err := keys.NewAuthority("test", time.Now())
 	s.Assert(err, qt.IsNil)
@@ -190,7 +190,7 @@
 	daemon.Start()
 }
 
-// await returns once met is true; it looks again whenever changed is signalled.
+// await waits until met returns true, checking whenever changed is signalled.
 func (s *streamSite) await(what string, changed *notifier, met func() bool) {
 	for {
 		next := changed.wait()
@@ -205,10 +205,11 @@
 	}
 }
 
-// replicasPerZone leaves every zone replicas of every row.
+// replicasPerZone allows replicas of every row in every zone.
 const replicasPerZone = 4
 
-// applyRows adds rows to the table and waits until every zone may load them.
+// applyRows adds rows to the table and waits until every zone is granted replicas of
+// them.
 func (s *streamSite) applyRows(count int) {
 	edit := structs.Edit{ID: "00000000-0000-4000-8000-000000000001", Author: "test"}
 	for i := range count {
@@ -238,11 +239,11 @@
 // slowFactor stretches a long answer to 10 s.
 const slowFactor = 20
 
-// slowDown keeps long answers from ending before the test has done what it does in
-// the midst of them. goOn lets them end.
+// slowDown slows the engines so that long answers do not end during a test step;
+// restoreSpeed ends that.
 func (s *streamSite) slowDown() { s.setFaults(emulator.EngineFaults{SlowFactor: slowFactor}) }
 
-func (s *streamSite) goOn() { s.setFaults(emulator.EngineFaults{}) }
+func (s *streamSite) restoreSpeed() { s.setFaults(emulator.EngineFaults{}) }
 
 func (s *streamSite) setFaults(faults emulator.EngineFaults) {
 	for _, engine := range s.engines {
@@ -250,8 +251,8 @@
 	}
 }
 
-// streamRequest makes a request whose answer has so many tokens, or at least
-// longAnswer when it asks for more.
+// streamRequest returns a request whose answer has the given number of tokens, or at
+// least longAnswer if tokens is larger.
 func streamRequest(id, row string, tokens int) structs.Request {
 	request := structs.Request{ID: structs.RequestID(id), Row: structs.RowName(row), Prompt: "the prompt of " + id,
 		MaxTokens: tokens, DeadlineAt: time.Now().Add(siteTestLimit), Priority: structs.PriorityLive}
@@ -263,12 +264,12 @@
 
 func (s *streamSite) url(index int) string { return s.scheme + s.settings[index].Listen.Callers }
 
-// call begins a request at a daemon.
+// call sends a request to a daemon.
 func (s *streamSite) call(index int, request structs.Request) (api.Answer, error) {
 	return api.NewClient(&http.Client{Transport: s.http}).Call(s.ctx, s.url(index), "", "", request)
 }
 
-// ask makes a request at a daemon and returns its whole answer.
+// ask sends a request to a daemon and returns its complete answer.
 func (s *streamSite) ask(index int, request structs.Request) (string, error) {
 	answer, err := s.call(index, request)
 	if err != nil {
@@ -277,7 +278,7 @@
 	return readRest(answer, "")
 }
 
-// readRest reads an answer to its end and returns its text after the beginning.
+// readRest appends the remaining tokens of an answer to text.
 func readRest(answer api.Answer, text string) (string, error) {
 	defer answer.Close()
 	for {
@@ -292,7 +293,7 @@
 	}
 }
 
-// wholeAnswer is the answer of the engines to a request.
+// wholeAnswer returns the engines' complete answer to a request.
 func wholeAnswer(request structs.Request) string {
 	text := ""
 	for i := range emulator.ExpectedLength(request.Row, request.Prompt, request.MaxTokens) {
@@ -301,7 +302,7 @@
 	return text
 }
 
-// executions counts how often the engines began to run a request.
+// executions returns how many times the engines started to run a request.
 func (s *streamSite) executions(request structs.Request) int {
 	count := 0
 	for _, engine := range s.engines {
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// demandPause is the shortest time between two demand reports of a router.
+	// demandPause is the minimum time between two demand reports.
 	demandPause   = 25 * time.Millisecond
 	demandTimeout = 2 * time.Second
 )
 
-// viewLoop keeps the router's view of its zone up to date by long polls.
+// viewLoop keeps the router's view of its zone current by long polling.
 func (r *requestRouter) viewLoop(ctx context.Context) {
 	defer r.viewStore.close()
 	addresses := r.leader.Addresses()
@@ -39,11 +39,11 @@
 			pause.For(ctx, leadercall.RetryPause)
 			continue
 		}
-		r.keepView(adopted)
+		r.saveChange(adopted)
 		r.adoptView(adopted)
 		if !source.ReadsParts() {
 			r.saveIfDue()
-			r.serveByView()
+			r.markViewReady()
 		}
 	}
 }
@@ -60,27 +60,27 @@
 	return reply.View, structs.AsError(reply.Error)
 }
 
-// loadView begins with the view that was saved, if there is a sound one.
+// loadView loads the saved view, if it is valid.
 func (r *requestRouter) loadView() {
 	views, err := r.viewStore.load()
 	if err != nil {
-		level.Warn(r.logger).Log("msg", "The saved view cannot be read, or not to its end.", "err", err)
+		level.Warn(r.logger).Log("msg", "The saved view is damaged or incomplete.", "err", err)
 	}
 	for _, view := range views {
 		r.adoptView(view)
 	}
 	if len(views) > 0 {
-		// What a failure has torn is put right before changes are added to it.
+		// Repairs a torn end of the file before changes are appended.
 		r.saveIfDue()
-		r.serveByView()
+		r.markViewReady()
 		known := r.view.View()
-		level.Info(r.logger).Log("msg", "The router begins with its saved view.", "table_revision", known.Table.Revision, "index", known.Index)
+		level.Info(r.logger).Log("msg", "The router starts with its saved view.", "table_revision", known.Table.Revision, "index", known.Index)
 	}
 }
 
-// keepView puts a change of the view on disk before the router works by it. After a
-// failure the whole view is saved instead, once the change is adopted.
-func (r *requestRouter) keepView(view structs.ZoneView) {
+// saveChange writes a change of the view to disk before the router applies it. After a
+// write error, the whole view is saved once the change is adopted.
+func (r *requestRouter) saveChange(view structs.ZoneView) {
 	r.mutex.Lock()
 	known := r.core.TableRevision()
 	r.mutex.Unlock()
@@ -93,8 +93,8 @@
 	}
 }
 
-// saveIfDue saves the whole view when no changes can be kept after the saved one, or
-// they have become many.
+// saveIfDue saves the whole view if changes cannot be appended to the saved one or have
+// grown too large.
 func (r *requestRouter) saveIfDue() {
 	if !r.viewStore.isDue() {
 		return
@@ -110,15 +110,16 @@
 	}
 }
 
-// serveByView lets requests in once the table was read to its end and saved.
-func (r *requestRouter) serveByView() {
+// markViewReady allows requests once the whole table has been read and saved.
+func (r *requestRouter) markViewReady() {
 	r.mutex.Lock()
-	// The log of a zone has an entry: a controller without one has just started.
-	r.viewed = r.viewed || r.view.Index() > 0
+	// The log of a zone has at least one entry; a controller with index 0 has just
+	// started.
+	r.viewReady = r.viewReady || r.view.Index() > 0
 	r.mutex.Unlock()
 }
 
-// adoptView hands the view to the core and keeps it.
+// adoptView applies the view here and in the core.
 func (r *requestRouter) adoptView(view structs.ZoneView) {
 	r.mutex.Lock()
 	r.view.Adopt(view)
@@ -131,11 +132,12 @@
 func (r *requestRouter) hasView() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.viewed
+	return r.viewReady
 }
 
-// demandLoop reports the router's demand to the zone leader: at once what waits
-// for a row without a ready replica, and every report interval what changed.
+// demandLoop reports the router's demand to the zone leader: immediately for requests
+// that wait for a row without a ready replica, and every report interval for other
+// changes.
 func (r *requestRouter) demandLoop(ctx context.Context) {
 	schedule := router.NewDemandSchedule(r.timing.ReportInterval)
 	for {
@@ -175,8 +177,8 @@
 	schedule.Acknowledged(now, scope, reply.Epoch)
 }
 
-// notViewed refuses a request to a router that knows no table yet.
-func notViewed() structs.Refusal {
+// viewMissingRefusal is the refusal of requests before the table has been read.
+func viewMissingRefusal() structs.Refusal {
 	refusal := structs.Refusal{
 		Error: *structs.NewError(structs.ErrorUnavailable, "this router has not read its zone's table yet",
 			"Send the request to another router, or come back after the time given."),
--- a/daemon/viewpace.go
+++ b/daemon/viewpace.go
@@ -8,20 +8,21 @@
 	"github.com/lotusferry/lotusferry/internal/pause"
 )
 
-// ViewPartPause separates two parts of the whole table that a controller sends, of
-// some 150 KB each: all routers that lost their disks share 5 MB a second of it, and
-// none of them is ever sent more than a part at once.
+// ViewPartPause is the time between two parts of the whole table sent by a
+// controller. With parts of about 150 KB, it limits the traffic to 5 MB/s for all
+// routers that lost their disks together.
 const ViewPartPause = 30 * time.Millisecond
 
-// viewPace hands out the times at which parts are sent. Its zero value is ready.
-type viewPace struct {
+// viewPartLimiter limits the rate at which parts are sent. The zero value is ready to
+// use.
+type viewPartLimiter struct {
 	mutex sync.Mutex
 	next  time.Time
 }
 
-// reserve returns how long to wait for the next part that may be sent, and false
-// when that is longer than a poll lasts: the router then asks another controller.
-func (p *viewPace) reserve(now time.Time) (time.Duration, bool) {
+// reserve returns how long to wait before sending the next part. It returns false if
+// that exceeds maxWait; the router then asks another controller.
+func (p *viewPartLimiter) reserve(now time.Time) (time.Duration, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.next.Before(now) {
@@ -35,9 +36,9 @@
 	return wait, true
 }
 
-// await waits, if the answer is a part, until it may be sent, and reports whether
-// ctx lasts until then.
-func (p *viewPace) await(ctx context.Context, part bool) bool {
+// await waits until a part may be sent. It returns true at once if the reply is not a
+// part, and false if no part may be sent before ctx is done.
+func (p *viewPartLimiter) await(ctx context.Context, part bool) bool {
 	if !part {
 		return true
 	}
--- a/daemon/viewstore.go
+++ b/daemon/viewstore.go
@@ -15,37 +15,39 @@
 )
 
 const (
-	// viewBaseFile and viewChangesFile are the names in the data folder.
+	// File names in the data directory.
 	viewBaseFile    = "view.cache"
 	viewChangesFile = "view.changes"
-	// viewHeader stands before the checksum of a saved view.
+	// viewHeader precedes the checksum of a saved view.
 	viewHeader = "lotusferry-view-1"
-	// maxChangesBytes is the size of the file of changes at which the whole view is
-	// saved anew: a table of 58,000 rows is some 12 MB, and its changes some 200 B/s.
+	// maxChangesBytes is the size of the change file at which the whole view is saved
+	// again. A table of 58,000 rows takes about 12 MB and produces about 200 B/s of
+	// changes.
 	maxChangesBytes = 4 << 20
 )
 
-// viewStore keeps a router's view of its zone on disk: a whole view, and the
-// changes that came after it. Table changes are synced before the router works by
-// them, so that a restarted router never goes back in revision; changes of the
-// placement alone may be lost. It is not safe for concurrent use.
+// viewStore persists a router's view of its zone as a whole view and the changes after
+// it. Table changes are synced before the router applies them, so that its revision
+// never goes back after a restart; changes of the placement alone may be lost. It is
+// not safe for concurrent use.
 type viewStore struct {
 	zone        structs.ZoneID
 	basePath    string
 	changesPath string
-	// changes is open once the whole view was saved or read; nil means that changes
-	// cannot be kept until it is saved.
+	// changes is open once the whole view was saved or loaded. If nil, the whole view
+	// must be saved before changes can be appended.
 	changes *os.File
 	size    int64
 }
 
-// savedView is the content of one line of a file.
+// savedView is the JSON content of one saved view.
 type savedView struct {
 	Zone structs.ZoneID
 	View structs.ZoneView
 }
 
-// encodeView returns a saved view: a line with header and checksum, and JSON.
+// encodeView encodes a saved view as a line with header and checksum, and a line of
+// JSON.
 func encodeView(saved savedView) ([]byte, error) {
 	content, err := json.Marshal(saved)
 	if err != nil {
@@ -54,14 +56,14 @@
 	return fmt.Appendf(nil, "%s %016x\n%s\n", viewHeader, xxhash.Sum64(content), content), nil
 }
 
-// decodeView reads the first saved view and returns what follows it. Its error has
-// the kind invalid when it is damaged or of another zone.
+// decodeView decodes the first saved view and returns the remaining data. The error is
+// of kind invalid if the view is damaged or belongs to another zone.
 func decodeView(file []byte, zone structs.ZoneID) (structs.ZoneView, []byte, error) {
 	header, rest, _ := bytes.Cut(file, []byte("\n"))
 	content, rest, ended := bytes.Cut(rest, []byte("\n"))
 	if !ended || string(header) != fmt.Sprintf("%s %016x", viewHeader, xxhash.Sum64(content)) {
 		return structs.ZoneView{}, nil, structs.NewError(structs.ErrorInvalid, "the saved view is damaged or of another version",
-			"Nothing needs to be done: the view is read again from a controller.")
+			"No action is needed: the view is read again from a controller.")
 	}
 	var saved savedView
 	if err := json.Unmarshal(content, &saved); err != nil {
@@ -75,9 +77,9 @@
 	return saved.View, rest, nil
 }
 
-// load returns the saved view and the changes after it, in order; none when nothing
-// was saved. The error tells what could not be read: the whole view, and then
-// nothing is returned, or the end of the changes, which a failure may have torn.
+// load returns the saved view and the changes after it, in order, or nothing if none
+// was saved. If the whole view cannot be read, it returns only an error; if the change
+// file is torn, it returns the views before the damage and an error.
 func (s *viewStore) load() ([]structs.ZoneView, error) {
 	file, err := os.ReadFile(s.basePath)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -105,8 +107,8 @@
 	return views, err
 }
 
-// replace saves the whole view and begins its changes anew. Changes that a failure
-// in between leaves there are older than the view and change nothing.
+// replace saves the whole view and truncates the change file. If it fails in between,
+// the remaining changes are older than the view and have no effect.
 func (s *viewStore) replace(view structs.ZoneView) error {
 	s.close()
 	file, err := encodeView(savedView{s.zone, view})
@@ -121,15 +123,15 @@
 	}
 	changes, err := os.OpenFile(s.changesPath, os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
-		return errors.Wrap(err, "open the file of changes")
+		return errors.Wrap(err, "open the change file")
 	}
 	s.changes = changes
 	s.size = 0
 	return nil
 }
 
-// append keeps a change of the view, on disk for good when synced is set. After an
-// error nothing is appended until the whole view is saved.
+// append appends a change of the view and, if synced is set, syncs the file. After an
+// error the whole view must be saved before the next append.
 func (s *viewStore) append(view structs.ZoneView, synced bool) error {
 	line, err := encodeView(savedView{s.zone, view})
 	if err != nil {
@@ -142,12 +144,12 @@
 	}
 	if err != nil {
 		s.close()
-		return errors.Wrap(err, "keep a change of the view")
+		return errors.Wrap(err, "append a change of the view")
 	}
 	return nil
 }
 
-// isDue reports whether the whole view must be saved before a change is appended.
+// isDue reports whether the whole view must be saved before the next append.
 func (s *viewStore) isDue() bool { return s.changes == nil || s.size > maxChangesBytes }
 
 func (s *viewStore) close() {
--- a/daemon/viewstore_test.go
+++ b/daemon/viewstore_test.go
@@ -23,7 +23,7 @@
 		s.Assert(err, qt.IsNil)
 		before := s.daemons[0].router.view.View()
 		s.Assert(s.daemons[0].Stop(s.ctx), qt.Equals, 0)
-		// From now on no controller of the zone can be reached.
+		// The daemon no longer runs a controller, and the zone has no other.
 		s.settings[0].Roles = nil
 		s.settings[0].Roles = append(s.settings[0].Roles, "router")
 		s.start(0)
@@ -51,7 +51,7 @@
 	})
 }
 
-// viewOf is a view with one row at a revision and one replica at an index.
+// viewOf returns a view with one row at a revision and one replica at an index.
 func viewOf(revision, index uint64) structs.ZoneView {
 	return structs.ZoneView{
 		Index: index,
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestViewCopyNeverGoesBackAndTakesChanges(t *testing.T) {
+func TestViewCopyIgnoresOlderViewsAndAppliesChanges(t *testing.T) {
 	c := qt.New(t)
 	core := router.New(router.Options{Zone: "z"})
 	cache := router.NewViewCopy(core)
@@ -90,7 +90,7 @@
 	c.Assert(got.Placement.Replicas, qt.HasLen, 0)
 }
 
-func TestSavedViewIsRefusedWhenDamagedOrOfAnotherZone(t *testing.T) {
+func TestDecodeViewRejectsDamageAndOtherZones(t *testing.T) {
 	c := qt.New(t)
 	file, err := encodeView(savedView{Zone: "z", View: viewOf(5, 10)})
 	c.Assert(err, qt.IsNil)
@@ -106,7 +106,7 @@
 	}
 }
 
-// changeOf is the change to a revision and an index from the ones before.
+// changeOf returns the change to a revision and an index from the preceding ones.
 func changeOf(revision, index uint64) structs.ZoneView {
 	return structs.ZoneView{
 		Index: index, SinceIndex: index - 1,
@@ -120,7 +120,7 @@
 	return store
 }
 
-// revisions loads what is saved and returns the table's revisions.
+// revisions loads the saved views and returns their table revisions.
 func (s *viewStore) revisions() ([]uint64, error) {
 	views, err := s.load()
 	var revisions []uint64
@@ -130,7 +130,7 @@
 	return revisions, err
 }
 
-func TestStoreKeepsChangesAfterTheWholeViewAndSurvivesATornOne(t *testing.T) {
+func TestViewStoreRecoversFromTornChanges(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
 	store := newTestStore(c, folder, "z")
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestStoreUsesNothingOfADamagedViewOrOfAnotherZone(t *testing.T) {
+func TestViewStoreRejectsDamageAndOtherZones(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
 	store := newTestStore(c, folder, "z")
@@ -180,7 +180,7 @@
 	c.Assert(revisions, qt.HasLen, 0, qt.Commentf("changes without the view that they follow"))
 }
 
-func TestChangesLeftFromBeforeTheWholeViewChangeNothing(t *testing.T) {
+func TestViewStoreIgnoresChangesOlderThanView(t *testing.T) {
 	c := qt.New(t)
 	store := newTestStore(c, c.TempDir(), "z")
 	c.Assert(store.replace(viewOf(5, 10)), qt.IsNil)
@@ -211,7 +211,7 @@
 		worked.mutex.Lock()
 		revision := worked.core.TableRevision()
 		worked.mutex.Unlock()
-		// What a kill leaves is what is in the folder now, and a torn end.
+		// Copies the files as a killed process leaves them, with a torn end.
 		folder := s.C.TempDir()
 		for _, name := range []string{viewBaseFile, viewChangesFile} {
 			content, err := os.ReadFile(filepath.Join(s.settings[0].DataFolder, name))
@@ -234,26 +234,26 @@
 	})
 }
 
-func TestManyRoutersWithoutADiskShareThePaceOfAController(t *testing.T) {
+func TestViewPartLimiterBoundsRate(t *testing.T) {
 	c := qt.New(t)
-	var pace viewPace
+	var limiter viewPartLimiter
 	now := time.Unix(1000, 0)
 	sent := 0
 	for range 1000 {
-		wait, free := pace.reserve(now)
+		wait, free := limiter.reserve(now)
 		c.Assert(free, qt.Equals, time.Duration(sent)*ViewPartPause < maxWait)
 		if free {
 			c.Assert(wait, qt.Equals, time.Duration(sent)*ViewPartPause)
 			sent++
 		}
 	}
-	// Whoever was sent away has not put off those who come later.
-	wait, free := pace.reserve(now.Add(time.Hour))
+	// Rejected reservations do not delay later ones.
+	wait, free := limiter.reserve(now.Add(time.Hour))
 	c.Assert(free, qt.IsTrue)
 	c.Assert(wait, qt.Equals, time.Duration(0))
 }
 
-func TestControllerAnswersARouterOnlyWithNews(t *testing.T) {
+func TestViewIsNewsOnlyWhenChanged(t *testing.T) {
 	placement := &structs.Placement{}
 	for _, test := range []struct {
 		about     string
--- a/daemon/wakeup_test.go
+++ b/daemon/wakeup_test.go
@@ -12,7 +12,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// signalled reports whether the work broadcasts to who waits.
+// signalled reports whether work broadcasts on the notifier.
 func signalled(changed *notifier, work func()) bool {
 	next := changed.wait()
 	work()
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestOnlyRequestsWithoutAReplicaWakeTheLeader(t *testing.T) {
+func TestOnlyUnservedDemandSignalsLeader(t *testing.T) {
 	tests := []struct {
 		about string
 		row   structs.RowDemand
@@ -36,22 +36,22 @@
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
-			box := newDemandBox()
+			queue := newDemandQueue()
 			report := structs.DemandReport{Daemon: "router", Rows: []structs.RowDemand{test.row}}
-			qt.Check(t, signalled(&box.unserved, func() { box.put(report) }), qt.Equals, test.wakes)
-			qt.Check(t, box.take(), qt.DeepEquals, []structs.DemandReport{report})
+			qt.Check(t, signalled(&queue.unserved, func() { queue.put(report) }), qt.Equals, test.wakes)
+			qt.Check(t, queue.take(), qt.DeepEquals, []structs.DemandReport{report})
 		})
 	}
 }
 
-func TestMachineListWakesTheReaderOnlyWhenItChanged(t *testing.T) {
+func TestMachineListSignalsOnlyChanges(t *testing.T) {
 	observer := newEngineObserver(log.NewNopLogger(), "z", "", nil, config.Timing{})
 	list := func(state structs.MachineState) func() {
-		return func() { observer.keepMachines([]structs.Machine{{Runner: "a", Zone: "z", State: state}}) }
+		return func() { observer.setMachines([]structs.Machine{{Runner: "a", Zone: "z", State: state}}) }
 	}
-	qt.Check(t, signalled(&observer.changed, list(structs.MachineLive)), qt.IsTrue)
-	qt.Check(t, signalled(&observer.changed, list(structs.MachineLive)), qt.IsFalse)
-	qt.Check(t, signalled(&observer.changed, list(structs.MachineLeaving)), qt.IsTrue)
+	qt.Check(t, signalled(&observer.machinesChanged, list(structs.MachineLive)), qt.IsTrue)
+	qt.Check(t, signalled(&observer.machinesChanged, list(structs.MachineLive)), qt.IsFalse)
+	qt.Check(t, signalled(&observer.machinesChanged, list(structs.MachineLeaving)), qt.IsTrue)
 }
 
 func TestWatchOfTheTableCarriesOnlyWhatChanged(t *testing.T) {
--- a/daemon/zoneleader.go
+++ b/daemon/zoneleader.go
@@ -20,8 +20,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// zoneLeader carries out the decisions of controller.Core while this daemon
-// leads its zone, and brings the global table into the zone log.
+// zoneLeader executes the decisions of controller.Core while this daemon leads its
+// zone, and copies changes of the global table into the zone log.
 type zoneLeader struct {
 	logger      log.Logger
 	node        *zoneNode
@@ -31,14 +31,14 @@
 	global      *leadercall.Caller
 	timing      config.Timing
 	storeBudget int
-	// inquiries asks engines about requests whose router is silent.
+	// inquiries asks engines about requests whose router does not respond.
 	inquiries *claimInquiries
-	// reports carries releases, wishes and the revision in force to the global
-	// group, which may be out of reach for hours; only the newest are kept.
+	// reports are the releases, wishes and revision in force to send to the global
+	// group, which may be unreachable for hours; only the latest are kept.
 	reports globalReports
 }
 
-// run leads whenever the zone group says so, until ctx ends.
+// run leads whenever this member holds the leader lease, until ctx is done.
 func (l *zoneLeader) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := l.node.group.Applied()
@@ -53,7 +53,7 @@
 	}
 }
 
-// lead runs one term of leading: it returns when the lease is lost.
+// lead runs one leadership term and returns when the lease is lost.
 func (l *zoneLeader) lead(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -70,23 +70,25 @@
 	level.Info(l.logger).Log("msg", "This controller no longer leads the zone.", "epoch", epoch)
 }
 
-// decideLoop makes a round every plan interval, and at once, but for a pause, when
-// requests wait for a row without a replica, an engine's replicas changed, an
-// inquiry was answered, or the round before reserved what is to be ordered now.
+// decideLoop runs a planning round every plan interval. It runs one early, after a
+// minimum pause, when requests wait for a row without a replica, an engine's replicas
+// changed, an inquiry was answered, or the previous round reserved memory and its
+// orders can be sent.
 func (l *zoneLeader) decideLoop(ctx context.Context, epoch structs.Epoch) {
 	reserved := false
 	for {
 		demanded := l.node.demand.unserved.wait()
-		moved := l.observer.moved.wait()
+		moved := l.observer.replicasChanged.wait()
 		answered := l.inquiries.answered.wait()
 		current, valid := l.node.group.LeaderLease()
 		if !valid || current != epoch || ctx.Err() != nil {
 			return
 		}
-		// A round after another that reserved only sends the orders: it starts no third.
+		// A round that follows a reservation only sends the orders and triggers no
+		// further round.
 		reserved = l.decide(ctx, epoch) && !reserved
 		if reserved {
-			pause.For(ctx, followPause)
+			pause.For(ctx, followUpPause)
 			continue
 		}
 		pause.For(ctx, roundPause)
@@ -103,15 +105,15 @@
 }
 
 const (
-	// roundPause is the shortest time between two rounds of decisions, so that what
-	// comes in a burst shares one.
+	// roundPause is the minimum time between two rounds, which merges bursts of events
+	// into one round.
 	roundPause = 100 * time.Millisecond
-	// followPause is that after a round that reserved memory.
-	followPause = 25 * time.Millisecond
+	// followUpPause is the pause after a round that reserved memory.
+	followUpPause = 25 * time.Millisecond
 )
 
-// decide is one round: decide on the applied state, send the orders that follow
-// from it, then propose the commands. It reports whether it reserved memory.
+// decide runs one round: it decides on the applied state, sends the resulting orders,
+// then proposes the commands. It reports whether it reserved memory.
 func (l *zoneLeader) decide(ctx context.Context, epoch structs.Epoch) bool {
 	now := clock.Now()
 	for _, report := range l.node.demand.take() {
@@ -137,7 +139,7 @@
 			StoreBudget: l.storeBudget,
 		})
 	})
-	l.observer.await(decisions.Awaited)
+	l.observer.setAwaited(decisions.Awaited)
 	l.inquiries.send(ctx, decisions.Inquiries)
 	l.sendOrders(ctx, epoch, decisions.Orders)
 	l.proposeAll(ctx, decisions.Commands)
@@ -145,7 +147,7 @@
 	return slices.ContainsFunc(decisions.Commands, func(command zone.Command) bool { return command.Reserve != nil })
 }
 
-// sendOrders sends the orders, one runner each, while the lease holds.
+// sendOrders sends each order to its runner concurrently while the lease is valid.
 func (l *zoneLeader) sendOrders(ctx context.Context, epoch structs.Epoch, orders []structs.Order) {
 	if len(orders) == 0 {
 		return
@@ -174,8 +176,8 @@
 	return addresses
 }
 
-// sendOrder returns the engine's reply, or the zero reply when there is none:
-// the order is then repeated by a later round.
+// sendOrder sends an order and returns the engine's reply, or the zero value if there
+// is none; a later round then repeats the order.
 func (l *zoneLeader) sendOrder(ctx context.Context, epoch structs.Epoch, address string, order structs.Order) structs.OrderReply {
 	current, valid := l.node.group.LeaderLease()
 	if !valid || current != epoch {
@@ -185,7 +187,7 @@
 	defer cancel()
 	reply, err := l.engines.Order(ctx, address, order)
 	if err != nil {
-		level.Debug(l.logger).Log("msg", "An order had no answer.", "runner", order.Runner, "kind", order.Kind, "row", order.Row, "err", err)
+		level.Debug(l.logger).Log("msg", "An engine did not reply to an order.", "runner", order.Runner, "kind", order.Kind, "row", order.Row, "err", err)
 		return structs.OrderReply{}
 	}
 	level.Info(l.logger).Log("msg", "An order was answered.", "runner", order.Runner, "kind", order.Kind, "row", order.Row,
@@ -193,10 +195,9 @@
 	return reply
 }
 
-// proposeAll proposes the commands together, so that one sync serves them, and
-// waits until all are decided. Their order in the log is not kept: a command
-// that is refused because it came before one it needs is decided again in the
-// next round.
+// proposeAll proposes the commands concurrently, so that they share a log sync, and
+// waits for the results. Their order in the log is undefined: a command rejected
+// because a prerequisite came later is decided again in the next round.
 func (l *zoneLeader) proposeAll(ctx context.Context, commands []zone.Command) {
 	var proposals sync.WaitGroup
 	for _, command := range commands {
@@ -205,7 +206,7 @@
 	proposals.Wait()
 }
 
-// proposeOne proposes a command and waits until it is decided.
+// proposeOne proposes a command and waits for its result.
 func (l *zoneLeader) proposeOne(ctx context.Context, command zone.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -214,12 +215,12 @@
 		err = structs.AsError(result.Error)
 	}
 	if err != nil {
-		level.Debug(l.logger).Log("msg", "A command was refused.", "err", err)
+		level.Debug(l.logger).Log("msg", "A command was rejected.", "err", err)
 	}
 	return err
 }
 
-// adoptLoop brings the changes of the global table into the zone log.
+// adoptLoop copies changes of the global table into the zone log.
 func (l *zoneLeader) adoptLoop(ctx context.Context) {
 	for next := 0; ctx.Err() == nil; {
 		since := l.node.tableRevision()
@@ -236,7 +237,7 @@
 			continue
 		}
 		if reply.Delta.Revision <= since {
-			// Nothing new here; another member may know more.
+			// There are no changes here, but another member may have some.
 			next++
 			continue
 		}
@@ -246,8 +247,8 @@
 	}
 }
 
-// adopt brings a delta into the zone log, a large one in parts. When a part is
-// refused or its outcome unknown, the next delta begins again with its first part.
+// adopt commits a delta to the zone log, in parts if it is large. If a part is rejected
+// or its outcome is unknown, the next delta starts again at the first part.
 func (l *zoneLeader) adopt(ctx context.Context, delta structs.TableDelta) error {
 	for _, command := range zone.AdoptCommands(delta, zone.MaxPartChanges) {
 		if err := l.proposeOne(ctx, command); err != nil {
@@ -257,7 +258,7 @@
 	return nil
 }
 
-// reportLoop sends what the global group should know of the zone.
+// reportLoop sends pending reports to the global group.
 func (l *zoneLeader) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := l.reports.changed.wait()
@@ -279,6 +280,6 @@
 	defer cancel()
 	if _, err := proposeGlobal(ctx, l.global, command); err != nil {
 		l.reports.failed(command)
-		level.Debug(l.logger).Log("msg", "The global group could not be told.", "err", err)
+		level.Debug(l.logger).Log("msg", "A report could not be sent to the global group.", "err", err)
 	}
 }
--- a/daemon/zonenode.go
+++ b/daemon/zonenode.go
@@ -18,10 +18,10 @@
 	id      structs.ZoneID
 	group   *group.Group
 	machine *zoneMachine
-	demand  *demandBox
-	claims  *claimDesk
-	// viewParts bounds the parts of the table that are sent at a time.
-	viewParts viewPace
+	demand  *demandQueue
+	claims  *claimBatcher
+	// viewParts limits the rate at which parts of the table are sent.
+	viewParts viewPartLimiter
 	// observer reads the engines' reports while this member leads.
 	observer *engineObserver
 }
@@ -38,7 +38,7 @@
 		id:      settings.ID,
 		group:   member,
 		machine: machine,
-		demand:  newDemandBox(),
+		demand:  newDemandQueue(),
 	}, nil
 }
 
@@ -64,7 +64,8 @@
 	return revision
 }
 
-// notLeader is the refusal of a member that does not lead, naming who does.
+// notLeader returns the refusal of a member that does not lead, with the leader's
+// address.
 func (n *zoneNode) notLeader() *structs.Error {
 	refusal := structs.NewError(structs.ErrorNotLeader, "this controller does not lead the zone", "Ask the zone's leader.")
 	refusal.Leader = n.group.Status().LeaderAddress
--- a/daemon/zoneservice.go
+++ b/daemon/zoneservice.go
@@ -8,12 +8,12 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// ZoneService is the net/rpc service of a controller for its zone.
+// ZoneService is the net/rpc service of a zone's controller.
 type ZoneService struct {
 	node *zoneNode
 }
 
-// Propose runs a command through the zone log. Only the leader takes it.
+// Propose commits a command through the zone log. Only the leader accepts it.
 func (s *ZoneService) Propose(arguments ProposeArguments, reply *ZoneReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
@@ -23,9 +23,9 @@
 	return nil
 }
 
-// Claims carries a holder's claim operations out and renews its claims. Only the
-// leader does, while it has its lease: a renewal by a stale leader would be unknown
-// to the real one.
+// Claims runs a holder's claim operations and renews its claims. It requires the leader
+// lease, because a renewal accepted by a stale leader would be unknown to the current
+// one.
 func (s *ZoneService) Claims(arguments ClaimsArguments, reply *ClaimsReply) error {
 	if _, valid := s.node.group.LeaderLease(); !valid {
 		reply.Error = s.node.notLeader()
@@ -42,7 +42,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	results, err := s.node.claims.operate(ctx, command)
+	results, err := s.node.claims.submit(ctx, command)
 	reply.Error = structs.AsTyped(err)
 	for i, result := range results {
 		if command.ClaimBatch.Operations[i].Finish != nil {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// View returns what changed for a router since the revisions it names. Any
-// controller answers; one that is behind answers the same changes later.
+// View returns the changes for a router since the given revisions. Any controller
+// replies; one that lags returns the same changes later.
 func (s *ZoneService) View(arguments ViewArguments, reply *ViewReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), min(arguments.Wait, maxWait))
 	defer cancel()
@@ -76,14 +76,14 @@
 	}
 }
 
-// partsBusy asks a router that needs the whole table to come back.
+// partsBusy is the refusal of a table part while too many routers read the whole table.
 func partsBusy() *structs.Error {
-	refusal := structs.NewError(structs.ErrorOverloaded, "many routers read the whole table now", "Ask another controller of the zone, or this one later.")
+	refusal := structs.NewError(structs.ErrorOverloaded, "too many routers are reading the whole table", "Ask another controller of the zone, or this one later.")
 	refusal.RetryAfter = ViewPartPause
 	return refusal
 }
 
-// sendsPart reports whether the answer is a part of the whole table.
+// sendsPart reports whether the reply is a part of the whole table.
 func (s *ZoneService) sendsPart(arguments ViewArguments) bool {
 	var part bool
 	s.node.group.View(func() { part = takesPart(s.node.machine.state, arguments) })
@@ -101,7 +101,7 @@
 	return state.View(arguments.SinceTable, arguments.SinceIndex)
 }
 
-// Demand takes a router's demand report. Only the leader uses it.
+// Demand accepts a router's demand report. Only the leader accepts it.
 func (s *ZoneService) Demand(arguments DemandArguments, reply *DemandReply) error {
 	status := s.node.group.Status()
 	if !status.IsLeader {
@@ -113,11 +113,11 @@
 	return nil
 }
 
-// Reports takes a router's word on its share of the engines' reports. Only the
-// leader uses it.
+// Reports accepts engine reports relayed by a router for its share. Only the leader
+// accepts it.
 func (s *ZoneService) Reports(arguments ReportsArguments, reply *ReportsReply) error {
 	epoch, valid := s.node.group.LeaderLease()
-	share, taken := s.node.observer.takeRelay(epoch, arguments.Relay)
+	share, taken := s.node.observer.handleRelay(epoch, arguments.Relay)
 	if !valid || !taken {
 		reply.Error = s.node.notLeader()
 		return nil
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Status tells the zone's state as this controller has applied it.
+// Status returns the zone's state as applied by this controller.
 func (s *ZoneService) Status(_ StatusArguments, reply *ZoneStatusReply) error {
 	status := s.node.group.Status()
 	reply.Status = structs.ZoneStatus{
