--- a/daemon/viewpace.go
+++ b/daemon/viewpace.go
@@ -8,10 +8,10 @@
 	"github.com/lotusferry/lotusferry/internal/pause"
 )
 
-// ViewPartPause is the time between two parts of the whole table sent by a
+// ViewPartInterval is the time between two parts of the whole table sent by a
 // controller. With parts of about 150 KB, it limits the traffic to 5 MB/s for all
 // routers that lost their disks together.
-const ViewPartPause = 30 * time.Millisecond
+const ViewPartInterval = 30 * time.Millisecond
 
 // viewPartLimiter limits the rate at which parts are sent. The zero value is ready to
 // use.
@@ -32,7 +32,7 @@
 	if wait >= maxWait {
 		return 0, false
 	}
-	p.next = p.next.Add(ViewPartPause)
+	p.next = p.next.Add(ViewPartInterval)
 	return wait, true
 }
 
--- a/daemon/viewstore_test.go
+++ b/daemon/viewstore_test.go
@@ -241,9 +241,9 @@
 	sent := 0
 	for range 1000 {
 		wait, free := limiter.reserve(now)
-		c.Assert(free, qt.Equals, time.Duration(sent)*ViewPartPause < maxWait)
+		c.Assert(free, qt.Equals, time.Duration(sent)*ViewPartInterval < maxWait)
 		if free {
-			c.Assert(wait, qt.Equals, time.Duration(sent)*ViewPartPause)
+			c.Assert(wait, qt.Equals, time.Duration(sent)*ViewPartInterval)
 			sent++
 		}
 	}
--- a/daemon/zoneservice.go
+++ b/daemon/zoneservice.go
@@ -79,7 +79,7 @@
 // partsBusy is the refusal of a table part while too many routers read the whole table.
 func partsBusy() *structs.Error {
 	refusal := structs.NewError(structs.ErrorOverloaded, "too many routers are reading the whole table", "Ask another controller of the zone, or this one later.")
-	refusal.RetryAfter = ViewPartPause
+	refusal.RetryAfter = ViewPartInterval
 	return refusal
 }
 
