--- a/daemon/claimhome.go
+++ b/daemon/claimhome.go
@@ -28,9 +28,9 @@
 	renewedAt   time.Time
 }
 
-func newClaimHome(leader *leadercall.Caller, far bool) *claimHome {
-	home := &claimHome{leader: leader, remote: far, timeout: claimTimeout, requests: map[structs.RequestID]bool{}}
-	if far {
+func newClaimHome(leader *leadercall.Caller, remote bool) *claimHome {
+	home := &claimHome{leader: leader, remote: remote, timeout: claimTimeout, requests: map[structs.RequestID]bool{}}
+	if remote {
 		home.timeout = remoteClaimTimeout
 	}
 	return home
@@ -44,7 +44,7 @@
 	if h.remote && h.unreachable {
 		return false
 	}
-	if _, before := h.requests[request]; !before {
+	if _, registered := h.requests[request]; !registered {
 		h.requests[request] = false
 	}
 	return true
@@ -63,7 +63,7 @@
 func (h *claimHome) startEnd(request structs.RequestID) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if _, asked := h.requests[request]; !asked {
+	if _, registered := h.requests[request]; !registered {
 		return false
 	}
 	h.requests[request] = true
--- a/daemon/claimkeys_test.go
+++ b/daemon/claimkeys_test.go
@@ -15,13 +15,13 @@
 
 // lastResponse records the last HTTP response.
 type lastResponse struct {
-	next http.RoundTripper
-	head *http.Response
+	next     http.RoundTripper
+	response *http.Response
 }
 
 func (l *lastResponse) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := l.next.RoundTrip(request)
-	l.head = response
+	l.response = response
 	return response, err
 }
 
@@ -113,10 +113,10 @@
 		s.Assert(refusal.Error.Kind, qt.Equals, structs.ErrorConflict)
 		s.Assert(refusal.Error.Message, qt.Contains, "ran, and its answer is no longer kept")
 		s.Assert(refusal.Error.Remedy, qt.Contains, "new key")
-		s.Assert(last.head.StatusCode, qt.Equals, http.StatusConflict)
-		s.Assert(last.head.Header.Get(api.HeaderExecution), qt.Equals, string(structs.ExecutionDone))
-		s.Assert(last.head.Header.Get("Retry-After"), qt.Equals, "")
-		s.Assert(last.head.Header.Get(api.HeaderShouldRetry), qt.Equals, "false")
+		s.Assert(last.response.StatusCode, qt.Equals, http.StatusConflict)
+		s.Assert(last.response.Header.Get(api.HeaderExecution), qt.Equals, string(structs.ExecutionDone))
+		s.Assert(last.response.Header.Get("Retry-After"), qt.Equals, "")
+		s.Assert(last.response.Header.Get(api.HeaderShouldRetry), qt.Equals, "false")
 		s.Assert(s.executions(request), qt.Equals, 1)
 	})
 }
--- a/daemon/claims_test.go
+++ b/daemon/claims_test.go
@@ -69,7 +69,7 @@
 	serving.Go(server.Serve)
 	closed, err := transport.NewServer(log.NewNopLogger(), options)
 	c.Assert(err, qt.IsNil)
-	silent := closed.Address()
+	unreachable := closed.Address()
 	closed.Close()
 	client := transport.NewClient(log.NewNopLogger(), options)
 	c.Cleanup(func() {
@@ -79,7 +79,7 @@
 	})
 	site := config.Site{Zones: []config.Zone{
 		{ID: "a", Controllers: []config.Member{{Address: server.Address()}}},
-		{ID: "b", Controllers: []config.Member{{Address: silent}}},
+		{ID: "b", Controllers: []config.Member{{Address: unreachable}}},
 	}}
 	holder := structs.ClaimHolder{Daemon: "daemon", Session: 5}
 	return served, newClaimManager(log.NewNopLogger(), client, site, "a", holder)
--- a/daemon/engines.go
+++ b/daemon/engines.go
@@ -142,10 +142,10 @@
 		return nil, false
 	}
 	share := o.shares.Take(clock.Now(), message, o.machines)
-	for _, said := range message.Changed {
+	for _, changed := range message.Changed {
 		// The outcome of an order is judged only by the leader's own readings.
-		if seen, read := o.reports[said.Runner]; read && o.digests[said.Runner] == said.Digest && !o.awaited[said.Runner] {
-			o.reports[said.Runner] = controller.WithBusy(seen, said)
+		if seen, read := o.reports[changed.Runner]; read && o.digests[changed.Runner] == changed.Digest && !o.awaited[changed.Runner] {
+			o.reports[changed.Runner] = controller.WithBusy(seen, changed)
 		}
 	}
 	suspects := o.shares.Suspects(o.digests)
