--- a/config/check.go
+++ b/config/check.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// Check returns every problem of the settings, warnings included. It looks at the
-// files that are named and tries to write to the data folder.
+// Check validates the settings and returns all problems, warnings included. It reads
+// the named files and tests that the data folder is writable.
 func (c Config) Check() []Problem {
 	check := &checker{config: c}
 	check.identity()
@@ -21,7 +21,7 @@
 	return check.problems
 }
 
-// checker gathers the problems of one Config.
+// checker collects the problems of one Config.
 type checker struct {
 	config   Config
 	problems []Problem
@@ -49,7 +49,7 @@
 			"Name one of the zones under site.zones, or add it there.")
 	}
 	if len(c.Roles) == 0 {
-		k.add("roles", "", "names no role", "Name router, controller or both.")
+		k.add("roles", "", "is empty", "Name router, controller or both.")
 	}
 	seen := map[Role]bool{}
 	for index, role := range c.Roles {
@@ -58,24 +58,24 @@
 			k.add(key, role, "is not a role", "Write router or controller.")
 		}
 		if seen[role] {
-			k.add(key, role, "stands twice", "Name each role once.")
+			k.add(key, role, "is listed twice", "Name each role once.")
 		}
 		seen[role] = true
 	}
 }
 
-// maximumIdentifierLength keeps IDs readable in logs and certificates.
+// maximumIdentifierLength bounds IDs, which appear in logs and certificates.
 const maximumIdentifierLength = 63
 
-// identifier checks an ID: it becomes part of certificates and of file names.
+// identifier checks an ID, which is used in certificates and file names.
 func (k *checker) identifier(key, value string) {
 	if value == "" {
 		k.add(key, value, "is missing", "Give it an ID of letters, digits, dots and dashes.")
 		return
 	}
 	if !isIdentifier(value) {
-		k.add(key, value, "is not an ID",
-			fmt.Sprintf("Use 1 to %d letters, digits, dots and dashes, with a letter or digit first.", maximumIdentifierLength))
+		k.add(key, value, "is not a valid ID",
+			fmt.Sprintf("Use 1 to %d letters, digits, dots and dashes, starting with a letter or digit.", maximumIdentifierLength))
 	}
 }
 
@@ -99,7 +99,7 @@
 func (k *checker) dataFolder() {
 	folder := k.config.DataFolder
 	if folder == "" {
-		k.add("data_folder", "", "is missing", "Name a folder that this daemon alone uses.")
+		k.add("data_folder", "", "is missing", "Set a folder that no other daemon uses.")
 		return
 	}
 	info, err := os.Stat(folder)
@@ -112,15 +112,15 @@
 		k.add("data_folder", folder, "is not a folder", "Name a folder.")
 		return
 	}
-	if err := tryWrite(folder); err != nil {
-		k.add("data_folder", folder, "cannot be written ("+err.Error()+")",
-			"Give it to the user that runs the daemon.")
+	if err := checkWritable(folder); err != nil {
+		k.add("data_folder", folder, "is not writable ("+err.Error()+")",
+			"Make it writable for the user that runs the daemon.")
 	}
 }
 
-// tryWrite makes a file in the folder and removes it: access rights alone do not
-// tell whether the file system takes files.
-func tryWrite(folder string) error {
+// checkWritable creates and removes a file in the folder. Permission bits alone do not
+// show whether the file system is writable.
+func checkWritable(folder string) error {
 	file, err := os.CreateTemp(folder, ".check-*")
 	if err != nil {
 		return err
--- a/config/check_address.go
+++ b/config/check_address.go
@@ -7,34 +7,35 @@
 	"strconv"
 )
 
-// address checks an IP:port and returns it. With free set, port 0 is allowed.
-func (k *checker) address(key, value string, free bool) (netip.AddrPort, bool) {
+// address parses and checks an IP:port. With allowPortZero, port 0 and the unspecified
+// address are valid.
+func (k *checker) address(key, value string, allowPortZero bool) (netip.AddrPort, bool) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		k.add(key, value, "is not an IP number with a port",
+		k.add(key, value, "is not an IP address with a port",
 			"Write it as 10.1.2.3:7401 or [fd00::3]:7401; names are not resolved.")
 		return netip.AddrPort{}, false
 	}
-	if address.Port() == 0 && !free {
-		k.add(key, value, "has port 0", "Name the port at which others reach it.")
+	if address.Port() == 0 && !allowPortZero {
+		k.add(key, value, "has port 0", "Set the port at which other processes reach it.")
 		return netip.AddrPort{}, false
 	}
-	if !free && address.Addr().IsUnspecified() {
-		k.add(key, value, "is the unspecified address", "Name the IP number at which others reach it.")
+	if !allowPortZero && address.Addr().IsUnspecified() {
+		k.add(key, value, "is the unspecified address", "Set the IP address at which other processes reach it.")
 		return netip.AddrPort{}, false
 	}
 	if k.config.Development && !address.Addr().Unmap().IsLoopback() {
 		k.add(key, value, "is not a loopback address, and development mode has no TLS",
-			"Use 127.0.0.1 or [::1], or set development to false and make keys.")
+			"Use 127.0.0.1 or [::1], or set development to false and create keys.")
 		return netip.AddrPort{}, false
 	}
 	return address, true
 }
 
-// listen checks the own addresses of the daemon and that no two of them clash.
+// listen checks the listen addresses of the daemon and that no two of them overlap.
 func (k *checker) listen() {
 	c := k.config
-	own := []struct {
+	listeners := []struct {
 		key, value string
 		needed     bool
 	}{
@@ -42,12 +43,12 @@
 		{"listen.operators", c.Listen.Operators, true},
 		{"listen.internal", c.Listen.Internal, c.HasRole(RoleController)},
 	}
-	taken := map[uint16]listener{}
-	for _, entry := range own {
+	byPort := map[uint16]listener{}
+	for _, entry := range listeners {
 		if entry.value == "" {
 			if entry.needed {
 				k.add(entry.key, "", "is missing for the roles of this daemon",
-					"Write an IP number with a port.")
+					"Write an IP address with a port.")
 			}
 			continue
 		}
@@ -55,16 +56,16 @@
 		if !ok || address.Port() == 0 {
 			continue
 		}
-		before, clash := taken[address.Port()]
+		before, clash := byPort[address.Port()]
 		if clash && before.overlaps(address) {
 			k.add(entry.key, entry.value, "overlaps "+before.key, "Give each listener its own port.")
 			continue
 		}
-		taken[address.Port()] = listener{key: entry.key, address: address}
+		byPort[address.Port()] = listener{key: entry.key, address: address}
 	}
 }
 
-// listener is an address that the process already listens on.
+// listener is a listen address and its setting.
 type listener struct {
 	key     string
 	address netip.AddrPort
@@ -76,20 +77,20 @@
 	return own == theirs || own.IsUnspecified() || theirs.IsUnspecified()
 }
 
-// platformURL checks the URL of a service of the platform: plain HTTP, by IP number.
-// The paths below it are the platform's interface, and no setting.
+// platformURL checks the base URL of the platform: plain HTTP with an IP address and
+// no path.
 func (k *checker) platformURL(key, value string) {
 	if value == "" {
-		k.add(key, "", "is missing", "Write the platform's URL by IP number, such as http://10.1.2.3:8700.")
+		k.add(key, "", "is missing", "Write the platform's URL with an IP address, such as http://10.1.2.3:8700.")
 		return
 	}
 	parsed, err := url.Parse(value)
 	if err != nil || parsed.Scheme != "http" {
-		k.add(key, value, "is not an http URL", "Write it as http://10.1.2.3:8700; the platform speaks plain HTTP.")
+		k.add(key, value, "is not an http URL", "Write it as http://10.1.2.3:8700; the platform uses plain HTTP.")
 		return
 	}
 	if value != "http://"+parsed.Host {
-		k.add(key, value, "holds more than a host and a port, which would be left out", "Write http://"+parsed.Host+".")
+		k.add(key, value, "has parts other than a host and a port, which would be ignored", "Write http://"+parsed.Host+".")
 		return
 	}
 	port := parsed.Port()
@@ -97,7 +98,7 @@
 		port = "80"
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		k.add(key, value, "has a bad port", "Write a port from 1 to 65535.")
+		k.add(key, value, "has an invalid port", "Write a port from 1 to 65535.")
 		return
 	}
 	k.address(key, joinAddress(parsed.Hostname(), port), false)
--- a/config/check_site.go
+++ b/config/check_site.go
@@ -8,64 +8,64 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Bounds of the site's numbers.
+// Bounds of the site settings.
 const (
-	maximumZoneWeight     = 1000
-	maximumStoreInFlight  = 10000
-	recommendedVoterFloor = 3
+	maximumZoneWeight    = 1000
+	maximumStoreInFlight = 10000
+	recommendedVoters    = 3
 )
 
 func (k *checker) site() {
 	site := k.config.Site
 	k.identifier("site.name", site.Name)
 	if site.Objective != structs.ObjectiveLatency && site.Objective != structs.ObjectiveIdle {
-		k.add("site.objective", site.Objective, "is not an objective", "Write latency or idle.")
+		k.add("site.objective", site.Objective, "is not a known objective", "Write latency or idle.")
 	}
 	if len(site.Zones) == 0 {
-		k.add("site.zones", "", "names no zone", "List every zone of the site.")
+		k.add("site.zones", "", "is empty", "List every zone of the site.")
 	}
 	k.zones(site.Zones)
 	k.globalVoters(site)
-	k.ownMembership()
+	k.siteMembership()
 	k.platformURL("site.machine_list", site.MachineList)
-	k.between("site.store_concurrent", site.StoreConcurrent, 1, maximumStoreInFlight)
+	k.intRange("site.store_concurrent", site.StoreConcurrent, 1, maximumStoreInFlight)
 	k.planner(site.PlanSettings())
 }
 
-// zones checks each zone. A daemon, and an internal address, belongs to one zone.
+// zones checks each zone. A daemon or an internal address may be listed in one zone only.
 func (k *checker) zones(zones []Zone) {
 	zoneSeen := map[structs.ZoneID]bool{}
-	everywhere := newMemberSet()
+	siteMembers := newMemberSet()
 	routers := map[string]bool{}
 	for index, zone := range zones {
 		key := fmt.Sprintf("site.zones[%d]", index)
 		k.identifier(key+".id", string(zone.ID))
 		if zoneSeen[zone.ID] {
-			k.add(key+".id", zone.ID, "stands twice", "Give each zone its own ID.")
+			k.add(key+".id", zone.ID, "is listed twice", "Give each zone its own ID.")
 		}
 		zoneSeen[zone.ID] = true
-		k.between(key+".weight", zone.Weight, 1, maximumZoneWeight)
+		k.intRange(key+".weight", zone.Weight, 1, maximumZoneWeight)
 		k.members(key+".controllers", zone.Controllers)
-		k.unique(key+".controllers", zone.Controllers, everywhere)
+		k.unique(key+".controllers", zone.Controllers, siteMembers)
 		k.routers(key+".routers", zone.Routers, routers)
 	}
 	for index, zone := range zones {
 		for position, router := range zone.Routers {
-			if everywhere.addresses[router] {
+			if siteMembers.addresses[router] {
 				k.add(fmt.Sprintf("site.zones[%d].routers[%d]", index, position), router, "is the internal address of a controller",
-					"Write the address that the router listens on for callers.")
+					"Write the address on which the router listens for callers.")
 			}
 		}
 	}
 }
 
-// routers checks callers' addresses: each belongs to one router of one zone.
+// routers checks the addresses for callers; each may be listed once in the site.
 func (k *checker) routers(key string, routers []string, seen map[string]bool) {
 	for position, router := range routers {
 		routerKey := fmt.Sprintf("%s[%d]", key, position)
 		k.address(routerKey, router, false)
 		if seen[router] {
-			k.add(routerKey, router, "stands twice", "List each router once, under its own zone.")
+			k.add(routerKey, router, "is listed twice", "List each router once, under its own zone.")
 		}
 		seen[router] = true
 	}
@@ -88,8 +88,8 @@
 		controller, known := controllers[voter.Daemon]
 		memberKey := fmt.Sprintf("%s[%d]", key, index)
 		if !known {
-			k.add(memberKey+".daemon", voter.Daemon, "is no controller of any zone",
-				"Add it to the controllers of its zone, or take it out of the global voters.")
+			k.add(memberKey+".daemon", voter.Daemon, "is not a controller of any zone",
+				"Add it to the controllers of its zone, or remove it from the global voters.")
 			continue
 		}
 		perZone[zones[voter.Daemon]]++
@@ -101,35 +101,35 @@
 	k.zoneMajority(site, perZone)
 }
 
-// zoneMajority warns when the loss of one zone would stop edits.
+// zoneMajority warns when the loss of one zone would leave no quorum of global voters.
 func (k *checker) zoneMajority(site Site, perZone map[structs.ZoneID]int) {
-	if len(site.Zones) < recommendedVoterFloor {
+	if len(site.Zones) < recommendedVoters {
 		return
 	}
 	for _, zone := range site.ZoneIDs() {
 		if 2*perZone[zone] >= len(site.GlobalVoters) && perZone[zone] > 0 {
-			k.warn("site.global_voters", zone, "holds so many voters that edits stop when this zone is lost",
-				"Spread the global voters so that no zone holds half of them.")
+			k.warn("site.global_voters", zone, "has so many voters that edits stop when this zone fails",
+				"Distribute the global voters so that no zone has half of them.")
 		}
 	}
 }
 
 func (k *checker) members(key string, members []Member) {
 	if len(members) == 0 {
-		k.add(key, "", "names no voter", "List an odd number of controllers, at best three or five.")
+		k.add(key, "", "is empty", "List an odd number of controllers, preferably three or five.")
 		return
 	}
 	if len(members)%2 == 0 {
-		k.warn(key, len(members), "is an even number of voters, which survives no more losses than one voter fewer",
-			"Add or take out one voter.")
+		k.warn(key, len(members), "is an even number of voters, which tolerates no more failures than one voter fewer",
+			"Add or remove one voter.")
 	}
-	if len(members) < recommendedVoterFloor {
-		k.warn(key, len(members), "is too few voters to survive the loss of one",
+	if len(members) < recommendedVoters {
+		k.warn(key, len(members), "is too few voters to tolerate the failure of one",
 			"Use three or five voters.")
 	}
 	if !slices.ContainsFunc(members, func(member Member) bool { return !member.Standby }) {
-		k.warn(key, len(members), "are standbys, all of them, so that each may lead",
-			"Leave standby out where a member is to lead.")
+		k.warn(key, len(members), "is the number of members, all of which are standbys, so any of them may lead",
+			"Remove standby from the members that should lead.")
 	}
 	for index, member := range members {
 		memberKey := fmt.Sprintf("%s[%d]", key, index)
@@ -138,7 +138,7 @@
 	}
 }
 
-// memberSet remembers what members have taken.
+// memberSet holds the daemons and addresses of the members checked so far.
 type memberSet struct {
 	daemons   map[structs.DaemonID]bool
 	addresses map[string]bool
@@ -148,84 +148,84 @@
 	return memberSet{daemons: map[structs.DaemonID]bool{}, addresses: map[string]bool{}}
 }
 
-// unique reports daemons and addresses that seen already has.
+// unique reports duplicate daemons and addresses, and adds the members to seen.
 func (k *checker) unique(key string, members []Member, seen memberSet) {
 	for index, member := range members {
 		memberKey := fmt.Sprintf("%s[%d]", key, index)
 		if seen.daemons[member.Daemon] {
-			k.add(memberKey+".daemon", member.Daemon, "stands twice", "Give each daemon its own ID and one zone.")
+			k.add(memberKey+".daemon", member.Daemon, "is listed twice", "Give each daemon its own ID and one zone.")
 		}
 		if seen.addresses[member.Address] {
-			k.add(memberKey+".address", member.Address, "stands twice", "Give each daemon its own internal address.")
+			k.add(memberKey+".address", member.Address, "is listed twice", "Give each daemon its own internal address.")
 		}
 		seen.daemons[member.Daemon] = true
 		seen.addresses[member.Address] = true
 	}
 }
 
-// ownMembership checks that the site file and this daemon agree on who it is.
-func (k *checker) ownMembership() {
+// siteMembership checks the daemon's own settings against its entry in the site.
+func (k *checker) siteMembership() {
 	c := k.config
 	for _, zone := range c.Site.Zones {
 		for _, member := range zone.Controllers {
 			if member.Daemon != c.Daemon {
 				continue
 			}
-			k.ownAddress(member)
+			k.listedAddress(member)
 			if zone.ID != c.Zone {
-				k.add("zone", c.Zone, "is not the zone under which the site lists this daemon",
-					"Write "+string(zone.ID)+", or move the daemon under site.zones.")
+				k.add("zone", c.Zone, "is not the zone in which the site lists this daemon",
+					"Write "+string(zone.ID)+", or move the daemon to another zone of site.zones.")
 			}
 			if !c.HasRole(RoleController) {
-				k.add("roles", c.Roles, "lacks controller, though the site lists this daemon as one",
-					"Add the role, or take the daemon out of the site's controllers.")
+				k.add("roles", c.Roles, "lacks controller, but the site lists this daemon as one",
+					"Add the role, or remove the daemon from the site's controllers.")
 			}
 			return
 		}
 	}
-	k.keptAnswers()
+	k.responseReplay()
 	if c.HasRole(RoleController) {
 		k.warn("daemon", c.Daemon, "is a controller that the site does not list",
-			"Add it under site.zones, or add it to the running group as a new member.")
+			"Add it to site.zones, or add it to the running group as a new member.")
 	}
 }
 
-// ownAddress checks that others reach this daemon where it listens.
-func (k *checker) ownAddress(member Member) {
+// listedAddress checks that the daemon listens on the address listed in the site.
+func (k *checker) listedAddress(member Member) {
 	own, ownErr := netip.ParseAddrPort(k.config.Listen.Internal)
 	listed, listedErr := netip.ParseAddrPort(member.Address)
 	if ownErr != nil || listedErr != nil || own.Port() == 0 {
-		return // reported elsewhere, or a free port, which suits tests only
+		return // reported elsewhere, or port 0, which only tests use
 	}
 	listens := listener{address: own}
 	if own.Port() == listed.Port() && listens.overlaps(listed) {
 		return
 	}
-	k.add("listen.internal", k.config.Listen.Internal, "is not where the site says that this daemon is",
-		"Listen on "+member.Address+", or correct the daemon's address under site.zones.")
+	k.add("listen.internal", k.config.Listen.Internal, "differs from the address of this daemon in site.zones",
+		"Listen on "+member.Address+", or correct the daemon's address in site.zones.")
 }
 
-// keptAnswers warns when other routers cannot fetch the answers that this one keeps. A
-// daemon that the site lists is called at its address there.
-func (k *checker) keptAnswers() {
+// responseReplay warns when other routers cannot fetch the responses stored by this
+// router. It applies to daemons that the site does not list.
+func (k *checker) responseReplay() {
 	c := k.config
 	if !c.HasRole(RoleRouter) {
 		return
 	}
-	const remedy = "Name an IP number of this machine and a port, at which other daemons reach it."
-	const consequence = ": the answers that this router keeps are replayed by itself alone"
+	const remedy = "Set an IP address of this machine and a port at which other daemons reach it."
+	const consequence = ", so only this router can replay the responses that it stores"
 	own, err := netip.ParseAddrPort(c.Listen.Internal)
 	switch {
 	case c.Listen.Internal == "":
 		k.warn("listen.internal", "", "is missing"+consequence, remedy)
 	case err != nil:
-		// Reported elsewhere.
+		// Reported by listen.
 	case own.Addr().IsUnspecified():
-		k.warn("listen.internal", c.Listen.Internal, "is no address to call"+consequence, remedy)
+		k.warn("listen.internal", c.Listen.Internal, "is the unspecified address"+consequence, remedy)
 	case own.Port() == 0 && !c.Development:
-		k.warn("listen.internal", c.Listen.Internal, "has another port after each restart"+consequence, remedy)
+		k.warn("listen.internal", c.Listen.Internal, "gets a new port at each restart"+consequence, remedy)
 	case own.Addr().Unmap().IsLoopback() && !k.siteIsLocal():
-		k.warn("listen.internal", c.Listen.Internal, "is reached from this machine only"+consequence, remedy)
+		k.warn("listen.internal", c.Listen.Internal, "is reachable from this machine only"+consequence, remedy)
 	}
 }
 
--- a/config/check_tls.go
+++ b/config/check_tls.go
@@ -10,8 +10,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// renewalNotice is how long before its end a certificate is warned of.
-const renewalNotice = 30 * 24 * time.Hour
+// expiryWarningPeriod is the remaining validity below which a certificate gets a warning.
+const expiryWarningPeriod = 30 * 24 * time.Hour
 
 func (k *checker) tls() {
 	c := k.config
@@ -36,9 +36,9 @@
 	}
 }
 
-// readable checks that the file is there for this user.
+// readable reports whether the file can be opened, and adds a problem if not.
 func (k *checker) readable(key, path, command string) bool {
-	remedy := "Make it with `lotusferryctl " + command + "` and give it to the user that runs the daemon."
+	remedy := "Create it with `lotusferryctl " + command + "` and make it readable for the user that runs the daemon."
 	if path == "" {
 		k.add(key, "", "is missing", remedy)
 		return false
@@ -52,45 +52,45 @@
 	return true
 }
 
-// certificate checks that the files fit each other and are this daemon's own, so
-// that a wrong one shows here and not as a refusal by every peer.
+// certificate checks that the TLS files match each other and the daemon's identity.
+// Otherwise the mistake would only show when peers reject the certificate.
 func (k *checker) certificate(now time.Time) {
 	const key = "tls.certificate"
 	c := k.config
 	own, err := keys.Files{CA: c.TLS.CA, Certificate: c.TLS.Certificate, Key: c.TLS.Key}.Examine(now)
 	if err != nil {
-		k.unusable(key, err)
+		k.certificateError(key, err)
 		return
 	}
 	wanted := keys.Identity{Zone: c.Zone, Daemon: c.Daemon}
 	if own.Identity != wanted {
-		k.add(key, c.TLS.Certificate, "is that of "+own.Identity.String()+" and not of "+wanted.String(),
-			"Name this daemon's own certificate, or issue one with `lotusferryctl keys issue`.")
+		k.add(key, c.TLS.Certificate, "identifies "+own.Identity.String()+" instead of "+wanted.String(),
+			"Set this daemon's own certificate, or issue one with `lotusferryctl keys issue`.")
 	}
-	if now.Add(renewalNotice).After(own.NotAfter) {
-		k.warn(key, c.TLS.Certificate, "ends on "+own.NotAfter.UTC().Format(time.RFC3339),
+	if now.Add(expiryWarningPeriod).After(own.NotAfter) {
+		k.warn(key, c.TLS.Certificate, "expires on "+own.NotAfter.UTC().Format(time.RFC3339),
 			"Issue it again with `lotusferryctl keys issue`; no restart is needed.")
 	}
-	k.covered("listen.callers", c.Listen.Callers, own)
-	k.covered("listen.operators", c.Listen.Operators, own)
+	k.certificateCovers("listen.callers", c.Listen.Callers, own)
+	k.certificateCovers("listen.operators", c.Listen.Operators, own)
 }
 
-// unusable reports files that cannot be used, with the remedy of the error.
-func (k *checker) unusable(key string, err error) {
-	problem, remedy := err.Error(), "Make the files with `lotusferryctl keys issue`."
+// certificateError adds a problem with the message and remedy of err.
+func (k *checker) certificateError(key string, err error) {
+	problem, remedy := err.Error(), "Create the files with `lotusferryctl keys issue`."
 	var typed *structs.Error
 	if errors.As(err, &typed) {
 		problem, remedy = typed.Message, typed.Remedy
 	}
-	k.add(key, k.config.TLS.Certificate, "cannot be used ("+problem+")", remedy)
+	k.add(key, k.config.TLS.Certificate, "is not usable ("+problem+")", remedy)
 }
 
-// covered warns when clients that dial the address would refuse the certificate.
-func (k *checker) covered(key, value string, own keys.Own) {
+// certificateCovers warns when the certificate does not include the listen address.
+func (k *checker) certificateCovers(key, value string, own keys.Own) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || address.Addr().IsUnspecified() || own.Covers(address.Addr()) {
 		return
 	}
-	k.warn(key, value, "is no address of the certificate, so that clients which dial it refuse the daemon",
+	k.warn(key, value, "is not an address of the certificate, so clients that dial it reject the certificate",
 		"Issue the certificate with --ip "+address.Addr().String()+".")
 }
--- a/config/config.go
+++ b/config/config.go
@@ -6,29 +6,29 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Role is a part that a daemon plays.
+// Role is a function of a daemon.
 type Role string
 
 // The roles of a daemon.
 const (
 	// RoleRouter serves callers.
 	RoleRouter Role = "router"
-	// RoleController is a member of its zone's group, and of the global group
-	// when the site names it among the global voters.
+	// RoleController is a member of its zone's raft group, and of the global group
+	// if it is one of the site's global voters.
 	RoleController Role = "controller"
 )
 
 // Config is the settings of one daemon.
 type Config struct {
-	// Daemon and Zone say who this process is.
+	// Daemon and Zone identify this process.
 	Daemon structs.DaemonID `yaml:"daemon"`
 	Zone   structs.ZoneID   `yaml:"zone"`
-	// DataFolder is where all files of the daemon live. It must exist.
+	// DataFolder holds all files of the daemon. It must exist.
 	DataFolder string `yaml:"data_folder"`
-	// Development turns TLS and keys off. Every address must then be a loopback one.
+	// Development disables TLS and API keys. All addresses must then be loopback.
 	Development bool `yaml:"development"`
-	// Bootstrap lets the first member that the site lists for a group found it, once
-	// every other listed member has answered that it belongs to no group.
+	// Bootstrap lets the first listed member of a group create the group after all
+	// other listed members have replied that they belong to none.
 	Bootstrap bool          `yaml:"bootstrap"`
 	Listen    Listen        `yaml:"listen"`
 	Roles     []Role        `yaml:"roles"`
@@ -41,9 +41,8 @@
 	Log       Log           `yaml:"log"`
 }
 
-// Listen holds the addresses (IP:port) that the daemon listens on. An empty
-// address means that it does not listen for that kind of peer. Port 0 takes a
-// free port.
+// Listen holds the listen addresses (IP:port) of the daemon. An empty address
+// disables that listener. Port 0 selects a free port.
 type Listen struct {
 	// Callers is for the OpenAI-compatible API.
 	Callers string `yaml:"callers"`
@@ -53,69 +52,71 @@
 	Internal string `yaml:"internal"`
 }
 
-// Site describes the whole site; it is the same in every daemon's file.
+// Site describes the whole site. It must be the same in the settings of all daemons.
 type Site struct {
 	Name string `yaml:"name"`
-	// Objective is used for rows that name none.
+	// Objective is the default for rows without one.
 	Objective structs.Objective `yaml:"objective"`
 	Zones     []Zone            `yaml:"zones"`
-	// GlobalVoters are the first voters of the global group, each a controller of
-	// some zone.
+	// GlobalVoters are the initial voters of the global group. Each is a controller
+	// of a zone.
 	GlobalVoters []Member `yaml:"global_voters"`
-	// MachineList is the platform's URL, http://IP:PORT. Engines know the weight
-	// store themselves; daemons never call it.
+	// MachineList is the platform's URL, http://IP:PORT. The weight store has no
+	// setting because only engines call it.
 	MachineList string `yaml:"machine_list"`
-	// StoreConcurrent is how many loads at once the weight store allows the whole site.
+	// StoreConcurrent is the maximum number of concurrent loads from the weight store
+	// in the whole site.
 	StoreConcurrent int `yaml:"store_concurrent"`
-	// Planner says how the zones' leaders weigh cold starts, idle time and memory.
+	// Planner sets the tradeoff between cold starts, idle time and memory.
 	Planner Planner `yaml:"planner"`
 }
 
-// Zone is one zone of the site.
+// Zone describes one zone of the site.
 type Zone struct {
 	ID structs.ZoneID `yaml:"id"`
 	// Weight is the zone's share of the replica limits and of the weight store, 1 to 1000.
 	Weight int `yaml:"weight"`
-	// Controllers are the first voters of the zone group.
+	// Controllers are the initial voters of the zone group.
 	Controllers []Member `yaml:"controllers"`
-	// Routers are the callers' addresses that other zones forward requests to.
+	// Routers are the addresses to which other zones forward requests.
 	Routers []string `yaml:"routers"`
 }
 
-// Member is a voter of a group. Its node ID is no setting: each store makes its own
-// when it is created, so that a replaced disk never votes under an old identity.
+// Member is a voter of a group. Its node ID is not a setting: each store generates
+// one at creation, so that a replaced disk never votes under its former ID.
 type Member struct {
 	Daemon structs.DaemonID `yaml:"daemon"`
-	// Address is the internal address (IP:port) at which others reach the daemon.
+	// Address is the internal address (IP:port) at which other daemons reach it.
 	Address string `yaml:"address"`
-	// Standby members vote and keep the log, but lead only while no other voter is fit
-	// to: routers with a disk that fill up a group of few control machines.
+	// Standby members vote and store the log, but lead only while no other voter can.
+	// Routers with a disk may be standbys where control machines are few.
 	Standby bool `yaml:"standby"`
 }
 
-// TLS names the PEM files of mutual TLS. They are read again when they change.
+// TLS holds the paths of the PEM files for mutual TLS. Changed files are reloaded.
 type TLS struct {
 	CA          string `yaml:"ca"`
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
 }
 
-// OperatorKey lets one operator in. Hash is what `lotusferryctl keys operator` prints.
+// OperatorKey is the API key of an operator. Hash is printed by
+// `lotusferryctl keys operator`.
 type OperatorKey struct {
 	Name string `yaml:"name"`
 	Hash string `yaml:"hash"`
 }
 
-// CallerKey lets one calling application in.
+// CallerKey is the API key of a calling application.
 type CallerKey struct {
 	Name string `yaml:"name"`
 	Hash string `yaml:"hash"`
-	// Priority is the highest class the caller may ask for: "batch", "standard"
-	// or "live". Empty means live.
+	// Priority is the highest priority class that the caller may request: "batch",
+	// "standard" or "live". Empty means live.
 	Priority string `yaml:"priority"`
 }
 
-// HighestPriority returns the highest class that the caller may ask for.
+// HighestPriority returns the highest priority class that the caller may request.
 func (k CallerKey) HighestPriority() structs.Priority {
 	switch k.Priority {
 	case "batch":
@@ -130,49 +131,50 @@
 type Timing struct {
 	// TickInterval is the length of one raft tick.
 	TickInterval time.Duration `yaml:"tick_interval"`
-	// ElectionTicks without a leader start an election.
+	// ElectionTicks is the election timeout in ticks.
 	ElectionTicks int `yaml:"election_ticks"`
-	// HeartbeatTicks pass between two heartbeats of a leader.
+	// HeartbeatTicks is the heartbeat interval of a leader in ticks.
 	HeartbeatTicks int `yaml:"heartbeat_ticks"`
-	// ReportInterval passes between two demand reports of a router and between
-	// two reads of an engine's report.
+	// ReportInterval is the interval between demand reports of a router and between
+	// reads of an engine's report.
 	ReportInterval time.Duration `yaml:"report_interval"`
-	// MachineListInterval passes between two reads of the machine list.
+	// MachineListInterval is the interval between reads of the machine list.
 	MachineListInterval time.Duration `yaml:"machine_list_interval"`
-	// PlanInterval passes between two plans of a zone leader.
+	// PlanInterval is the interval between plans of a zone leader.
 	PlanInterval time.Duration `yaml:"plan_interval"`
-	// StopTimeout bounds a planned stop: requests in progress get this long.
+	// StopTimeout is the time that a graceful shutdown gives requests in progress.
 	StopTimeout time.Duration `yaml:"stop_timeout"`
 }
 
-// Limits bounds what the daemon takes in and keeps.
+// Limits bounds what the daemon accepts and stores.
 type Limits struct {
-	// QueuePerRow is how many requests of one row may wait in one router.
+	// QueuePerRow is the maximum number of queued requests per row and router.
 	QueuePerRow int `yaml:"queue_per_row"`
-	// CallerTokensPerMinute bounds the tokens, of prompts and answers, that one caller
-	// may use of one row in one router, RowTokensPerMinute those of all callers; 0
-	// bounds nothing. A minute's worth may come at once.
+	// CallerTokensPerMinute limits the prompt and completion tokens of one caller per
+	// row and router, RowTokensPerMinute those of all callers together. 0 means no
+	// limit. The burst size is one minute's tokens.
 	CallerTokensPerMinute int `yaml:"caller_tokens_per_minute"`
 	RowTokensPerMinute    int `yaml:"row_tokens_per_minute"`
-	// BodyBytes bounds a caller's request.
+	// BodyBytes bounds the body of a caller's request.
 	BodyBytes int64 `yaml:"body_bytes"`
-	// OperatorBodyBytes bounds an operator's request.
+	// OperatorBodyBytes bounds the body of an operator's request.
 	OperatorBodyBytes int64 `yaml:"operator_body_bytes"`
-	// DefaultDeadline is given to a request that names none; MaximumDeadline
-	// bounds what a request may name.
+	// DefaultDeadline applies to requests without a deadline. MaximumDeadline bounds
+	// the deadline of a request.
 	DefaultDeadline time.Duration `yaml:"default_deadline"`
 	MaximumDeadline time.Duration `yaml:"maximum_deadline"`
 	// ClaimRetention is how long an idempotency key stays claimed after its request
-	// has ended, and the longest time its answer is kept.
+	// has ended, and the maximum time that its response is stored.
 	ClaimRetention time.Duration `yaml:"claim_retention"`
-	// AnswerBytes bounds the answers to requests with keys that a router keeps.
+	// AnswerBytes bounds the stored responses of a router to requests with
+	// idempotency keys.
 	AnswerBytes int64 `yaml:"answer_bytes"`
-	// AnswersInMemory keeps them in memory, on a router without a disk of its own,
-	// and at most 32 MiB of them.
+	// AnswersInMemory stores them in memory, at most 32 MiB, for routers without a
+	// disk.
 	AnswersInMemory bool `yaml:"answers_in_memory"`
 }
 
-// Log says what is logged and how.
+// Log configures logging.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error".
 	Level string `yaml:"level"`
@@ -180,7 +182,7 @@
 	Format string `yaml:"format"`
 }
 
-// Default returns the settings that hold where the file and the flags are silent.
+// Default returns the default settings.
 func Default() Config {
 	return Config{
 		Roles: []Role{RoleRouter, RoleController},
@@ -207,7 +209,7 @@
 	}
 }
 
-// HasRole reports whether the daemon plays role.
+// HasRole reports whether the daemon has the role.
 func (c Config) HasRole(role Role) bool {
 	for _, own := range c.Roles {
 		if own == role {
@@ -227,7 +229,7 @@
 	return Zone{}, false
 }
 
-// ZoneIDs lists the zones of the site in the file's order.
+// ZoneIDs returns the zones of the site in the order of the settings.
 func (s Site) ZoneIDs() []structs.ZoneID {
 	ids := make([]structs.ZoneID, 0, len(s.Zones))
 	for _, zone := range s.Zones {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -19,8 +19,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// localFlags puts what depends on the machine into a folder of the test: the data
-// folder, and the keys of the example's daemon.
+// localFlags returns flags for a temporary data folder with TLS files for the
+// example's daemon.
 func localFlags(c *qt.C, example string) config.Flags {
 	content, err := os.ReadFile(examplePath(example))
 	c.Assert(err, qt.IsNil)
@@ -37,7 +37,7 @@
 	})
 }
 
-// issueFlags writes the files of one certificate and names them.
+// issueFlags writes the files of a new certificate and returns flags with their paths.
 func issueFlags(c *qt.C, authority *keys.Authority, request keys.Request) config.Flags {
 	folder := c.TempDir()
 	path := func(name string) string { return filepath.Join(folder, name) }
@@ -50,7 +50,7 @@
 
 func examplePath(name string) string { return filepath.Join("..", "examples", name) }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	tests := map[string]config.Site{
 		"padano.yaml": {Zones: make([]config.Zone, 3), Objective: structs.ObjectiveLatency, StoreConcurrent: 8},
 		"meknes.yaml": {Zones: make([]config.Zone, 4), Objective: structs.ObjectiveIdle, StoreConcurrent: 11},
@@ -104,7 +104,8 @@
 	c.Check(loaded, qt.DeepEquals, want)
 }
 
-// problemTests break one setting of an example each, and name the key of the problem.
+// problemTests each invalidate one setting of an example and expect a problem with
+// that key.
 var problemTests = []struct {
 	name   string
 	change func(*config.Config)
@@ -128,19 +129,19 @@
 	{"no port", func(s *config.Config) { s.Listen.Internal = "10.20.1.11" }, "listen.internal", false},
 	{"no address for the role", func(s *config.Config) { s.Listen.Callers = "" }, "listen.callers", false},
 	{"same port", func(s *config.Config) { s.Listen.Operators = s.Listen.Callers }, "listen.operators", false},
-	{"same port of every address", func(s *config.Config) { s.Listen.Internal = "0.0.0.0:7400" }, "listen.internal", false},
-	{"development on a real address", func(s *config.Config) { s.Development = true; s.TLS = config.TLS{} }, "listen.callers", false},
+	{"same port on the unspecified address", func(s *config.Config) { s.Listen.Internal = "0.0.0.0:7400" }, "listen.internal", false},
+	{"development on a non-loopback address", func(s *config.Config) { s.Development = true; s.TLS = config.TLS{} }, "listen.callers", false},
 	{"TLS in development", func(s *config.Config) { s.Development = true }, "tls.key", false},
 	{"TLS incomplete", func(s *config.Config) { s.TLS.Key = "" }, "tls.key", false},
 	{"TLS file missing", func(s *config.Config) { s.TLS.CA += ".none" }, "tls.ca", false},
-	{"reserve below nothing", func(s *config.Config) { s.Site.Planner.ReserveBytes = -1 }, "site.planner.reserve_bytes", false},
-	{"reserve above all memory", func(s *config.Config) { s.Site.Planner.ReserveBytes = 1<<40 + 1 }, "site.planner.reserve_bytes", false},
-	{"worthless cold start", func(s *config.Config) { s.Site.Planner.IdleColdStartWorth = 0.001 }, "site.planner.idle_cold_start_worth", false},
-	{"worth is no number", func(s *config.Config) { s.Site.Planner.LatencyColdStartWorth = math.NaN() }, "site.planner.latency_cold_start_worth", false},
-	{"worths the wrong way round", func(s *config.Config) { s.Site.Planner.IdleColdStartWorth = 5001 }, "site.planner.latency_cold_start_worth", true},
-	{"keep-alive below nothing", func(s *config.Config) { s.Site.Planner.MinimumKeepAlive = -1 }, "site.planner.minimum_keep_alive", false},
-	{"keep-alive without end", func(s *config.Config) { s.Site.Planner.MaximumKeepAlive = 721 * time.Hour }, "site.planner.maximum_keep_alive", false},
-	{"keep-alive bounds crossed", func(s *config.Config) {
+	{"negative reserve", func(s *config.Config) { s.Site.Planner.ReserveBytes = -1 }, "site.planner.reserve_bytes", false},
+	{"reserve above the maximum", func(s *config.Config) { s.Site.Planner.ReserveBytes = 1<<40 + 1 }, "site.planner.reserve_bytes", false},
+	{"cold start worth below the minimum", func(s *config.Config) { s.Site.Planner.IdleColdStartWorth = 0.001 }, "site.planner.idle_cold_start_worth", false},
+	{"cold start worth is NaN", func(s *config.Config) { s.Site.Planner.LatencyColdStartWorth = math.NaN() }, "site.planner.latency_cold_start_worth", false},
+	{"idle worth above latency worth", func(s *config.Config) { s.Site.Planner.IdleColdStartWorth = 5001 }, "site.planner.latency_cold_start_worth", true},
+	{"negative keep-alive", func(s *config.Config) { s.Site.Planner.MinimumKeepAlive = -1 }, "site.planner.minimum_keep_alive", false},
+	{"keep-alive above the maximum", func(s *config.Config) { s.Site.Planner.MaximumKeepAlive = 721 * time.Hour }, "site.planner.maximum_keep_alive", false},
+	{"minimum keep-alive above the maximum", func(s *config.Config) {
 		s.Site.Planner.MinimumKeepAlive = 24 * time.Hour
 		s.Site.Planner.MaximumKeepAlive = time.Hour
 	}, "site.planner.minimum_keep_alive", false},
@@ -164,30 +165,30 @@
 	{"other address of a global voter", func(s *config.Config) { s.Site.GlobalVoters[0].Address = "10.20.1.11:9" }, "site.global_voters[0].address", false},
 	{"half of the voters in a zone", func(s *config.Config) { s.Site.GlobalVoters = s.Site.GlobalVoters[:2] }, "site.global_voters", true},
 	{"machine list by name", func(s *config.Config) { s.Site.MachineList = "http://machines/" }, "site.machine_list", false},
-	{"machine list of another kind", func(s *config.Config) { s.Site.MachineList = "ftp://10.0.0.1" }, "site.machine_list", false},
+	{"machine list of another scheme", func(s *config.Config) { s.Site.MachineList = "ftp://10.0.0.1" }, "site.machine_list", false},
 	{"machine list over TLS", func(s *config.Config) { s.Site.MachineList = "https://10.0.0.1:8700" }, "site.machine_list", false},
 	{"machine list with a path", func(s *config.Config) { s.Site.MachineList = "http://10.0.0.1:8700/machines" }, "site.machine_list", false},
 	{"machine list with a user", func(s *config.Config) { s.Site.MachineList = "http://a:b@10.0.0.1:8700" }, "site.machine_list", false},
 	{"router of two zones", func(s *config.Config) { s.Site.Zones[1].Routers[0] = "10.20.1.12:7400" }, "site.zones[1].routers[0]", false},
 	{"router at a controller's address", func(s *config.Config) { s.Site.Zones[0].Routers[0] = "10.20.2.11:7402" }, "site.zones[0].routers[0]", false},
-	{"listens where nobody looks", func(s *config.Config) { s.Listen.Internal = "10.20.1.11:7502" }, "listen.internal", false},
+	{"listens on a port that the site does not list", func(s *config.Config) { s.Listen.Internal = "10.20.1.11:7502" }, "listen.internal", false},
 	{"listens at another daemon's address", func(s *config.Config) { s.Listen.Internal = "10.20.1.12:7402" }, "listen.internal", false},
 	{"no store concurrency", func(s *config.Config) { s.Site.StoreConcurrent = 0 }, "site.store_concurrent", false},
 	{"no operator", func(s *config.Config) { s.Operators = nil }, "operators", false},
-	{"hash of another kind", func(s *config.Config) { s.Operators[0].Hash = "md5:00" }, "operators[0].hash", false},
+	{"hash of another algorithm", func(s *config.Config) { s.Operators[0].Hash = "md5:00" }, "operators[0].hash", false},
 	{"no caller", func(s *config.Config) { s.Callers = nil }, "callers", false},
 	{"caller twice", func(s *config.Config) { s.Callers[1].Name = s.Callers[0].Name }, "callers[1].name", false},
 	{"key twice", func(s *config.Config) { s.Callers[1].Hash = s.Callers[0].Hash }, "callers[1].hash", false},
 	{"priority unknown", func(s *config.Config) { s.Callers[0].Priority = "urgent" }, "callers[0].priority", false},
 	{"tick out of range", func(s *config.Config) { s.Timing.TickInterval = 0 }, "timing.tick_interval", false},
-	{"election too soon", func(s *config.Config) { s.Timing.ElectionTicks = s.Timing.HeartbeatTicks }, "timing.election_ticks", false},
-	{"machine list read too seldom", func(s *config.Config) { s.Timing.MachineListInterval *= 4 }, "timing.machine_list_interval", false},
-	{"queue of none", func(s *config.Config) { s.Limits.QueuePerRow = 0 }, "limits.queue_per_row", false},
-	{"caller tokens below none", func(s *config.Config) { s.Limits.CallerTokensPerMinute = -1 }, "limits.caller_tokens_per_minute", false},
-	{"row tokens below none", func(s *config.Config) { s.Limits.RowTokensPerMinute = -1 }, "limits.row_tokens_per_minute", false},
+	{"election timeout too short", func(s *config.Config) { s.Timing.ElectionTicks = s.Timing.HeartbeatTicks }, "timing.election_ticks", false},
+	{"machine list interval too long", func(s *config.Config) { s.Timing.MachineListInterval *= 4 }, "timing.machine_list_interval", false},
+	{"zero queue limit", func(s *config.Config) { s.Limits.QueuePerRow = 0 }, "limits.queue_per_row", false},
+	{"negative caller tokens", func(s *config.Config) { s.Limits.CallerTokensPerMinute = -1 }, "limits.caller_tokens_per_minute", false},
+	{"negative row tokens", func(s *config.Config) { s.Limits.RowTokensPerMinute = -1 }, "limits.row_tokens_per_minute", false},
 	{"body too large", func(s *config.Config) { s.Limits.BodyBytes = 1 << 40 }, "limits.body_bytes", false},
 	{"deadline above its maximum", func(s *config.Config) { s.Limits.DefaultDeadline = s.Limits.MaximumDeadline * 2 }, "limits.default_deadline", false},
-	{"claims kept too short", func(s *config.Config) { s.Limits.ClaimRetention = s.Limits.MaximumDeadline / 2 }, "limits.claim_retention", false},
+	{"claim retention too short", func(s *config.Config) { s.Limits.ClaimRetention = s.Limits.MaximumDeadline / 2 }, "limits.claim_retention", false},
 	{"log level unknown", func(s *config.Config) { s.Log.Level = "loud" }, "log.level", false},
 	{"log format unknown", func(s *config.Config) { s.Log.Format = "xml" }, "log.format", false},
 }
@@ -200,13 +201,13 @@
 			settings, err := config.Load(examplePath("padano.yaml"), localFlags(c, "padano.yaml"))
 			c.Assert(err, qt.IsNil)
 			test.change(&settings)
-			c.Check(find(settings.Check(), test.key, test.warns), qt.IsTrue, qt.Commentf("%v", settings.Check()))
+			c.Check(hasProblem(settings.Check(), test.key, test.warns), qt.IsTrue, qt.Commentf("%v", settings.Check()))
 		})
 	}
 }
 
-// find reports whether a problem of the key, with a remedy, is there.
-func find(problems []config.Problem, key string, warning bool) bool {
+// hasProblem reports whether problems has one with the key and a remedy.
+func hasProblem(problems []config.Problem, key string, warning bool) bool {
 	for _, problem := range problems {
 		if problem.Key == key && problem.Warning == warning && problem.Problem != "" && strings.HasSuffix(problem.Remedy, ".") {
 			return true
@@ -215,9 +216,9 @@
 	return false
 }
 
-// TestRouterWhoseAnswersOthersCannotFetchIsWarnedOf looks at daemons that the site does
-// not list, and so are called where they listen.
-func TestRouterWhoseAnswersOthersCannotFetchIsWarnedOf(t *testing.T) {
+// TestCheckWarnsOfUnreachableStoredResponses covers routers that the site does not list,
+// whose only known address is their listen address.
+func TestCheckWarnsOfUnreachableStoredResponses(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		internal string
@@ -226,13 +227,13 @@
 		warns    bool
 	}{
 		{"no address", "", "router-1", config.RoleRouter, true},
-		{"every address", "0.0.0.0:7402", "router-1", config.RoleRouter, true},
-		{"every address of IPv6", "[::]:7402", "router-1", config.RoleRouter, true},
-		{"a free port", "10.20.1.19:0", "router-1", config.RoleRouter, true},
-		{"the loopback address", "127.0.0.1:7402", "router-1", config.RoleRouter, true},
-		{"an address and a port", "10.20.1.19:7402", "router-1", config.RoleRouter, false},
-		{"every address of a listed daemon", "0.0.0.0:7402", "sala-a-1", config.RoleRouter, false},
-		{"every address of a daemon that is no router", "0.0.0.0:7402", "router-1", config.RoleController, false},
+		{"unspecified address", "0.0.0.0:7402", "router-1", config.RoleRouter, true},
+		{"unspecified IPv6 address", "[::]:7402", "router-1", config.RoleRouter, true},
+		{"port 0", "10.20.1.19:0", "router-1", config.RoleRouter, true},
+		{"loopback address", "127.0.0.1:7402", "router-1", config.RoleRouter, true},
+		{"address and port", "10.20.1.19:7402", "router-1", config.RoleRouter, false},
+		{"unspecified address of a listed daemon", "0.0.0.0:7402", "sala-a-1", config.RoleRouter, false},
+		{"unspecified address of a daemon without the router role", "0.0.0.0:7402", "router-1", config.RoleController, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -240,13 +241,13 @@
 			c.Assert(err, qt.IsNil)
 			settings.Listen.Internal, settings.Daemon = test.internal, test.daemon
 			settings.Roles = []config.Role{test.role}
-			c.Check(find(settings.Check(), "listen.internal", true), qt.Equals, test.warns, qt.Commentf("%v", settings.Check()))
+			c.Check(hasProblem(settings.Check(), "listen.internal", true), qt.Equals, test.warns, qt.Commentf("%v", settings.Check()))
 		})
 	}
 	c := qt.New(t)
 	local, err := config.Load(examplePath("loopback.yaml"), config.Flags{DataFolder: c.TempDir(), Daemon: "router-1", Roles: []string{"router"}})
 	c.Assert(err, qt.IsNil)
-	c.Check(find(local.Check(), "listen.internal", true), qt.IsFalse, qt.Commentf("%v", local.Check()))
+	c.Check(hasProblem(local.Check(), "listen.internal", true), qt.IsFalse, qt.Commentf("%v", local.Check()))
 }
 
 func TestLoadReportsAllProblemsTogether(t *testing.T) {
@@ -261,7 +262,7 @@
 	}
 }
 
-func TestLoadRefusesUnusableFile(t *testing.T) {
+func TestLoadRejectsUnusableFile(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "bad.yaml")
 	contents := []string{"daemon: [a", "daemon: a\n---\ndaemon: b\n", "daemon: a\ndaemon: b\n", "- a\n", strings.Repeat("# long\n", 1<<20)}
@@ -275,7 +276,8 @@
 	c.Check(structs.KindOf(err), qt.Equals, structs.ErrorInvalid)
 }
 
-// TestSettingsPageNamesEveryKey compares docs/operations/settings.md with Config.
+// TestSettingsPageNamesEveryKey guards against settings that
+// docs/operations/settings.md does not document.
 func TestSettingsPageNamesEveryKey(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "operations", "settings.md"))
 	qt.Assert(t, err, qt.IsNil)
@@ -307,8 +309,8 @@
 	}
 }
 
-// FuzzDecode checks that what decodes without a problem stays the same when it is
-// written and read again, and that Check takes anything.
+// FuzzDecode checks that settings decoded without a problem survive an encode and
+// decode round trip, and that Check never panics.
 func FuzzDecode(f *testing.F) {
 	for _, name := range []string{"padano.yaml", "meknes.yaml"} {
 		content, err := os.ReadFile(examplePath(name))
@@ -321,7 +323,7 @@
 	f.Add([]byte("a: &x [*x]"))
 	f.Fuzz(func(t *testing.T, content []byte) {
 		settings, problems := config.Decode(content)
-		settings.DataFolder = "" // no file of the machine is looked at
+		settings.DataFolder = "" // Check must not read files of the machine
 		settings.TLS = config.TLS{}
 		settings.Check()
 		if len(problems) > 0 {
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,7 +1,7 @@
-// Package config holds the settings of one daemon: a strict YAML file, flags
-// that override it, and checks that report every problem together, each with
-// the key, the value, what is wrong and what to do about it.
+// Package config loads and validates the settings of one daemon: a strict YAML
+// file and flags that override it. Validation reports all problems together, each
+// with its key, value, description and remedy.
 //
-// Addresses are IP numbers with a port; names are never resolved. Durations are
-// written as in Go ("50ms", "24h"). Sizes are in bytes.
+// Addresses are IP addresses with a port; host names are never resolved. Durations
+// use Go syntax ("50ms", "24h"). Sizes are in bytes.
 package config
--- a/config/flags.go
+++ b/config/flags.go
@@ -2,8 +2,8 @@
 
 import "github.com/lotusferry/lotusferry/structs"
 
-// Flags override the settings file. The tags are those of go-flags. An empty
-// flag leaves the file's value as it is.
+// Flags override the settings file. The tags are those of go-flags. An empty flag
+// keeps the value of the file.
 type Flags struct {
 	Daemon          string   `long:"daemon" description:"ID of this daemon" value-name:"ID"`
 	Zone            string   `long:"zone" description:"zone of this daemon" value-name:"ZONE"`
@@ -22,19 +22,19 @@
 }
 
 func (f Flags) apply(c *Config) {
-	override(&c.Daemon, structs.DaemonID(f.Daemon))
-	override(&c.Zone, structs.ZoneID(f.Zone))
-	override(&c.DataFolder, f.DataFolder)
+	overrideNonEmpty(&c.Daemon, structs.DaemonID(f.Daemon))
+	overrideNonEmpty(&c.Zone, structs.ZoneID(f.Zone))
+	overrideNonEmpty(&c.DataFolder, f.DataFolder)
 	c.Development = c.Development || f.Development
 	c.Bootstrap = c.Bootstrap || f.Bootstrap
-	override(&c.Listen.Callers, f.ListenCallers)
-	override(&c.Listen.Operators, f.ListenOperators)
-	override(&c.Listen.Internal, f.ListenInternal)
-	override(&c.TLS.CA, f.TLSCA)
-	override(&c.TLS.Certificate, f.TLSCertificate)
-	override(&c.TLS.Key, f.TLSKey)
-	override(&c.Log.Level, f.LogLevel)
-	override(&c.Log.Format, f.LogFormat)
+	overrideNonEmpty(&c.Listen.Callers, f.ListenCallers)
+	overrideNonEmpty(&c.Listen.Operators, f.ListenOperators)
+	overrideNonEmpty(&c.Listen.Internal, f.ListenInternal)
+	overrideNonEmpty(&c.TLS.CA, f.TLSCA)
+	overrideNonEmpty(&c.TLS.Certificate, f.TLSCertificate)
+	overrideNonEmpty(&c.TLS.Key, f.TLSKey)
+	overrideNonEmpty(&c.Log.Level, f.LogLevel)
+	overrideNonEmpty(&c.Log.Format, f.LogFormat)
 	if len(f.Roles) == 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-func override[T ~string](value *T, flag T) {
+func overrideNonEmpty[T ~string](value *T, flag T) {
 	if flag != "" {
 		*value = flag
 	}
--- a/config/load.go
+++ b/config/load.go
@@ -18,10 +18,10 @@
 
 const settingsPage = "docs/operations/settings.md"
 
-// Load reads the file at path over the defaults, applies the flags over it and
-// checks the result. All problems of the file and of the values come together
-// in an *InvalidError; warnings alone are no error, and Check returns them. An
-// empty path means that only the defaults and the flags count.
+// Load merges the defaults, the file at path and the flags, in this order, and
+// checks the result. Problems of the file and of the values are returned together
+// in an *InvalidError. Warnings alone are not an error; Check returns them. With an
+// empty path, no file is read.
 func Load(path string, overrides Flags) (Config, error) {
 	config := Default()
 	var problems []Problem
@@ -34,22 +34,23 @@
 	}
 	overrides.apply(&config)
 	problems = append(problems, config.Check()...)
-	if len(refusing(problems)) > 0 {
+	if len(fatalProblems(problems)) > 0 {
 		return config, &InvalidError{Path: path, Problems: problems}
 	}
 	return config, nil
 }
 
-// CheckResult is what a check of a settings file found, as --json shows it.
+// CheckResult is the result of CheckFile. It is also the JSON output of the check
+// command.
 type CheckResult struct {
-	// OK is set when a daemon would start with the settings.
+	// OK is true if a daemon would start with the settings.
 	OK bool `json:"ok"`
-	// Problems holds the warnings too.
+	// Problems includes the warnings.
 	Problems []Problem `json:"problems"`
 }
 
-// CheckFile checks the file as a daemon's start does. An error means that the file
-// could not be read at all.
+// CheckFile checks the file as a daemon does at startup. It returns an error only if
+// the file cannot be read.
 func CheckFile(path string, overrides Flags) (CheckResult, error) {
 	loaded, err := Load(path, overrides)
 	var invalid *InvalidError
@@ -61,13 +62,13 @@
 	}
 	problems := loaded.Check()
 	if problems == nil {
-		problems = []Problem{} // "[]" and not "null" for programs
+		problems = []Problem{} // encoded as "[]" instead of "null"
 	}
 	return CheckResult{OK: true, Problems: problems}, nil
 }
 
-// ReadSite reads the site of a settings file for a program that is no daemon. Only
-// the file's form is checked, not the daemon's own settings.
+// ReadSite returns the site of a settings file, for programs other than the daemon.
+// The file must decode without problems, but its values are not checked.
 func ReadSite(path string) (Site, error) {
 	content, err := readFile(path)
 	if err != nil {
@@ -83,30 +84,30 @@
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, readError(path, err)
 	}
 	defer file.Close()
 	content, err := io.ReadAll(io.LimitReader(file, maximumFileBytes+1))
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, readError(path, err)
 	}
 	if len(content) > maximumFileBytes {
 		return nil, structs.NewError(structs.ErrorInvalid,
 			"the settings file "+path+" is larger than 4 MiB",
-			"Name a settings file; see "+settingsPage+".")
+			"Set the path of a settings file; see "+settingsPage+".")
 	}
 	return content, nil
 }
 
-func unreadable(path string, err error) error {
+func readError(path string, err error) error {
 	typed := structs.NewError(structs.ErrorInvalid,
 		"the settings file "+path+" cannot be read: "+err.Error(),
-		"Name a file that this user may read with --config.")
+		"Use --config to set a file that this user may read.")
 	return errors.WithStack(typed)
 }
 
-// Decode reads YAML over the defaults and returns what could be read, with a
-// problem for each unknown key, repeated key and value of the wrong type.
+// Decode decodes YAML into the default settings. It returns what could be decoded,
+// and a problem for each unknown key, duplicate key and value of the wrong type.
 func Decode(content []byte) (Config, []Problem) {
 	config := Default()
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
@@ -122,8 +123,8 @@
 	if err := decoder.Decode(&rest); !stderrors.Is(err, io.EOF) {
 		return config, []Problem{{
 			Key:     "file",
-			Problem: "holds more than one YAML document",
-			Remedy:  "Keep the settings of one daemon in one document, without a --- line between.",
+			Problem: "contains more than one YAML document",
+			Remedy:  "Write the settings of one daemon as one document, without a --- separator.",
 		}}
 	}
 	return config, nil
@@ -136,7 +137,7 @@
 	if !stderrors.As(err, &typeError) {
 		return []Problem{{
 			Key:     "file",
-			Problem: "is not YAML (" + err.Error() + ")",
+			Problem: "is not valid YAML (" + err.Error() + ")",
 			Remedy:  "Correct the line that is named.",
 		}}
 	}
@@ -157,7 +158,7 @@
 	}
 	return Problem{
 		Key:     "file",
-		Problem: "has a value that does not fit (" + text + ")",
+		Problem: "has a value of the wrong type (" + text + ")",
 		Remedy:  "Write the value as " + settingsPage + " shows it.",
 	}
 }
--- a/config/planner.go
+++ b/config/planner.go
@@ -7,71 +7,70 @@
 	"github.com/lotusferry/lotusferry/placement/scheduler"
 )
 
-// Planner holds the settings of the scheduler that a site may change. A field that is
-// zero takes the scheduler's default.
+// Planner holds the scheduler settings of a site. Zero fields take the scheduler's
+// defaults.
 type Planner struct {
-	// ReserveBytes is how much memory is kept free on one runner of each role; 0
-	// keeps none.
+	// ReserveBytes is the memory kept free on one runner of each role.
 	ReserveBytes int64 `yaml:"reserve_bytes"`
-	// LatencyColdStartWorth and IdleColdStartWorth say, for the two objectives, how
-	// many seconds of an idle runner one second of cold start is worth.
+	// LatencyColdStartWorth and IdleColdStartWorth are the cost of one second of cold
+	// start, in seconds of idle runner time, for the two objectives.
 	LatencyColdStartWorth float64 `yaml:"latency_cold_start_worth"`
 	IdleColdStartWorth    float64 `yaml:"idle_cold_start_worth"`
-	// MinimumKeepAlive and MaximumKeepAlive bound how long an idle replica stays.
+	// MinimumKeepAlive and MaximumKeepAlive bound how long an idle replica is kept.
 	MinimumKeepAlive time.Duration `yaml:"minimum_keep_alive"`
 	MaximumKeepAlive time.Duration `yaml:"maximum_keep_alive"`
 }
 
-// Bounds of the planner's settings.
+// Bounds of the planner settings.
 const (
 	maximumReserveBytes   = 1 << 40
 	minimumColdStartWorth = 0.01
 	maximumColdStartWorth = 100_000
-	longestMinimumKeep    = 24 * time.Hour
-	longestMaximumKeep    = 30 * 24 * time.Hour
+	minimumKeepAliveLimit = 24 * time.Hour
+	maximumKeepAliveLimit = 30 * 24 * time.Hour
 )
 
 // PlanSettings returns the scheduler's settings for the site.
 func (s Site) PlanSettings() scheduler.Settings {
 	settings := scheduler.DefaultSettings()
 	settings.Objective = s.Objective
-	replace(&settings.ReserveBytes, s.Planner.ReserveBytes)
-	replace(&settings.LatencyColdStartWorth, s.Planner.LatencyColdStartWorth)
-	replace(&settings.IdleColdStartWorth, s.Planner.IdleColdStartWorth)
-	replace(&settings.MinimumKeepAlive, s.Planner.MinimumKeepAlive)
-	replace(&settings.MaximumKeepAlive, s.Planner.MaximumKeepAlive)
+	setNonZero(&settings.ReserveBytes, s.Planner.ReserveBytes)
+	setNonZero(&settings.LatencyColdStartWorth, s.Planner.LatencyColdStartWorth)
+	setNonZero(&settings.IdleColdStartWorth, s.Planner.IdleColdStartWorth)
+	setNonZero(&settings.MinimumKeepAlive, s.Planner.MinimumKeepAlive)
+	setNonZero(&settings.MaximumKeepAlive, s.Planner.MaximumKeepAlive)
 	return settings
 }
 
-// replace sets the value to what is set, if anything is.
-func replace[T comparable](value *T, set T) {
-	var nothing T
-	if set != nothing {
-		*value = set
+// setNonZero assigns setting to value unless it is zero.
+func setNonZero[T comparable](value *T, setting T) {
+	var zero T
+	if setting != zero {
+		*value = setting
 	}
 }
 
-// planner checks the settings that result from the file and the defaults.
+// planner checks the merged scheduler settings.
 func (k *checker) planner(settings scheduler.Settings) {
 	const key = "site.planner."
-	k.size(key+"reserve_bytes", settings.ReserveBytes, 0, maximumReserveBytes)
-	k.worth(key+"latency_cold_start_worth", settings.LatencyColdStartWorth)
-	k.worth(key+"idle_cold_start_worth", settings.IdleColdStartWorth)
+	k.byteRange(key+"reserve_bytes", settings.ReserveBytes, 0, maximumReserveBytes)
+	k.coldStartWorth(key+"latency_cold_start_worth", settings.LatencyColdStartWorth)
+	k.coldStartWorth(key+"idle_cold_start_worth", settings.IdleColdStartWorth)
 	if settings.LatencyColdStartWorth < settings.IdleColdStartWorth {
 		k.warn(key+"latency_cold_start_worth", settings.LatencyColdStartWorth,
 			"is less than idle_cold_start_worth, so rows with objective idle are kept longer than those with latency",
-			"Give latency the larger worth.")
+			"Set the larger value for latency.")
 	}
-	k.within(key+"minimum_keep_alive", settings.MinimumKeepAlive, time.Millisecond, longestMinimumKeep)
-	k.within(key+"maximum_keep_alive", settings.MaximumKeepAlive, time.Second, longestMaximumKeep)
+	k.durationRange(key+"minimum_keep_alive", settings.MinimumKeepAlive, time.Millisecond, minimumKeepAliveLimit)
+	k.durationRange(key+"maximum_keep_alive", settings.MaximumKeepAlive, time.Second, maximumKeepAliveLimit)
 	if settings.MinimumKeepAlive > settings.MaximumKeepAlive {
 		k.add(key+"minimum_keep_alive", settings.MinimumKeepAlive, "is longer than maximum_keep_alive",
 			"Shorten it, or raise maximum_keep_alive.")
 	}
 }
 
-// worth checks a worth of a cold start; what is no number is out of range too.
-func (k *checker) worth(key string, value float64) {
+// coldStartWorth checks the cost of a cold start. NaN is out of range.
+func (k *checker) coldStartWorth(key string, value float64) {
 	if !(value >= minimumColdStartWorth && value <= maximumColdStartWorth) {
 		k.add(key, value, "is out of range",
 			fmt.Sprintf("Write a number of seconds from %g to %d.", minimumColdStartWorth, maximumColdStartWorth))
--- a/config/problem.go
+++ b/config/problem.go
@@ -7,19 +7,19 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Problem is one thing that is wrong, or doubtful, in the settings.
+// Problem is an error or a warning about one setting.
 type Problem struct {
 	// Key is the path of the setting, such as "site.zones[0].weight".
 	Key     string `json:"key"`
 	Value   string `json:"value"`
 	Problem string `json:"problem"`
-	// Remedy is a full sentence that says what to do.
+	// Remedy is a full sentence that says how to fix the problem.
 	Remedy string `json:"remedy"`
-	// Warning marks what does not keep the daemon from starting.
+	// Warning is set if the daemon starts despite the problem.
 	Warning bool `json:"warning,omitempty"`
 }
 
-// String returns the problem as one line.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	line := fmt.Sprintf("%s: %s: %s", p.Key, p.Problem, p.Remedy)
 	if p.Value != "" {
@@ -31,14 +31,14 @@
 	return line
 }
 
-// InvalidError reports every problem of a settings file together, warnings
-// included. Its kind is structs.ErrorInvalid.
+// InvalidError lists all problems of a settings file, warnings included. Its kind is
+// structs.ErrorInvalid.
 type InvalidError struct {
 	Path     string
 	Problems []Problem
 }
 
-// Error implements error: one line for each problem.
+// Error implements error. The text has one line per problem.
 func (e *InvalidError) Error() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "the settings %s cannot be used", e.Path)
@@ -48,15 +48,15 @@
 	return text.String()
 }
 
-// Unwrap gives the error its kind.
+// Unwrap returns a *structs.Error with the error kind.
 func (e *InvalidError) Unwrap() error {
 	return structs.NewError(structs.ErrorInvalid,
 		"the settings cannot be used",
-		"Correct every setting that is listed and start again.")
+		"Correct all listed settings and start again.")
 }
 
-// refusing returns the problems that are not warnings.
-func refusing(problems []Problem) []Problem {
+// fatalProblems returns the problems that are not warnings.
+func fatalProblems(problems []Problem) []Problem {
 	var refusing []Problem
 	for _, problem := range problems {
 		if !problem.Warning {
