--- a/operatorapi/client.go
+++ b/operatorapi/client.go
@@ -20,30 +20,29 @@
 )
 
 const (
-	defaultAttemptTimeout = 10 * time.Second
-	maximumLeaderFollows  = 3
-	maximumAnswerBytes    = 1 << 30
+	defaultAttemptTimeout  = 10 * time.Second
+	maximumLeaderRedirects = 3
+	maximumResponseBytes   = 1 << 30
 )
 
-// ClientOptions adjusts NewClient.
+// ClientOptions configures a Client.
 type ClientOptions struct {
-	// Addresses are operators' addresses (IP:port), tried in turn.
+	// Addresses are the operator addresses (IP:port) of daemons, tried in order.
 	Addresses []string
-	// TLS is nil for plain HTTP, which is for development mode only.
+	// TLS is nil for plain HTTP, which only daemons in development mode accept.
 	TLS *tls.Config
 	// Key is the operator's API key; empty in development mode.
 	Key string
-	// AttemptTimeout bounds one attempt at one address; 10 s when 0.
+	// AttemptTimeout bounds each attempt at an address; 0 means 10 s.
 	AttemptTimeout time.Duration
-	// Network is what the client dials over; nil means TCP.
+	// Network is used to dial; nil means TCP.
 	Network network.Network
 }
 
-// Client implements Service over HTTP. It tries the addresses in turn, beginning
-// with the one that answered last, and follows the leader that a daemon names.
-// Every operation is safe to send again, so an attempt whose answer was lost is
-// repeated at the next address; an Edit keeps its ID. A Client is safe for
-// concurrent use.
+// Client implements Service over HTTP. It tries the addresses in order, starting
+// with the one that last succeeded, and follows redirects to the leader. All
+// operations are idempotent, so a failed attempt is retried at the next address;
+// an edit keeps its ID. A Client is safe for concurrent use.
 type Client struct {
 	options   ClientOptions
 	client    *http.Client
@@ -53,7 +52,7 @@
 
 var _ Service = (*Client)(nil)
 
-// NewClient returns a Client. It connects at the first call.
+// NewClient returns a Client, which connects on its first call.
 func NewClient(options ClientOptions) *Client {
 	if options.AttemptTimeout == 0 {
 		options.AttemptTimeout = defaultAttemptTimeout
@@ -68,7 +67,7 @@
 		transport: transport,
 		client: &http.Client{
 			Transport: transport,
-			// A redirect would carry the key elsewhere.
+			// An HTTP redirect could send the key to another host.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
@@ -135,13 +134,13 @@
 	return snapshot, err
 }
 
-// call is one operation on its way to whichever daemon answers.
+// call is the request of one operation.
 type call struct {
 	method string
 	path   string
 	query  url.Values
 	body   any
-	// wait is how long the daemon may hold the answer back.
+	// wait is how long the daemon may delay its response.
 	wait time.Duration
 }
 
@@ -149,20 +148,20 @@
 	return func(content []byte) error { return json.Unmarshal(content, into) }
 }
 
-// call tries the addresses until one gives a final answer. Only unavailable and
-// not_leader lead to the next address.
+// call tries the addresses until one returns a final result. Only the error kinds
+// unavailable and not_leader are retried at the next address.
 func (c *Client) call(ctx context.Context, operation call, decode func([]byte) error) error {
 	content, err := encodeBody(operation.body)
 	if err != nil {
 		return err
 	}
-	failure := error(structs.NewError(structs.ErrorInvalid, "no address of a daemon is known", "Give one with --address."))
+	failure := error(structs.NewError(structs.ErrorInvalid, "no daemon address is set", "Set one with --address."))
 	count := len(c.options.Addresses)
 	first := int(c.last.Load())
 	for offset := range count {
 		index := (first + offset) % count
-		failure = c.follow(ctx, c.options.Addresses[index], operation, content, decode)
-		if !another(failure) {
+		failure = c.followLeader(ctx, c.options.Addresses[index], operation, content, decode)
+		if !isRetryable(failure) {
 			c.last.Store(int64(index))
 			return failure
 		}
@@ -173,21 +172,22 @@
 	return failure
 }
 
-// another reports whether another daemon may know better.
-func another(err error) bool {
+// isRetryable reports whether another daemon may succeed after err.
+func isRetryable(err error) bool {
 	kind := structs.KindOf(err)
 	return kind == structs.ErrorUnavailable || kind == structs.ErrorNotLeader
 }
 
-// follow asks the daemon at address, then the leaders that are named.
-func (c *Client) follow(ctx context.Context, address string, operation call, content []byte, decode func([]byte) error) error {
-	for follows := 0; ; follows++ {
+// followLeader calls the daemon at address and follows leader redirects, at most
+// maximumLeaderRedirects.
+func (c *Client) followLeader(ctx context.Context, address string, operation call, content []byte, decode func([]byte) error) error {
+	for redirects := 0; ; redirects++ {
 		err := c.attempt(ctx, address, operation, content, decode)
 		var typed *structs.Error
 		if !stderrors.As(err, &typed) || typed.Kind != structs.ErrorNotLeader {
 			return err
 		}
-		if typed.Leader == "" || typed.Leader == address || follows == maximumLeaderFollows {
+		if typed.Leader == "" || typed.Leader == address || redirects == maximumLeaderRedirects {
 			return err
 		}
 		address = typed.Leader
@@ -203,20 +203,20 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return unreachable(ctx, address, err)
+		return transportError(ctx, address, err)
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswerBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maximumResponseBytes))
 	if err != nil {
-		return unreachable(ctx, address, err)
+		return transportError(ctx, address, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return decodeError(response.StatusCode, answer)
+		return decodeError(response.StatusCode, responseBody)
 	}
-	if err := decode(answer); err != nil {
+	if err := decode(responseBody); err != nil {
 		return structs.NewError(structs.ErrorInternal,
-			"the answer of "+address+" cannot be read: "+err.Error(),
-			"Check that the address is the operators' address of a daemon of this version.")
+			"the response of "+address+" cannot be decoded: "+err.Error(),
+			"Check that the address is the operator address of a daemon of this version.")
 	}
 	return nil
 }
@@ -228,7 +228,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, operation.method, target.String(), bytes.NewReader(content))
 	if err != nil {
-		return nil, structs.NewError(structs.ErrorInvalid, "the address "+address+" cannot be used", "Write it as IP:port.")
+		return nil, structs.NewError(structs.ErrorInvalid, "the address "+address+" is not valid", "Write it as IP:port.")
 	}
 	if operation.body != nil {
 		request.Header.Set("Content-Type", contentJSON)
@@ -244,21 +244,21 @@
 		return nil, nil
 	}
 	content, err := json.Marshal(body)
-	return content, errors.Wrap(err, "encode a request")
+	return content, errors.Wrap(err, "encode the request")
 }
 
-// unreachable types the error of an attempt that brought no answer.
-func unreachable(ctx context.Context, address string, err error) error {
+// transportError returns the typed error of an attempt without a response.
+func transportError(ctx context.Context, address string, err error) error {
 	if ctx.Err() != nil {
 		return typedError(ctx.Err())
 	}
 	var verification *tls.CertificateVerificationError
 	if stderrors.As(err, &verification) {
 		return structs.NewError(structs.ErrorDenied,
-			"the certificate of "+address+" is refused: "+verification.Err.Error(),
-			"Give the site's CA with --ca, and issue the daemon's certificate for this address.")
+			"the certificate of "+address+" was rejected: "+verification.Err.Error(),
+			"Set the site's CA with --ca, and issue the daemon's certificate for this address.")
 	}
 	return structs.NewError(structs.ErrorUnavailable,
-		"no answer came from "+address+": "+err.Error(),
-		"Ask again, or give another daemon with --address; an edit that is sent again with its ID is made once.")
+		"no response from "+address+": "+err.Error(),
+		"Retry, or set another daemon with --address; an edit that is sent again with its ID is applied once.")
 }
--- a/operatorapi/client_test.go
+++ b/operatorapi/client_test.go
@@ -22,24 +22,24 @@
 		down, err := c.memory.Listen(t.Context(), "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
 		c.Assert(down.Close(), qt.IsNil)
-		silent := structs.NewError(structs.ErrorUnavailable, "no quorum", "Wait.")
+		noQuorum := structs.NewError(structs.ErrorUnavailable, "no quorum", "Wait.")
 		good := &recorder{}
 		goodAddress := c.serve(good, operatorapi.HandlerOptions{})
-		withoutQuorum := &recorder{err: silent}
+		withoutQuorum := &recorder{err: noQuorum}
 		follower := &recorder{err: &structs.Error{Kind: structs.ErrorNotLeader, Leader: goodAddress}}
 		gateway := c.memory.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
 		denied := &recorder{err: structs.NewError(structs.ErrorDenied, "no", "Ask.")}
 		tests := []struct {
 			name  string
 			first string
-			calls int // that reach the good daemon
+			calls int // received by the good daemon
 			kind  structs.ErrorKind
 		}{
 			{"not running", down.Addr().String(), 1, ""},
 			{"without quorum", c.serve(withoutQuorum, operatorapi.HandlerOptions{}), 1, ""},
 			{"gateway error", gateway, 1, ""},
 			{"names the leader", c.serve(follower, operatorapi.HandlerOptions{}), 1, ""},
-			{"final answer", c.serve(denied, operatorapi.HandlerOptions{}), 0, structs.ErrorDenied},
+			{"final error", c.serve(denied, operatorapi.HandlerOptions{}), 0, structs.ErrorDenied},
 		}
 		for _, test := range tests {
 			before := len(good.calls())
@@ -54,13 +54,13 @@
 		}
 		client := c.newClient(operatorapi.ClientOptions{Addresses: []string{tests[0].first, tests[1].first}})
 		_, err = client.Table(context.Background())
-		c.Check(err, qt.DeepEquals, error(silent))
+		c.Check(err, qt.DeepEquals, error(noQuorum))
 		_, err = c.newClient(operatorapi.ClientOptions{}).Table(context.Background())
 		c.Check(structs.KindOf(err), qt.Equals, structs.ErrorInvalid)
 	})
 }
 
-func TestClientStopsFollowingLeaders(t *testing.T) {
+func TestClientLimitsLeaderRedirects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSite(t)
 		one := &recorder{}
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestClientHeedsItsContext(t *testing.T) {
+func TestClientStopsWhenItsContextIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSite(t)
 		ctx, cancel := context.WithCancel(context.Background())
--- a/operatorapi/doc.go
+++ b/operatorapi/doc.go
@@ -1,8 +1,8 @@
-// Package operatorapi is the HTTP API for operators and its client: JSON over
-// go-kit's HTTP transport, one endpoint for each operation of Service.
+// Package operatorapi implements the HTTP API for operators and its client. It
+// uses JSON over go-kit's HTTP transport, with one endpoint per operation of Service.
 //
-// A request shows its API key as "Authorization: Bearer KEY". A failure is
-// answered with the HTTP status of its kind and a body that carries the kind,
-// the message, the remedy and when to come back. Every operation is safe to send
-// again: edits carry an ID, drains name the wanted state, the rest reads.
+// Requests carry an API key as "Authorization: Bearer KEY". Errors are returned with
+// the HTTP status of their kind, and a body with the kind, message, remedy and retry
+// delay. All operations are idempotent: edits carry an ID, drains and membership
+// changes set a target state, and the others only read.
 package operatorapi
--- a/operatorapi/errors.go
+++ b/operatorapi/errors.go
@@ -12,9 +12,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// statuses gives each kind of error its HTTP status. Clients read the kind from
-// the body; the status serves proxies and people.
-var statuses = map[structs.ErrorKind]int{
+// httpStatuses maps error kinds to HTTP statuses. Clients use the kind in the body;
+// the status is for proxies and people.
+var httpStatuses = map[structs.ErrorKind]int{
 	structs.ErrorInvalid:     http.StatusBadRequest,
 	structs.ErrorConflict:    http.StatusConflict,
 	structs.ErrorNotFound:    http.StatusNotFound,
@@ -29,12 +29,12 @@
 	structs.ErrorCorrupt:     http.StatusInternalServerError,
 }
 
-// errorBody is the answer to a failed request.
+// errorBody is the response body of a failed request.
 type errorBody struct {
 	Error errorContent `json:"error"`
 }
 
-// errorContent is a structs.Error on the wire. RetryAfterMs is in milliseconds.
+// errorContent is the wire form of structs.Error.
 type errorContent struct {
 	Kind         structs.ErrorKind `json:"kind"`
 	Message      string            `json:"message"`
@@ -43,23 +43,23 @@
 	Leader       string            `json:"leader,omitempty"`
 }
 
-// typedError finds the *structs.Error in err's chain or makes one.
+// typedError returns the *structs.Error in the chain of err, or a new one.
 func typedError(err error) *structs.Error {
 	var typed *structs.Error
 	if stderrors.As(err, &typed) {
 		return typed
 	}
 	if stderrors.Is(err, context.DeadlineExceeded) || stderrors.Is(err, context.Canceled) {
-		return structs.NewError(structs.ErrorDeadline, "the time for the request is over",
-			"Ask again, with a longer --timeout if need be.")
+		return structs.NewError(structs.ErrorDeadline, "the request timed out or was cancelled",
+			"Retry, with a longer --timeout if necessary.")
 	}
 	return structs.NewError(structs.ErrorInternal, err.Error(),
-		"Look into the daemon's log and report the fault.")
+		"Check the daemon's log and report the error.")
 }
 
 func encodeError(_ context.Context, err error, writer http.ResponseWriter) {
 	typed := typedError(err)
-	status, known := statuses[typed.Kind]
+	status, known := httpStatuses[typed.Kind]
 	if !known {
 		status = http.StatusInternalServerError
 	}
@@ -77,12 +77,12 @@
 		header.Set("Retry-After", strconv.Itoa(seconds))
 	}
 	writer.WriteHeader(status)
-	// The peer may be gone; nobody is left to be told.
+	// A write error means that the client has disconnected.
 	_ = json.NewEncoder(writer).Encode(errorBody{Error: content})
 }
 
-// decodeError reads what encodeError wrote. An answer of something else on the
-// way counts as unavailable when it says so itself.
+// decodeError decodes the output of encodeError. Gateway and unavailability statuses
+// of other servers, such as proxies, become unavailable.
 func decodeError(status int, content []byte) *structs.Error {
 	var body errorBody
 	if json.Unmarshal(content, &body) == nil && body.Error.Kind != "" {
@@ -99,6 +99,6 @@
 		kind = structs.ErrorUnavailable
 	}
 	return structs.NewError(kind,
-		"the answer "+strconv.Itoa(status)+" "+http.StatusText(status)+" is not one of a lotusferry daemon",
-		"Check that the address is the operators' address of a daemon, and that --ca is given when it uses TLS.")
+		"the response "+strconv.Itoa(status)+" "+http.StatusText(status)+" is not from a lotusferry daemon",
+		"Check that the address is the operator address of a daemon, and that --ca is set if it uses TLS.")
 }
--- a/operatorapi/handler.go
+++ b/operatorapi/handler.go
@@ -16,28 +16,29 @@
 
 const defaultBodyBytes = 64 << 20
 
-// KeyLookup tells whose API key was presented. It is asked at each request.
+// KeyLookup returns the owner of an API key. It is called for each request.
 type KeyLookup interface {
 	Lookup(key string) (owner string, known bool)
 }
 
-// HandlerOptions adjusts NewHandler.
+// HandlerOptions configures NewHandler.
 type HandlerOptions struct {
-	// Keys lets operators in. nil lets everybody in and is for development mode only.
+	// Keys authenticates operators. nil disables authentication, for development mode.
 	Keys KeyLookup
-	// BodyBytes bounds a request's body; 64 MiB when 0.
+	// BodyBytes bounds the request body; 0 means 64 MiB.
 	BodyBytes int64
 }
 
-// NewHandler serves service over HTTP. With Keys set, the author of an edit is
-// always the name of the operator's key, whatever the request says.
+// NewHandler returns a handler that serves service over HTTP. If Keys is set, the
+// author of an edit is the owner of the API key, and the author in the request is
+// ignored.
 func NewHandler(logger log.Logger, service Service, options HandlerOptions) http.Handler {
 	logger = log.With(logger, "component", "operatorapi")
 	if options.BodyBytes == 0 {
 		options.BodyBytes = defaultBodyBytes
 	}
 	serve := func(next endpoint.Endpoint, decode httptransport.DecodeRequestFunc, encode httptransport.EncodeResponseFunc) http.Handler {
-		return httptransport.NewServer(next, authenticated(decode), encode,
+		return httptransport.NewServer(next, requireOperator(decode), encode,
 			httptransport.ServerBefore(authenticate(options.Keys)),
 			httptransport.ServerErrorEncoder(encodeError),
 			httptransport.ServerErrorHandler(logErrors(logger)),
@@ -56,49 +57,49 @@
 	return http.MaxBytesHandler(mux, options.BodyBytes)
 }
 
-// logErrors logs the faults of the daemon; what the operator did wrong is
-// answered and not logged.
+// logErrors logs internal errors and corruption only. Errors of the operator are
+// returned in the response.
 func logErrors(logger log.Logger) transport.ErrorHandler {
 	return transport.ErrorHandlerFunc(func(_ context.Context, err error) {
 		kind := typedError(err).Kind
 		if kind == structs.ErrorInternal || kind == structs.ErrorCorrupt {
-			level.Error(logger).Log("msg", "A request of an operator failed.", "err", err)
+			level.Error(logger).Log("msg", "Operator request failed.", "err", err)
 		}
 	})
 }
 
-// operatorKey is the context key of the operator.
+// operatorKey is the context key for operator.
 type operatorKey struct{}
 
-// operator is who sent a request. Anonymous operators exist in development mode.
+// operator is the sender of a request. Its name is empty in development mode.
 type operator struct {
 	name    string
 	allowed bool
 }
 
-func operatorOf(ctx context.Context) operator {
-	who, _ := ctx.Value(operatorKey{}).(operator)
-	return who
+func operatorFromContext(ctx context.Context) operator {
+	sender, _ := ctx.Value(operatorKey{}).(operator)
+	return sender
 }
 
 func authenticate(known KeyLookup) httptransport.RequestFunc {
 	return func(ctx context.Context, request *http.Request) context.Context {
-		who := operator{allowed: known == nil}
+		sender := operator{allowed: known == nil}
 		if known != nil {
 			key, bearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 			name, found := known.Lookup(key)
-			who = operator{name: name, allowed: bearer && found}
+			sender = operator{name: name, allowed: bearer && found}
 		}
-		return context.WithValue(ctx, operatorKey{}, who)
+		return context.WithValue(ctx, operatorKey{}, sender)
 	}
 }
 
-// authenticated refuses a request before its body is read.
-func authenticated(decode httptransport.DecodeRequestFunc) httptransport.DecodeRequestFunc {
+// requireOperator rejects unauthenticated requests before their body is read.
+func requireOperator(decode httptransport.DecodeRequestFunc) httptransport.DecodeRequestFunc {
 	return func(ctx context.Context, request *http.Request) (any, error) {
-		if !operatorOf(ctx).allowed {
+		if !operatorFromContext(ctx).allowed {
 			return nil, structs.NewError(structs.ErrorDenied, "the operator's key is missing or unknown",
-				"Give a key with --key-file whose hash stands under operators in the daemon's settings.")
+				"Use --key-file to set a key whose hash is listed under operators in the daemon's settings.")
 		}
 		return decode(ctx, request)
 	}
@@ -111,7 +112,7 @@
 func applyEndpoint(service Service) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		apply := request.(applyRequest)
-		if name := operatorOf(ctx).name; name != "" {
+		if name := operatorFromContext(ctx).name; name != "" {
 			apply.edit.Author = name
 		}
 		return service.Apply(ctx, apply.edit, apply.dryRun)
--- a/operatorapi/member.go
+++ b/operatorapi/member.go
@@ -9,22 +9,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// MemberAction is a change of a group's membership.
+// MemberAction is a kind of membership change.
 type MemberAction string
 
 // The actions on members.
 const (
-	// MemberAdd adds a daemon as a learner; it is promoted once it has the whole log.
+	// MemberAdd adds a daemon as a learner, which is promoted once its log is complete.
 	MemberAdd MemberAction = "add"
-	// MemberPromote makes a learner that has the whole log a voter.
+	// MemberPromote makes a learner with a complete log a voter.
 	MemberPromote MemberAction = "promote"
-	// MemberRemove takes a daemon out of the group.
+	// MemberRemove removes a daemon from the group.
 	MemberRemove MemberAction = "remove"
 )
 
-// MemberChange asks for one change of a group's membership.
+// MemberChange is a request for one membership change of a group.
 type MemberChange struct {
-	// Group is "global", or "zone-" and the zone's ID.
+	// Group is "global", or "zone-" followed by the zone's ID.
 	Group  string           `json:"group"`
 	Action MemberAction     `json:"action"`
 	Daemon structs.DaemonID `json:"daemon"`
@@ -32,16 +32,16 @@
 	Address string `json:"address,omitempty"`
 }
 
-// MemberStatus is one member of a group as the group's leader sees it.
+// MemberStatus is the state of a group member, as known to the group's leader.
 type MemberStatus struct {
 	Daemon  structs.DaemonID `json:"daemon"`
 	Node    uint64           `json:"node"`
 	Address string           `json:"address"`
 	Voter   bool             `json:"voter"`
 	Leader  bool             `json:"leader"`
-	// Active is false when the member has not answered for an election timeout.
+	// Active is false if the member has not responded for an election timeout.
 	Active bool `json:"active"`
-	// Match is the index up to which the member is known to hold the log.
+	// Match is the highest log index known to be replicated to the member.
 	Match uint64 `json:"match"`
 }
 
@@ -52,11 +52,12 @@
 	// Applied is the leader's applied index.
 	Applied uint64         `json:"applied"`
 	Members []MemberStatus `json:"members"`
-	// Problem says why the group could not be asked; the rest is empty then.
+	// Problem says why the group could not be queried. The other fields are then empty,
+	// except Group.
 	Problem string `json:"problem,omitempty"`
 }
 
-// membersBody wraps the groups, so that fields can be added later.
+// membersBody wraps the groups so that fields can be added later.
 type membersBody struct {
 	Groups []GroupMembers `json:"groups"`
 }
@@ -82,13 +83,13 @@
 	switch change.Action {
 	case MemberAdd, MemberPromote, MemberRemove:
 	default:
-		return nil, invalid("the action on a member is not known", "Ask for add, promote or remove.")
+		return nil, invalid("the membership action is unknown", "Use add, promote or remove.")
 	}
 	if change.Group == "" || change.Daemon == "" {
-		return nil, invalid("the change names no group or no daemon", "Name both as `lotusferryctl member list` does.")
+		return nil, invalid("the change lacks a group or a daemon", "Set both as `lotusferryctl member list` shows them.")
 	}
 	if change.Action == MemberAdd && change.Address == "" {
-		return nil, invalid("the new member has no address", "Give the internal address of the daemon.")
+		return nil, invalid("the new member has no address", "Set the internal address of the daemon.")
 	}
 	return change, nil
 }
--- a/operatorapi/operatorapi_test.go
+++ b/operatorapi/operatorapi_test.go
@@ -22,12 +22,12 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// recorder is a Service that notes what it was asked and answers with fixed values.
+// recorder is a Service that records its calls and returns fixed values.
 type recorder struct {
-	mutex  sync.Mutex
-	asked  []any
-	err    error
-	result structs.EditResult
+	mutex    sync.Mutex
+	recorded []any
+	err      error
+	result   structs.EditResult
 }
 
 type applyCall struct {
@@ -40,17 +40,17 @@
 	wait  time.Duration
 }
 
-func (r *recorder) note(call any) error {
+func (r *recorder) record(call any) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.asked = append(r.asked, call)
+	r.recorded = append(r.recorded, call)
 	return r.err
 }
 
 func (r *recorder) calls() []any {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return append([]any(nil), r.asked...)
+	return append([]any(nil), r.recorded...)
 }
 
 var (
@@ -72,42 +72,42 @@
 )
 
 func (r *recorder) Table(context.Context) (operatorapi.TableView, error) {
-	return table, r.note("table")
+	return table, r.record("table")
 }
 
 func (r *recorder) Apply(_ context.Context, edit structs.Edit, dryRun bool) (structs.EditResult, error) {
-	return r.result, r.note(applyCall{edit, dryRun})
+	return r.result, r.record(applyCall{edit, dryRun})
 }
 
 func (r *recorder) History(_ context.Context, limit int) ([]structs.HistoryEntry, error) {
-	return []structs.HistoryEntry{entry}, r.note(limit)
+	return []structs.HistoryEntry{entry}, r.record(limit)
 }
 
 func (r *recorder) Status(context.Context) (operatorapi.SiteStatus, error) {
-	return status, r.note("status")
+	return status, r.record("status")
 }
 
 func (r *recorder) Watch(_ context.Context, since uint64, wait time.Duration) (operatorapi.TableChanges, error) {
-	return changes, r.note(watchCall{since, wait})
+	return changes, r.record(watchCall{since, wait})
 }
 
 func (r *recorder) Members(context.Context) ([]operatorapi.GroupMembers, error) {
-	return groups, r.note("members")
+	return groups, r.record("members")
 }
 
 func (r *recorder) ChangeMember(_ context.Context, change operatorapi.MemberChange) error {
-	return r.note(change)
+	return r.record(change)
 }
 
 func (r *recorder) Drain(_ context.Context, request operatorapi.DrainRequest) error {
-	return r.note(request)
+	return r.record(request)
 }
 
 func (r *recorder) SaveSnapshot(_ context.Context, group string) ([]byte, error) {
-	return []byte{0, 1, 255}, r.note("snapshot of " + group)
+	return []byte{0, 1, 255}, r.record("snapshot of " + group)
 }
 
-// site is where daemons serve operators, on a network in memory. It is for synctest
+// site runs daemons' operator handlers on an in-memory network, for use in synctest
 // bubbles.
 type site struct {
 	*qt.C
@@ -116,7 +116,7 @@
 
 func newSite(t *testing.T) *site { return &site{C: qt.New(t), memory: networktest.NewMemory(0)} }
 
-// serve runs the handler of a service and returns its address.
+// serve starts a handler for service and returns its address.
 func (s *site) serve(service operatorapi.Service, options operatorapi.HandlerOptions) string {
 	return s.memory.Serve(s.TB, operatorapi.NewHandler(log.NewNopLogger(), service, options))
 }
@@ -128,7 +128,7 @@
 	return client
 }
 
-// operations calls each operation once; all take and return something.
+// operations has a call of each operation with its expected result and request.
 var operations = []struct {
 	name string
 	call func(operatorapi.Service) (any, error)
@@ -154,7 +154,7 @@
 	{"snapshot", func(s operatorapi.Service) (any, error) { return s.SaveSnapshot(context.Background(), "zone-a") }, []byte{0, 1, 255}, "snapshot of zone-a"},
 }
 
-func TestOperationsGoRound(t *testing.T) {
+func TestOperationsRoundTrip(t *testing.T) {
 	for _, operation := range operations {
 		t.Run(operation.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestRefusedEditIsAnAnswer(t *testing.T) {
+func TestRejectedEditIsNotAnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSite(t)
 		result := structs.EditResult{
@@ -185,7 +185,7 @@
 	})
 }
 
-func TestErrorsGoRound(t *testing.T) {
+func TestErrorsRoundTrip(t *testing.T) {
 	tests := map[structs.ErrorKind]int{
 		structs.ErrorInvalid: 400, structs.ErrorConflict: 409, structs.ErrorNotFound: 404,
 		structs.ErrorNotLeader: 421, structs.ErrorUnavailable: 503, structs.ErrorOverloaded: 429,
@@ -229,7 +229,7 @@
 	})
 }
 
-func TestOnlyOperatorsGetIn(t *testing.T) {
+func TestHandlerDeniesMissingAndUnknownKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSite(t)
 		key, hash := keys.NewAPIKey()
@@ -250,12 +250,12 @@
 		client := c.newClient(operatorapi.ClientOptions{Addresses: []string{address}, Key: key})
 		_, err := client.Apply(context.Background(), edit, false)
 		c.Assert(err, qt.IsNil)
-		// The key tells the author, whatever the request says.
+		// The owner of the key overrides the author in the request.
 		c.Check(service.calls()[0].(applyCall).edit.Author, qt.Equals, "ada")
 	})
 }
 
-func TestHandlerRefusesBadRequests(t *testing.T) {
+func TestHandlerRejectsInvalidRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tests := []struct{ name, method, path, body, kind string }{
 			{"not JSON", "POST", "/v1/table/edits", "{", "invalid"},
@@ -263,12 +263,12 @@
 			{"more than one value", "POST", "/v1/drains", `{"runner":"r"}{}`, "invalid"},
 			{"no edit ID", "POST", "/v1/table/edits", `{"changes":[{"row":{"name":"m"}}]}`, "invalid"},
 			{"no change", "POST", "/v1/table/edits", `{"id":"e"}`, "invalid"},
-			{"odd dry run", "POST", "/v1/table/edits?dry_run=perhaps", `{"id":"e"}`, "invalid"},
-			{"no runner", "POST", "/v1/drains", `{}`, "invalid"},
+			{"invalid dry run", "POST", "/v1/table/edits?dry_run=perhaps", `{"id":"e"}`, "invalid"},
+			{"no runner or daemon", "POST", "/v1/drains", `{}`, "invalid"},
 			{"a runner and a daemon", "POST", "/v1/drains", `{"runner":"r","daemon":"d"}`, "invalid"},
 			{"limit out of range", "GET", "/v1/table/history?limit=0", "", "invalid"},
-			{"odd revision", "GET", "/v1/table/watch?since=-1", "", "invalid"},
-			{"odd wait", "GET", "/v1/table/watch?wait=soon", "", "invalid"},
+			{"invalid revision", "GET", "/v1/table/watch?since=-1", "", "invalid"},
+			{"invalid wait", "GET", "/v1/table/watch?wait=soon", "", "invalid"},
 			{"negative wait", "GET", "/v1/table/watch?wait=-1s", "", "invalid"},
 			{"too large", "POST", "/v1/drains", `{"runner":"` + strings.Repeat("r", 2000) + `"}`, "limit"},
 		}
@@ -289,7 +289,7 @@
 	})
 }
 
-func TestWatchedChangesGiveTheTable(t *testing.T) {
+func TestTableChangesApply(t *testing.T) {
 	view := operatorapi.TableView{Revision: 5, Rows: []structs.Row{{Name: "a"}, {Name: "b"}, {Name: "d"}}}
 	changed := []structs.Row{{Name: "b", Weight: 2}, {Name: "c"}}
 	tests := []struct {
--- a/operatorapi/service.go
+++ b/operatorapi/service.go
@@ -10,28 +10,29 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Service is what operators can ask of a site. Its errors are *structs.Error.
+// Service is the set of operations that a site offers to operators. Its errors are
+// *structs.Error.
 type Service interface {
-	// Table returns the whole table at its newest revision.
+	// Table returns the whole table at its latest revision.
 	Table(ctx context.Context) (TableView, error)
-	// Apply makes the edit, or only tells what it would do. A refused edit is an
-	// answer and no error: its result names the problems or conflicts.
+	// Apply applies the edit, or only validates it if dryRun is set. A rejected edit
+	// is not an error; the result lists its problems or conflicts.
 	Apply(ctx context.Context, edit structs.Edit, dryRun bool) (structs.EditResult, error)
-	// History returns the newest accepted edits, newest first, at most limit.
+	// History returns at most limit accepted edits, newest first.
 	History(ctx context.Context, limit int) ([]structs.HistoryEntry, error)
-	// Status tells how far the zones and daemons are.
+	// Status returns the state of the zones and daemons.
 	Status(ctx context.Context) (SiteStatus, error)
-	// Watch returns what changed in the table as soon as its revision is above since,
-	// or nothing after wait.
+	// Watch blocks until the table's revision is above since and returns the changes,
+	// or returns no changes after wait.
 	Watch(ctx context.Context, since uint64, wait time.Duration) (TableChanges, error)
-	// Drain starts or cancels the drain of a runner or a daemon. Repeating it is safe.
+	// Drain starts or cancels the drain of a runner or a daemon. It is idempotent.
 	Drain(ctx context.Context, request DrainRequest) error
-	// Members lists the members of the global group and of each zone's group.
+	// Members returns the members of the global group and of each zone's group.
 	Members(ctx context.Context) ([]GroupMembers, error)
-	// ChangeMember makes one change of a group's membership. Repeating it is safe.
+	// ChangeMember makes one membership change of a group. It is idempotent.
 	ChangeMember(ctx context.Context, change MemberChange) error
-	// SaveSnapshot returns a snapshot of a group, "global" or "zone-" and the zone's
-	// ID, as the content of a snapshot file of package logstore.
+	// SaveSnapshot returns a snapshot of a group ("global", or "zone-" followed by the
+	// zone's ID) in the snapshot file format of package logstore.
 	SaveSnapshot(ctx context.Context, group string) ([]byte, error)
 }
 
@@ -41,19 +42,19 @@
 	Rows     []structs.Row `json:"rows"`
 }
 
-// TableChanges is what changed in the table after the revision Since.
+// TableChanges holds the changes of the table after the revision Since.
 type TableChanges struct {
 	Since    uint64 `json:"since"`
 	Revision uint64 `json:"revision"`
-	// Full says that Rows is the whole table: the changes are not known any more, or
-	// Since is 0 or newer than the table.
+	// Full is set if Rows is the whole table, because the changes are no longer known,
+	// or Since is 0 or newer than the table.
 	Full    bool              `json:"full,omitempty"`
 	Rows    []structs.Row     `json:"rows,omitempty"`
 	Deleted []structs.RowName `json:"deleted,omitempty"`
 }
 
-// Apply returns the table after the changes, sorted by name. The view must be of
-// the revision Since unless the changes are full; it stays as it is.
+// Apply returns the table after the changes, sorted by name. Unless Full is set, view
+// must be at the revision Since. It does not modify view.
 func (c TableChanges) Apply(view TableView) TableView {
 	rows := map[structs.RowName]structs.Row{}
 	if !c.Full {
@@ -71,9 +72,9 @@
 	return TableView{Revision: c.Revision, Rows: slices.SortedFunc(maps.Values(rows), byName)}
 }
 
-// SiteStatus is the state of the site as the answering daemon knows it.
+// SiteStatus is the state of the site, as known to the responding daemon.
 type SiteStatus struct {
-	// Revision is the table's newest revision.
+	// Revision is the table's latest revision.
 	Revision uint64               `json:"revision"`
 	Zones    []structs.ZoneStatus `json:"zones"`
 	Daemons  []DaemonStatus       `json:"daemons"`
@@ -84,27 +85,29 @@
 	Daemon structs.DaemonID `json:"daemon"`
 	Zone   structs.ZoneID   `json:"zone"`
 	Roles  []string         `json:"roles,omitempty"`
-	// Address is the operators' address, empty when it is not known.
+	// Address is the operator address, empty if unknown.
 	Address string `json:"address,omitempty"`
-	// Reachable is false when the daemon did not answer the one that was asked.
+	// Reachable is false if the daemon did not respond to the queried daemon.
 	Reachable bool `json:"reachable"`
-	// LeadsSite and LeadsZone tell which groups the daemon leads.
+	// LeadsSite and LeadsZone report whether the daemon leads the global group and its
+	// zone's group.
 	LeadsSite bool `json:"leads_site"`
 	LeadsZone bool `json:"leads_zone"`
-	// TableRevision is the revision that the daemon works by, 0 when it does not answer.
+	// TableRevision is the revision that the daemon uses, 0 if it does not respond.
 	TableRevision uint64 `json:"table_revision"`
-	// Draining says that the daemon takes no callers' requests until an operator ends
-	// the drain, and OpenRequests how many it has still to finish. Both are zero when
-	// the daemon does not answer.
+	// Draining reports whether the daemon rejects callers' requests until an operator
+	// cancels the drain. OpenRequests counts the requests in progress during a drain.
+	// Both are zero if the daemon does not respond.
 	Draining     bool `json:"draining,omitempty"`
 	OpenRequests int  `json:"open_requests,omitempty"`
 }
 
-// DrainRequest asks that a runner be emptied or used again, or that a daemon take
-// no callers' requests or take them again. It names one of the two.
+// DrainRequest starts or cancels the drain of a runner or of a daemon. Exactly one of
+// Runner and Daemon is set. A draining runner is emptied, and a draining daemon rejects
+// callers' requests.
 type DrainRequest struct {
 	Runner structs.RunnerID `json:"runner,omitempty"`
 	Daemon structs.DaemonID `json:"daemon,omitempty"`
-	// Cancel ends a drain.
+	// Cancel cancels a drain instead of starting one.
 	Cancel bool `json:"cancel,omitempty"`
 }
--- a/operatorapi/wire.go
+++ b/operatorapi/wire.go
@@ -25,7 +25,7 @@
 	pathMembers  = "/v1/members"
 )
 
-// Names of the query's parameters.
+// Query parameters.
 const (
 	parameterDryRun = "dry_run"
 	parameterLimit  = "limit"
@@ -40,14 +40,14 @@
 )
 
 const (
-	// MaximumWait bounds a Watch.
+	// MaximumWait is the longest wait of a Watch.
 	MaximumWait = time.Minute
-	// MaximumHistory bounds the entries of one History.
+	// MaximumHistory is the maximum number of entries that History returns.
 	MaximumHistory = 10000
 	defaultHistory = 100
 )
 
-// editBody is a structs.Edit on the wire.
+// editBody is the wire form of structs.Edit.
 type editBody struct {
 	ID      structs.EditID `json:"id"`
 	Author  string         `json:"author,omitempty"`
@@ -55,7 +55,7 @@
 	Changes []changeBody   `json:"changes"`
 }
 
-// changeBody is a structs.RowChange on the wire.
+// changeBody is the wire form of structs.RowChange.
 type changeBody struct {
 	Row          structs.Row `json:"row"`
 	Delete       bool        `json:"delete,omitempty"`
@@ -78,12 +78,12 @@
 	return edit
 }
 
-// historyBody wraps the entries, so that fields can be added later.
+// historyBody wraps the entries so that fields can be added later.
 type historyBody struct {
 	Entries []structs.HistoryEntry `json:"entries"`
 }
 
-// The requests of the endpoints.
+// Decoded requests of the endpoints.
 type (
 	emptyRequest   struct{}
 	historyRequest struct{ limit int }
@@ -110,10 +110,10 @@
 		return nil, err
 	}
 	if body.ID == "" {
-		return nil, invalid("the edit has no ID", "Give each edit a new UUID, and keep it when it is sent again.")
+		return nil, invalid("the edit has no ID", "Give each edit a new UUID, and keep it when retrying.")
 	}
 	if len(body.Changes) == 0 {
-		return nil, invalid("the edit changes nothing", "List at least one change.")
+		return nil, invalid("the edit has no changes", "List at least one change.")
 	}
 	return applyRequest{edit: body.edit(), dryRun: dryRun}, nil
 }
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	if limit < 1 || limit > MaximumHistory {
-		return nil, invalid("the limit is out of range", "Ask for 1 to "+strconv.Itoa(MaximumHistory)+" entries.")
+		return nil, invalid("the limit is out of range", "Request 1 to "+strconv.Itoa(MaximumHistory)+" entries.")
 	}
 	return historyRequest{limit: int(limit)}, nil
 }
@@ -148,7 +148,7 @@
 func decodeSnapshot(_ context.Context, request *http.Request) (any, error) {
 	group := request.URL.Query().Get(parameterGroup)
 	if group == "" {
-		return nil, invalid("the snapshot names no group", "Name global, or zone- and the zone's ID.")
+		return nil, invalid("the snapshot request has no group", "Set global, or zone- followed by the zone's ID.")
 	}
 	return snapshotRequest{group: group}, nil
 }
@@ -159,14 +159,14 @@
 		return nil, err
 	}
 	if (drain.Runner == "") == (drain.Daemon == "") {
-		return nil, invalid("the drain does not name one runner or daemon",
-			"Name a runner as the machine list does, or a daemon as the status does.")
+		return nil, invalid("the drain request must name one runner or one daemon",
+			"Set a runner ID from the machine list, or a daemon ID from the status.")
 	}
 	return drain, nil
 }
 
-// decodeBody reads exactly one JSON value without unknown fields: a field that
-// an older daemon does not know must not be dropped in silence.
+// decodeBody decodes exactly one JSON value. It rejects unknown fields, because an
+// older daemon must not silently ignore fields of a newer client.
 func decodeBody(body io.Reader, into any) error {
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
@@ -178,10 +178,10 @@
 			"Split the edit, or raise limits.operator_body_bytes.")
 	}
 	if err != nil {
-		return invalid("the request is not the JSON that is expected: "+err.Error(), "Use lotusferryctl of the daemon's version.")
+		return invalid("the request body is not valid: "+err.Error(), "Use lotusferryctl of the daemon's version.")
 	}
 	if decoder.More() {
-		return invalid("the request goes on after its JSON value", "Send one JSON value.")
+		return invalid("the request has data after its JSON value", "Send one JSON value.")
 	}
 	return nil
 }
@@ -205,7 +205,7 @@
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, invalid(name+" is not a whole number", "Write digits only.")
+		return 0, invalid(name+" is not a non-negative integer", "Write digits only.")
 	}
 	return value, nil
 }
