--- a/ctl/apply.go
+++ b/ctl/apply.go
@@ -12,10 +12,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// resendInterval passes between two attempts when a daemon names no time.
-const resendInterval = 500 * time.Millisecond
+// defaultRetryInterval is the delay between attempts if the error has no retry delay.
+const defaultRetryInterval = 500 * time.Millisecond
 
-// editOptions are the options of the commands that change the table.
+// editOptions are the options of the commands that edit the table.
 type editOptions struct {
 	DryRun         bool          `long:"dry-run" description:"show and check the changes without making them"`
 	Wait           bool          `long:"wait" description:"return once the edit is in force in every zone"`
@@ -27,12 +27,12 @@
 	EditID         string        `long:"edit-id" description:"ID of an edit that is sent again after its answer was lost" value-name:"UUID"`
 }
 
-// editOutput is the result of a command that changes the table as --json shows it.
+// editOutput is the JSON output of the commands that edit the table.
 type editOutput struct {
 	Result  structs.EditResult `json:"result"`
 	DryRun  bool               `json:"dry_run"`
 	Changes []changeOutput     `json:"changes"`
-	// InForce is set when --wait saw the edit in force in every zone.
+	// InForce is set if --wait confirmed that every zone uses the edit.
 	InForce bool `json:"in_force"`
 }
 
@@ -42,28 +42,28 @@
 	BaseRevision uint64      `json:"base_revision"`
 }
 
-// change is one edit on its way.
+// change is an edit in progress.
 type change struct {
 	invocation *invocation
 	options    editOptions
 	service    operatorapi.Service
 	ctx        context.Context
-	// table is what the changes were made against.
+	// table is the table on which the changes are based.
 	table operatorapi.TableView
 	edit  structs.Edit
 }
 
-// checkRevision refuses when the table is not the expected one.
+// checkRevision returns an error if the table is not at the expected revision.
 func (o editOptions) checkRevision(table operatorapi.TableView) error {
 	if o.ExpectRevision == 0 || o.ExpectRevision == table.Revision {
 		return nil
 	}
 	return structs.NewError(structs.ErrorConflict,
-		fmt.Sprintf("the table is at revision %d and not at %d", table.Revision, o.ExpectRevision),
-		"Read the table again, and make the edit against what it holds now.")
+		fmt.Sprintf("the table is at revision %d, not at %d", table.Revision, o.ExpectRevision),
+		"Read the table again and base the edit on the current rows.")
 }
 
-// change reads the table, has plan say what to change in it, and makes the edit.
+// change reads the table, calls plan for the changes, and sends them as one edit.
 func (s *invocation) change(options editOptions, plan func(operatorapi.TableView) ([]structs.RowChange, error)) error {
 	service, ctx, cancel, err := s.service()
 	if err != nil {
@@ -98,14 +98,14 @@
 	return &change{invocation: s, options: options, service: service, ctx: ctx, table: table, edit: edit}
 }
 
-// run sends the edit, prints the result and, when asked, waits.
+// run sends the edit, waits for it if --wait is set, and prints the result.
 func (c *change) run() error {
 	if len(c.edit.Changes) == 0 {
-		return c.printUnchanged()
+		return c.printNoChanges()
 	}
-	if c.empties() && !c.options.AllowEmpty {
+	if c.deletesAllRows() && !c.options.AllowEmpty {
 		return structs.NewError(structs.ErrorInvalid, "the edit would delete every row of the table",
-			"Check the file; if it is meant so, add --allow-empty.")
+			"Check the file, or add --allow-empty if this is intended.")
 	}
 	if c.options.DryRun && !c.invocation.options.JSON {
 		if err := c.invocation.printChanges(c.table.Rows, c.edit.Changes); err != nil {
@@ -117,20 +117,21 @@
 		return err
 	}
 	if !result.Accepted {
-		return c.printRefused(result)
+		return c.printRejected(result)
 	}
-	var waited error
+	var waitErr error
 	if c.options.Wait && !c.options.DryRun {
-		waited = c.invocation.waitInForce(c.service, result.Revision, c.options.WaitTimeout)
+		waitErr = c.invocation.waitInForce(c.service, result.Revision, c.options.WaitTimeout)
 	}
-	if err := c.printAccepted(result, waited); err != nil {
+	if err := c.printAccepted(result, waitErr); err != nil {
 		return err
 	}
-	return waited
+	return waitErr
 }
 
-// empties reports whether the edit leaves no row, as a file that was cut short would.
-func (c *change) empties() bool {
+// deletesAllRows reports whether the edit leaves no rows. It guards against truncated
+// files.
+func (c *change) deletesAllRows() bool {
 	for _, change := range c.edit.Changes {
 		if !change.Delete {
 			return false
@@ -139,15 +140,15 @@
 	return len(c.edit.Changes) == len(c.table.Rows)
 }
 
-// send sends the edit until it is answered or the time is over. Each resend
-// carries the same ID, so the edit is made once at most.
+// send sends the edit until it gets a response or the context ends. Retries use the
+// same ID, so the edit is applied at most once.
 func (c *change) send() (structs.EditResult, error) {
 	for {
 		result, err := c.service.Apply(c.ctx, c.edit, c.options.DryRun)
 		if err == nil || exitCode(err) != ExitUnavailable {
 			return result, err
 		}
-		if !pause.For(c.ctx, resendAfter(err)) {
+		if !pause.For(c.ctx, retryDelay(err)) {
 			return result, c.outcomeUnknown(err)
 		}
 	}
@@ -158,8 +159,8 @@
 		return err
 	}
 	return structs.NewError(structs.ErrorUnavailable,
-		fmt.Sprintf("it is not known whether the edit was made (%s)", err),
-		fmt.Sprintf("Send it again with --edit-id %s, or look for that ID in `lotusferryctl table history`.", c.edit.ID))
+		fmt.Sprintf("the outcome of the edit is unknown (%s)", err),
+		fmt.Sprintf("Retry with --edit-id %s, or look for that ID in `lotusferryctl table history`.", c.edit.ID))
 }
 
 func (c *change) output(result structs.EditResult) editOutput {
@@ -170,16 +171,16 @@
 	return output
 }
 
-func (c *change) printUnchanged() error {
+func (c *change) printNoChanges() error {
 	if c.invocation.options.JSON {
 		return c.invocation.printJSON(c.output(structs.EditResult{Accepted: true, Revision: c.table.Revision}))
 	}
-	fmt.Fprintf(c.invocation.Output, "nothing to change: the table at revision %d is as wanted\n", c.table.Revision)
+	fmt.Fprintf(c.invocation.Output, "no changes: the table at revision %d is up to date\n", c.table.Revision)
 	return nil
 }
 
-func (c *change) printAccepted(result structs.EditResult, waited error) error {
-	inForce := c.options.Wait && !c.options.DryRun && waited == nil
+func (c *change) printAccepted(result structs.EditResult, waitErr error) error {
+	inForce := c.options.Wait && !c.options.DryRun && waitErr == nil
 	if c.invocation.options.JSON {
 		output := c.output(result)
 		output.InForce = inForce
@@ -196,8 +197,8 @@
 	return nil
 }
 
-// printRefused prints the problems and conflicts of a refused edit.
-func (c *change) printRefused(result structs.EditResult) error {
+// printRejected prints the problems and conflicts of a rejected edit.
+func (c *change) printRejected(result structs.EditResult) error {
 	code := ExitRefused
 	if len(result.Problems) == 0 && len(result.Conflicts) > 0 {
 		code = ExitConflict
@@ -218,7 +219,7 @@
 			return err
 		}
 	}
-	fmt.Fprintln(c.invocation.Errors, "lotusferryctl: the edit was refused and changed nothing: correct the values, or make it against the rows as they are now.")
+	fmt.Fprintln(c.invocation.Errors, "lotusferryctl: the edit was rejected and changed nothing: correct the values, or base the edit on the current rows.")
 	return &exitError{code: code}
 }
 
@@ -232,7 +233,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute applies the file.
+// Execute applies a table file.
 func (c *tableApply) Execute([]string) error {
 	wanted, err := c.read()
 	if err != nil {
@@ -250,7 +251,7 @@
 		var err error
 		format, err = tablefile.FormatOf(path)
 		if err != nil {
-			return nil, usageError("name the format of " + path + " with --format")
+			return nil, usageError("set the format of " + path + " with --format")
 		}
 	}
 	if path == "-" {
@@ -259,7 +260,7 @@
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, structs.NewError(structs.ErrorInvalid,
-			"the table file cannot be read: "+err.Error(), "Name a file that this user may read.")
+			"the table file cannot be read: "+err.Error(), "Set a file that this user may read.")
 	}
 	defer file.Close()
 	return c.invocation.decodeTable(format, file)
--- a/ctl/check.go
+++ b/ctl/check.go
@@ -12,7 +12,7 @@
 	Override   config.Flags `group:"Overrides, as lotusferry takes them" namespace:"set"`
 }
 
-// Execute loads the settings as the daemon would and prints every problem.
+// Execute checks a settings file as the daemon does and prints all problems.
 func (c *checkCommand) Execute([]string) error {
 	result, err := config.CheckFile(c.Config, c.Override)
 	if err != nil {
--- a/ctl/connect.go
+++ b/ctl/connect.go
@@ -9,19 +9,18 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// connect returns a client for the options. A key never leaves this machine
-// without TLS.
+// connect returns a client for the options. It never sends an API key without TLS.
 func connect(options Options) (operatorapi.Service, error) {
 	if len(options.Addresses) == 0 {
-		return nil, usageError("no address of a daemon is given; use --address or LOTUSFERRY_ADDRESSES")
+		return nil, usageError("no daemon address is set; use --address or LOTUSFERRY_ADDRESSES")
 	}
 	for _, address := range options.Addresses {
 		parsed, err := netip.ParseAddrPort(address)
 		if err != nil {
-			return nil, usageError("the address " + address + " is not an IP number with a port")
+			return nil, usageError("the address " + address + " is not an IP address with a port")
 		}
 		if options.Development && !parsed.Addr().Unmap().IsLoopback() {
-			return nil, usageError("--development reaches loopback addresses only, not " + address)
+			return nil, usageError("--development allows loopback addresses only, not " + address)
 		}
 	}
 	if options.Development {
@@ -32,7 +31,7 @@
 
 func connectTLS(options Options) (operatorapi.Service, error) {
 	if options.CA == "" || options.KeyFile == "" {
-		return nil, usageError("--ca and --key-file are needed, or --development")
+		return nil, usageError("--ca and --key-file are required without --development")
 	}
 	tlsConfig, err := keys.PublicClientConfig(options.CA)
 	if err != nil {
--- a/ctl/doc.go
+++ b/ctl/doc.go
@@ -1,9 +1,10 @@
-// Package ctl is the command line of lotusferryctl: operators read, edit and
-// watch the table, follow the site's state, drain runners, check settings, make
-// keys and handle snapshots.
+// Package ctl implements the command line of lotusferryctl. Operators use it to
+// read, edit and watch the table, show the state of the site, drain runners and
+// daemons, change group members, check settings, create keys, and save and restore
+// snapshots.
 //
-// Results go to the output as plain aligned tables, or as JSON with --json;
-// errors and prompts go to the error output. The exit codes are constants of
-// this package. The program starts no other process, so `table edit` leaves the
-// choice and the start of an editor to the operator.
+// Results are written to the standard output as aligned tables, or as JSON with
+// --json. Errors and prompts are written to the standard error. The exit codes are
+// constants of this package. The program starts no other process, so `table edit`
+// does not open an editor.
 package ctl
--- a/ctl/drain.go
+++ b/ctl/drain.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// drainTarget is what drain and undrain name.
+// drainTarget holds the arguments of drain and undrain.
 type drainTarget struct {
 	Daemon     bool `long:"daemon" description:"NAME is a daemon, also if a runner is called so"`
 	Positional struct {
@@ -26,7 +26,7 @@
 	drainTarget
 }
 
-// drainOutput is the result of a drain as --json shows it: Runner or Daemon is set.
+// drainOutput is the JSON output of drain and undrain. Either Runner or Daemon is set.
 type drainOutput struct {
 	Runner   string `json:"runner,omitempty"`
 	Daemon   string `json:"daemon,omitempty"`
@@ -38,12 +38,13 @@
 	return c.invocation.drain(c.drainTarget, c.Cancel)
 }
 
-// Execute ends a drain.
+// Execute cancels a drain.
 func (c *undrainCommand) Execute([]string) error {
 	return c.invocation.drain(c.drainTarget, true)
 }
 
-// drain asks for the runner of that name, or else for the daemon.
+// drain starts or cancels the drain of the named runner, or of the named daemon if
+// there is no such runner or --daemon is set.
 func (s *invocation) drain(target drainTarget, cancel bool) error {
 	service, ctx, done, err := s.service()
 	if err != nil {
--- a/ctl/drain_test.go
+++ b/ctl/drain_test.go
@@ -11,10 +11,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// daemonsOnly knows no runner of any name.
-type daemonsOnly struct{ *site }
+// siteWithoutRunners is a site with the daemon d1 and no runners.
+type siteWithoutRunners struct{ *site }
 
-func (s daemonsOnly) Drain(ctx context.Context, request operatorapi.DrainRequest) error {
+func (s siteWithoutRunners) Drain(ctx context.Context, request operatorapi.DrainRequest) error {
 	_ = s.site.Drain(ctx, request)
 	if request.Runner != "" || request.Daemon != "d1" {
 		return structs.NewError(structs.ErrorNotFound, "there is none", "Look it up.")
@@ -22,9 +22,9 @@
 	return nil
 }
 
-func TestDrainOfADaemon(t *testing.T) {
+func TestDrainFallsBackToDaemon(t *testing.T) {
 	c := qt.New(t)
-	service := daemonsOnly{newSite()}
+	service := siteWithoutRunners{newSite()}
 	c.Check(run(service, "", "drain", "d1").output, qt.Equals, "daemon d1 is being drained\n")
 	c.Check(run(service, "", "undrain", "d1", "--daemon").output, qt.Equals, "daemon d1 takes work again\n")
 	c.Check(run(service, "", "drain", "other").code, qt.Equals, ctl.ExitRefused)
--- a/ctl/edit.go
+++ b/ctl/edit.go
@@ -19,7 +19,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// decodeTable reads a table; values that cannot be read are printed.
+// decodeTable decodes a table file. It prints values that cannot be parsed.
 func (s *invocation) decodeTable(format tablefile.Format, source io.Reader) ([]structs.Row, error) {
 	rows, problems, err := tablefile.Decode(format, source)
 	if err != nil {
@@ -32,7 +32,7 @@
 		err = s.printJSON(editOutput{Result: structs.EditResult{Problems: problems}, Changes: []changeOutput{}})
 	} else {
 		err = s.printProblems(problems)
-		fmt.Fprintln(s.Errors, "lotusferryctl: nothing was changed: correct the values; whether they fit each other is checked once all can be read.")
+		fmt.Fprintln(s.Errors, "lotusferryctl: nothing was changed: correct the values; their consistency is checked once all can be parsed.")
 	}
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute changes values of a row.
+// Execute sets values of a row.
 func (c *tableSet) Execute([]string) error {
 	return c.invocation.change(c.Edit, func(table operatorapi.TableView) ([]structs.RowChange, error) {
 		row, err := c.row(table.Rows)
@@ -60,15 +60,14 @@
 	})
 }
 
-// row returns the wanted row. The values pass through a table file, so that they
-// are read as in one.
+// row returns the row with the new values. They are parsed as a CSV table file.
 func (c *tableSet) row(rows []structs.Row) (structs.Row, error) {
 	name := structs.RowName(c.Positional.Row)
 	current := structs.Row{Name: name, Kind: structs.RowModel, Weight: 1, Priority: structs.PriorityStandard}
 	if index := indexOf(rows, name); index >= 0 {
 		current = rows[index]
 	}
-	header, lines, err := cells([]structs.Row{current})
+	header, lines, err := encodeCells([]structs.Row{current})
 	if err != nil {
 		return structs.Row{}, err
 	}
@@ -82,7 +81,7 @@
 	}
 	var file bytes.Buffer
 	if err := csv.NewWriter(&file).WriteAll([][]string{header, lines[0]}); err != nil {
-		return structs.Row{}, errors.Wrap(err, "write the row")
+		return structs.Row{}, errors.Wrap(err, "encode the row")
 	}
 	wanted, err := c.invocation.decodeTable(tablefile.FormatCSV, &file)
 	if err != nil {
@@ -105,11 +104,11 @@
 // Execute deletes rows.
 func (c *tableDelete) Execute([]string) error {
 	return c.invocation.change(c.Edit, func(table operatorapi.TableView) ([]structs.RowChange, error) {
-		doomed, err := selectRows(table.Rows, c.Positional.Rows)
+		deleted, err := selectRows(table.Rows, c.Positional.Rows)
 		if err != nil {
 			return nil, err
 		}
-		return tablefile.Diff(doomed, nil, true), nil
+		return tablefile.Diff(deleted, nil, true), nil
 	})
 }
 
@@ -119,9 +118,9 @@
 	File       string      `long:"file" required:"yes" description:"new file for the table (.csv, .yaml or .json); it is removed when the edit is accepted" value-name:"FILE"`
 }
 
-// Execute writes the table to the file, waits until the operator has edited it
-// and applies it. Lines that were taken out are deletions. While the file has
-// problems, it can be corrected and applied again.
+// Execute writes the table to the file, waits for the operator to edit it and applies
+// it. Removed lines delete their rows. A rejected file can be corrected and applied
+// again.
 func (c *tableEdit) Execute([]string) error {
 	format, err := tablefile.FormatOf(c.File)
 	if err != nil {
@@ -132,7 +131,7 @@
 		return err
 	}
 	table, err := service.Table(ctx)
-	cancel() // the operator takes the time that it takes
+	cancel() // the timeout does not cover the operator's editing
 	if err != nil {
 		return err
 	}
@@ -142,7 +141,7 @@
 	if err := c.write(format, table.Rows); err != nil {
 		return err
 	}
-	return c.applyWhenReady(format, table)
+	return c.applyInteractively(format, table)
 }
 
 func (c *tableEdit) write(format tablefile.Format, rows []structs.Row) error {
@@ -153,16 +152,16 @@
 	return keys.WriteNewFile(c.File, content.Bytes())
 }
 
-func (c *tableEdit) applyWhenReady(format tablefile.Format, table operatorapi.TableView) error {
+func (c *tableEdit) applyInteractively(format tablefile.Format, table operatorapi.TableView) error {
 	path, err := filepath.Abs(c.File)
 	if err != nil {
-		return errors.Wrap(err, "find the file")
+		return errors.Wrap(err, "resolve the path of the file")
 	}
-	answers := bufio.NewScanner(c.invocation.Input)
+	input := bufio.NewScanner(c.invocation.Input)
 	for {
 		fmt.Fprintf(c.invocation.Errors, "Edit %s, then press Enter to apply it, or type q to leave the table as it is: ", path)
-		if !answers.Scan() || strings.TrimSpace(answers.Text()) == "q" {
-			fmt.Fprintln(c.invocation.Errors, "\nThe table was left as it is.")
+		if !input.Scan() || strings.TrimSpace(input.Text()) == "q" {
+			fmt.Fprintln(c.invocation.Errors, "\nThe table was not changed.")
 			return nil
 		}
 		err := c.apply(format, table)
@@ -173,8 +172,8 @@
 	}
 }
 
-// apply sends the file's changes against the table as it was written, so that
-// rows which others have changed meanwhile conflict.
+// apply sends the changes between the table as written and the edited file. Rows that
+// others have changed since then conflict.
 func (c *tableEdit) apply(format tablefile.Format, table operatorapi.TableView) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
@@ -195,8 +194,8 @@
 	if !accepted || c.Edit.DryRun {
 		return err
 	}
-	if removal := os.Remove(c.File); err == nil {
-		err = errors.Wrap(removal, "remove the edited file")
+	if removeErr := os.Remove(c.File); err == nil {
+		err = errors.Wrap(removeErr, "remove the edited file")
 	}
 	return err
 }
--- a/ctl/edit_test.go
+++ b/ctl/edit_test.go
@@ -16,7 +16,7 @@
 
 const header = "name,kind,base,weight,priority,min_replicas,max_replicas,memory,role,objective,revision\n"
 
-func TestApplyShowsAndMakesChanges(t *testing.T) {
+func TestTableCommandsApplyChanges(t *testing.T) {
 	const file = header +
 		"code-large,model,,12,live,1,4,24GiB,answers,,5\n" +
 		"code-small,model,,1,standard,0,1,8GiB,answers,,\n"
@@ -26,7 +26,7 @@
 		input     string
 		code      int
 		output    string // a pattern
-		changes   int    // of the edit that was made
+		changes   int    // in the applied edits
 	}{
 		{"dry run", "apply - --format csv --prune --dry-run", file, ctl.ExitOK, lines(
 			"CHANGE  ROW          COLUMN        FROM  TO",
@@ -42,17 +42,17 @@
 			"dry run: the edit would be accepted, rows 3"), 0},
 		{"apply", "apply - --format csv", file, ctl.ExitOK, "accepted at revision 8, edit .{36}\n", 2},
 		{"prune", "apply - --format csv --prune", file, ctl.ExitOK, "accepted at revision 8, edit .{36}\n", 3},
-		{"same table", "set code-large weight=10", "", ctl.ExitOK, "nothing to change: the table at revision 7 is as wanted\n", 0},
+		{"same table", "set code-large weight=10", "", ctl.ExitOK, "no changes: the table at revision 7 is up to date\n", 0},
 		{"set with a unit", "set code-large memory=32GiB priority=standard", "", ctl.ExitOK, "accepted at revision 8, edit .{36}\n", 1},
 		{"set a new row", "set code-tiny role=search memory=1GiB max_replicas=1", "", ctl.ExitOK, "accepted at revision 8, edit .{36}\n", 1},
 		{"set a bad value", "set code-large weight=heavy", "", ctl.ExitRefused, `ROW +COLUMN +VALUE +PROBLEM +REMEDY\ncode-large +weight +heavy .*\n`, 0},
 		{"delete", "delete code-review", "", ctl.ExitOK, "accepted at revision 8, edit .{36}\n", 1},
 		{"delete all rows", "delete code-large code-review", "", ctl.ExitRefused, "", 0},
-		{"delete all rows on purpose", "delete code-large code-review --allow-empty", "", ctl.ExitOK, "accepted at revision 8, edit .{36}\n", 2},
+		{"delete all rows with --allow-empty", "delete code-large code-review --allow-empty", "", ctl.ExitOK, "accepted at revision 8, edit .{36}\n", 2},
 		{"delete an unknown row", "delete none", "", ctl.ExitRefused, "", 0},
 		{"expected revision", "set code-large weight=1 --expect-revision 7", "", ctl.ExitOK, "accepted at revision 8, edit .{36}\n", 1},
 		{"other revision", "set code-large weight=1 --expect-revision 6", "", ctl.ExitConflict, "", 0},
-		{"row of an older table", "apply - --format csv", strings.Replace(file, ",5\n", ",4\n", 1), ctl.ExitConflict,
+		{"row of an older revision", "apply - --format csv", strings.Replace(file, ",5\n", ",4\n", 1), ctl.ExitConflict,
 			`ROW +SEEN REVISION +REVISION NOW\ncode-large +4 +5\n`, 2},
 	}
 	for _, test := range tests {
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestRefusedEditListsProblems(t *testing.T) {
+func TestRejectedEditListsProblems(t *testing.T) {
 	c := qt.New(t)
 	service := newSite()
 	service.problems = []structs.RowProblem{{Row: "code-large", Column: "weight", Value: "2000", Problem: "is out of range", Remedy: "Write 1 to 1000."}}
@@ -82,11 +82,11 @@
 		"code-large  weight  2000   is out of range  Write 1 to 1000."))
 	c.Check(got.errors, qt.Contains, "changed nothing")
 
-	service.problems[0].Column = "memory_bytes" // the daemon's name of the column "memory"
+	service.problems[0].Column = "memory_bytes" // the field name of column "memory"
 	c.Check(run(service, "", "table", "set", "code-large", "memory=0").output, qt.Contains, "code-large  memory  2000")
 }
 
-func TestOneValueThatCannotBeReadHoldsBackAllRows(t *testing.T) {
+func TestApplySendsNothingIfAValueCannotBeParsed(t *testing.T) {
 	c := qt.New(t)
 	service := newSite()
 	file := "name,kind,weight,priority,max_replicas,memory,role\n" +
@@ -101,11 +101,11 @@
 	c.Check(service.applied, qt.HasLen, 0)
 }
 
-func TestResendsKeepTheEditID(t *testing.T) {
+func TestRetriesKeepTheEditID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		service := newSite()
-		service.loseAnswers = 2
+		service.lostResponses = 2
 		got := run(service, "", "table", "set", "code-large", "weight=3")
 		c.Assert(got.code, qt.Equals, ctl.ExitOK)
 		c.Assert(service.applied, qt.HasLen, 3)
@@ -116,19 +116,19 @@
 	})
 }
 
-func TestLostOutcomeNamesTheEditID(t *testing.T) {
+func TestUnknownOutcomeNamesTheEditID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		service := newSite()
-		service.loseAnswers = 1 << 20
+		service.lostResponses = 1 << 20
 		got := run(service, "", "table", "set", "code-large", "weight=3", "--edit-id", "edit-1", "--timeout", "20s")
 		c.Check(got.code, qt.Equals, ctl.ExitUnavailable)
-		c.Check(got.errors, qt.Matches, "lotusferryctl: it is not known whether the edit was made .*--edit-id edit-1,.*\n")
+		c.Check(got.errors, qt.Matches, "lotusferryctl: the outcome of the edit is unknown .*--edit-id edit-1,.*\n")
 		c.Check(service.applied[0].ID, qt.Equals, structs.EditID("edit-1"))
 	})
 }
 
-func TestDeniedEditIsNotSentAgain(t *testing.T) {
+func TestDeniedEditIsNotRetried(t *testing.T) {
 	c := qt.New(t)
 	service := newSite()
 	service.failures = []error{structs.NewError(structs.ErrorDenied, "no", "Ask.")}
@@ -137,7 +137,7 @@
 	c.Check(service.applied, qt.HasLen, 0)
 }
 
-func TestWaitReturnsWhenInForce(t *testing.T) {
+func TestWaitReturnsWhenZonesAreCurrent(t *testing.T) {
 	tests := []struct {
 		name   string
 		lag    int
@@ -155,7 +155,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				service := newSite()
-				service.lag = test.lag
+				service.statusCallsBehind = test.lag
 				got := run(service, "", "table", "set", "code-large", "weight=3", "--wait", "--wait-timeout", "1m")
 				c.Check(got.code, qt.Equals, test.code)
 				c.Check(got.output, qt.Matches, test.output)
@@ -165,16 +165,16 @@
 	}
 }
 
-// editor is the operator's input to `table edit`: each line of it is one Enter,
-// before which the file is changed.
-type editor struct {
+// interactiveEditor is the standard input of `table edit`. Each read applies one step to
+// the file and returns a line that confirms it, or "q" after the last step.
+type interactiveEditor struct {
 	c     *qt.C
 	path  string
 	steps []func(string) string
 }
 
 // Read implements io.Reader.
-func (e *editor) Read(buffer []byte) (int, error) {
+func (e *interactiveEditor) Read(buffer []byte) (int, error) {
 	if len(e.steps) == 0 {
 		return copy(buffer, "q\n"), nil
 	}
@@ -185,7 +185,7 @@
 	return copy(buffer, "\n"), nil
 }
 
-func TestEditGoesOnUntilTheFileIsGood(t *testing.T) {
+func TestTableEditRepeatsUntilTheFileIsValid(t *testing.T) {
 	replace := func(old, new string) func(string) string {
 		return func(content string) string { return strings.Replace(content, old, new, 1) }
 	}
@@ -194,13 +194,13 @@
 		steps   []func(string) string
 		code    int
 		changes int
-		kept    bool // the file
+		kept    bool // whether the file is kept
 	}{
-		{"left as it is", nil, ctl.ExitOK, 0, true},
+		{"quit", nil, ctl.ExitOK, 0, true},
 		{"one change", []func(string) string{replace(",10,", ",11,")}, ctl.ExitOK, 1, false},
-		{"line taken out", []func(string) string{replace("code-review,adapter,code-large,2,batch,0,2,1GiB,answers,idle,7\n", "")}, ctl.ExitOK, 1, false},
+		{"line removed", []func(string) string{replace("code-review,adapter,code-large,2,batch,0,2,1GiB,answers,idle,7\n", "")}, ctl.ExitOK, 1, false},
 		{"corrected", []func(string) string{replace(",10,", ",heavy,"), replace(",heavy,", ",11,")}, ctl.ExitOK, 1, false},
-		{"changed by another meanwhile", []func(string) string{replace(",answers,,5", ",search,,4")}, ctl.ExitConflict, 1, true},
+		{"conflicting change", []func(string) string{replace(",answers,,5", ",search,,4")}, ctl.ExitConflict, 1, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -209,7 +209,7 @@
 			path := filepath.Join(c.TempDir(), "table.csv")
 			var output, errors strings.Builder
 			code := ctl.Run(t.Context(), []string{"table", "edit", "--file", path}, ctl.Environment{
-				Input:   &editor{c: c, path: path, steps: test.steps},
+				Input:   &interactiveEditor{c: c, path: path, steps: test.steps},
 				Output:  &output,
 				Errors:  &errors,
 				Connect: func(ctl.Options) (operatorapi.Service, error) { return service, nil },
@@ -226,13 +226,13 @@
 	}
 }
 
-func TestWatchPrintsEachChangeUntilNoDaemonAnswers(t *testing.T) {
+func TestWatchPrintsChangesUntilNoDaemonResponds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := newSite()
 		changed := newSite().table.Rows
 		changed[0].Weight = 20
 		revision := service.table.Revision
-		service.later = []operatorapi.TableChanges{
+		service.watchChanges = []operatorapi.TableChanges{
 			{Since: revision, Revision: revision},
 			{Since: revision, Revision: 8, Rows: changed[:1]},
 			{Since: 8, Revision: 9, Deleted: []structs.RowName{changed[1].Name}},
--- a/ctl/exit.go
+++ b/ctl/exit.go
@@ -9,24 +9,24 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The exit codes of lotusferryctl.
+// Exit codes of lotusferryctl.
 const (
 	ExitOK = 0
-	// ExitInternal: a fault of the program or of a daemon.
+	// ExitInternal reports an internal error of the program or of a daemon.
 	ExitInternal = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage reports an invalid command line.
 	ExitUsage = 2
-	// ExitRefused: the input has problems, which are listed.
+	// ExitRefused reports invalid input. The output lists its problems.
 	ExitRefused = 3
-	// ExitConflict: the input was made against an older revision, or a file is
-	// there already.
+	// ExitConflict reports that the input is based on an older revision, or that a file
+	// already exists.
 	ExitConflict = 4
-	// ExitUnavailable: no daemon could answer, or the answer was lost.
+	// ExitUnavailable reports that no daemon responded or the response was lost.
 	ExitUnavailable = 5
-	// ExitWaitTimedOut: the edit was accepted, but is not known to be in force in
-	// every zone yet.
+	// ExitWaitTimedOut reports that the edit was accepted, but not confirmed in every
+	// zone within the timeout.
 	ExitWaitTimedOut = 6
-	// ExitDenied: the key or a certificate was refused.
+	// ExitDenied reports that the key or a certificate was rejected.
 	ExitDenied = 7
 )
 
@@ -43,10 +43,10 @@
 	structs.ErrorDenied:      ExitDenied,
 }
 
-// exitError carries an exit code that the kind of its error does not tell.
+// exitError is an error with an explicit exit code.
 type exitError struct {
 	code int
-	// cause is nil when everything has been printed already.
+	// cause is nil if the command has already printed the error.
 	cause error
 }
 
@@ -58,10 +58,10 @@
 	return e.cause.Error()
 }
 
-// Unwrap gives the cause to errors.Is and errors.As.
+// Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.cause }
 
-// exitCode returns the exit code for the error of a command.
+// exitCode returns the exit code for err.
 func exitCode(err error) int {
 	if err == nil {
 		return ExitOK
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -17,13 +17,13 @@
 	} `positional-args:"yes"`
 }
 
-// explainOutput is an account with what was read, as --json shows it.
+// explainOutput is the JSON output of explain.
 type explainOutput struct {
 	explain.Account
 	Read explain.Stats `json:"read"`
 }
 
-// Execute reads the logs and prints what they tell of the request.
+// Execute prints the history of a request from logs.
 func (c *explainCommand) Execute([]string) error {
 	lines, stats, err := readLogs(c.invocation, c.Arguments.Files)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// readLogs reads the lines of files, or of the input if none is named.
+// readLogs reads the lines of files, or of the standard input if files is empty.
 func readLogs(shared *invocation, files []string) ([]explain.Line, explain.Stats, error) {
 	if len(files) == 0 {
 		return explain.Read(shared.Input)
@@ -61,7 +61,7 @@
 func readLog(path string) ([]explain.Line, explain.Stats, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, explain.Stats{}, structs.NewError(structs.ErrorInvalid, "the log cannot be read: "+err.Error(), "Name files that this user may read.")
+		return nil, explain.Stats{}, structs.NewError(structs.ErrorInvalid, "the log cannot be read: "+err.Error(), "Set files that this user may read.")
 	}
 	defer file.Close()
 	return explain.Read(file)
@@ -76,12 +76,12 @@
 	for _, clock := range account.Clocks {
 		fmt.Fprintf(output, "  The clock of %s is at least %v behind.\n", clock.Node, clock.Behind)
 	}
-	printLines(output, "\nits lines, in seconds after it arrived", account, account.Events)
-	printLines(output, "\nwhat was believed around it", account, account.Beliefs)
+	printLogLines(output, "\nits log lines, in seconds after its arrival", account, account.Events)
+	printLogLines(output, "\nsystem state around it, as logged", account, account.Beliefs)
 	fmt.Fprintf(output, "\n%d lines read, %d foreign, %d too long\n", stats.Lines, stats.Foreign, stats.TooLong)
 }
 
-func printLines(output io.Writer, title string, account *explain.Account, lines []explain.Line) {
+func printLogLines(output io.Writer, title string, account *explain.Account, lines []explain.Line) {
 	fmt.Fprintln(output, title)
 	for _, line := range lines {
 		fmt.Fprintf(output, "%+9.3f  %s\n", line.Time.Sub(account.Arrived).Seconds(), line.String())
--- a/ctl/explain_test.go
+++ b/ctl/explain_test.go
@@ -15,7 +15,7 @@
 level=info ts=2026-03-01T08:00:03Z node=core-1 msg="An order was answered." runner=i-1 operation=load model=m adapter= outcome=accepted
 `
 
-func TestExplainReadsFilesOrTheInput(t *testing.T) {
+func TestExplainReadsFilesOrStandardInput(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "router.log")
 	c.Assert(os.WriteFile(path, []byte(explainLog), 0o600), qt.IsNil)
--- a/ctl/keys.go
+++ b/ctl/keys.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// File names of the CA within its folder.
+// File names in the folder of the CA.
 const (
 	authorityCertificate = "ca.crt"
 	authorityKey         = "ca.key"
@@ -33,7 +33,7 @@
 	}
 }
 
-// filesOutput names the files that a command wrote, as --json shows it.
+// filesOutput is the JSON output of commands that write files.
 type filesOutput struct {
 	Files []string `json:"files"`
 }
@@ -48,12 +48,12 @@
 	return nil
 }
 
-// makeKeyFolder makes the folder, which only its owner may read, if it is missing.
+// makeKeyFolder creates the folder with mode 0700 if it does not exist.
 func makeKeyFolder(path string) error {
 	const mode = 0o700
 	if err := os.MkdirAll(path, mode); err != nil {
 		return structs.NewError(structs.ErrorInvalid,
-			"the folder "+path+" cannot be made: "+err.Error(), "Name a folder in which this user may write with --folder.")
+			"the folder "+path+" cannot be created: "+err.Error(), "Use --folder to set a folder that this user may write.")
 	}
 	return nil
 }
@@ -64,7 +64,7 @@
 	Folder     string `long:"folder" required:"yes" description:"folder for ca.crt and ca.key" value-name:"FOLDER"`
 }
 
-// Execute makes a CA; it never replaces one.
+// Execute creates a CA. It never overwrites an existing one.
 func (c *keysCA) Execute([]string) error {
 	authority, err := keys.NewAuthority(c.Site, time.Now())
 	if err != nil {
@@ -91,7 +91,7 @@
 	Folder     string   `long:"folder" required:"yes" description:"folder for DAEMON.crt and DAEMON.key" value-name:"FOLDER"`
 }
 
-// Execute issues a certificate; a second one for the same daemon replaces the first.
+// Execute issues a certificate. It overwrites an earlier one of the same daemon.
 func (c *keysIssue) Execute([]string) error {
 	request := keys.Request{
 		Identity: keys.Identity{Zone: structs.ZoneID(c.Zone), Daemon: structs.DaemonID(c.Daemon)},
@@ -104,7 +104,7 @@
 	for _, text := range c.Addresses {
 		address, err := netip.ParseAddr(text)
 		if err != nil {
-			return usageError("--ip " + text + " is not an IP number")
+			return usageError("--ip " + text + " is not an IP address")
 		}
 		request.Addresses = append(request.Addresses, address)
 	}
@@ -137,15 +137,15 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// apiKeyOutput is what goes into the daemons' settings.
+// apiKeyOutput is the JSON output of commands that create API keys.
 type apiKeyOutput struct {
 	Name string `json:"name"`
 	Hash string `json:"hash"`
 	File string `json:"file"`
 }
 
-// Execute writes a new key to its file and prints the line for the settings. The
-// key itself is never printed.
+// Execute writes a new API key to a file and prints its entry for the settings. It
+// never prints the key.
 func (c *keysAPIKey) Execute([]string) error {
 	key, hash := keys.NewAPIKey()
 	if err := keys.WriteNewFile(c.Out, []byte(key+"\n")); err != nil {
--- a/ctl/local_test.go
+++ b/ctl/local_test.go
@@ -26,9 +26,9 @@
 	c.Check(service.drains, qt.DeepEquals, []operatorapi.DrainRequest{{Runner: "runner-1"}, {Runner: "runner-1", Cancel: true}})
 }
 
-// TestKeysServeTheExample goes the whole way of a new daemon: CA, certificate,
-// operator's key, settings.
-func TestKeysServeTheExample(t *testing.T) {
+// TestKeysWorkWithExampleSettings sets up a new daemon: CA, certificate, operator's key
+// and settings.
+func TestKeysWorkWithExampleSettings(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
 	must := func(arguments ...string) outcome {
@@ -65,7 +65,7 @@
 	c.Check(bad.output, qt.Matches, `(?s)LEVEL .*error +zone .*error +listen.callers .*`)
 }
 
-// groupData is the data of a snapshot as package group encodes it.
+// groupData returns snapshot data in the encoding of package group.
 func groupData(c *qt.C) []byte {
 	data, err := msgpack.Marshal(struct {
 		Addresses map[raft.NodeID]string
@@ -75,14 +75,14 @@
 	return data
 }
 
-func TestSnapshotsAreCheckedAndRestored(t *testing.T) {
+func TestSnapshotsAreVerifiedAndRestored(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
-	made := filepath.Join(folder, "made")
+	original := filepath.Join(folder, "made")
 	snapshot := raft.Snapshot{Index: 40, Term: 3, Membership: raft.Membership{Voters: []raft.NodeID{1, 2, 3}}, Data: groupData(c)}
 	identity := logstore.Identity{Group: "global", Daemon: "sala-a-1", Node: 1}
-	c.Assert(logstore.WriteSnapshotFile(made, snapshot, identity), qt.IsNil)
-	content, err := os.ReadFile(made)
+	c.Assert(logstore.WriteSnapshotFile(original, snapshot, identity), qt.IsNil)
+	content, err := os.ReadFile(original)
 	c.Assert(err, qt.IsNil)
 
 	service := newSite()
@@ -100,21 +100,21 @@
 	c.Check(run(service, "", "snapshot", "save", path+".cut").code, qt.Equals, ctl.ExitRefused)
 	entries, err := os.ReadDir(folder)
 	c.Assert(err, qt.IsNil)
-	c.Check(entries, qt.HasLen, 2) // nothing is left of the one that was cut
+	c.Check(entries, qt.HasLen, 2) // the truncated snapshot leaves no file
 
 	store := filepath.Join(folder, "store")
 	restore := func() int {
 		return run(service, "", "snapshot", "restore", path, "--store", store, "--daemon", "sala-b-1").code
 	}
 	c.Assert(restore(), qt.Equals, ctl.ExitOK)
-	c.Check(restore(), qt.Equals, ctl.ExitConflict) // the store is there
+	c.Check(restore(), qt.Equals, ctl.ExitConflict) // the store exists
 	opened, err := logstore.Open(store, logstore.Identity{Group: "global", Daemon: "sala-b-1"})
 	c.Assert(err, qt.IsNil)
 	defer opened.Close()
 	restored, err := opened.Load()
 	c.Assert(err, qt.IsNil)
 	node := opened.Identity().Node
-	c.Check(snapshot.Membership.Has(node), qt.IsFalse) // no former member
+	c.Check(snapshot.Membership.Has(node), qt.IsFalse) // not a former member
 	c.Check(restored.Snapshot.Membership, qt.DeepEquals, raft.Membership{Voters: []raft.NodeID{node}})
 	c.Check(restored.Snapshot.Index, qt.Equals, snapshot.Index)
 	c.Check(restored.HardState.Term > snapshot.Term+1000, qt.IsTrue)
--- a/ctl/member.go
+++ b/ctl/member.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// memberPollPause separates two looks at a group whose change is awaited.
-const memberPollPause = 200 * time.Millisecond
+// memberPollInterval is the interval between polls of the members during a replacement.
+const memberPollInterval = 200 * time.Millisecond
 
-// groupOption names the group of a change.
+// groupOption is the option for the group of a change.
 type groupOption struct {
 	Group string `long:"group" required:"yes" description:"global, or zone- and the zone's ID" value-name:"GROUP"`
 }
 
-// memberArgument names the daemon of a change.
+// memberArgument is the argument for the daemon of a change.
 type memberArgument struct {
 	Daemon string `positional-arg-name:"DAEMON" description:"ID of the daemon"`
 }
@@ -47,8 +47,8 @@
 	Group      string `long:"group" description:"show this group only" value-name:"GROUP"`
 }
 
-// Execute prints the members. It fails as unavailable when a group that was to be
-// shown has no leader.
+// Execute prints the members. It returns an unavailable error if one of the groups
+// shown could not be queried.
 func (c *memberList) Execute([]string) error {
 	service, ctx, cancel, err := c.invocation.service()
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	for _, group := range groups {
 		if group.Problem != "" {
-			return structs.NewError(structs.ErrorUnavailable, "group "+group.Group+" cannot be asked: "+group.Problem,
+			return structs.NewError(structs.ErrorUnavailable, "group "+group.Group+" cannot be queried: "+group.Problem,
 				"Start a majority of its members; see docs/operations/members.md.")
 		}
 	}
@@ -85,10 +85,10 @@
 		}
 	}
 	return operatorapi.GroupMembers{}, structs.NewError(structs.ErrorNotFound, "the site has no group "+name,
-		"Name a group as `lotusferryctl member list` does.")
+		"Set a group from `lotusferryctl member list`.")
 }
 
-// membersOutput is what --json shows of the members.
+// membersOutput is the JSON output of member list.
 type membersOutput struct {
 	Groups []operatorapi.GroupMembers `json:"groups"`
 }
@@ -124,14 +124,15 @@
 	return "learner"
 }
 
-// memberOutput is the result of a change as --json shows it.
+// memberOutput is the JSON output of membership changes.
 type memberOutput struct {
 	Group  string                   `json:"group"`
 	Action operatorapi.MemberAction `json:"action"`
 	Daemon structs.DaemonID         `json:"daemon"`
 }
 
-// changeMember makes one change and prints it.
+// changeMember makes a membership change and prints it. done is the verb phrase of the
+// printed sentence.
 func (s *invocation) changeMember(change operatorapi.MemberChange, done string) error {
 	service, ctx, cancel, err := s.service()
 	if err != nil {
@@ -159,7 +160,7 @@
 	Positional memberArgument `positional-args:"yes" required:"yes"`
 }
 
-// Execute adds a daemon that runs and belongs to no group of this name yet.
+// Execute adds a running daemon that is not yet a member of the group.
 func (c *memberAdd) Execute([]string) error {
 	return c.invocation.changeMember(operatorapi.MemberChange{
 		Group:   c.Group,
@@ -181,7 +182,7 @@
 		Group:  c.Group,
 		Action: operatorapi.MemberRemove,
 		Daemon: structs.DaemonID(c.Positional.Daemon),
-	}, "is no member any more of")
+	}, "is no longer a member of")
 }
 
 type memberPromote struct {
@@ -209,11 +210,11 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute replaces a daemon. Every step may be repeated, so a replacement that was
-// cut short is finished by the same command.
+// Execute replaces a daemon. All steps are idempotent, so running the command again
+// resumes an interrupted replacement.
 func (c *memberReplace) Execute([]string) error {
 	if c.Positional.Old == c.Positional.New {
-		return usageError("a daemon with an empty data folder replaces its own lost identity by itself; name another daemon")
+		return usageError("OLD and NEW must differ; a daemon with an empty data folder rejoins with a new node ID by itself")
 	}
 	service, ctx, cancel, err := c.invocation.service()
 	if err != nil {
@@ -239,17 +240,17 @@
 	return c.invocation.printChange(add, "has replaced "+c.Positional.Old+" in")
 }
 
-// awaitVoter returns once the daemon is a voter that answers.
+// awaitVoter waits until the daemon is an active voter.
 func awaitVoter(ctx context.Context, service operatorapi.Service, name string, daemon structs.DaemonID) error {
 	for {
 		groups, err := service.Members(ctx)
 		if err == nil && isVoter(groups, name, daemon) {
 			return nil
 		}
-		if !pause.For(ctx, memberPollPause) {
+		if !pause.For(ctx, memberPollInterval) {
 			return structs.NewError(structs.ErrorDeadline,
 				"daemon "+string(daemon)+" is not a voter of group "+name+" yet; nothing was removed",
-				"Run the same command again, with a longer --timeout; it goes on where it stopped.")
+				"Run the same command again, with a longer --timeout; it resumes where it stopped.")
 		}
 	}
 }
--- a/ctl/member_test.go
+++ b/ctl/member_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestMembersAreChanged(t *testing.T) {
+func TestMembershipChanges(t *testing.T) {
 	add := operatorapi.MemberChange{Group: "global", Action: operatorapi.MemberAdd, Daemon: "b-9", Address: "10.0.0.9:7402"}
 	tests := []struct {
 		command string
@@ -20,7 +20,7 @@
 	}{
 		{"member add b-9 --group global --internal 10.0.0.9:7402", []operatorapi.MemberChange{add}, "daemon b-9 receives the log of group global\n"},
 		{"member promote b-9 --group global", []operatorapi.MemberChange{{Group: "global", Action: operatorapi.MemberPromote, Daemon: "b-9"}}, "daemon b-9 is a voter of group global\n"},
-		{"member remove b-1 --group global", []operatorapi.MemberChange{{Group: "global", Action: operatorapi.MemberRemove, Daemon: "b-1"}}, "daemon b-1 is no member any more of group global\n"},
+		{"member remove b-1 --group global", []operatorapi.MemberChange{{Group: "global", Action: operatorapi.MemberRemove, Daemon: "b-1"}}, "daemon b-1 is no longer a member of group global\n"},
 		{"member replace b-1 b-9 --group global --internal 10.0.0.9:7402", []operatorapi.MemberChange{
 			add, {Group: "global", Action: operatorapi.MemberRemove, Daemon: "b-1"},
 		}, "daemon b-9 has replaced b-1 in group global\n"},
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestReplaceRemovesNobodyBeforeTheNewMemberVotes(t *testing.T) {
+func TestReplaceKeepsTheOldMemberUntilTheNewOneVotes(t *testing.T) {
 	c := qt.New(t)
 	s := newSite()
 	s.groups = []operatorapi.GroupMembers{{Group: "global", Members: []operatorapi.MemberStatus{{Daemon: "b-9", Active: true}}}}
@@ -46,7 +46,7 @@
 	c.Check(s.changes, qt.HasLen, 1)
 }
 
-func TestMembersAreListed(t *testing.T) {
+func TestMemberList(t *testing.T) {
 	c := qt.New(t)
 	s := newSite()
 	s.groups = []operatorapi.GroupMembers{
--- a/ctl/output.go
+++ b/ctl/output.go
@@ -11,11 +11,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-const columnGap = 2
+const columnPadding = 2
 
-// printTable prints aligned columns. An empty cell is shown as a dash.
+// printTable prints aligned columns. Empty cells are printed as "-".
 func (s *invocation) printTable(header []string, lines [][]string) error {
-	writer := tabwriter.NewWriter(s.Output, 0, 0, columnGap, ' ', 0)
+	writer := tabwriter.NewWriter(s.Output, 0, 0, columnPadding, ' ', 0)
 	for _, line := range append([][]string{header}, lines...) {
 		cells := make([]string, 0, len(line))
 		for _, cell := range line {
@@ -36,10 +36,10 @@
 	return encoder.Encode(value)
 }
 
-// printLineJSON prints value on one line, for streams.
+// printLineJSON prints value as one line of JSON, for streams.
 func (s *invocation) printLineJSON(value any) error { return json.NewEncoder(s.Output).Encode(value) }
 
-// errorOutput is an error as --json shows it.
+// errorOutput is the JSON form of an error.
 type errorOutput struct {
 	Error errorDetail `json:"error"`
 }
@@ -65,6 +65,6 @@
 	}
 	encoder := json.NewEncoder(s.Errors)
 	encoder.SetIndent("", "  ")
-	// Nothing is left to tell it to when the error output fails.
+	// A write error of the standard error cannot be reported.
 	_ = encoder.Encode(errorOutput{Error: detail})
 }
--- a/ctl/output_rows.go
+++ b/ctl/output_rows.go
@@ -11,35 +11,35 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Columns of the table that the program itself must know.
+// Columns of the table with special handling.
 const (
 	columnName     = "name"
 	columnRevision = "revision"
 )
 
-// cells returns the columns of the table and the rows' values as table files
-// write them, so that what is shown can be typed in again.
-func cells(rows []structs.Row) ([]string, [][]string, error) {
+// encodeCells returns the column names and the values of the rows in the format of table
+// files, so that printed values are valid input.
+func encodeCells(rows []structs.Row) ([]string, [][]string, error) {
 	var content bytes.Buffer
 	if err := tablefile.Encode(tablefile.FormatCSV, &content, rows); err != nil {
 		return nil, nil, err
 	}
 	lines, err := csv.NewReader(&content).ReadAll()
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "read the rows' values back")
+		return nil, nil, errors.Wrap(err, "decode the values of the rows")
 	}
 	return lines[0], lines[1:], nil
 }
 
 func (s *invocation) printRows(rows []structs.Row) error {
-	header, lines, err := cells(rows)
+	header, lines, err := encodeCells(rows)
 	if err != nil {
 		return err
 	}
 	return s.printTable(header, lines)
 }
 
-// printChanges shows what the changes do to the current rows, value by value.
+// printChanges prints the changed values with their current and new contents.
 func (s *invocation) printChanges(current []structs.Row, changes []structs.RowChange) error {
 	lines, err := changeLines(current, changes)
 	if err != nil {
@@ -69,10 +69,10 @@
 	return lines, nil
 }
 
-// valueLines compares all columns but the name and the revision, which are no
-// values of the operator's.
+// valueLines returns the differences between two rows. It skips the name and the
+// revision, which operators do not set.
 func valueLines(old, wanted structs.Row, known bool) ([][]string, error) {
-	header, values, err := cells([]structs.Row{old, wanted})
+	header, values, err := encodeCells([]structs.Row{old, wanted})
 	if err != nil {
 		return nil, err
 	}
--- a/ctl/run.go
+++ b/ctl/run.go
@@ -14,16 +14,16 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Environment is what a run takes from its surroundings.
+// Environment holds the standard streams and the connection function of a run.
 type Environment struct {
 	Input  io.Reader
 	Output io.Writer
 	Errors io.Writer
-	// Connect returns the service that the options name. Run fills it in when nil.
+	// Connect returns the service for the options; nil means an HTTP client.
 	Connect func(Options) (operatorapi.Service, error)
 }
 
-// Options are the options that every command takes.
+// Options are the options common to all commands.
 type Options struct {
 	Addresses   []string      `long:"address" env:"LOTUSFERRY_ADDRESSES" env-delim:"," description:"operators' address of a daemon; may be repeated" value-name:"IP:PORT"`
 	CA          string        `long:"ca" env:"LOTUSFERRY_CA" description:"certificate file of the site's CA" value-name:"FILE"`
@@ -33,14 +33,14 @@
 	JSON        bool          `long:"json" description:"print JSON"`
 }
 
-// invocation is what the commands of one run share.
+// invocation is the state shared by the commands of one run.
 type invocation struct {
 	Environment
 	ctx     context.Context
 	options *Options
 }
 
-// commandLine is the tree of commands as go-flags reads it.
+// commandLine is the command tree for go-flags.
 type commandLine struct {
 	Options  Options          `group:"Options of all commands"`
 	Table    tableCommands    `command:"table" description:"Read, edit and watch the table"`
@@ -72,7 +72,7 @@
 	return line
 }
 
-// Run parses the arguments (without the program's name), runs the command and
+// Run parses the arguments, which exclude the program name, runs the command and
 // returns the exit code.
 func Run(ctx context.Context, arguments []string, environment Environment) int {
 	if environment.Connect == nil {
@@ -87,7 +87,7 @@
 	}
 	parser.CommandHandler = func(command flags.Commander, rest []string) error {
 		if len(rest) > 0 {
-			return usageError(fmt.Sprintf("the argument %q is not expected", rest[0]))
+			return usageError(fmt.Sprintf("unexpected argument %q", rest[0]))
 		}
 		return command.Execute(rest)
 	}
@@ -96,7 +96,7 @@
 	return exitCode(err)
 }
 
-// report prints the error of a command, unless the command has done so.
+// report prints the error of a command unless the command has already printed it.
 func (s *invocation) report(err error) {
 	var help *flags.Error
 	if stderrors.As(err, &help) && help.Type == flags.ErrHelp {
@@ -114,7 +114,7 @@
 	fmt.Fprintln(s.Errors, "lotusferryctl:", err)
 }
 
-// service connects to the site; the context ends after the options' timeout.
+// service connects to the site. The returned context ends after Options.Timeout.
 func (s *invocation) service() (operatorapi.Service, context.Context, context.CancelFunc, error) {
 	service, err := s.Connect(*s.options)
 	if err != nil {
--- a/ctl/site_test.go
+++ b/ctl/site_test.go
@@ -15,26 +15,26 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// site is a Service in memory. It takes every edit whose base revisions are right.
+// site is an in-memory Service. It accepts edits whose base revisions match.
 type site struct {
 	table operatorapi.TableView
-	// failures are returned by Apply and Watch, one a call, before they work.
+	// failures are returned by the first calls of Apply and Watch, one per call.
 	failures []error
-	// loseAnswers is how many edits are made without an answer.
-	loseAnswers int
-	problems    []structs.RowProblem
-	applied     []structs.Edit
-	dryRuns     int
-	// lag is how many looks at the status show zone sala-b behind.
-	lag      int
-	looks    int
-	err      error
-	drains   []operatorapi.DrainRequest
-	groups   []operatorapi.GroupMembers
-	changes  []operatorapi.MemberChange
-	snapshot []byte
-	// later are the changes that Watch returns, one a call.
-	later []operatorapi.TableChanges
+	// lostResponses is the number of edits that are applied but return an error.
+	lostResponses int
+	problems      []structs.RowProblem
+	applied       []structs.Edit
+	dryRuns       int
+	// statusCallsBehind is the number of Status calls that show zone sala-b behind.
+	statusCallsBehind int
+	statusCalls       int
+	err               error
+	drains            []operatorapi.DrainRequest
+	groups            []operatorapi.GroupMembers
+	changes           []operatorapi.MemberChange
+	snapshot          []byte
+	// watchChanges are returned by Watch, one per call.
+	watchChanges []operatorapi.TableChanges
 }
 
 func newSite() *site {
@@ -61,8 +61,8 @@
 	if conflicts := s.conflicts(edit); conflicts != nil {
 		return structs.EditResult{ID: edit.ID, Conflicts: conflicts}, nil
 	}
-	if s.loseAnswers > 0 {
-		s.loseAnswers--
+	if s.lostResponses > 0 {
+		s.lostResponses--
 		return structs.EditResult{}, structs.NewError(structs.ErrorUnavailable, "the answer was lost", "Ask again.")
 	}
 	s.table.Revision++
@@ -103,16 +103,16 @@
 }
 
 func (s *site) Status(context.Context) (operatorapi.SiteStatus, error) {
-	s.looks++
+	s.statusCalls++
 	behind := s.table.Revision
-	if s.looks <= s.lag {
+	if s.statusCalls <= s.statusCallsBehind {
 		behind--
 	}
 	return operatorapi.SiteStatus{
 		Revision: s.table.Revision,
 		Zones: []structs.ZoneStatus{
 			{Zone: "sala-a", TableRevision: s.table.Revision, Reachable: true, Leader: "sala-a-1", Replicas: make([]structs.Replica, 3), Surplus: []structs.RowSurplus{{Row: "code-large", Replicas: 3, Limit: 2}}},
-			{Zone: "sala-b", TableRevision: behind, Reachable: s.looks > s.lag, Leader: "sala-b-2"},
+			{Zone: "sala-b", TableRevision: behind, Reachable: s.statusCalls > s.statusCallsBehind, Leader: "sala-b-2"},
 		},
 		Daemons: []operatorapi.DaemonStatus{
 			{Daemon: "sala-a-1", Zone: "sala-a", Roles: []string{"router", "controller"}, Address: "10.0.0.1:7401", Reachable: true, LeadsSite: true, LeadsZone: true, TableRevision: 7, Draining: true, OpenRequests: 3},
@@ -125,11 +125,11 @@
 	if err := s.failure(); err != nil {
 		return operatorapi.TableChanges{}, err
 	}
-	if len(s.later) == 0 {
+	if len(s.watchChanges) == 0 {
 		return operatorapi.TableChanges{}, structs.NewError(structs.ErrorUnavailable, "gone", "Ask again.")
 	}
-	next := s.later[0]
-	s.later = s.later[1:]
+	next := s.watchChanges[0]
+	s.watchChanges = s.watchChanges[1:]
 	return next, nil
 }
 
@@ -147,13 +147,13 @@
 
 func (s *site) SaveSnapshot(context.Context, string) ([]byte, error) { return s.snapshot, s.err }
 
-// outcome is what a run left behind.
+// outcome is the result of a run.
 type outcome struct {
 	code           int
 	output, errors string
 }
 
-// run runs lotusferryctl against the site.
+// run runs lotusferryctl with the service.
 func run(service operatorapi.Service, input string, arguments ...string) outcome {
 	var output, errors bytes.Buffer
 	code := ctl.Run(context.Background(), arguments, ctl.Environment{
@@ -165,10 +165,10 @@
 	return outcome{code: code, output: output.String(), errors: errors.String()}
 }
 
-// lines joins the lines of an expected output.
+// lines joins texts to lines of expected output.
 func lines(texts ...string) string { return strings.Join(texts, "\n") + "\n" }
 
-func TestReadingCommandsPrintAlignedTables(t *testing.T) {
+func TestReadCommandsPrintAlignedTables(t *testing.T) {
 	tests := []struct{ arguments, want string }{
 		{"table get", lines(
 			"table revision 7, rows 2", "",
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestJSONEverywhere(t *testing.T) {
+func TestJSONOutput(t *testing.T) {
 	for _, arguments := range []string{
 		"table get", "table history", "status", "drain runner-1", "table delete code-review",
 		"table set code-large weight=11 --dry-run", "table set code-large weight=10", "table set code-large weight=heavy",
@@ -218,7 +218,7 @@
 	qt.Check(t, got.errors, qt.JSONEquals, json.RawMessage(want))
 }
 
-func TestExitCodeOfEachKind(t *testing.T) {
+func TestExitCodeOfEachErrorKind(t *testing.T) {
 	tests := map[structs.ErrorKind]int{
 		structs.ErrorInvalid: 3, structs.ErrorLimit: 3, structs.ErrorNotFound: 3, structs.ErrorCorrupt: 3,
 		structs.ErrorConflict: 4, structs.ErrorUnavailable: 5, structs.ErrorNotLeader: 5,
--- a/ctl/snapshot.go
+++ b/ctl/snapshot.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// snapshotOutput describes a snapshot file as --json shows it.
+// snapshotOutput is the JSON output of the snapshot commands.
 type snapshotOutput struct {
 	File     string           `json:"file"`
 	Group    string           `json:"group"`
@@ -73,8 +73,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute saves a snapshot. The file gets its name only when it has been written,
-// synced, read back and found whole.
+// Execute saves a snapshot. The file gets its final name only after it has been
+// written, synced and verified.
 func (c *snapshotSave) Execute([]string) error {
 	service, ctx, cancel, err := c.invocation.service()
 	if err != nil {
@@ -86,12 +86,12 @@
 		return err
 	}
 	path := c.Positional.File
-	trial := path + ".unchecked"
-	if err := keys.WriteNewFile(trial, content); err != nil {
+	unverified := path + ".unchecked"
+	if err := keys.WriteNewFile(unverified, content); err != nil {
 		return err
 	}
-	defer os.Remove(trial)
-	snapshot, identity, err := logstore.ReadSnapshotFile(trial)
+	defer os.Remove(unverified)
+	snapshot, identity, err := logstore.ReadSnapshotFile(unverified)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	snapshot, identity, err := logstore.ReadSnapshotFile(path)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, os.ErrPermission) {
 		err = structs.NewError(structs.ErrorInvalid,
-			"the snapshot file "+path+" cannot be read", "Name a file that this user may read.")
+			"the snapshot file "+path+" cannot be read", "Set a file that this user may read.")
 	}
 	return snapshot, identity, err
 }
@@ -136,8 +136,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute makes a store in which the new member is the only voter. It is for a
-// group whose majority is lost for good; the daemon must not run meanwhile.
+// Execute creates a store whose only voter is the new member, for a group that has
+// permanently lost its majority. The daemon must not be running.
 func (c *snapshotRestore) Execute([]string) error {
 	snapshot, identity, err := readSnapshot(c.Positional.File)
 	if err != nil {
@@ -145,7 +145,7 @@
 	}
 	if _, err := os.Lstat(c.Store); !os.IsNotExist(err) {
 		return structs.NewError(structs.ErrorConflict,
-			"the store "+c.Store+" is there already", "Move it away, or name another file.")
+			"the store "+c.Store+" already exists", "Move it, or set another file.")
 	}
 	identity.Daemon = structs.DaemonID(c.Daemon)
 	identity.Node = group.NewNodeID()
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -81,7 +81,7 @@
 	return strings.Join(groups, ",")
 }
 
-// drainCell says whether the daemon is being drained and what it has left.
+// drainCell describes the drain state of the daemon and its remaining requests.
 func drainCell(daemon operatorapi.DaemonStatus) string {
 	switch {
 	case !daemon.Draining:
@@ -92,7 +92,7 @@
 	return "drained"
 }
 
-// surplusCell lists the rows above their limit as row:replicas/limit.
+// surplusCell lists the rows above their replica limit as row:replicas/limit.
 func surplusCell(surplus []structs.RowSurplus) string {
 	var parts []string
 	for _, row := range surplus {
--- a/ctl/table.go
+++ b/ctl/table.go
@@ -14,7 +14,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// watchInterval is how long one long poll of the watch command lasts.
+// watchInterval is the duration of one long poll of the watch command.
 const watchInterval = 30 * time.Second
 
 type tableCommands struct {
@@ -72,7 +72,8 @@
 	return c.invocation.printRows(view.Rows)
 }
 
-// selectRows returns the named rows in the order of the names, or all of them.
+// selectRows returns the named rows in the order of names, or all rows if names is
+// empty.
 func selectRows(rows []structs.Row, names []string) ([]structs.Row, error) {
 	if len(names) == 0 {
 		return rows, nil
@@ -129,13 +130,13 @@
 	return c.invocation.printTable([]string{"REVISION", "AT", "AUTHOR", "ROWS", "EDIT", "COMMENT"}, lines)
 }
 
-// maximumNamedRows keeps a line of the history readable.
-const maximumNamedRows = 5
+// maximumListedRows is the maximum number of row names in a line of the history.
+const maximumListedRows = 5
 
 func joinRows(names []structs.RowName) string {
 	var texts []string
 	for index, name := range names {
-		if index == maximumNamedRows {
+		if index == maximumListedRows {
 			texts = append(texts, fmt.Sprintf("+%d", len(names)-index))
 			break
 		}
@@ -150,27 +151,27 @@
 	Count      int    `long:"count" description:"stop after so many changes; 0 goes on until it is interrupted" value-name:"N"`
 }
 
-// watchOutput is one step of a watch as --json shows it.
+// watchOutput is the JSON output for one change of the table.
 type watchOutput struct {
 	Revision uint64              `json:"revision"`
 	Changed  []structs.Row       `json:"changed"`
 	Deleted  []structs.RowName   `json:"deleted"`
-	lines    []structs.RowChange // the same for the plain table
+	lines    []structs.RowChange // for the plain table
 }
 
-// Execute prints each change until it is interrupted. Revisions that follow each
-// other fast may be shown together.
+// Execute prints changes until it is interrupted. Revisions in quick succession may be
+// combined.
 func (c *tableWatch) Execute([]string) error {
 	service, err := c.invocation.Connect(*c.invocation.options)
 	if err != nil {
 		return err
 	}
-	seen, err := c.first(service)
+	seen, err := c.initialView(service)
 	if err != nil {
 		return err
 	}
 	for shown := 0; c.Count == 0 || shown < c.Count; {
-		changes, err := c.next(service, seen.Revision)
+		changes, err := c.nextChanges(service, seen.Revision)
 		if c.invocation.ctx.Err() != nil {
 			return nil
 		}
@@ -190,24 +191,24 @@
 	return nil
 }
 
-// next waits for a change. While no daemon answers it asks again, so that a watch
-// lives through an election, until the options' timeout.
-func (c *tableWatch) next(service operatorapi.Service, since uint64) (operatorapi.TableChanges, error) {
-	giveUp := time.Now().Add(c.invocation.options.Timeout)
+// nextChanges waits for a change. It retries unavailable errors until Options.Timeout,
+// so that a watch survives leader elections.
+func (c *tableWatch) nextChanges(service operatorapi.Service, since uint64) (operatorapi.TableChanges, error) {
+	deadline := time.Now().Add(c.invocation.options.Timeout)
 	for {
 		next, err := service.Watch(c.invocation.ctx, since, watchInterval)
-		if err == nil || exitCode(err) != ExitUnavailable || time.Now().After(giveUp) {
+		if err == nil || exitCode(err) != ExitUnavailable || time.Now().After(deadline) {
 			return next, err
 		}
-		if !pause.For(c.invocation.ctx, resendAfter(err)) {
+		if !pause.For(c.invocation.ctx, retryDelay(err)) {
 			return next, err
 		}
 	}
 }
 
-// first returns the table to compare with. With Since, all rows changed after it
-// count as changes, as the rows of that time are not known any more.
-func (c *tableWatch) first(service operatorapi.Service) (operatorapi.TableView, error) {
+// initialView returns the table to compare with. If Since is set, it omits all rows
+// changed after that revision, because their former values are unknown.
+func (c *tableWatch) initialView(service operatorapi.Service) (operatorapi.TableView, error) {
 	ctx, cancel := context.WithTimeout(c.invocation.ctx, c.invocation.options.Timeout)
 	defer cancel()
 	view, err := service.Table(ctx)
--- a/ctl/tenants.go
+++ b/ctl/tenants.go
@@ -17,13 +17,13 @@
 	} `positional-args:"yes"`
 }
 
-// tenantsOutput is what the logs tell of tenants, as --json shows it.
+// tenantsOutput is the JSON output of tenants.
 type tenantsOutput struct {
 	Tenants []explain.Tenant `json:"tenants"`
 	Read    explain.Stats    `json:"read"`
 }
 
-// Execute reads the logs and prints how tenants stand.
+// Execute prints the limits, shares and rejections of tenants from logs.
 func (c *tenantsCommand) Execute([]string) error {
 	lines, stats, err := readLogs(c.invocation, c.Arguments.Files)
 	if err != nil {
@@ -31,8 +31,8 @@
 	}
 	tenants := explain.Tenants(lines)
 	if len(tenants) == 0 {
-		return structs.NewError(structs.ErrorNotFound, "no line tells of a tenant",
-			"Give the logs of the controllers, and of the routers for why they refused.")
+		return structs.NewError(structs.ErrorNotFound, "the logs contain no lines about tenants",
+			"Give the logs of the controllers, and those of the routers for the reasons of rejections.")
 	}
 	if c.invocation.options.JSON {
 		return c.invocation.printJSON(tenantsOutput{tenants, stats})
--- a/ctl/tenants_test.go
+++ b/ctl/tenants_test.go
@@ -16,7 +16,7 @@
 level=info ts=2026-03-01T08:00:02Z node=router-1 msg="A request was told to come back." request=r2 tenant=quiet outcome=crowded after=1s
 `
 
-func TestTenantsTellsHowTheyStand(t *testing.T) {
+func TestTenantsPrintsLimitsAndRejections(t *testing.T) {
 	c := qt.New(t)
 	shown := run(nil, tenantsLog, "tenants")
 	c.Assert(shown.code, qt.Equals, ctl.ExitOK, qt.Commentf(shown.errors))
@@ -39,7 +39,7 @@
 	c.Check(run(nil, "", "tenants", "missing.log").code, qt.Equals, ctl.ExitRefused)
 }
 
-func TestExplainSaysHowTheTenantStood(t *testing.T) {
+func TestExplainPrintsTheStateOfTheTenant(t *testing.T) {
 	c := qt.New(t)
 	account := run(nil, tenantsLog, "explain", "r1")
 	c.Check(account.output, qt.Contains, "tenant hot had 3.5 of its share of the work, 40 of its requests waited, and 900000 of 1000000 of its limit")
--- a/ctl/wait.go
+++ b/ctl/wait.go
@@ -12,24 +12,24 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// statusInterval passes between two looks at the zones.
-const statusInterval = 200 * time.Millisecond
+// statusPollInterval is the interval between status requests while waiting.
+const statusPollInterval = 200 * time.Millisecond
 
-// resendAfter returns when to send again after err.
-func resendAfter(err error) time.Duration {
+// retryDelay returns the delay before a retry after err.
+func retryDelay(err error) time.Duration {
 	var typed *structs.Error
 	if stderrors.As(err, &typed) && typed.RetryAfter > 0 {
 		return typed.RetryAfter
 	}
-	return resendInterval
+	return defaultRetryInterval
 }
 
-// waitInForce returns once every zone works by the revision or a later one. At
-// the timeout its error names the zones that do not, as far as is known.
+// waitInForce waits until every zone uses the revision or a later one. After the
+// timeout it returns an error that lists the zones known to be behind.
 func (s *invocation) waitInForce(service operatorapi.Service, revision uint64, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
 	defer cancel()
-	outstanding := "no status came"
+	outstanding := "no status received"
 	for {
 		status, err := service.Status(ctx)
 		if err == nil {
@@ -42,7 +42,7 @@
 		if err != nil && exitCode(err) != ExitUnavailable {
 			return err
 		}
-		if !pause.For(ctx, statusInterval) {
+		if !pause.For(ctx, statusPollInterval) {
 			return waitTimedOut(revision, outstanding)
 		}
 	}
@@ -66,5 +66,5 @@
 func waitTimedOut(revision uint64, outstanding string) error {
 	return &exitError{code: ExitWaitTimedOut, cause: structs.NewError(structs.ErrorDeadline,
 		fmt.Sprintf("the edit was accepted at revision %d, but is not known to be in force in every zone (%s)", revision, outstanding),
-		"Follow the zones with `lotusferryctl status`; a zone that is cut off takes the edit when it is back.")}
+		"Check the zones with `lotusferryctl status`; a disconnected zone gets the edit when it reconnects.")}
 }
