--- a/internal/asynclog/limiter.go
+++ b/internal/asynclog/limiter.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Limiter bounds the lines of one kind, so that a failure that strikes everyone at once
-// does not push other lines out.
+// Limiter limits the rate of one kind of log line, so that a widespread failure does not
+// crowd out other lines. It is safe for concurrent use.
 type Limiter struct {
 	perSecond int
 
-	mutex      sync.Mutex
-	second     time.Time
-	count      int
-	suppressed int
+	mutex       sync.Mutex
+	windowStart time.Time
+	count       int
+	suppressed  int
 }
 
-// NewLimiter allows so many lines in each second.
+// NewLimiter returns a Limiter that allows perSecond lines per second.
 func NewLimiter(perSecond int) *Limiter { return &Limiter{perSecond: perSecond} }
 
-// Allow reports whether a line may be written at the time, and how many were not since
-// the last that was.
+// Allow reports whether a line may be written at the time at. If so, it also returns the
+// number of lines suppressed since the last allowed line.
 func (l *Limiter) Allow(at time.Time) (suppressed int, allowed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if at.Sub(l.second) >= time.Second {
-		l.second, l.count = at, 0
+	if at.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.count = at, 0
 	}
 	if l.count >= l.perSecond {
 		l.suppressed++
--- a/internal/asynclog/limiter_test.go
+++ b/internal/asynclog/limiter_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestLimiterTellsWhatItHeldBack(t *testing.T) {
+func TestLimiterReportsSuppressedLines(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(100, 0)
 	l := NewLimiter(2)
--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,6 +1,5 @@
-// Package asynclog writes log lines without ever holding up their author: lines wait
-// in bounded memory for a slow output, and those for which there is no room are
-// dropped and counted.
+// Package asynclog writes log lines without blocking the caller. Lines for a slow
+// output are buffered in bounded memory; lines that exceed it are dropped and counted.
 package asynclog
 
 import (
@@ -11,13 +10,14 @@
 )
 
 const (
-	// maxPending bounds the bytes that wait for the output.
-	maxPending = 256 << 10
-	// flushTimeout bounds how long Close waits for the output.
+	// maxPendingBytes bounds the buffered lines.
+	maxPendingBytes = 256 << 10
+	// flushTimeout bounds the wait for the output in Close.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// Writer implements io.Writer. Each Write is one line.
+// Writer is an asynchronous io.Writer. Each Write must be one line. It is safe for
+// concurrent use.
 type Writer struct {
 	output io.Writer
 	wake   chan struct{}
@@ -26,22 +26,22 @@
 	mutex   sync.Mutex
 	pending []byte
 	dropped int
-	// total counts all lines dropped since the start.
+	// total is the number of lines dropped since New.
 	total  uint64
 	closed bool
 }
 
-// New makes a writer to output. Close ends it.
+// New returns a Writer to output. Close stops its goroutine.
 func New(output io.Writer) *Writer {
 	w := &Writer{output: output, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line and returns at once. It never fails.
+// Write buffers a line, or drops it if the buffer is full. It never blocks or fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mutex.Lock()
-	if w.closed || len(w.pending)+len(line) > maxPending {
+	if w.closed || len(w.pending)+len(line) > maxPendingBytes {
 		w.dropped++
 		w.total++
 	} else {
@@ -55,14 +55,15 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since New.
 func (w *Writer) Dropped() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.total
 }
 
-// Close writes what waits, if the output takes it in time.
+// Close writes the buffered lines, waiting for the output at most flushTimeout. Later
+// lines are dropped.
 func (w *Writer) Close() {
 	w.mutex.Lock()
 	w.closed = true
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -8,20 +8,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// stuck is an output that takes nothing until it is released.
-type stuck struct {
+// blockedWriter blocks each Write until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(lines []byte) (int, error) {
+func (s *blockedWriter) Write(lines []byte) (int, error) {
 	<-s.release
 	return s.Buffer.Write(lines)
 }
 
-func TestAnOutputThatNobodyReadsHoldsUpNothing(t *testing.T) {
+func TestBlockedOutputDoesNotBlockWrite(t *testing.T) {
 	c := qt.New(t)
-	output := &stuck{release: make(chan struct{})}
+	output := &blockedWriter{release: make(chan struct{})}
 	w := New(output)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	for range 1000 {
@@ -36,7 +36,7 @@
 	c.Assert(written, qt.Contains, "Lines were dropped.")
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	c := qt.New(t)
 	var output bytes.Buffer
 	w := New(&output)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// suspension adds up how long the machine was suspended.
+// suspension measures how long the machine was suspended since the first reading.
 type suspension struct {
-	// base is the difference of the two clocks at the first reading.
+	// base is the difference between the clocks at the first reading, in nanoseconds.
 	base int64
-	// longest is the greatest difference since.
-	longest atomic.Int64
+	// maximum is the largest difference since then.
+	maximum atomic.Int64
 }
 
-// newSuspension begins with a reading of the clock that counts suspensions, and one of the steady
-// clock made right after it.
-func newSuspension(counting, steady time.Duration) *suspension {
-	s := &suspension{base: int64(counting - steady)}
-	s.longest.Store(s.base)
+// newSuspension takes the first reading of the clock that includes suspensions, and a reading of
+// the monotonic clock made right after it.
+func newSuspension(bootTime, monotonicTime time.Duration) *suspension {
+	s := &suspension{base: int64(bootTime - monotonicTime)}
+	s.maximum.Store(s.base)
 	return s
 }
 
-// observe takes further readings in the same order. A pause between the two makes their difference too
-// small, never too large, so that the greatest is the best.
-func (s *suspension) observe(counting, steady time.Duration) {
-	difference := int64(counting - steady)
-	for known := s.longest.Load(); difference > known; known = s.longest.Load() {
-		if s.longest.CompareAndSwap(known, difference) {
+// observe adds readings made in the same order. A delay between the two can only make their
+// difference too small, so the largest difference is the most accurate.
+func (s *suspension) observe(bootTime, monotonicTime time.Duration) {
+	difference := int64(bootTime - monotonicTime)
+	for current := s.maximum.Load(); difference > current; current = s.maximum.Load() {
+		if s.maximum.CompareAndSwap(current, difference) {
 			return
 		}
 	}
 }
 
-// leastSuspension is what counts as one: two readings are microseconds apart, and a machine takes
-// longer to stop and go on.
-const leastSuspension = 10 * time.Millisecond
+// minimumSuspension is the shortest total that is reported. It exceeds the delay between the two
+// readings.
+const minimumSuspension = 10 * time.Millisecond
 
-// total is how long the machine has been suspended since the first reading.
+// total returns how long the machine was suspended since the first reading.
 func (s *suspension) total() time.Duration {
-	total := time.Duration(s.longest.Load() - s.base)
-	if total < leastSuspension {
+	total := time.Duration(s.maximum.Load() - s.base)
+	if total < minimumSuspension {
 		return 0
 	}
 	return total
 }
 
-// own is the suspension of this machine since the process started.
-var own = func() *suspension {
+// processSuspension measures suspensions since the process started.
+var processSuspension = func() *suspension {
 	counting, steady, err := readClocks()
 	if err != nil {
 		return newSuspension(0, 0)
@@ -54,16 +54,16 @@
 	return newSuspension(counting, steady)
 }()
 
-// Now is time.Now and the time for which the machine was suspended since the process started. Times
-// that Now returned are compared with each other only. A machine that cannot tell has not been
-// suspended.
+// Now returns time.Now plus the time for which the machine was suspended since the process started.
+// Its results may only be compared with each other. On systems without a clock that includes
+// suspensions it equals time.Now.
 func Now() time.Time {
-	if counting, steady, err := readClocks(); err == nil {
-		own.observe(counting, steady)
+	if bootTime, monotonicTime, err := readClocks(); err == nil {
+		processSuspension.observe(bootTime, monotonicTime)
 	}
-	return time.Now().Add(own.total())
+	return time.Now().Add(processSuspension.total())
 }
 
-// Suspended is for how long the machine was suspended since the process started, as far as calls of
-// Now found out.
-func Suspended() time.Duration { return own.total() }
+// Suspended returns how long the machine was suspended since the process started, as of the last
+// call of Now.
+func Suspended() time.Duration { return processSuspension.total() }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,11 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSuspensionsAddUp(t *testing.T) {
+func TestSuspensionsAccumulate(t *testing.T) {
 	c := qt.New(t)
 	const before = 7 * time.Hour
 	s := newSuspension(before+time.Second, time.Second)
-	c.Assert(s.total(), qt.Equals, time.Duration(0), qt.Commentf("what was before the first reading does not count"))
+	c.Assert(s.total(), qt.Equals, time.Duration(0), qt.Commentf("suspensions before the first reading are ignored"))
 	s.observe(before+2*time.Second, 2*time.Second)
 	c.Assert(s.total(), qt.Equals, time.Duration(0))
 	s.observe(before+7*time.Second, 3*time.Second)
@@ -21,8 +21,8 @@
 	c.Assert(s.total(), qt.Equals, 6*time.Second)
 }
 
-// A process that stands still between the two readings finds them too close to each other.
-func TestPauseBetweenTheReadingsTakesNothingAway(t *testing.T) {
+// A delay between the two readings makes their difference too small.
+func TestDelayBetweenReadingsDoesNotReduceTheTotal(t *testing.T) {
 	c := qt.New(t)
 	s := newSuspension(time.Second, time.Second)
 	for _, reading := range []struct{ counting, steady time.Duration }{{5, 2}, {6, 9}, {13, 10}} {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestNowIsTheTimeWhereNothingIsSuspended(t *testing.T) {
+func TestNowAdvancesWithTheTimeWithoutSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		first := Now()
--- a/internal/clock/doc.go
+++ b/internal/clock/doc.go
@@ -1,9 +1,8 @@
-// Package clock reads a clock that goes on while the machine is suspended.
+// Package clock provides a clock that advances while the machine is suspended.
 //
-// The steady clock of the operating system, which package time takes differences by, stands still
-// while a machine is suspended, and the time of day jumps. A lease that is held against the steady clock
-// seems to last after a suspension although others have seen it end. Whatever one process grants
-// another for a time is held against this clock: leases, confirmations, grants, reserves and
-// deadlines. Timers still run by the steady clock: after a suspension they go off late, so that what must
-// not come late is compared with Now besides.
+// The monotonic clock of the operating system, which package time uses for differences, stops
+// during a suspension, and the wall clock jumps. After a suspension, a lease measured by the
+// monotonic clock would seem valid although it has expired for other processes. Leases, grants,
+// reservations and deadlines between processes must therefore use this clock. Timers use the
+// monotonic clock and fire late after a suspension, so code that must not be late also checks Now.
 package clock
--- a/internal/clock/extra_none.go
+++ b/internal/clock/extra_none.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// extraSuspension is for programs that are built to be suspended by a test.
+// extraSuspension returns 0 without the build tag suspendable.
 func extraSuspension() time.Duration { return 0 }
--- a/internal/clock/extra_suspendable.go
+++ b/internal/clock/extra_suspendable.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// suspensionFile names a file with nanoseconds for which the machine is to seem suspended, in
-// programs that are built with the tag suspendable: nobody can suspend a machine for a test.
+// suspensionFile is the environment variable with the path of a file that holds a simulated
+// suspension in nanoseconds. Tests use it with programs built with the tag suspendable.
 const suspensionFile = "LOTUSFERRY_TEST_SUSPENSION"
 
 var suspensionPath = os.Getenv(suspensionFile)
--- a/internal/clock/read_linux.go
+++ b/internal/clock/read_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// readClocks reads the clock that counts suspensions and then the steady clock.
-func readClocks() (counting, steady time.Duration, err error) {
+// readClocks reads the clock that includes suspensions, and then the monotonic clock.
+func readClocks() (bootTime, monotonicTime time.Duration, err error) {
 	var boot, monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, 0, err
--- a/internal/clock/read_other.go
+++ b/internal/clock/read_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// readClocks knows of no clock that counts suspensions.
-func readClocks() (counting, steady time.Duration, err error) { return 0, 0, nil }
+// readClocks returns zeros, because no clock that includes suspensions is supported.
+func readClocks() (bootTime, monotonicTime time.Duration, err error) { return 0, 0, nil }
--- a/internal/collector/collector.go
+++ b/internal/collector/collector.go
@@ -1,8 +1,7 @@
-// Package collector has the garbage collector run by what lives in the heap and by the memory of the machine.
+// Package collector adjusts the garbage collector to the live heap and the memory of the machine.
 //
-// With a fixed percentage a heap of 20 MB grows by twice as much before it is collected, on each of a thousand
-// machines. Here the garbage between two collections is bounded instead: a small heap may grow by a large part
-// of itself, which costs few collections, and a large one by a small part.
+// It bounds the garbage between two collections to a fraction of the machine's memory, instead of a fixed
+// percentage of the live heap. Small heaps are collected rarely, and large heaps do not grow too much.
 package collector
 
 import (
@@ -14,46 +13,43 @@
 )
 
 const (
-	// garbageShare is the part of the machine's memory that garbage may take: 11 MB of 184, with which a router
-	// that holds 12 MB collects about as often as with a heap that doubles.
-	garbageShare = 1.0 / 16
-	// most and least bound by how much of what lives the heap may grow, in percent. With most a process at rest
-	// collects once in minutes. Below least the leader of a large site, of which 130 MB live and which makes tens of
-	// megabytes of garbage in each step, would collect twice a second and have no time for its runners.
-	most  = 150
-	least = 100
-	// limitShare is the part of the machine's memory that the Go heap may fill before the collector works harder
-	// still.
-	limitShare = 0.6
-	// pause separates two looks at what lives: it changes with the size of a site, in seconds.
-	pause = 2 * time.Second
+	// garbageFraction is the fraction of the machine's memory that garbage may use between two collections.
+	garbageFraction = 1.0 / 16
+	// maximumPercent and minimumPercent bound the GC percentage. A lower minimum would make processes with a large
+	// live heap and a high allocation rate spend too much time in collections.
+	maximumPercent = 150
+	minimumPercent = 100
+	// memoryLimitFraction is the fraction of the machine's memory that is set as the soft memory limit.
+	memoryLimitFraction = 0.6
+	// pollInterval is the interval between adjustments.
+	pollInterval = 2 * time.Second
 )
 
-// liveBytes names the metric of what the last collection left.
-const liveBytes = "/gc/heap/live:bytes"
+// liveHeapMetric is the runtime metric of the heap marked live by the last collection.
+const liveHeapMetric = "/gc/heap/live:bytes"
 
-// Percent is by how much of what lives the heap should grow between two collections, on a machine of so much
-// memory.
+// Percent returns the GC percentage for a live heap on a machine with the given memory, both in bytes. 0 means that
+// a size is unknown.
 func Percent(live, memory uint64) int {
 	if live == 0 || memory == 0 {
-		return most
+		return maximumPercent
 	}
-	percent := 100 * garbageShare * float64(memory) / float64(live)
-	return int(math.Min(most, math.Max(least, percent)))
+	percent := 100 * garbageFraction * float64(memory) / float64(live)
+	return int(math.Min(maximumPercent, math.Max(minimumPercent, percent)))
 }
 
-// Run adjusts the collector until ctx ends. A memory of 0 bytes is not known.
+// Run adjusts the garbage collector until ctx ends. memory is the machine's memory in bytes, 0 if unknown.
 func Run(ctx context.Context, memory uint64) {
 	if memory > 0 {
-		debug.SetMemoryLimit(int64(float64(memory) * limitShare))
+		debug.SetMemoryLimit(int64(float64(memory) * memoryLimitFraction))
 	}
-	ticker := time.NewTicker(pause)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	set := 0
+	current := 0
 	for {
-		if percent := Percent(live(), memory); percent != set {
+		if percent := Percent(liveHeapBytes(), memory); percent != current {
 			debug.SetGCPercent(percent)
-			set = percent
+			current = percent
 		}
 		select {
 		case <-ctx.Done():
@@ -63,8 +59,8 @@
 	}
 }
 
-func live() uint64 {
-	sample := []metrics.Sample{{Name: liveBytes}}
+func liveHeapBytes() uint64 {
+	sample := []metrics.Sample{{Name: liveHeapMetric}}
 	metrics.Read(sample)
 	if sample[0].Value.Kind() != metrics.KindUint64 {
 		return 0
--- a/internal/deflate/deflate_test.go
+++ b/internal/deflate/deflate_test.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestPackedBytesComeBack(t *testing.T) {
+func TestPackUnpackRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	source := bytes.Repeat([]byte("runner"), 1000)
 	packed, err := Pack(source)
--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -20,12 +20,11 @@
 )
 
 const (
-	// AuthorityValidity is how long a new CA is valid.
+	// AuthorityValidity is the validity period of a new CA.
 	AuthorityValidity = 10 * 365 * 24 * time.Hour
-	// CertificateValidity is how long a daemon's certificate is valid unless the
-	// request says otherwise.
+	// CertificateValidity is the default validity period of a daemon's certificate.
 	CertificateValidity = 365 * 24 * time.Hour
-	// clockSkew lets machines whose clock is behind accept a new certificate.
+	// clockSkew backdates certificates for machines whose clock is behind.
 	clockSkew = 5 * time.Minute
 
 	certificateBlock = "CERTIFICATE"
@@ -33,17 +32,17 @@
 	serialBits       = 128
 )
 
-// Authority is the CA of a site.
+// Authority is the certificate authority (CA) of a site.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes the CA of the named site, valid from now.
+// NewAuthority creates the CA of the named site, valid from now.
 func NewAuthority(site string, now time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the CA's key")
+		return nil, errors.Wrap(err, "generate the CA's key")
 	}
 	template, err := newTemplate("lotusferry CA of "+site, now, AuthorityValidity)
 	if err != nil {
@@ -55,17 +54,17 @@
 	template.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
 	content, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, errors.Wrap(err, "sign the CA")
+		return nil, errors.Wrap(err, "sign the CA certificate")
 	}
 	certificate, err := x509.ParseCertificate(content)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the CA back")
+		return nil, errors.Wrap(err, "parse the CA certificate")
 	}
 	return &Authority{certificate: certificate, key: key}, nil
 }
 
-// Save writes the CA's certificate and private key to new files. The key comes
-// first, so that no certificate stands without its key.
+// Save writes the CA's certificate and private key to new files. It writes the key
+// first, so that a certificate never exists without its key.
 func (a *Authority) Save(certificatePath, keyPath string) error {
 	key, err := encodeKey(a.key)
 	if err != nil {
@@ -77,9 +76,9 @@
 	return WriteNewFile(certificatePath, encodeCertificate(a.certificate.Raw))
 }
 
-// LoadAuthority reads what Save wrote. Its error has the kind invalid.
+// LoadAuthority reads the files written by Save. Its error has the kind invalid.
 func LoadAuthority(certificatePath, keyPath string) (*Authority, error) {
-	certificateContent, err := readBlock(certificatePath, certificateBlock)
+	certificateContent, err := readPEMBlock(certificatePath, certificateBlock)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +86,7 @@
 	if err != nil {
 		return nil, invalidFile(certificatePath, err)
 	}
-	keyContent, err := readBlock(keyPath, keyBlock)
+	keyContent, err := readPEMBlock(keyPath, keyBlock)
 	if err != nil {
 		return nil, err
 	}
@@ -102,30 +101,30 @@
 	return &Authority{certificate: certificate, key: key}, nil
 }
 
-// Request asks an Authority for a certificate.
+// Request is a certificate request.
 type Request struct {
 	Identity Identity
-	// Addresses are the IP numbers at which callers and operators reach the
-	// daemon; their clients check them. Daemons check Identity instead.
+	// Addresses are the IP addresses at which callers and operators reach the daemon.
+	// Their clients verify them; daemons verify Identity instead.
 	Addresses []netip.Addr
-	// Validity is CertificateValidity when zero.
+	// Validity is the validity period; 0 means CertificateValidity.
 	Validity time.Duration
-	// Now is when the certificate begins to be valid.
+	// Now is the start of the validity period.
 	Now time.Time
 }
 
-// Issued is a certificate with its private key, both PEM.
+// Issued is a certificate and its private key in PEM format.
 type Issued struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// Issue makes a key and a certificate for a daemon.
+// Issue generates a key and a certificate for a daemon.
 func (a *Authority) Issue(request Request) (Issued, error) {
 	uri := request.Identity.URI()
 	if _, err := parseIdentity(uri); err != nil {
 		return Issued{}, structs.NewError(structs.ErrorInvalid,
-			"a certificate needs a zone and a daemon", "Name both with --zone and --daemon.")
+			"a certificate requires a zone and a daemon", "Set both with --zone and --daemon.")
 	}
 	validity := request.Validity
 	if validity == 0 {
@@ -143,7 +142,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Issued{}, errors.Wrap(err, "make the daemon's key")
+		return Issued{}, errors.Wrap(err, "generate the daemon's key")
 	}
 	content, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key.Public(), a.key)
 	if err != nil {
@@ -156,8 +155,8 @@
 	return Issued{Certificate: encodeCertificate(content), Key: encodedKey}, nil
 }
 
-// Save writes the key, then the certificate, each in one step. A daemon that
-// reads them in between keeps its old pair.
+// Save writes the key and then the certificate, each atomically. A daemon that reads
+// them in between keeps its previous pair.
 func (i Issued) Save(certificatePath, keyPath string) error {
 	if err := WriteFile(keyPath, i.Key); err != nil {
 		return err
@@ -168,7 +167,7 @@
 func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "make a serial number")
+		return nil, errors.Wrap(err, "generate a serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -185,12 +184,12 @@
 func encodeKey(key *ecdsa.PrivateKey) ([]byte, error) {
 	content, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode a private key")
+		return nil, errors.Wrap(err, "encode the private key")
 	}
 	return pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: content}), nil
 }
 
-func readBlock(path, kind string) ([]byte, error) {
+func readPEMBlock(path, kind string) ([]byte, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, invalidFile(path, err)
@@ -205,5 +204,5 @@
 func invalidFile(path string, cause error) error {
 	return structs.NewError(structs.ErrorInvalid,
 		"the file "+path+" cannot be used: "+cause.Error(),
-		"Name the file that `lotusferryctl keys` wrote, readable by this user.")
+		"Set a file that `lotusferryctl keys` wrote and this user may read.")
 }
--- a/internal/keys/doc.go
+++ b/internal/keys/doc.go
@@ -1,12 +1,11 @@
-// Package keys makes and uses the secrets of a site: the CA, the certificate of
-// each daemon, TLS configurations that follow their files without a restart, and
-// the API keys of operators and callers.
+// Package keys creates and uses the keys and certificates of a site: the CA, the
+// certificates of daemons, TLS configurations that reload changed files, and the API
+// keys of operators and callers.
 //
-// A certificate names its daemon and zone in a URI such as
-// lotusferry://sala-a/daemon-1. Between daemons both sides show certificates of
-// the site's CA, and a peer whose zone is not of the site is refused.
+// A certificate identifies its daemon and zone by a URI such as
+// lotusferry://sala-a/daemon-1. Daemons authenticate each other with certificates of
+// the site's CA, and reject peers whose zone is not in the site.
 //
-// API keys are random; only their SHA-256 hash is kept. They are long enough
-// that a slow hash would add nothing. Followed reads them, as it does the files of
-// TLS, again once they have changed.
+// API keys are random, and only their SHA-256 hash is stored. With 256 random bits, a
+// slow hash is unnecessary. Followed reloads changed API keys and TLS files.
 package keys
--- a/internal/keys/file.go
+++ b/internal/keys/file.go
@@ -9,11 +9,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// fileMode lets only the owner read or write.
+// fileMode gives access to the owner only.
 const fileMode = 0o600
 
-// WriteFile puts content at path in one step: whoever reads path sees the old
-// content or the new one, and the new one is synced when WriteFile returns.
+// WriteFile atomically replaces the file at path. The content is synced when WriteFile
+// returns.
 func WriteFile(path string, content []byte) error {
 	temporary, err := writeTemporary(path, content)
 	if err != nil {
@@ -21,13 +21,13 @@
 	}
 	if err := os.Rename(temporary, path); err != nil {
 		os.Remove(temporary)
-		return errors.Wrap(err, "put the file in place")
+		return errors.Wrap(err, "move the file to its path")
 	}
 	return syncFolder(filepath.Dir(path))
 }
 
-// WriteNewFile is WriteFile that never replaces a file: its error has then the
-// kind conflict.
+// WriteNewFile is like WriteFile, but returns an error of the kind conflict if the file
+// exists.
 func WriteNewFile(path string, content []byte) error {
 	temporary, err := writeTemporary(path, content)
 	if err != nil {
@@ -37,21 +37,21 @@
 	err = os.Link(temporary, path)
 	if os.IsExist(err) {
 		return structs.NewError(structs.ErrorConflict,
-			"the file "+path+" is there already",
-			"Move it away first if it is no longer needed; what it signed is lost without it.")
+			"the file "+path+" already exists",
+			"Move it first if it is no longer needed; without a CA's key, its certificates cannot be renewed.")
 	}
 	if err != nil {
-		return errors.Wrap(err, "put the file in place")
+		return errors.Wrap(err, "move the file to its path")
 	}
 	return syncFolder(filepath.Dir(path))
 }
 
-// writeTemporary writes and syncs content beside path. os.CreateTemp gives the
-// file the mode 0600.
+// writeTemporary writes and syncs content to a temporary file in the folder of path, and
+// returns its path.
 func writeTemporary(path string, content []byte) (string, error) {
 	file, err := os.CreateTemp(filepath.Dir(path), ".new-*")
 	if err != nil {
-		return "", errors.Wrap(err, "make a file")
+		return "", errors.Wrap(err, "create a temporary file")
 	}
 	_, err = file.Write(content)
 	if err == nil {
@@ -73,7 +73,7 @@
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
-		return errors.Wrap(err, "open the folder to sync it")
+		return errors.Wrap(err, "open the folder for syncing")
 	}
 	defer folder.Close()
 	return errors.Wrap(folder.Sync(), "sync the folder")
--- a/internal/keys/followed.go
+++ b/internal/keys/followed.go
@@ -8,34 +8,33 @@
 	"github.com/go-kit/log/level"
 )
 
-// Source is what a Followed reads.
+// Source describes the files of a Followed.
 type Source[T any] struct {
-	// Name is what the files hold, in the plural, for the log.
+	// Name is the plural noun for the content, used in log lines.
 	Name string
-	// Paths are the files whose change is followed.
+	// Paths are the files checked for changes.
 	Paths []string
-	// Read reads the files. Its error names the remedy.
+	// Read reads the files. Its error should contain a remedy.
 	Read func() (T, error)
 }
 
-// Followed is what files hold, read again once they have changed. While the changed
-// files cannot be used, the last good value stays in force and the cause is logged
-// once. A Followed is safe for concurrent use.
+// Followed is a value that is reloaded when its files change. If the changed files are
+// invalid, it keeps the last valid value and logs the error once. It is safe for
+// concurrent use.
 type Followed[T any] struct {
 	logger log.Logger
 	source Source[T]
 
-	mutex  sync.Mutex
-	stamps []os.FileInfo // of the last attempt; nil when a file was missing
-	value  T
+	mutex     sync.Mutex
+	fileInfos []os.FileInfo // at the last read; nil if a file was missing
+	value     T
 }
 
-// Follow reads the files for the first time. Its error is that of the read.
+// Follow reads the files and returns a Followed, or the error of Read.
 func Follow[T any](logger log.Logger, source Source[T]) (*Followed[T], error) {
 	followed := &Followed[T]{logger: log.With(logger, "component", "keys"), source: source}
-	// The files' state is read before their content, so that a change in between is
-	// seen next time.
-	followed.stamps = stampsOf(source.Paths)
+	// Stat the files before reading them, so that a change in between is detected later.
+	followed.fileInfos = statFiles(source.Paths)
 	value, err := source.Read()
 	if err != nil {
 		return nil, err
@@ -44,18 +43,18 @@
 	return followed, nil
 }
 
-// Current returns the newest value that can be used.
+// Current reloads changed files and returns the latest valid value.
 func (f *Followed[T]) Current() T {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	stamps := stampsOf(f.source.Paths)
-	if stamps == nil && f.stamps == nil {
-		return f.value // missing files have been logged
+	infos := statFiles(f.source.Paths)
+	if infos == nil && f.fileInfos == nil {
+		return f.value // the missing file has been logged
 	}
-	if stamps != nil && sameStamps(stamps, f.stamps) {
+	if infos != nil && unchanged(infos, f.fileInfos) {
 		return f.value
 	}
-	f.stamps = stamps
+	f.fileInfos = infos
 	value, err := f.source.Read()
 	if err != nil {
 		level.Error(f.logger).Log("msg", "Changed "+f.source.Name+" cannot be used. The last good ones stay in force.", "err", err)
@@ -66,7 +65,7 @@
 	return f.value
 }
 
-func sameStamps(before, after []os.FileInfo) bool {
+func unchanged(before, after []os.FileInfo) bool {
 	if len(before) != len(after) {
 		return false
 	}
@@ -84,15 +83,15 @@
 	return true
 }
 
-// stampsOf returns the state of each file, or nil when one cannot be looked at.
-func stampsOf(paths []string) []os.FileInfo {
-	stamps := make([]os.FileInfo, 0, len(paths))
+// statFiles returns the os.FileInfo of each file, or nil if one is not accessible.
+func statFiles(paths []string) []os.FileInfo {
+	infos := make([]os.FileInfo, 0, len(paths))
 	for _, path := range paths {
 		info, err := os.Stat(path)
 		if err != nil {
 			return nil
 		}
-		stamps = append(stamps, info)
+		infos = append(infos, info)
 	}
-	return stamps
+	return infos
 }
--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -9,16 +9,16 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// identityScheme is the scheme of the URI that names a daemon in its certificate.
+// identityScheme is the scheme of identity URIs in certificates.
 const identityScheme = "lotusferry"
 
-// Identity is who a certificate says the daemon is.
+// Identity is the zone and daemon identified by a certificate.
 type Identity struct {
 	Zone   structs.ZoneID
 	Daemon structs.DaemonID
 }
 
-// URI returns the identity as its certificate holds it.
+// URI returns the identity's URI in certificates.
 func (i Identity) URI() *url.URL {
 	return &url.URL{Scheme: identityScheme, Host: string(i.Zone), Path: "/" + string(i.Daemon)}
 }
@@ -26,25 +26,25 @@
 // String returns the identity's URI.
 func (i Identity) String() string { return i.URI().String() }
 
-// parseIdentity reads an identity's URI. Its error has the kind denied.
+// parseIdentity parses an identity's URI. Its error has the kind denied.
 func parseIdentity(uri *url.URL) (Identity, error) {
 	daemon := strings.TrimPrefix(uri.Path, "/")
 	identity := Identity{Zone: structs.ZoneID(uri.Host), Daemon: structs.DaemonID(daemon)}
-	whole := identity.Zone != "" && daemon != "" && uri.String() == identity.String()
-	if !whole {
+	valid := identity.Zone != "" && daemon != "" && uri.String() == identity.String()
+	if !valid {
 		return Identity{}, structs.NewError(structs.ErrorDenied,
-			fmt.Sprintf("the certificate's name %q is not that of a daemon", uri),
+			fmt.Sprintf("the certificate's URI %q does not identify a daemon", uri),
 			"Issue the certificate with `lotusferryctl keys issue`.")
 	}
 	return identity, nil
 }
 
-// certificateIdentity returns the identity that a certificate names; it must
-// name exactly one. Its error has the kind denied.
+// certificateIdentity returns the identity in a certificate, which must have exactly one.
+// Its error has the kind denied.
 func certificateIdentity(certificate *x509.Certificate) (Identity, error) {
 	if len(certificate.URIs) != 1 {
 		return Identity{}, structs.NewError(structs.ErrorDenied,
-			fmt.Sprintf("the certificate names %d daemons instead of one", len(certificate.URIs)),
+			fmt.Sprintf("the certificate has %d URIs instead of one", len(certificate.URIs)),
 			"Issue the certificate with `lotusferryctl keys issue`.")
 	}
 	return parseIdentity(certificate.URIs[0])
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -35,7 +35,7 @@
 func install(c *qt.C, folder string, authority *keys.Authority, zone structs.ZoneID, daemon structs.DaemonID) keys.Files {
 	base := filepath.Join(folder, "daemon")
 	files := keys.Files{CA: filepath.Join(folder, "ca.crt"), Certificate: base + ".crt", Key: base + ".key"}
-	// The CA's own key is kept apart, as on a real machine.
+	// The CA's key must not be in the daemon's folder.
 	saved := c.TempDir()
 	c.Assert(authority.Save(filepath.Join(saved, "ca.crt"), filepath.Join(saved, "ca.key")), qt.IsNil)
 	content, err := os.ReadFile(filepath.Join(saved, "ca.crt"))
@@ -57,8 +57,8 @@
 	return reloader
 }
 
-// handshake connects client and server and returns both errors. The server's
-// first byte is read too, because in TLS 1.3 the client is done first.
+// handshake connects client and server and returns both errors. It also reads a byte from
+// the server, because in TLS 1.3 the client completes its handshake first.
 func handshake(c *qt.C, server, client *tls.Config) (serverErr, clientErr error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -79,7 +79,7 @@
 	return <-done, clientErr
 }
 
-func TestDaemonsAcceptOnlyTheirSite(t *testing.T) {
+func TestDaemonsAcceptOnlyPeersOfTheirSite(t *testing.T) {
 	c := qt.New(t)
 	own, other := newAuthority(c), newAuthority(c)
 	server := newReloader(c, install(c, c.TempDir(), own, "sala-a", "server"), issuedAt)
@@ -89,15 +89,15 @@
 		zone      structs.ZoneID
 		dial      structs.DaemonID
 		now       time.Time
-		refused   string // by the client or by the server
+		refused   string // pattern of the error of either side
 	}{
 		{"same site", own, "sala-b", "server", issuedAt, ""},
 		{"any daemon", own, "sala-b", "", issuedAt, ""},
 		{"clock a little behind", own, "sala-b", "server", issuedAt.Add(-4 * time.Minute), ""},
-		{"other CA", other, "sala-b", "server", issuedAt, "(?s).*certificate is refused.*"},
+		{"other CA", other, "sala-b", "server", issuedAt, "(?s).*certificate is rejected.*"},
 		{"zone not in the site", own, "sala-z", "server", issuedAt, ".*zone that is not in the site.*"},
-		{"another daemon at the address", own, "sala-b", "elsewhere", issuedAt, ".*the peer is .*server and not elsewhere.*"},
-		{"expired", own, "sala-b", "server", issuedAt.Add(keys.CertificateValidity + time.Hour), ".*certificate is refused.*expired.*"},
+		{"another daemon at the address", own, "sala-b", "elsewhere", issuedAt, ".*the peer is .*server instead of elsewhere.*"},
+		{"expired", own, "sala-b", "server", issuedAt.Add(keys.CertificateValidity + time.Hour), ".*certificate is rejected.*expired.*"},
 	}
 	for _, test := range tests {
 		c.Run(test.name, func(c *qt.C) {
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestServerRefusesBadClient(t *testing.T) {
+func TestServerRejectsInvalidClientCertificates(t *testing.T) {
 	c := qt.New(t)
 	own, other := newAuthority(c), newAuthority(c)
 	files := install(c, c.TempDir(), own, "sala-a", "server")
@@ -133,12 +133,12 @@
 		refused string
 	}{
 		{"no certificate", issuedAt, nil, ".*didn't provide a certificate.*"},
-		{"other CA", issuedAt, client.ClientConfig("").GetClientCertificate, ".*certificate is refused.*"},
+		{"other CA", issuedAt, client.ClientConfig("").GetClientCertificate, ".*certificate is rejected.*"},
 		{"expired", issuedAt.Add(keys.CertificateValidity + time.Hour), late.ClientConfig("").GetClientCertificate, ".*expired.*"},
 	}
 	for _, test := range tests {
 		c.Run(test.name, func(c *qt.C) {
-			// This client accepts any server, so that the refusal is the server's.
+			// This client accepts any server, so only the server can reject.
 			trusting := &tls.Config{InsecureSkipVerify: true, GetClientCertificate: test.get}
 			serverErr, clientErr := handshake(c, newReloader(c, files, test.now).ServerConfig(), trusting)
 			c.Check(serverErr, qt.ErrorMatches, test.refused)
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestReloaderFollowsFiles(t *testing.T) {
+func TestReloaderReloadsChangedFiles(t *testing.T) {
 	c := qt.New(t)
 	first, second := newAuthority(c), newAuthority(c)
 	serverFolder, clientFolder := c.TempDir(), c.TempDir()
@@ -191,7 +191,7 @@
 	install(c, clientFolder, second, "sala-a", "client")
 	c.Assert(connects(), qt.IsTrue)
 
-	// Broken and missing files leave the last good ones in force.
+	// Invalid and missing files keep the last valid ones.
 	c.Assert(keys.WriteFile(serverFiles.Key, []byte("broken")), qt.IsNil)
 	c.Assert(connects(), qt.IsTrue)
 	c.Assert(os.Remove(serverFiles.Certificate), qt.IsNil)
@@ -200,14 +200,14 @@
 	c.Assert(connects(), qt.IsFalse)
 }
 
-func TestReloaderRefusesUnusableFiles(t *testing.T) {
+func TestNewReloaderRejectsUnusableFiles(t *testing.T) {
 	c := qt.New(t)
 	authority := newAuthority(c)
 	folder := c.TempDir()
 	good := install(c, folder, authority, "sala-a", "server")
 	broken := filepath.Join(folder, "broken")
 	c.Assert(keys.WriteFile(broken, []byte("x")), qt.IsNil)
-	// The CA's certificate names no daemon, and its key fits it.
+	// The CA's certificate matches its key but identifies no daemon.
 	noDaemon := filepath.Join(folder, "none")
 	c.Assert(authority.Save(noDaemon+".crt", noDaemon+".key"), qt.IsNil)
 	for _, files := range []keys.Files{
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestAuthorityFilesArePrivateAndKept(t *testing.T) {
+func TestAuthorityFilesArePrivateAndNotOverwritten(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
 	certificate, key := filepath.Join(folder, "ca.crt"), filepath.Join(folder, "ca.key")
--- a/internal/keys/own.go
+++ b/internal/keys/own.go
@@ -9,24 +9,24 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Own is what a daemon's own files say about it.
+// Own describes a daemon's own certificate.
 type Own struct {
 	Identity Identity
-	// NotAfter is when the certificate ends.
+	// NotAfter is the end of the certificate's validity.
 	NotAfter time.Time
 
 	certificate *x509.Certificate
 }
 
-// Covers reports whether callers and operators may reach the daemon at the address:
-// their clients refuse a certificate that does not name it.
+// Covers reports whether the certificate is valid for the address, as the clients of
+// callers and operators require.
 func (o Own) Covers(address netip.Addr) bool {
 	return o.certificate.VerifyHostname(address.Unmap().String()) == nil
 }
 
-// Examine reads the files as a daemon's start does and checks the certificate as its
-// peers will at the time now. Its errors have the kind invalid for files that cannot
-// be used and denied for a certificate that peers would refuse.
+// Examine reads the files as a daemon does at startup, and verifies the certificate at
+// the time now as its peers do. Its errors have the kind invalid for unusable files, and
+// denied for a certificate that peers would reject.
 func (f Files) Examine(now time.Time) (Own, error) {
 	loaded, err := f.load()
 	if err != nil {
@@ -37,8 +37,8 @@
 		options := x509.VerifyOptions{Roots: loaded.roots, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{usage}}
 		if _, err := leaf.Verify(options); err != nil {
 			return Own{}, structs.NewError(structs.ErrorDenied,
-				fmt.Sprintf("peers would refuse the certificate %s: %s", f.Certificate, err),
-				"Issue it with the CA that tls.ca names, and check this machine's clock.")
+				fmt.Sprintf("peers would reject the certificate %s: %s", f.Certificate, err),
+				"Issue it with the CA in tls.ca, and check this machine's clock.")
 		}
 	}
 	identity, err := certificateIdentity(leaf)
--- a/internal/keys/reloader.go
+++ b/internal/keys/reloader.go
@@ -12,34 +12,34 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Files names the PEM files of one daemon. CA may hold several certificates
-// while the site changes from one CA to the next.
+// Files holds the paths of a daemon's PEM files. CA may contain several certificates
+// during the rotation of the CA.
 type Files struct {
 	CA          string
 	Certificate string
 	Key         string
 }
 
-// Options adjusts a Reloader.
+// Options configures a Reloader.
 type Options struct {
-	// Zones are the zones of the site: a peer of any other is refused.
+	// Zones are the zones of the site. Peers of other zones are rejected.
 	Zones []structs.ZoneID
-	// Daemons are those whose zone is known: a peer of that name must be of that zone.
+	// Daemons maps daemons to their zones. A listed peer must have this zone.
 	Daemons map[structs.DaemonID]structs.ZoneID
-	// Now is the clock that certificates are checked against; time.Now when nil.
+	// Now is the clock for certificate validity; nil means time.Now.
 	Now func() time.Time
 }
 
-// Reloader gives out TLS configurations that follow the files: each handshake
-// looks whether a file has changed. A Reloader is safe for concurrent use.
+// Reloader provides TLS configurations that check the files for changes at each
+// handshake. It is safe for concurrent use.
 type Reloader struct {
-	zones    map[structs.ZoneID]bool
-	homes    map[structs.DaemonID]structs.ZoneID
-	now      func() time.Time
-	followed *Followed[material]
+	zones       map[structs.ZoneID]bool
+	daemonZones map[structs.DaemonID]structs.ZoneID
+	now         func() time.Time
+	followed    *Followed[material]
 }
 
-// material is what the files hold.
+// material is the decoded content of the files.
 type material struct {
 	roots       *x509.CertPool
 	certificate *tls.Certificate
@@ -48,9 +48,9 @@
 // NewReloader reads the files. Its error has the kind invalid.
 func NewReloader(logger log.Logger, files Files, options Options) (*Reloader, error) {
 	reloader := &Reloader{
-		zones: map[structs.ZoneID]bool{},
-		homes: options.Daemons,
-		now:   options.Now,
+		zones:       map[structs.ZoneID]bool{},
+		daemonZones: options.Daemons,
+		now:         options.Now,
 	}
 	if reloader.now == nil {
 		reloader.now = time.Now
@@ -70,7 +70,7 @@
 	return reloader, nil
 }
 
-// current returns the newest material that can be used.
+// current returns the latest valid material.
 func (r *Reloader) current() material { return r.followed.Current() }
 
 func (f Files) load() (material, error) {
@@ -95,7 +95,7 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(content) {
-		return nil, invalidFile(path, errors.New("no certificate in it"))
+		return nil, invalidFile(path, errors.New("it contains no certificate"))
 	}
 	return roots, nil
 }
--- a/internal/keys/tls.go
+++ b/internal/keys/tls.go
@@ -12,13 +12,13 @@
 func (r *Reloader) Identity() Identity {
 	identity, err := certificateIdentity(r.current().certificate.Leaf)
 	if err != nil {
-		return Identity{} // load has checked it
+		return Identity{} // cannot happen: load checks the identity
 	}
 	return identity
 }
 
-// PublicServerConfig is for callers and operators: it shows the daemon's
-// certificate and asks for none, as those present an API key.
+// PublicServerConfig returns the server configuration for callers and operators. It
+// requests no client certificates, because they authenticate with API keys.
 func (r *Reloader) PublicServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -29,23 +29,23 @@
 	}
 }
 
-// CallersServerConfig is PublicServerConfig that lets daemons of the site show
-// their certificate as well, which VerifyDaemon checks. Callers need none.
+// CallersServerConfig is like PublicServerConfig, but also accepts client certificates
+// of the site's daemons, which VerifyDaemon verifies.
 func (r *Reloader) CallersServerConfig() *tls.Config {
 	config := r.PublicServerConfig()
 	config.ClientAuth = tls.RequestClientCert
 	return config
 }
 
-// VerifyDaemon returns the daemon of the site at the other end of a connection
-// that it dialled. Its error has the kind denied.
+// VerifyDaemon verifies the client certificate of a connection and returns the daemon's
+// identity. Its error has the kind denied.
 func (r *Reloader) VerifyDaemon(state tls.ConnectionState) (Identity, error) {
 	return r.verify(state, x509.ExtKeyUsageClientAuth)
 }
 
-// ServerConfig is for daemons that dial this one: both show certificates. The
-// standard check of the client's chain is replaced by verify, which knows the
-// newest CA. Sessions are not resumed, as that would skip the check.
+// ServerConfig returns the server configuration for other daemons, with mutual TLS. The
+// client's chain is verified by verify, which uses the latest CA, instead of package tls.
+// Session resumption is disabled, because it would skip the verification.
 func (r *Reloader) ServerConfig() *tls.Config {
 	config := r.PublicServerConfig()
 	config.MinVersion = tls.VersionTLS13
@@ -58,10 +58,10 @@
 	return config
 }
 
-// ClientConfig is for dialling a daemon. When the daemon's ID is given, the peer
-// must be that one; otherwise any daemon of the site will do. The peer is known
-// by its certificate and not by its address, so the standard check of the name
-// is replaced by verify.
+// ClientConfig returns the client configuration for dialling a daemon. The peer must be
+// the given daemon, or any daemon of the site if daemon is empty. Peers are identified by
+// the URI in their certificate and not by their address, so verify replaces the
+// verification of package tls.
 func (r *Reloader) ClientConfig(daemon structs.DaemonID) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -77,20 +77,20 @@
 			}
 			if daemon != "" && identity.Daemon != daemon {
 				return structs.NewError(structs.ErrorDenied,
-					fmt.Sprintf("the peer is %s and not %s", identity, daemon),
-					"Correct the daemon's address in the settings, or issue its certificate again.")
+					fmt.Sprintf("the peer is %s instead of %s", identity, daemon),
+					"Correct the daemon's address in the settings, or reissue its certificate.")
 			}
 			return nil
 		},
 	}
 }
 
-// verify checks the peer's chain against the newest CA and its zone against the
-// site's. Its errors have the kind denied.
+// verify verifies the peer's chain with the latest CA, and its zone. Its errors have the
+// kind denied.
 func (r *Reloader) verify(state tls.ConnectionState, usage x509.ExtKeyUsage) (Identity, error) {
 	if len(state.PeerCertificates) == 0 {
 		return Identity{}, structs.NewError(structs.ErrorDenied,
-			"the peer showed no certificate", "Set tls.certificate and tls.key on the peer.")
+			"the peer sent no certificate", "Set tls.certificate and tls.key on the peer.")
 	}
 	intermediates := x509.NewCertPool()
 	for _, certificate := range state.PeerCertificates[1:] {
@@ -105,7 +105,7 @@
 	})
 	if err != nil {
 		return Identity{}, structs.NewError(structs.ErrorDenied,
-			"the peer's certificate is refused: "+err.Error(),
+			"the peer's certificate is rejected: "+err.Error(),
 			"Issue it with the CA of this site, and check the clocks of both machines.")
 	}
 	identity, err := certificateIdentity(leaf)
@@ -114,20 +114,20 @@
 	}
 	if !r.zones[identity.Zone] {
 		return Identity{}, structs.NewError(structs.ErrorDenied,
-			fmt.Sprintf("the peer %s is of a zone that is not in the site", identity),
-			"Add the zone under site.zones, or issue the peer's certificate for its real zone.")
+			fmt.Sprintf("the peer %s has a zone that is not in the site", identity),
+			"Add the zone to site.zones, or issue the peer's certificate for its actual zone.")
 	}
-	if home, known := r.homes[identity.Daemon]; known && home != identity.Zone {
+	if expected, known := r.daemonZones[identity.Daemon]; known && expected != identity.Zone {
 		return Identity{}, structs.NewError(structs.ErrorDenied,
-			fmt.Sprintf("the peer %s should be of zone %s", identity, home),
-			"Issue the peer's certificate for the zone under which the site lists it.")
+			fmt.Sprintf("the peer %s should have the zone %s", identity, expected),
+			"Issue the peer's certificate for the zone in which the site lists it.")
 	}
 	return identity, nil
 }
 
-// PublicClientConfig is for callers and operators: it trusts the CA of the file
-// and checks the daemon's address against its certificate. Its error has the
-// kind invalid.
+// PublicClientConfig returns the client configuration for callers and operators. It
+// trusts the CA in the file at caPath, and verifies that the certificate includes the
+// daemon's address. Its error has the kind invalid.
 func PublicClientConfig(caPath string) (*tls.Config, error) {
 	roots, err := loadRoots(caPath)
 	if err != nil {
--- a/internal/network/doc.go
+++ b/internal/network/doc.go
@@ -1,4 +1,3 @@
-// Package network is how the shells listen and dial: over TCP in production, and
-// over connections in memory (package networktest) where a test runs a whole site
-// in virtual time.
+// Package network abstracts listening and dialling: TCP in production, and in-memory
+// connections (package networktest) in tests that run a whole site in virtual time.
 package network
--- /dev/null
+++ b/internal/network/failfast.go
@@ -0,0 +1,52 @@
+package network
+
+import (
+	"context"
+	"net"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// userTimeout is the time that sent data or keep-alive probes may remain
+	// unacknowledged before a connection breaks (TCP_USER_TIMEOUT).
+	userTimeout       = 1500 * time.Millisecond
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveProbes   = 2
+)
+
+// failFastTCP is TCP with fast detection of unreachable peers.
+type failFastTCP struct {
+	control func(network, address string, conn syscall.RawConn) error
+}
+
+// Prompt returns TCP whose connections break within seconds after the peer's machine
+// becomes unreachable: by keep-alive probes when idle, and by TCP_USER_TIMEOUT otherwise.
+func Prompt() Network { return failFastTCP{control: setUserTimeout} }
+
+func keepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes}
+}
+
+// Listen implements Network.
+func (p failFastTCP) Listen(ctx context.Context, address string) (net.Listener, error) {
+	config := net.ListenConfig{KeepAliveConfig: keepAliveConfig(), Control: p.control}
+	return config.Listen(ctx, "tcp", address)
+}
+
+// DialContext implements Network.
+func (p failFastTCP) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	dialer := net.Dialer{KeepAliveConfig: keepAliveConfig(), Control: p.control}
+	return dialer.DialContext(ctx, network, address)
+}
+
+// setUserTimeout sets TCP_USER_TIMEOUT. Errors are ignored, so systems without the option
+// use their default.
+func setUserTimeout(_, _ string, conn syscall.RawConn) error {
+	return conn.Control(func(descriptor uintptr) {
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+	})
+}
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -8,21 +8,21 @@
 
 // Network opens listeners and connections. Addresses are IP:port.
 type Network interface {
-	// Listen listens on an address; port 0 means any free port. ctx bounds the
+	// Listen listens on an address; port 0 selects a free port. ctx applies to the
 	// opening only.
 	Listen(ctx context.Context, address string) (net.Listener, error)
-	// DialContext connects to an address; network is "tcp". ctx bounds the connecting
+	// DialContext connects to an address; network is "tcp". ctx applies to the connecting
 	// only.
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// DialFunc connects to an address, as http.Transport wants it.
+// DialFunc connects to an address. It has the type of http.Transport.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// TCP is the network of the machine.
+// TCP is the TCP network of the operating system.
 type TCP struct {
-	// KeepAlive configures the keep-alive probes; the zero value leaves the defaults
-	// of package net.
+	// KeepAlive configures the keep-alive probes; the zero value means the defaults of
+	// package net.
 	KeepAlive net.KeepAliveConfig
 }
 
@@ -40,7 +40,7 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// OrTCP returns the network, or TCP with the defaults of package net for nil.
+// OrTCP returns network, or TCP{} if network is nil.
 func OrTCP(network Network) Network {
 	if network == nil {
 		return TCP{}
@@ -48,8 +48,7 @@
 	return network
 }
 
-// DialWithin returns a function that dials over the network and gives up after the
-// timeout.
+// DialWithin returns a DialFunc for network that applies the timeout to each dial.
 func DialWithin(network Network, timeout time.Duration) DialFunc {
 	return func(ctx context.Context, protocol, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/network/networktest/conn.go
+++ b/internal/network/networktest/conn.go
@@ -12,12 +12,12 @@
 	incoming, outgoing *stream
 }
 
-// newConnPair makes both ends of a connection; the first is the dialling one.
+// newConnPair returns the dialling and the accepting end of a connection.
 func newConnPair(local, remote *net.TCPAddr, bufferBytes int) (*conn, *conn) {
-	there := newStream(bufferBytes)
-	back := newStream(bufferBytes)
-	dialled := &conn{local: local, remote: remote, incoming: back, outgoing: there}
-	accepted := &conn{local: remote, remote: local, incoming: there, outgoing: back}
+	forward := newStream(bufferBytes)
+	backward := newStream(bufferBytes)
+	dialled := &conn{local: local, remote: remote, incoming: backward, outgoing: forward}
+	accepted := &conn{local: remote, remote: local, incoming: forward, outgoing: backward}
 	return dialled, accepted
 }
 
@@ -27,14 +27,14 @@
 	return count, c.wrap("read", err)
 }
 
-// Write implements net.Conn. It waits while the buffer is full.
+// Write implements net.Conn. It blocks while the buffer is full.
 func (c *conn) Write(buffer []byte) (int, error) {
 	count, err := c.outgoing.write(buffer)
 	return count, c.wrap("write", err)
 }
 
-// Close implements net.Conn. The peer reads what was sent and then the end, or a
-// reset when it had sent what was not read.
+// Close implements net.Conn. The peer reads the sent data and then io.EOF, or
+// ECONNRESET if it had sent data that was not read.
 func (c *conn) Close() error {
 	unread, err := c.incoming.closeReader()
 	if err != nil {
@@ -47,13 +47,13 @@
 	return nil
 }
 
-// CloseWrite ends the sending direction, as net.TCPConn does.
+// CloseWrite closes the sending direction, as net.TCPConn does.
 func (c *conn) CloseWrite() error {
 	c.outgoing.closeWriter()
 	return nil
 }
 
-// reset ends a connection that nobody accepted.
+// reset resets a connection that was not accepted.
 func (c *conn) reset() {
 	c.outgoing.reset()
 	_ = c.Close()
@@ -81,7 +81,7 @@
 	return c.wrap("set", c.outgoing.setWriteDeadline(at))
 }
 
-// wrap gives an error the form that package net gives it.
+// wrap wraps an error in a net.OpError, as package net does.
 func (c *conn) wrap(operation string, err error) error {
 	if err == nil || err == io.EOF {
 		return err
--- a/internal/network/networktest/doc.go
+++ b/internal/network/networktest/doc.go
@@ -1,8 +1,7 @@
-// Package networktest is a network in the memory of one process, for tests. Its
-// connections wait on nothing but condition variables and timers, so that inside a
-// bubble of testing/synctest virtual time passes whenever every goroutine waits. The
-// verdict of such a test does not depend on the load of the machine.
+// Package networktest provides an in-memory network for tests. Its connections block
+// only on condition variables and timers, so that virtual time advances in a bubble of
+// testing/synctest. Such tests do not depend on the load of the machine.
 //
-// Its errors, half-closed connections, deadlines, resets and full buffers are those
-// of TCP on the loopback interface; connecting and sending take no time.
+// Errors, half-closed connections, deadlines, resets and full buffers behave as those of
+// TCP on the loopback interface. Connecting and sending take no time.
 package networktest
--- a/internal/network/networktest/listener.go
+++ b/internal/network/networktest/listener.go
@@ -6,35 +6,35 @@
 	"sync"
 )
 
-// listener takes the connections to one address.
+// listener accepts the connections to one address.
 type listener struct {
 	memory  *Memory
 	address netip.AddrPort
 
 	mutex   sync.Mutex
-	changed *sync.Cond
-	waiting []*conn
+	cond    *sync.Cond
+	pending []*conn
 	closed  bool
 }
 
 func newListener(memory *Memory, address netip.AddrPort) *listener {
 	l := &listener{memory: memory, address: address}
-	l.changed = sync.NewCond(&l.mutex)
+	l.cond = sync.NewCond(&l.mutex)
 	return l
 }
 
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
 
-// enqueue leaves a connection to be accepted; false when the listener is closed.
+// enqueue queues a connection for Accept. It returns false if the listener is closed.
 func (l *listener) enqueue(accepted *conn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed {
 		return false
 	}
-	l.waiting = append(l.waiting, accepted)
-	l.changed.Signal()
+	l.pending = append(l.pending, accepted)
+	l.cond.Signal()
 	return true
 }
 
@@ -42,14 +42,14 @@
 func (l *listener) Accept() (net.Conn, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for len(l.waiting) == 0 && !l.closed {
-		l.changed.Wait()
+	for len(l.pending) == 0 && !l.closed {
+		l.cond.Wait()
 	}
 	if l.closed {
 		return nil, l.closedError("accept")
 	}
-	accepted := l.waiting[0]
-	l.waiting = l.waiting[1:]
+	accepted := l.pending[0]
+	l.pending = l.pending[1:]
 	return accepted, nil
 }
 
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	l.memory.forget(l.address)
+	l.memory.removeListener(l.address)
 	for _, unaccepted := range waiting {
 		unaccepted.reset()
 	}
@@ -73,8 +73,8 @@
 		return nil, l.closedError("close")
 	}
 	l.closed = true
-	l.changed.Broadcast()
-	return l.waiting, nil
+	l.cond.Broadcast()
+	return l.pending, nil
 }
 
 func (l *listener) closedError(operation string) error {
--- a/internal/network/networktest/memory.go
+++ b/internal/network/networktest/memory.go
@@ -12,19 +12,17 @@
 )
 
 const (
-	// DefaultBufferBytes is how much one direction of a connection holds before the
-	// writer waits.
+	// DefaultBufferBytes is the buffer size of each direction of a connection.
 	DefaultBufferBytes = 256 << 10
-	// firstFreePort is where the ports begin that are given for port 0 and to
-	// dialling ends.
+	// firstFreePort is the first port assigned for port 0 and to dialling ends.
 	firstFreePort = 32768
 )
 
-// clientIP is the address that every connection is dialled from.
+// clientIP is the local address of dialling ends.
 var clientIP = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 
-// Memory is a network in memory. Each Memory is apart from all others. One that is
-// used in a synctest bubble must be made in it.
+// Memory is an in-memory network, isolated from other Memory values. For use in a
+// synctest bubble, it must be created in the bubble.
 type Memory struct {
 	mutex       sync.Mutex
 	bufferBytes int
@@ -34,8 +32,8 @@
 
 var _ network.Network = (*Memory)(nil)
 
-// NewMemory makes a network whose connections hold so many bytes in each direction;
-// 0 means DefaultBufferBytes.
+// NewMemory returns a network whose connections buffer bufferBytes in each direction; 0
+// means DefaultBufferBytes.
 func NewMemory(bufferBytes int) *Memory {
 	if bufferBytes == 0 {
 		bufferBytes = DefaultBufferBytes
@@ -63,8 +61,7 @@
 	return opened, nil
 }
 
-// DialContext implements network.Network. A connection is made at once, before it
-// has been accepted.
+// DialContext implements network.Network. It returns before the connection is accepted.
 func (m *Memory) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -86,7 +83,8 @@
 	return dialled, nil
 }
 
-// freePort returns a port that no other call got lately. The mutex is held.
+// freePort returns the next port, wrapping around at the end of the range. The caller
+// holds the mutex.
 func (m *Memory) freePort() uint16 {
 	port := m.nextPort
 	m.nextPort++
@@ -96,8 +94,8 @@
 	return port
 }
 
-// forget frees the address of a closed listener.
-func (m *Memory) forget(address netip.AddrPort) {
+// removeListener releases the address of a closed listener.
+func (m *Memory) removeListener(address netip.AddrPort) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	delete(m.listeners, address)
--- a/internal/network/networktest/memory_test.go
+++ b/internal/network/networktest/memory_test.go
@@ -19,7 +19,7 @@
 
 const anyPort = "127.0.0.1:0"
 
-// connect makes a connection over a network; the first end is the dialling one.
+// connect returns the dialling and the accepting end of a new connection.
 func connect(c *qt.C, over network.Network) (net.Conn, net.Conn) {
 	listener, err := over.Listen(context.Background(), anyPort)
 	c.Assert(err, qt.IsNil)
@@ -40,8 +40,8 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// TestConnectionsInMemoryBehaveAsThoseOfTCP holds both networks to the same.
-func TestConnectionsInMemoryBehaveAsThoseOfTCP(t *testing.T) {
+// TestMemoryBehavesLikeTCP runs the same checks on both networks.
+func TestMemoryBehavesLikeTCP(t *testing.T) {
 	behaviours := []struct {
 		about string
 		check func(c *qt.C, over network.Network)
@@ -51,7 +51,7 @@
 			c.Assert(dialled.LocalAddr(), qt.DeepEquals, accepted.RemoteAddr())
 			c.Assert(dialled.RemoteAddr(), qt.DeepEquals, accepted.LocalAddr())
 		}},
-		{"what was sent is read before the end", func(c *qt.C, over network.Network) {
+		{"sent data is read before EOF", func(c *qt.C, over network.Network) {
 			dialled, accepted := connect(c, over)
 			send(c, dialled, "all")
 			c.Assert(dialled.Close(), qt.IsNil)
@@ -87,7 +87,7 @@
 			c.Assert(dialled.Close(), qt.ErrorIs, net.ErrClosed)
 			c.Assert(dialled.SetDeadline(time.Time{}), qt.ErrorIs, net.ErrClosed)
 		}},
-		{"a passed deadline fails until it is taken off", func(c *qt.C, over network.Network) {
+		{"an expired deadline fails until it is removed", func(c *qt.C, over network.Network) {
 			dialled, accepted := connect(c, over)
 			send(c, accepted, "x")
 			c.Assert(dialled.SetDeadline(time.Unix(1, 0)), qt.IsNil)
@@ -99,7 +99,7 @@
 			_, err = dialled.Read(make([]byte, 1))
 			c.Assert(err, qt.IsNil)
 		}},
-		{"nobody listens", func(c *qt.C, over network.Network) {
+		{"listening and dialling errors", func(c *qt.C, over network.Network) {
 			listener, err := over.Listen(context.Background(), anyPort)
 			c.Assert(err, qt.IsNil)
 			_, err = over.Listen(context.Background(), listener.Addr().String())
@@ -110,7 +110,7 @@
 			_, err = over.DialContext(context.Background(), "tcp", listener.Addr().String())
 			c.Assert(err, qt.ErrorIs, syscall.ECONNREFUSED)
 		}},
-		{"a connection that nobody accepted is reset", func(c *qt.C, over network.Network) {
+		{"closing the listener resets unaccepted connections", func(c *qt.C, over network.Network) {
 			listener, err := over.Listen(context.Background(), anyPort)
 			c.Assert(err, qt.IsNil)
 			dialled, err := over.DialContext(context.Background(), "tcp", listener.Addr().String())
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestFullBufferHoldsTheWriterUntilItIsReadOrItsTimeIsOver(t *testing.T) {
+func TestFullBufferBlocksWriteUntilReadOrDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		dialled, accepted := connect(c, networktest.NewMemory(4))
@@ -152,7 +152,7 @@
 	})
 }
 
-func TestWaitingEndsAreWokenByDeadlinesAndByTheirOwnClosing(t *testing.T) {
+func TestDeadlineAndCloseUnblockRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		dialled, _ := connect(c, networktest.NewMemory(0))
@@ -171,8 +171,8 @@
 	})
 }
 
-// TestServerOfPackageHTTPServesInVirtualTime waits an hour for an answer.
-func TestServerOfPackageHTTPServesInVirtualTime(t *testing.T) {
+// TestHTTPServerRunsInVirtualTime waits an hour of virtual time for a response.
+func TestHTTPServerRunsInVirtualTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := networktest.NewMemory(0)
--- a/internal/network/networktest/serve.go
+++ b/internal/network/networktest/serve.go
@@ -11,7 +11,7 @@
 
 const (
 	anyAddress = "127.0.0.1:0"
-	// headerTimeout is no limit that a test comes near.
+	// headerTimeout is longer than any test.
 	headerTimeout = time.Hour
 )
 
@@ -21,26 +21,27 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var open sync.WaitGroup
+	var connections sync.WaitGroup
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	server.ConnState = func(_ net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
-			open.Add(1)
+			connections.Add(1)
 		case http.StateClosed, http.StateHijacked:
-			open.Done()
+			connections.Done()
 		}
 	}
-	open.Go(func() { _ = server.Serve(listener) })
+	connections.Go(func() { _ = server.Serve(listener) })
 	tb.Cleanup(func() {
 		_ = server.Close()
-		// The server lingers over a connection whose request it has not read.
-		open.Wait()
+		// Close does not wait for connections that linger due to an unread request.
+		connections.Wait()
 	})
 	return listener.Addr().String()
 }
 
-// Client makes an HTTP client over the network whose connections end with the test.
+// Client returns an HTTP client for the network. Its idle connections are closed at the
+// end of the test.
 func (m *Memory) Client(tb testing.TB) *http.Client {
 	transport := &http.Transport{DialContext: m.DialContext}
 	tb.Cleanup(transport.CloseIdleConnections)
--- a/internal/network/networktest/stream.go
+++ b/internal/network/networktest/stream.go
@@ -14,19 +14,19 @@
 type stream struct {
 	limit int
 
-	mutex   sync.Mutex
-	changed *sync.Cond
-	// sent is what was written and not read yet, at most limit bytes.
-	sent bytes.Buffer
-	// writerClosed and readerClosed are set when that end was closed, and broken when
-	// the connection was reset.
-	writerClosed, readerClosed, broken bool
-	reading, writing                   deadline
+	mutex sync.Mutex
+	cond  *sync.Cond
+	// buffered holds the data written but not yet read, at most limit bytes.
+	buffered bytes.Buffer
+	// writerClosed and readerClosed are set when that end is closed, and isReset when the
+	// connection is reset.
+	writerClosed, readerClosed, isReset bool
+	readDeadline, writeDeadline         deadline
 }
 
 func newStream(limit int) *stream {
 	s := &stream{limit: limit}
-	s.changed = sync.NewCond(&s.mutex)
+	s.cond = sync.NewCond(&s.mutex)
 	return s
 }
 
@@ -37,17 +37,17 @@
 		switch {
 		case s.readerClosed:
 			return 0, net.ErrClosed
-		case s.reading.passed():
+		case s.readDeadline.expired():
 			return 0, os.ErrDeadlineExceeded
-		case s.sent.Len() > 0:
-			s.changed.Broadcast()
-			return s.sent.Read(buffer)
-		case s.broken:
+		case s.buffered.Len() > 0:
+			s.cond.Broadcast()
+			return s.buffered.Read(buffer)
+		case s.isReset:
 			return 0, os.NewSyscallError("read", syscall.ECONNRESET)
 		case s.writerClosed:
 			return 0, io.EOF
 		}
-		s.changed.Wait()
+		s.cond.Wait()
 	}
 }
 
@@ -59,35 +59,35 @@
 		switch {
 		case s.writerClosed:
 			return written, net.ErrClosed
-		case s.writing.passed():
+		case s.writeDeadline.expired():
 			return written, os.ErrDeadlineExceeded
-		case s.broken, s.readerClosed:
+		case s.isReset, s.readerClosed:
 			return written, os.NewSyscallError("write", syscall.ECONNRESET)
 		}
-		part := min(s.limit-s.sent.Len(), len(buffer)-written)
+		part := min(s.limit-s.buffered.Len(), len(buffer)-written)
 		if part > 0 {
-			// Writing to a bytes.Buffer never fails.
-			_, _ = s.sent.Write(buffer[written : written+part])
+			// bytes.Buffer.Write never returns an error.
+			_, _ = s.buffered.Write(buffer[written : written+part])
 			written += part
-			s.changed.Broadcast()
+			s.cond.Broadcast()
 		}
 		if written == len(buffer) {
 			return written, nil
 		}
-		s.changed.Wait()
+		s.cond.Wait()
 	}
 }
 
-// closeWriter ends the stream after what was sent.
+// closeWriter ends the stream after the buffered data.
 func (s *stream) closeWriter() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.writerClosed = true
-	s.writing.stop()
-	s.changed.Broadcast()
+	s.writeDeadline.stop()
+	s.cond.Broadcast()
 }
 
-// closeReader reports whether something was sent that is not read any more.
+// closeReader closes the reading end and reports whether unread data was discarded.
 func (s *stream) closeReader() (bool, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -95,17 +95,17 @@
 		return false, net.ErrClosed
 	}
 	s.readerClosed = true
-	s.reading.stop()
-	s.changed.Broadcast()
-	return s.sent.Len() > 0, nil
+	s.readDeadline.stop()
+	s.cond.Broadcast()
+	return s.buffered.Len() > 0, nil
 }
 
-// reset ends the stream with an error after what was sent.
+// reset ends the stream with an error after the buffered data.
 func (s *stream) reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.broken = true
-	s.changed.Broadcast()
+	s.isReset = true
+	s.cond.Broadcast()
 }
 
 func (s *stream) setReadDeadline(at time.Time) error {
@@ -114,7 +114,7 @@
 	if s.readerClosed {
 		return net.ErrClosed
 	}
-	s.reading.set(at, s)
+	s.readDeadline.set(at, s)
 	return nil
 }
 
@@ -124,19 +124,18 @@
 	if s.writerClosed {
 		return net.ErrClosed
 	}
-	s.writing.set(at, s)
+	s.writeDeadline.set(at, s)
 	return nil
 }
 
-// wake lets waiting ends look again.
+// wake unblocks waiting readers and writers, which check their state again.
 func (s *stream) wake() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.changed.Broadcast()
+	s.cond.Broadcast()
 }
 
-// deadline is the time after which reads or writes of a stream fail; the stream's
-// mutex guards it.
+// deadline is the read or write deadline of a stream, guarded by the stream's mutex.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
@@ -147,8 +146,8 @@
 	d.at = at
 	switch {
 	case at.IsZero():
-	case d.passed():
-		s.changed.Broadcast()
+	case d.expired():
+		s.cond.Broadcast()
 	default:
 		d.timer = time.AfterFunc(time.Until(at), s.wake)
 	}
@@ -161,4 +160,4 @@
 	}
 }
 
-func (d *deadline) passed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+func (d *deadline) expired() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
--- a/internal/option/option.go
+++ b/internal/option/option.go
@@ -1,20 +1,20 @@
-// Package option fills the fields of options that were left out.
+// Package option sets default values of option fields.
 package option
 
 import "cmp"
 
-// Default sets a field that is zero.
-func Default[T comparable](field *T, standard T) {
+// Default sets *field to value if it is zero.
+func Default[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
-		*field = standard
+		*field = value
 	}
 }
 
-// Positive sets a field that is not above zero.
-func Positive[T cmp.Ordered](field *T, standard T) {
+// Positive sets *field to value if it is not positive.
+func Positive[T cmp.Ordered](field *T, value T) {
 	var zero T
 	if *field <= zero {
-		*field = standard
+		*field = value
 	}
 }
--- a/internal/option/option_test.go
+++ b/internal/option/option_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestOnlyMissingValuesAreSet(t *testing.T) {
+func TestDefaultsReplaceOnlyUnsetValues(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct{ given, byDefault, positive time.Duration }{
 		{0, time.Second, time.Second},
--- a/internal/pause/doc.go
+++ b/internal/pause/doc.go
@@ -1,3 +1,2 @@
-// Package pause waits for a time that a context may cut short. Loops that look again,
-// or try again, wait with it, so that each of them ends with its context.
+// Package pause provides a sleep that a context can cancel, for polling and retry loops.
 package pause
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// For waits for the duration and reports whether it passed. It returns false as soon as
-// ctx ends.
+// For waits for the duration and returns true, or returns false as soon as ctx ends.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/internal/pause"
 )
 
-func TestPauseEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestForEndsWithDurationOrContext(t *testing.T) {
 	tests := []struct {
 		name    string
 		context time.Duration
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -14,8 +14,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Client calls the services of other daemons. Its methods may be called from
-// several goroutines.
+// Client calls the services of other daemons. It is safe for concurrent use.
 type Client struct {
 	logger   log.Logger
 	options  Options
@@ -27,7 +26,7 @@
 	peers map[string]*peer
 }
 
-// NewClient makes a client. It dials when it is first asked to call an address.
+// NewClient returns a Client, which dials an address on the first call to it.
 func NewClient(logger log.Logger, options Options) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
@@ -39,15 +38,15 @@
 	}
 }
 
-// Call runs a method ("Service.Method") at address and fills reply, a pointer.
-// It returns within CallTimeout and by the deadline of ctx. Arguments must not be
-// changed afterwards, even when Call failed, since they may still be on their way.
+// Call calls a method ("Service.Method") at address and stores the result in reply, a
+// pointer. It returns within CallTimeout and by the deadline of ctx. The arguments must
+// not be modified afterwards, even after an error, because they may still be in use.
 //
-// The kinds of error: ErrorUnavailable when the peer cannot be reached or the
-// connection broke, ErrorDeadline when time ran out, ErrorOverloaded when too
-// many calls to the peer are in progress, ErrorInvalid for a message above the
-// size limit, ErrorInternal with the peer's text when the method itself failed.
-// Unless NotSent reports true, the method may have run.
+// The error kinds are ErrorUnavailable if the peer is unreachable or the connection
+// broke, ErrorDeadline after a timeout, ErrorOverloaded if too many calls to the peer are
+// in progress, ErrorInvalid for a message above the size limit, and ErrorInternal with
+// the peer's text if the method failed. Unless NotSent reports true, the method may have
+// run.
 func (c *Client) Call(ctx context.Context, address, method string, arguments, reply any) error {
 	c.counters.calls.Add(1)
 	err := c.call(ctx, address, method, arguments, reply)
@@ -74,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	if !conn.begin(c.options.MaxPendingCalls) {
+	if !conn.beginCall(c.options.MaxPendingCalls) {
 		return overloadedError(address)
 	}
 	err = c.exchange(ctx, target, conn, method, arguments, reply)
@@ -84,42 +83,42 @@
 	return err
 }
 
-// exchange sends the request and waits for the reply, which is decoded into a
-// value of its own, so that one that comes late cannot change the caller's.
+// exchange sends the request and waits for the reply. The reply is decoded into a
+// separate value, so that a late reply does not modify the caller's.
 func (c *Client) exchange(ctx context.Context, target *peer, conn *connection, method string, arguments, reply any) error {
 	received := reflect.New(reflect.TypeOf(reply).Elem())
 	done := make(chan *rpc.Call, 1)
-	// Go blocks while the connection does not take the request.
+	// Go blocks while the request cannot be written to the connection.
 	go func() {
 		conn.rpc.Go(method, arguments, received.Interface(), done)
 	}()
 	select {
 	case call := <-done:
-		conn.end()
+		conn.endCall()
 		if call.Error != nil {
-			return c.failed(target, conn, call.Error)
+			return c.callError(target, conn, call.Error)
 		}
-		target.succeeded()
+		target.recordSuccess()
 		reflect.ValueOf(reply).Elem().Set(received.Elem())
 		return nil
 	case <-ctx.Done():
 		go func() {
 			<-done
-			conn.end()
+			conn.endCall()
 		}()
-		if conn.silentFor() >= c.silenceLimit() {
-			target.drop(conn, errors.New("the connection has gone silent"))
+		if conn.unresponsiveFor() >= c.unresponsiveLimit() {
+			target.drop(conn, errors.New("the connection is unresponsive"))
 		}
 		return sentDeadlineError(ctx, target.address)
 	}
 }
 
-// silenceLimit is how long a connection with a call in progress may be silent
-// before it counts as half open, whatever the deadlines of its calls. It is a little
-// under the call timeout, so that the call that reveals it is not just short of it.
-func (c *Client) silenceLimit() time.Duration { return c.options.CallTimeout * 9 / 10 }
+// unresponsiveLimit returns how long a connection with calls in progress may receive
+// nothing before it counts as half-open. It is slightly less than CallTimeout, so that a
+// call that times out exceeds it.
+func (c *Client) unresponsiveLimit() time.Duration { return c.options.CallTimeout * 9 / 10 }
 
-func (c *Client) failed(target *peer, conn *connection, err error) error {
+func (c *Client) callError(target *peer, conn *connection, err error) error {
 	var remote rpc.ServerError
 	isRemote := errors.As(err, &remote)
 	isTooLarge := strings.Contains(err.Error(), errMessageTooLarge.Error())
@@ -130,10 +129,10 @@
 	case isTooLarge:
 		return structs.NewError(structs.ErrorInvalid,
 			"the message to or from "+target.address+" exceeds the size limit",
-			"Send less at once, or raise the message limit on both ends.")
+			"Send smaller messages, or raise the message limit at both ends.")
 	case isRemote:
 		return structs.NewError(structs.ErrorInternal,
-			"peer "+target.address+" failed: "+err.Error(), "Look into the log of the daemon there.")
+			"peer "+target.address+" failed: "+err.Error(), "Check the log of that daemon.")
 	}
 	return brokenError(target.address, err)
 }
@@ -152,7 +151,7 @@
 // Stats returns the traffic counters.
 func (c *Client) Stats() Stats { return c.counters.stats() }
 
-// Close closes all connections; calls in progress fail as unavailable.
+// Close closes all connections. Calls in progress fail with ErrorUnavailable.
 func (c *Client) Close() {
 	c.cancel()
 	c.mutex.Lock()
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -13,19 +13,18 @@
 	"github.com/pkg/errors"
 )
 
-// readBufferBytes is the read buffer of one connection.
+// readBufferBytes is the read buffer size of a connection.
 const readBufferBytes = 16 << 10
 
-// errMessageTooLarge says that a message exceeds MaxMessageBytes. The connection
-// cannot be used afterwards. The text also comes back from the peer and from
-// net/rpc, which keep no error values.
+// errMessageTooLarge reports a message above MaxMessageBytes. The connection cannot be
+// used afterwards. Errors from the peer and net/rpc contain only its text.
 var errMessageTooLarge = errors.New("message is larger than the limit")
 
-// countedConn counts the bytes of a connection and notes when it last received.
+// countedConn counts the bytes of a connection and records the time of the last receipt.
 type countedConn struct {
 	net.Conn
 	counters *counters
-	// receivedAt is the time of the last byte received, as nanoseconds since started.
+	// receivedAt is the time of the last received byte, in nanoseconds since started.
 	started    time.Time
 	receivedAt atomic.Int64
 }
@@ -45,7 +44,7 @@
 	return count, err
 }
 
-// Write implements net.Conn. The bytes are counted before the peer can answer them.
+// Write implements net.Conn. It counts the bytes before the peer can respond.
 func (c *countedConn) Write(buffer []byte) (int, error) {
 	c.counters.bytesOut.Add(uint64(len(buffer)))
 	count, err := c.Conn.Write(buffer)
@@ -54,8 +53,8 @@
 	return count, err
 }
 
-// limitedReader fails once more than its allowance has been read. It is an
-// io.ByteReader, so that gob reads no further than the message.
+// limitedReader returns errMessageTooLarge after remaining bytes. It implements
+// io.ByteReader, so that gob does not read past the message.
 type limitedReader struct {
 	reader    *bufio.Reader
 	remaining int
@@ -96,8 +95,8 @@
 	decoder *gob.Decoder
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
-	// overrun is set once a message was too large: the rest of it is still to come,
-	// so nothing more can be read.
+	// overrun is set after a message that was too large. The rest of it is still unread,
+	// so no further message can be decoded.
 	overrun bool
 }
 
@@ -157,14 +156,14 @@
 	return err
 }
 
-// maxKeptBufferBytes bounds the write buffer that an idle connection keeps.
+// maxKeptBufferBytes bounds the write buffer of an idle connection.
 const maxKeptBufferBytes = 1 << 20
 
-// clientCodec implements rpc.ClientCodec. It calls broken once the connection
-// yields no more replies, so that no further call is made on it.
+// clientCodec implements rpc.ClientCodec. It calls onReadError after a read error, so
+// that no further calls use the connection.
 type clientCodec struct {
 	*messageCodec
-	broken func(error)
+	onReadError func(error)
 }
 
 // WriteRequest implements rpc.ClientCodec.
@@ -176,7 +175,7 @@
 func (c clientCodec) ReadResponseHeader(response *rpc.Response) error {
 	err := c.read(response)
 	if err != nil {
-		c.broken(err)
+		c.onReadError(err)
 	}
 	return err
 }
@@ -187,8 +186,8 @@
 // Close implements rpc.ClientCodec.
 func (c clientCodec) Close() error { return c.conn.Close() }
 
-// serverCodec implements rpc.ServerCodec. It stops reading while the calls in
-// progress on its connection are at their limit.
+// serverCodec implements rpc.ServerCodec. It stops reading while the connection has the
+// maximum number of calls in progress.
 type serverCodec struct {
 	*messageCodec
 	slots chan struct{}
@@ -216,7 +215,7 @@
 // ReadRequestBody implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestBody(body any) error { return c.read(body) }
 
-// WriteResponse implements rpc.ServerCodec. net/rpc calls it once a request.
+// WriteResponse implements rpc.ServerCodec. net/rpc calls it once per request.
 func (c *serverCodec) WriteResponse(response *rpc.Response, body any) error {
 	defer func() { <-c.slots }()
 	return c.write(response, body)
--- a/internal/transport/faulthttp.go
+++ b/internal/transport/faulthttp.go
@@ -6,9 +6,8 @@
 	"net/http"
 )
 
-// HTTP returns next with the fault point before it: HTTP requests to an address
-// that is cut fail as if it could not be dialled, and answers in progress break
-// off with the next bytes that come.
+// HTTP returns a RoundTripper that injects the faults before next. Requests to a cut
+// address fail with a dial error, and responses in progress fail at their next read.
 func (f *Faults) HTTP(next http.RoundTripper) http.RoundTripper {
 	return faultyRoundTripper{faults: f, next: next}
 }
@@ -35,7 +34,7 @@
 	return response, nil
 }
 
-// faultyBody is the body of an answer that a cut breaks off.
+// faultyBody is a response body that fails after a cut.
 type faultyBody struct {
 	io.ReadCloser
 	faults  *Faults
--- a/internal/transport/faults.go
+++ b/internal/transport/faults.go
@@ -9,20 +9,19 @@
 	"github.com/lotusferry/lotusferry/internal/pause"
 )
 
-// errCut is the cause of what fails because an address is cut.
-var errCut = errors.New("cut by the fault point")
+// errCut is the cause of errors due to Cut.
+var errCut = errors.New("cut by fault injection")
 
-// Faults is the fault point of a Client: it cuts or delays the calls to chosen
-// addresses. The zero value and a nil *Faults disturb nothing. Methods may be
-// called from several goroutines.
+// Faults injects faults into a Client: it cuts or delays the calls to selected
+// addresses. The zero value and a nil *Faults inject none. It is safe for concurrent use.
 type Faults struct {
 	mutex  sync.Mutex
 	cut    map[string]bool
 	delays map[string]time.Duration
 }
 
-// Cut makes calls to address fail as unavailable: new ones are not sent, and the
-// replies of those in progress are lost.
+// Cut makes calls to address fail with ErrorUnavailable. New calls are not sent, and the
+// replies of calls in progress are lost.
 func (f *Faults) Cut(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -32,7 +31,7 @@
 	f.cut[address] = true
 }
 
-// Heal ends what Cut and Delay did to address.
+// Heal removes the faults of address.
 func (f *Faults) Heal(address string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -40,7 +39,7 @@
 	delete(f.delays, address)
 }
 
-// Delay holds each new call to address back by delay; zero ends it.
+// Delay delays new calls to address; zero removes the delay.
 func (f *Faults) Delay(address string, delay time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -59,7 +58,7 @@
 	return f.cut[address]
 }
 
-// wait holds a call back by the delay of address, or until ctx ends.
+// wait waits for the delay of address or until ctx ends.
 func (f *Faults) wait(ctx context.Context, address string) error {
 	if f == nil {
 		return nil
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/internal/option"
 )
 
-// The defaults for options that are zero.
+// Defaults of zero options.
 const (
 	DefaultDialTimeout  = 2 * time.Second
 	DefaultCallTimeout  = 5 * time.Second
@@ -18,32 +18,31 @@
 	DefaultPendingCalls = 4096
 )
 
-// Options configure a Server or a Client; one value serves both.
+// Options configures a Server or a Client.
 type Options struct {
-	// Address is what the server listens on, as host:port.
+	// Address is the listen address of the server, as host:port.
 	Address string
-	// ServerTLS and ClientTLS configure both ends; both nil means plain TCP, which
-	// is for development on the loopback interface only.
+	// ServerTLS and ClientTLS configure TLS; nil means plain TCP, for development on the
+	// loopback interface only.
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
-	// PeerTLS, when set, gives the client's configuration for an address in the place
-	// of ClientTLS, so that the peer can be held to the name known for the address.
+	// PeerTLS, if set, returns the client's configuration for an address and replaces
+	// ClientTLS, so that the peer's identity can be verified per address.
 	PeerTLS func(address string) *tls.Config
-	// DialTimeout bounds connecting, with the TLS handshake.
+	// DialTimeout bounds connecting, including the TLS handshake.
 	DialTimeout time.Duration
-	// CallTimeout bounds one call, and one write to a connection.
+	// CallTimeout bounds each call and each write to a connection.
 	CallTimeout time.Duration
-	// MaxMessageBytes bounds one message, sent or received.
+	// MaxMessageBytes bounds the size of each message, sent or received.
 	MaxMessageBytes int
-	// MaxPendingCalls bounds the calls in progress on one connection.
+	// MaxPendingCalls bounds the calls in progress per connection.
 	MaxPendingCalls int
-	// Network is what the server listens on and the client dials over; nil means TCP
-	// with keep-alive probes.
+	// Network is used to listen and dial; nil means TCP with keep-alive probes.
 	Network network.Network
-	// Random draws the pauses after failed dials; nil means the global source. It is
-	// called from several goroutines.
+	// Random is the source of the jitter of dial backoffs; nil means the global source. It
+	// must be safe for concurrent use.
 	Random func() uint64
-	// Faults, when set, is asked before and after each call of the client.
+	// Faults, if set, injects faults into the calls of the client.
 	Faults *Faults
 }
 
@@ -61,8 +60,8 @@
 	return o
 }
 
-// Stats counts the traffic of a Server or Client since it was made. Bytes are
-// those on the wire, after TLS.
+// Stats holds the traffic counters of a Server or Client since its creation. Bytes are
+// counted on the wire, including TLS.
 type Stats struct {
 	BytesIn     uint64
 	BytesOut    uint64
@@ -72,7 +71,7 @@
 	Failures uint64
 }
 
-// counters are the live values behind Stats.
+// counters holds the atomic values of Stats.
 type counters struct {
 	bytesIn     atomic.Uint64
 	bytesOut    atomic.Uint64
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -16,42 +16,42 @@
 )
 
 const (
-	// firstBackoff is the pause after the first failed dial; it doubles with each
-	// further failure up to maxBackoff. The pause is drawn from its upper half.
-	firstBackoff = 50 * time.Millisecond
-	maxBackoff   = 2 * time.Second
+	// minBackoff is the backoff after the first failed dial. It doubles with each further
+	// failure up to maxBackoff. Jitter selects a delay from its upper half.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// peer is the client's side of one address.
+// peer is the client's state for one address.
 type peer struct {
 	address string
 	client  *Client
 
 	mutex sync.Mutex
-	// current is the live connection, or nil.
+	// current is the open connection, or nil.
 	current *connection
-	// dialing is closed when the dial in progress ends; nil when there is none.
+	// dialing is closed when the dial in progress ends; nil if there is none.
 	dialing  chan struct{}
 	failures int
 	retryAt  time.Time
 	lastErr  error
 }
 
-// connection is one live connection with its calls in progress.
+// connection is an open connection with its calls in progress.
 type connection struct {
 	rpc     *rpc.Client
 	counted *countedConn
-	// waiting guards pending, the number of calls in progress, and waitingSince,
-	// the time since which there has been one.
-	waiting      sync.Mutex
+	// mutex guards pending, the number of calls in progress, and pendingSince, the time
+	// since which pending has been positive.
+	mutex        sync.Mutex
 	pending      int
-	waitingSince time.Time
-	// broken is set, under the peer's mutex, once the connection yields no more.
+	pendingSince time.Time
+	// broken is set after a read error. It is guarded by the peer's mutex.
 	broken bool
 }
 
-// connect returns the live connection, dialling when there is none. It fails at
-// once during the pause after a failed dial.
+// connect returns the open connection, or dials if there is none. It fails immediately
+// during the backoff after a failed dial.
 func (p *peer) connect(ctx context.Context) (*connection, error) {
 	for {
 		p.mutex.Lock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// dial runs on its own goroutine, so that a caller whose context ends does not
-// waste the work for the others.
+// dial runs in its own goroutine, so that the end of one caller's context does not abort
+// the dial for others.
 func (p *peer) dial(done chan struct{}) {
 	ctx, cancel := context.WithTimeout(p.client.context, p.client.options.DialTimeout)
 	defer cancel()
@@ -94,18 +94,18 @@
 		return
 	}
 	if err != nil {
-		p.noteFailure(err)
+		p.recordFailure(err)
 		return
 	}
 	if opened.broken {
-		p.noteFailure(io.ErrUnexpectedEOF)
+		p.recordFailure(io.ErrUnexpectedEOF)
 		return
 	}
 	p.current = opened
 }
 
-// succeeded notes a reply: the next failure starts with the shortest pause again.
-func (p *peer) succeeded() {
+// recordSuccess resets the backoff after a reply.
+func (p *peer) recordSuccess() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.failures = 0
@@ -129,13 +129,14 @@
 	opened := &connection{counted: counted}
 	codec := clientCodec{
 		messageCodec: newMessageCodec(conn, p.client.options),
-		broken:       func(err error) { p.forget(opened, err) },
+		onReadError:  func(err error) { p.removeConnection(opened, err) },
 	}
 	opened.rpc = rpc.NewClientWithCodec(codec)
 	return opened, nil
 }
 
-// tlsConfig names the host that is dialled, unless the configuration names one.
+// tlsConfig returns the TLS configuration, with the dialled host as ServerName unless the
+// configuration sets another or skips the verification.
 func (p *peer) tlsConfig() *tls.Config {
 	config := p.client.options.ClientTLS
 	if p.client.options.PeerTLS != nil {
@@ -153,29 +154,29 @@
 	return config
 }
 
-// noteFailure sets the pause before the next dial. The mutex is held.
-func (p *peer) noteFailure(err error) {
-	pause := min(firstBackoff<<min(p.failures, 10), maxBackoff)
+// recordFailure sets the backoff before the next dial. The caller holds the mutex.
+func (p *peer) recordFailure(err error) {
+	pause := min(minBackoff<<min(p.failures, 10), maxBackoff)
 	pause = pause/2 + time.Duration(p.client.options.Random()%uint64(pause/2))
 	p.failures++
 	p.lastErr = err
 	p.retryAt = time.Now().Add(pause)
 }
 
-// forget takes a failed connection out of use; a later call dials again.
-func (p *peer) forget(failed *connection, err error) {
+// removeConnection removes a failed connection; a later call redials.
+func (p *peer) removeConnection(failed *connection, err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	failed.broken = true
 	if p.current == failed {
 		p.current = nil
-		p.noteFailure(err)
+		p.recordFailure(err)
 	}
 }
 
-// drop forgets a failed connection and closes it.
+// drop removes a failed connection and closes it.
 func (p *peer) drop(failed *connection, err error) {
-	p.forget(failed, err)
+	p.removeConnection(failed, err)
 	level.Warn(p.client.logger).Log("msg", "A connection was closed.", "peer", p.address, "err", err)
 	_ = failed.rpc.Close()
 }
@@ -189,52 +190,52 @@
 	}
 }
 
-// begin counts a call in; false when there are limit calls already.
-func (c *connection) begin(limit int) bool {
-	c.waiting.Lock()
-	defer c.waiting.Unlock()
+// beginCall counts a new call. It returns false if limit calls are in progress.
+func (c *connection) beginCall(limit int) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if c.pending >= limit {
 		return false
 	}
 	if c.pending == 0 {
-		c.waitingSince = time.Now()
+		c.pendingSince = time.Now()
 	}
 	c.pending++
 	return true
 }
 
-func (c *connection) end() {
-	c.waiting.Lock()
-	defer c.waiting.Unlock()
+func (c *connection) endCall() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	c.pending--
 }
 
-// silentFor returns for how long nothing has been received although a call was in
-// progress. Calls that gave up still count until their reply comes.
-func (c *connection) silentFor() time.Duration {
-	c.waiting.Lock()
-	defer c.waiting.Unlock()
+// unresponsiveFor returns how long nothing has been received while calls were in
+// progress. Calls that timed out count until their reply arrives.
+func (c *connection) unresponsiveFor() time.Duration {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if c.pending == 0 {
 		return 0
 	}
 	since := c.counted.started.Add(time.Duration(c.counted.receivedAt.Load()))
-	if c.waitingSince.After(since) {
-		since = c.waitingSince
+	if c.pendingSince.After(since) {
+		since = c.pendingSince
 	}
 	return time.Since(since)
 }
 
 func unreachableError(address string, cause error, retryAfter time.Duration) error {
-	message := "peer " + address + " cannot be reached"
+	message := "peer " + address + " is unreachable"
 	if cause != nil {
 		message += " (" + cause.Error() + ")"
 	}
 	typed := structs.NewError(structs.ErrorUnavailable, message,
-		"Check that the daemon there runs and that the network between the zones is up.")
+		"Check that the daemon is running and that the network between the zones is up.")
 	var certificate *tls.CertificateVerificationError
 	if errors.As(cause, &certificate) {
 		typed.Kind = structs.ErrorDenied
-		typed.Remedy = "Check that both daemons have certificates of the same CA that are still valid."
+		typed.Remedy = "Check that both daemons have valid certificates of the same CA."
 	}
 	typed.RetryAfter = retryAfter
 	return notSentError{typed}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -13,14 +13,14 @@
 	"github.com/pkg/errors"
 )
 
-// acceptPause is how long the server waits after a failed accept (for example,
-// too many open files) before it accepts again.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, for example due to too many open
+// files.
+const acceptRetryDelay = 100 * time.Millisecond
 
-// keepAlive finds peers that vanished while a connection was idle.
+// keepAlive detects unreachable peers of idle connections.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 10 * time.Second, Interval: 5 * time.Second, Count: 3}
 
-// Server answers net/rpc calls of other daemons.
+// Server serves net/rpc calls of other daemons.
 type Server struct {
 	logger   log.Logger
 	options  Options
@@ -35,7 +35,7 @@
 	handlers    sync.WaitGroup
 }
 
-// NewServer listens on options.Address. Connections wait until Serve.
+// NewServer listens on options.Address. Connections are accepted by Serve.
 func NewServer(logger log.Logger, options Options) (*Server, error) {
 	options = options.withDefaults()
 	listener, err := options.Network.Listen(context.Background(), options.Address)
@@ -56,7 +56,7 @@
 // Address returns the address the server listens on, with its actual port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Register offers the methods of receiver as the net/rpc service name.
+// Register registers the methods of receiver as the net/rpc service name.
 func (s *Server) Register(name string, receiver any) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// Shared returns the receiver registered under name, and first registers the one
-// that create makes when there is none. Several users of one service share it so.
+// Shared returns the receiver registered under name. If there is none, it registers the
+// result of create first.
 func (s *Server) Shared(name string, create func() any) (any, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -100,7 +100,7 @@
 		select {
 		case <-s.closed:
 			return
-		case <-time.After(acceptPause):
+		case <-time.After(acceptRetryDelay):
 			level.Error(s.logger).Log("msg", "A connection could not be accepted.", "err", err)
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 func (s *Server) handle(raw net.Conn) {
-	defer s.forget(raw)
+	defer s.removeConnection(raw)
 	var conn net.Conn = newCountedConn(raw, &s.counters)
 	if s.options.ServerTLS != nil {
 		secured := tls.Server(conn, s.options.ServerTLS)
@@ -140,7 +140,7 @@
 	s.rpc.ServeCodec(codec)
 }
 
-// closeWith releases a reader that waits for a free slot when the server closes.
+// closeWith unblocks a reader that waits for a slot when the server closes.
 func (c *serverCodec) closeWith(closed, stop <-chan struct{}) {
 	select {
 	case <-closed:
@@ -149,15 +149,14 @@
 	}
 }
 
-func (s *Server) forget(conn net.Conn) {
+func (s *Server) removeConnection(conn net.Conn) {
 	_ = conn.Close()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.connections, conn)
 }
 
-// Close stops listening, closes all connections and waits until the calls in
-// progress have returned.
+// Close stops listening, closes all connections and waits for the calls in progress.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	select {
--- a/internal/transport/tls_test.go
+++ b/internal/transport/tls_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestOnlyPeersOfTheSameAuthorityAreServed(t *testing.T) {
+func TestServerRejectsPeersOfOtherAuthorities(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := networktest.NewMemory(0)
@@ -68,7 +68,7 @@
 		c.Assert(reply, qt.Equals, "secret")
 		_, err = echo(startClient(c, other.options(c, memory)), server.Address(), "")
 		c.Assert(structs.KindOf(err), qt.Equals, structs.ErrorDenied)
-		// A client that trusts the server but is of another authority.
+		// A client that trusts the server but has a certificate of another authority.
 		mixed := other.options(c, memory)
 		mixed.ClientTLS.RootCAs = site.options(c, memory).ClientTLS.RootCAs
 		_, err = echo(startClient(c, mixed), server.Address(), "")
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -21,15 +21,15 @@
 const loopback = "127.0.0.1:0"
 
 const (
-	// shortTimeout is for calls that are to run out of time, longTimeout for those
-	// that are to end otherwise, on however busy a machine.
+	// shortTimeout is for calls that must time out. longTimeout is for calls that must
+	// not, even on a busy machine.
 	shortTimeout = 100 * time.Millisecond
 	longTimeout  = 5 * time.Minute
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echoService answers with what it was asked, when its gate is open.
+// echoService is the net/rpc service of the tests.
 type echoService struct {
 	gate    chan struct{}
 	entered chan struct{}
@@ -41,16 +41,16 @@
 	return nil
 }
 
-// Enlarge returns more than it was given.
+// Enlarge returns the text with 10,000 bytes appended.
 func (e *echoService) Enlarge(text string, reply *string) error {
 	*reply = text + string(make([]byte, 10_000))
 	return nil
 }
 
-// Fail fails.
-func (e *echoService) Fail(string, *string) error { return errors.New("no such lot") }
+// Fail returns an error.
+func (e *echoService) Fail(string, *string) error { return errors.New("method failed") }
 
-// Wait announces itself and returns once the gate is open.
+// Wait sends to entered and returns the text after the gate is closed.
 func (e *echoService) Wait(text string, reply *string) error {
 	e.entered <- struct{}{}
 	<-e.gate
@@ -90,15 +90,15 @@
 	return reply, err
 }
 
-// endPause lets the next call dial at once.
-func endPause(target *peer) {
+// resetBackoff lets the next call dial immediately.
+func resetBackoff(target *peer) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	target.retryAt = time.Time{}
 }
 
-// silentListener takes connections and never answers.
-func silentListener(c *qt.C) string {
+// unresponsiveListener returns the address of a listener that never accepts.
+func unresponsiveListener(c *qt.C) string {
 	listener, err := net.Listen("tcp", loopback)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = listener.Close() })
@@ -122,7 +122,7 @@
 	c.Assert(stats.BytesIn > 0, qt.IsTrue)
 }
 
-func TestErrorsAreTypedAndTellWhetherTheCallMayHaveRun(t *testing.T) {
+func TestCallErrorKindsAndNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := networktest.NewMemory(0)
@@ -138,7 +138,7 @@
 		options.Faults = faults
 		cancelled, cancel := context.WithCancel(context.Background())
 		cancel()
-		// Only the calls that must run out of time have little of it.
+		// Only calls that must time out have a short timeout.
 		short := shortTimeout
 		for _, test := range []struct {
 			name, address, method, text string
@@ -151,7 +151,7 @@
 			{"no such method", server.Address(), "Echo.None", "", nil, 0, structs.ErrorInternal, false},
 			{"slow method", server.Address(), "Echo.Wait", "", nil, short, structs.ErrorDeadline, false},
 			{"too large", server.Address(), "Echo.Echo", string(make([]byte, 20_000)), nil, 0, structs.ErrorInvalid, false},
-			{"nobody listens", closed.Addr().String(), "Echo.Echo", "", nil, 0, structs.ErrorUnavailable, true},
+			{"no listener", closed.Addr().String(), "Echo.Echo", "", nil, 0, structs.ErrorUnavailable, true},
 			{"cut", "127.0.0.1:1", "Echo.Echo", "", nil, 0, structs.ErrorUnavailable, true},
 			{"delayed", "127.0.0.1:2", "Echo.Echo", "", nil, short, structs.ErrorDeadline, true},
 			{"cancelled", server.Address(), "Echo.Echo", "", cancelled, 0, structs.ErrorUnavailable, true},
@@ -173,7 +173,7 @@
 	})
 }
 
-func TestFailedDialMakesCallsFailAtOnceForAWhile(t *testing.T) {
+func TestCallsFailImmediatelyDuringDialBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := networktest.NewMemory(0)
@@ -193,15 +193,15 @@
 		c.Assert(errors.As(err, &typed), qt.IsTrue)
 		c.Assert(typed.RetryAfter > time.Minute, qt.IsTrue)
 		startServer(c, Options{Network: memory, Address: address})
-		endPause(target)
+		resetBackoff(target)
 		reply, err := echo(client, address, "back")
 		c.Assert(err, qt.IsNil)
 		c.Assert(reply, qt.Equals, "back")
 	})
 }
 
-// callSilent makes calls that the peer takes no request of.
-func callSilent(client *Client, address string) (failures chan error, count int) {
+// callUnresponsive starts calls whose requests the peer does not read.
+func callUnresponsive(client *Client, address string) (failures chan error, count int) {
 	const callers = 8
 	failures = make(chan error, callers)
 	for range callers {
@@ -213,15 +213,15 @@
 	return failures, callers
 }
 
-// TestSilentPeerDelaysNoOther keeps real time: calls that wait to be sent wait for a
-// mutex, which virtual time does not pass over.
-func TestSilentPeerDelaysNoOther(t *testing.T) {
+// TestUnresponsivePeerDoesNotDelayOthers uses real time, because unsent calls block on a
+// mutex, which stops virtual time.
+func TestUnresponsivePeerDoesNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	silent := silentListener(c)
+	silent := unresponsiveListener(c)
 	server, _ := startServer(c, Options{})
 	client := startClient(c, Options{CallTimeout: longTimeout})
-	failures, count := callSilent(client, silent)
+	failures, count := callUnresponsive(client, silent)
 	reply, err := echo(client, server.Address(), "quick")
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply, qt.Equals, "quick")
@@ -232,12 +232,12 @@
 	}
 }
 
-func TestSilentPeerIsDialledAgain(t *testing.T) {
+func TestUnresponsiveConnectionIsDropped(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	silent := silentListener(c)
+	silent := unresponsiveListener(c)
 	client := startClient(c, Options{CallTimeout: shortTimeout})
-	failures, count := callSilent(client, silent)
+	failures, count := callUnresponsive(client, silent)
 	for range count {
 		kind := structs.KindOf(<-failures)
 		c.Assert(kind == structs.ErrorDeadline || kind == structs.ErrorUnavailable, qt.IsTrue, qt.Commentf("%s", kind))
@@ -248,7 +248,7 @@
 	c.Assert(target.current, qt.IsNil)
 }
 
-func TestSlowCallLeavesItsConnectionInUse(t *testing.T) {
+func TestCancelledCallKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := networktest.NewMemory(0)
@@ -261,7 +261,7 @@
 		<-service.entered
 		cancel()
 		c.Assert(structs.KindOf(<-failed), qt.Equals, structs.ErrorUnavailable)
-		close(service.gate) // the late reply goes nowhere
+		close(service.gate) // the late reply is discarded
 		other, err := echo(client, server.Address(), "next")
 		c.Assert(err, qt.IsNil)
 		c.Assert(other, qt.Equals, "next")
@@ -270,7 +270,7 @@
 	})
 }
 
-func TestCallsInProgressAreBounded(t *testing.T) {
+func TestPendingCallsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := networktest.NewMemory(0)
@@ -294,7 +294,7 @@
 	})
 }
 
-func TestOversizedMessagesAreRefusedByTheReceiver(t *testing.T) {
+func TestReceiverRejectsOversizedMessages(t *testing.T) {
 	const small = 1000
 	for _, test := range []struct {
 		name           string
@@ -314,7 +314,7 @@
 				var reply string
 				err := client.Call(context.Background(), server.Address(), test.method, test.text, &reply)
 				c.Assert(structs.KindOf(err), qt.Equals, structs.ErrorInvalid, qt.Commentf("%v", err))
-				endPause(client.peer(server.Address()))
+				resetBackoff(client.peer(server.Address()))
 				reply, err = echo(client, server.Address(), "next")
 				c.Assert(err, qt.IsNil)
 				c.Assert(reply, qt.Equals, "next")
@@ -323,7 +323,7 @@
 	}
 }
 
-func TestCutLosesTheReplyOfACallInProgress(t *testing.T) {
+func TestCutDropsTheReplyOfACallInProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := networktest.NewMemory(0)
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -1,7 +1,7 @@
-// Package wake wakes loops.
+// Package wake signals goroutines through buffered channels.
 package wake
 
-// Up leaves a word for whoever receives from a channel that has room for one, unless there is one already.
+// Up sends to a channel with a buffer of one without blocking. It does nothing if a signal is already pending.
 func Up(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
