--- a/config/check_tls.go
+++ b/config/check_tls.go
@@ -86,7 +86,7 @@
 }
 
 // certificateCovers warns when the certificate does not include the listen address.
-func (k *checker) certificateCovers(key, value string, own keys.Own) {
+func (k *checker) certificateCovers(key, value string, own keys.CertificateInfo) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || address.Addr().IsUnspecified() || own.Covers(address.Addr()) {
 		return
