--- a/request/api/stream.go
+++ b/request/api/stream.go
@@ -18,8 +18,8 @@
 	control *http.ResponseController
 	reply   reply
 	tokens  int
-	// prefix and after stand around the text of a token in the middle of the
-	// answer; buffer is used again for each event.
+	// prefix and suffix surround the text in the events of middle tokens; buffer is
+	// reused between events.
 	prefix []byte
 	suffix []byte
 	buffer []byte
