--- a/request/engineapi/blocks.go
+++ b/request/engineapi/blocks.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// TokenBytes is how many bytes of a prompt count as one token.
+	// TokenBytes is the assumed number of prompt bytes per token.
 	TokenBytes = 4
-	// BlockTokens is how many tokens one prefix block holds.
+	// BlockTokens is the number of tokens in a prefix block.
 	BlockTokens = 16
-	// BlockBytes is how many bytes of a prompt one prefix block holds.
+	// BlockBytes is the number of prompt bytes in a prefix block.
 	BlockBytes = TokenBytes * BlockTokens
 )
 
-// PromptTokens returns how many tokens a prompt has.
+// PromptTokens returns the estimated number of tokens of a prompt, rounded up.
 func PromptTokens(prompt string) int {
 	return (len(prompt) + TokenBytes - 1) / TokenBytes
 }
 
-// PromptBlocks returns the keys of the whole prefix blocks of a prompt. Key i
-// depends on the row and on the prompt up to the end of block i, so two prompts
-// share as many leading keys as they share whole blocks.
+// PromptBlocks returns the keys of the complete prefix blocks of a prompt. Key i is a
+// hash of the row and the prompt up to the end of block i, so two prompts of a row
+// with n leading blocks in common have n leading keys in common.
 func PromptBlocks(row structs.RowName, prompt string) []uint64 {
 	keys := make([]uint64, 0, len(prompt)/BlockBytes)
 	var digest xxhash.Digest
--- a/request/engineapi/client.go
+++ b/request/engineapi/client.go
@@ -18,29 +18,29 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// ClientOptions are the limits of a Client. A zero field means its default.
+// ClientOptions configures a Client. Zero fields have the defaults given in parentheses.
 type ClientOptions struct {
-	// DialTimeout bounds the making of a connection (1 s).
+	// DialTimeout is the timeout for connecting (1 s).
 	DialTimeout time.Duration
-	// HeaderTimeout bounds the wait for the response header (10 s). An engine
-	// sends the header when it accepts a request, before the first token.
+	// HeaderTimeout is the timeout for the response header (10 s). Engines send the
+	// header when they accept a request, before the first token.
 	HeaderTimeout time.Duration
-	// CallTimeout bounds a whole unary call (10 s); Fetch has only its context.
+	// CallTimeout is the timeout of a unary call other than Fetch (10 s).
 	CallTimeout time.Duration
-	// IdleTimeout closes connections that were not used for so long (90 s).
+	// IdleTimeout is how long idle connections are kept open (90 s).
 	IdleTimeout time.Duration
-	// DrainTimeout bounds how long Stream.Close waits for the trailer of a finished
-	// stream, so that its connection can be used again (50 ms).
+	// DrainTimeout is how long Stream.Close waits for the trailer of a finished
+	// stream, so that its connection can be reused (50 ms).
 	DrainTimeout time.Duration
-	// StreamsPerHost bounds the streams to one engine (512).
+	// StreamsPerHost is the maximum number of concurrent streams to an engine (512).
 	StreamsPerHost int
-	// CallsPerHost bounds the unary calls under way to one back end (32).
+	// CallsPerHost is the maximum number of concurrent unary calls to a back end (32).
 	CallsPerHost int
-	// MaxLine bounds one line of a stream in bytes (DefaultMaxLine).
+	// MaxLine is the maximum length of a stream line in bytes (DefaultMaxLine).
 	MaxLine int
-	// MaxBody bounds the body of a unary answer in bytes (16 MB).
+	// MaxBody is the maximum size of a unary response body in bytes (16 MiB).
 	MaxBody int64
-	// Network is what the client dials over; nil means TCP.
+	// Network is used to dial (TCP).
 	Network network.Network
 }
 
@@ -56,13 +56,13 @@
 	maxIdleConnections    = 16 << 10
 	maxHeaderBytes        = 16 << 10
 	maxErrorBody          = 16 << 10
-	// streamOverhead is what a token's event may take besides its text, in bytes.
-	streamOverhead = 1 << 10
-	// maxStreamTokens bounds the tokens that a stream's size is reckoned for.
+	// maxEventOverhead is the maximum size of a token event without its text, in bytes.
+	maxEventOverhead = 1 << 10
+	// maxStreamTokens limits the number of tokens used to compute a stream's size limit.
 	maxStreamTokens = 1 << 20
 )
 
-// withDefaults fills the zero fields.
+// withDefaults sets zero fields to their defaults.
 func (o ClientOptions) withDefaults() ClientOptions {
 	option.Default(&o.DialTimeout, defaultDialTimeout)
 	option.Default(&o.HeaderTimeout, defaultHeaderTimeout)
@@ -77,9 +77,9 @@
 	return o
 }
 
-// Client calls back ends. One Client serves a whole process; it is safe for
-// concurrent use. Streams and unary calls have connections of their own, so that
-// a full engine still answers orders.
+// Client calls back ends. It is safe for concurrent use, and one Client is enough for
+// a process. Streams and unary calls have separate connection pools, so that orders
+// can be sent to an engine at its stream limit.
 type Client struct {
 	options ClientOptions
 	streams *http.Client
@@ -87,7 +87,7 @@
 	fetches *http.Client
 }
 
-// NewClient makes a Client.
+// NewClient returns a Client with the given options.
 func NewClient(options ClientOptions) *Client {
 	options = options.withDefaults()
 	calls := newTransport(options, options.CallsPerHost)
@@ -102,12 +102,12 @@
 	}
 }
 
-func newTransport(options ClientOptions, perHost int) *http.Transport {
+func newTransport(options ClientOptions, maxConnsPerHost int) *http.Transport {
 	return &http.Transport{
 		DialContext:            network.DialWithin(options.Network, options.DialTimeout),
 		MaxIdleConns:           maxIdleConnections,
-		MaxIdleConnsPerHost:    perHost,
-		MaxConnsPerHost:        perHost,
+		MaxIdleConnsPerHost:    maxConnsPerHost,
+		MaxConnsPerHost:        maxConnsPerHost,
 		IdleConnTimeout:        options.IdleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		DisableCompression:     true,
@@ -123,17 +123,17 @@
 	}
 }
 
-// Close closes the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.streams.CloseIdleConnections()
 	c.calls.CloseIdleConnections()
 	c.fetches.CloseIdleConnections()
 }
 
-// Generate sends the request and returns its stream once the engine has accepted
-// it. The caller must Close the stream. Errors are *CallError. Only ctx bounds the
-// wait for a free connection to the engine, which counts as not sent, and the
-// wait for tokens.
+// Generate sends the request and returns its stream once the engine has accepted it.
+// The caller must Close the stream. Errors are of type *CallError. Waiting for a free
+// connection to the engine, which counts as not sent, and for tokens has no timeout
+// other than that of ctx.
 func (c *Client) Generate(ctx context.Context, address string, request structs.GenerateRequest) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	response, err := c.send(ctx, c.streams, http.MethodPost, address, PathGenerate, request)
@@ -141,33 +141,33 @@
 		cancel()
 		return nil, err
 	}
-	if err := checkStream(response); err != nil {
+	if err := checkContentType(response); err != nil {
 		_ = response.Body.Close()
 		cancel()
 		return nil, &CallError{Stage: StageBroken, Operation: PathGenerate, Address: address, Status: response.StatusCode, Err: err}
 	}
 	bounded := io.LimitReader(response.Body, c.streamLimit(request))
 	return &Stream{
-		address:  address,
-		request:  request,
-		body:     response.Body,
-		decoder:  NewTokenDecoder(bounded, c.options.MaxLine),
-		response: response,
-		cancel:   cancel,
-		drain:    c.options.DrainTimeout,
-		next:     request.ResumeFrom,
+		address:      address,
+		request:      request,
+		body:         response.Body,
+		decoder:      NewTokenDecoder(bounded, c.options.MaxLine),
+		response:     response,
+		cancel:       cancel,
+		drainTimeout: c.options.DrainTimeout,
+		next:         request.ResumeFrom,
 	}, nil
 }
 
-// streamLimit bounds the body of a stream in bytes: a body cut there has no
-// finish and is an error.
+// streamLimit returns the maximum size of a stream body in bytes. A longer body is
+// truncated, so that it has no finish reason and results in an error.
 func (c *Client) streamLimit(request structs.GenerateRequest) int64 {
-	wanted := min(max(request.MaxTokens-request.ResumeFrom, 0), maxStreamTokens)
-	tokens := int64(wanted + 1 + maxRepeats)
-	return tokens*streamOverhead + int64(c.options.MaxLine)
+	remaining := min(max(request.MaxTokens-request.ResumeFrom, 0), maxStreamTokens)
+	tokens := int64(remaining + 1 + maxRepeats)
+	return tokens*maxEventOverhead + int64(c.options.MaxLine)
 }
 
-func checkStream(response *http.Response) error {
+func checkContentType(response *http.Response) error {
 	mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	if err != nil || mediaType != ContentTypeEvents {
 		return malformed("the answer is not an event stream")
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// send makes and sends one request and returns a response of status 200. All
-// errors are *CallError.
+// send creates and sends a request and returns a response with status 200. Errors are
+// of type *CallError.
 func (c *Client) send(ctx context.Context, client *http.Client, method, address, operation string, body any) (*http.Response, error) {
 	request, err := newRequest(ctx, method, address, operation, body)
 	if err != nil {
@@ -185,30 +185,30 @@
 	return do(client, request)
 }
 
-// do sends the request and returns a response of status 200. All errors are
-// *CallError; without a connection nothing was sent.
+// do sends the request and returns a response with status 200. Errors are of type
+// *CallError, with StageNotSent if no connection was obtained.
 func do(client *http.Client, request *http.Request) (*http.Response, error) {
-	call := &CallError{Stage: StageNotSent, Operation: request.URL.Path, Address: request.URL.Host}
+	callErr := &CallError{Stage: StageNotSent, Operation: request.URL.Path, Address: request.URL.Host}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	response, err := client.Do(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
 	if err != nil {
 		if connected.Load() {
-			call.Stage = StageBroken
+			callErr.Stage = StageBroken
 		}
-		call.Err = err
-		return nil, call
+		callErr.Err = err
+		return nil, callErr
 	}
 	if response.StatusCode == http.StatusOK {
 		return response, nil
 	}
 	defer func() { _ = response.Body.Close() }()
-	return nil, refusal(call, response)
+	return nil, responseError(callErr, response)
 }
 
-// refusal turns a response that is not 200 into a CallError. Only a client error
-// or 503 that says not-run is a certain refusal.
-func refusal(call *CallError, response *http.Response) *CallError {
+// responseError completes call from a response whose status is not 200. The stage is
+// StageRefused only for a 4xx or 503 response with ExecutionNotRun.
+func responseError(call *CallError, response *http.Response) *CallError {
 	call.Status = response.StatusCode
 	call.Stage = StageBroken
 	clientError := response.StatusCode >= http.StatusBadRequest && response.StatusCode < http.StatusInternalServerError
@@ -237,7 +237,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+operation, reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	if body != nil {
 		request.Header.Set("Content-Type", ContentTypeJSON)
--- a/request/engineapi/client_test.go
+++ b/request/engineapi/client_test.go
@@ -18,7 +18,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestErrorsTellWhetherTheRequestCanHaveRun(t *testing.T) {
+func TestCallErrorStage(t *testing.T) {
 	refused := engineapi.NewErrorBody(*structs.NewError(structs.ErrorOverloaded, "full", "wait"))
 	refused.RetryAfter = time.Second
 	body, err := json.Marshal(refused)
@@ -39,7 +39,7 @@
 		{"500 with marker", 500, structs.ExecutionNotRun, string(body), engineapi.StageBroken, structs.ErrorOverloaded},
 		{"redirect", 302, structs.ExecutionNotRun, "", engineapi.StageBroken, structs.ErrorInternal},
 		{"endless error body", 503, "", strings.Repeat(" ", 1<<20) + string(body), engineapi.StageBroken, structs.ErrorInternal},
-		{"200 that is no stream", 200, "", "{}", engineapi.StageBroken, structs.ErrorInternal},
+		{"200 without event stream", 200, "", "{}", engineapi.StageBroken, structs.ErrorInternal},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestConnectionCutAfterTheRequestIsBroken(t *testing.T) {
+func TestConnectionClosedAfterRequestIsBroken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		client, address := serve(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
@@ -95,18 +95,18 @@
 	})
 }
 
-func TestUnaryAnswersAreBoundedAndWhole(t *testing.T) {
+func TestUnaryResponseValidation(t *testing.T) {
 	tests := []struct {
 		name   string
 		body   string
 		length string
 		want   engineapi.Stage
 	}{
-		{name: "whole", body: `{"runner":"a"}`},
+		{name: "complete", body: `{"runner":"a"}`},
 		{name: "too long", body: `{"runner":"` + strings.Repeat("a", 5000) + `"}`, want: engineapi.StageBroken},
-		{name: "too much space", body: `{"runner":"a"}` + strings.Repeat(" ", 5000), want: engineapi.StageBroken},
-		{name: "cut by the connection", body: `{"runner":"a"}`, length: "100", want: engineapi.StageBroken},
-		{name: "cut inside", body: `{"runner":"a"`, want: engineapi.StageBroken},
+		{name: "too much trailing space", body: `{"runner":"a"}` + strings.Repeat(" ", 5000), want: engineapi.StageBroken},
+		{name: "truncated by connection", body: `{"runner":"a"}`, length: "100", want: engineapi.StageBroken},
+		{name: "truncated value", body: `{"runner":"a"`, want: engineapi.StageBroken},
 		{name: "two values", body: `{"runner":"a"}{}`, want: engineapi.StageBroken},
 		{name: "wrong type", body: `{"runner":1}`, want: engineapi.StageBroken},
 		{name: "empty", want: engineapi.StageBroken},
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestEmbeddingsOfAnotherRequestAreAnError(t *testing.T) {
+func TestEmbeddingsReplyMustMatchRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		client, address := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestPromptBlocksShareExactlyTheCommonPrefix(t *testing.T) {
+func TestPromptBlocksCommonPrefix(t *testing.T) {
 	c := qt.New(t)
 	block := strings.Repeat("a", engineapi.BlockBytes)
 	first := engineapi.PromptBlocks("m", block+block+"tail")
--- a/request/engineapi/error.go
+++ b/request/engineapi/error.go
@@ -7,28 +7,27 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Stage tells how far a failed call got.
+// Stage is the stage at which a call failed.
 type Stage string
 
-// The stages of a failed call.
 const (
-	// StageNotSent: no byte of the request was sent. The request did not run.
+	// StageNotSent means that no byte of the request was sent, so it did not run.
 	StageNotSent Stage = "not_sent"
-	// StageRefused: the back end said that the request did not run.
+	// StageRefused means that the back end reported that the request did not run.
 	StageRefused Stage = "refused"
-	// StageBroken: the request may have reached the back end; it may have run.
+	// StageBroken means that the request may have reached the back end and run.
 	StageBroken Stage = "broken"
 )
 
-// CallError is the error of every failed call to a back end.
+// CallError is the error of a failed call to a back end.
 type CallError struct {
 	Stage Stage
-	// Operation is the path called.
+	// Operation is the path of the call.
 	Operation string
 	Address   string
-	// Status is the HTTP status, or 0 when there was no response.
+	// Status is the HTTP status, or 0 if there was no response.
 	Status int
-	// Err is the cause; it is a *structs.Error when the back end sent one.
+	// Err is the cause. It is a *structs.Error if the back end sent one.
 	Err error
 }
 
@@ -40,13 +39,13 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// NotRun reports whether it is certain that the request did not run.
+// NotRun reports whether the request is known not to have run.
 func (e *CallError) NotRun() bool {
 	return e.Stage == StageNotSent || e.Stage == StageRefused
 }
 
-// StageOf returns the stage of the first *CallError in err's chain. An error
-// that carries none counts as broken, and nil as "".
+// StageOf returns the stage of the first *CallError in err's chain, StageBroken if
+// there is none, and "" if err is nil.
 func StageOf(err error) Stage {
 	if err == nil {
 		return ""
@@ -58,7 +57,7 @@
 	return StageBroken
 }
 
-// malformed makes the error of an answer that breaks the protocol.
+// malformed returns the error for a response that violates the protocol.
 func malformed(message string) *structs.Error {
 	return structs.NewError(structs.ErrorInternal, message, "Check the back end's version and its log.")
 }
--- a/request/engineapi/events.go
+++ b/request/engineapi/events.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// DefaultMaxLine bounds one line of an event stream in bytes.
+// DefaultMaxLine is the default maximum length of an event stream line in bytes.
 const DefaultMaxLine = 64 << 10
 
 // readBuffer is the size of a stream's read buffer in bytes.
@@ -35,36 +35,36 @@
 	return append(buffer, eventEnd...), nil
 }
 
-// TokenDecoder reads the tokens of an event stream. It is stricter than the
-// standard of server-sent events: an unknown field, an event without data, a
-// token without ID, or an end inside an event is an error.
+// TokenDecoder decodes tokens from an event stream. It is stricter than the server-sent
+// events specification: an unknown field, an event without data, a token without ID,
+// and the end of the stream within an event are errors.
 type TokenDecoder struct {
 	reader  *bufio.Reader
 	maxLine int
 	// line and data are reused between events.
 	line []byte
 	data []byte
-	// values decodes the data of each event from source; reusing them saves
-	// allocations at every token. fed counts the bytes given to source.
-	values *json.Decoder
-	source bytes.Reader
-	fed    int64
-	token  structs.Token
+	// jsonDecoder decodes the data of each event from source. Both are reused to avoid
+	// allocations. inputBytes is the total number of bytes passed to source.
+	jsonDecoder *json.Decoder
+	source      bytes.Reader
+	inputBytes  int64
+	token       structs.Token
 }
 
-// NewTokenDecoder reads from reader lines and events of at most maxLine bytes;
-// 0 means DefaultMaxLine.
+// NewTokenDecoder returns a decoder that reads from reader. Lines and events are
+// limited to maxLine bytes, or to DefaultMaxLine if maxLine is not positive.
 func NewTokenDecoder(reader io.Reader, maxLine int) *TokenDecoder {
 	if maxLine <= 0 {
 		maxLine = DefaultMaxLine
 	}
 	d := &TokenDecoder{reader: bufio.NewReaderSize(reader, readBuffer), maxLine: maxLine}
-	d.values = json.NewDecoder(&d.source)
+	d.jsonDecoder = json.NewDecoder(&d.source)
 	return d
 }
 
-// Next returns the next token, or io.EOF when the body ended between two events.
-// After an error the decoder must not be used any more.
+// Next returns the next token, or io.EOF at the end of the stream. The decoder must not
+// be used after an error.
 func (d *TokenDecoder) Next() (structs.Token, error) {
 	d.data = d.data[:0]
 	pending := false
@@ -74,7 +74,7 @@
 			return structs.Token{}, io.EOF
 		}
 		if err == io.EOF {
-			return structs.Token{}, malformed("the event stream ended inside an event")
+			return structs.Token{}, malformed("the event stream ended within an event")
 		}
 		if err != nil {
 			return structs.Token{}, err
@@ -85,7 +85,7 @@
 			}
 			return d.decodeToken()
 		}
-		found, err := d.addLine(line, pending)
+		found, err := d.parseLine(line, pending)
 		if err != nil {
 			return structs.Token{}, err
 		}
@@ -93,8 +93,8 @@
 	}
 }
 
-// addLine takes one line of an event and reports whether it carried data.
-func (d *TokenDecoder) addLine(line []byte, pending bool) (bool, error) {
+// parseLine parses one line of an event and reports whether it contained data.
+func (d *TokenDecoder) parseLine(line []byte, pending bool) (bool, error) {
 	if line[0] == ':' {
 		return false, nil
 	}
@@ -120,8 +120,8 @@
 	return true, nil
 }
 
-// readLine returns the next line without its end. The line is valid until the
-// next call.
+// readLine returns the next line without its line terminator. The line is valid until
+// the next call.
 func (d *TokenDecoder) readLine() ([]byte, error) {
 	fragment, err := d.reader.ReadSlice('\n')
 	if err == nil && len(fragment) <= d.maxLine {
@@ -143,16 +143,16 @@
 	return bytes.TrimSuffix(line, []byte("\r"))
 }
 
-// decodeToken decodes the data of one event, which must be one JSON value.
+// decodeToken decodes the data of an event, which must be a single JSON value.
 func (d *TokenDecoder) decodeToken() (structs.Token, error) {
 	data := bytes.TrimSpace(d.data)
 	d.source.Reset(data)
-	d.fed += int64(len(data))
+	d.inputBytes += int64(len(data))
 	d.token = structs.Token{}
-	if err := d.values.Decode(&d.token); err != nil {
+	if err := d.jsonDecoder.Decode(&d.token); err != nil {
 		return structs.Token{}, errors.Wrap(err, "decode token")
 	}
-	if d.values.InputOffset() != d.fed {
+	if d.jsonDecoder.InputOffset() != d.inputBytes {
 		return structs.Token{}, malformed("an event of the stream has more than one value")
 	}
 	if d.token.ID == "" || d.token.Index < 0 {
--- a/request/engineapi/load.go
+++ b/request/engineapi/load.go
@@ -8,11 +8,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// maxLoadHeader bounds the Engine-Load header in bytes.
+// maxLoadHeader is the maximum length of HeaderLoad in bytes.
 const maxLoadHeader = 1 << 10
 
-// EncodeLoad returns the value of HeaderLoad. A report that JSON cannot carry
-// (a rate that is not a number) gives an empty value, which readers skip.
+// EncodeLoad returns the value of HeaderLoad, or an empty value, which readers ignore,
+// if JSON cannot represent the report (such as a NaN rate).
 func EncodeLoad(load structs.LoadReport) string {
 	encoded, err := json.Marshal(load)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return string(encoded)
 }
 
-// DecodeLoad reads a value of HeaderLoad.
+// DecodeLoad parses a value of HeaderLoad.
 func DecodeLoad(value string) (structs.LoadReport, error) {
 	var load structs.LoadReport
 	if len(value) > maxLoadHeader {
--- a/request/engineapi/machinereader.go
+++ b/request/engineapi/machinereader.go
@@ -8,28 +8,28 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// fullReads is after how many reads the whole list is read again, so that a fault of
-// a list that tells changes does not last.
-const fullReads = 60
+// fullReadInterval is the number of reads after which the full list is read again, in
+// case a platform reports wrong changes.
+const fullReadInterval = 60
 
-// MachineReader keeps a zone's machines up to date by the changes of the machine
-// list. Its zero value has read nothing. It is not safe for concurrent use.
+// MachineReader maintains a zone's machines from changes of the machine list. Its zero
+// value is ready to use. It is not safe for concurrent use.
 type MachineReader struct {
 	version  string
 	reads    int
 	machines map[structs.RunnerID]structs.Machine
 }
 
-// Since returns the version to ask for the changes of: empty for the whole list.
+// Since returns the version to read changes since, or "" to read the full list.
 func (r *MachineReader) Since() string {
-	if r.reads >= fullReads {
+	if r.reads >= fullReadInterval {
 		return ""
 	}
 	return r.version
 }
 
-// Take takes the answer to a read for the changes since the version that Since
-// returned, and returns the machines in the order of their runners.
+// Take applies the reply to a read of the changes since the version returned by Since,
+// and returns the machines sorted by runner.
 func (r *MachineReader) Take(changes MachineChanges) []structs.Machine {
 	r.reads++
 	if changes.Full || r.machines == nil {
--- a/request/engineapi/messages.go
+++ b/request/engineapi/messages.go
@@ -6,86 +6,86 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// CancelRequest stops a request and makes the engine refuse its ID from then on.
+// CancelRequest cancels a request and makes the engine refuse its ID from then on.
 type CancelRequest struct {
 	ID structs.RequestID `json:"id"`
 }
 
-// CacheEventKind tells what happened to prefix blocks.
+// CacheEventKind is the kind of a CacheEvent.
 type CacheEventKind string
 
-// The kinds of cache event.
 const (
-	// CacheStored: the blocks are now in the prefix cache.
+	// CacheStored means that the blocks are now in the prefix cache.
 	CacheStored CacheEventKind = "stored"
-	// CacheEvicted: the blocks are no longer in the prefix cache.
+	// CacheEvicted means that the blocks are no longer in the prefix cache.
 	CacheEvicted CacheEventKind = "evicted"
-	// CacheCleared: no block of the row is in the prefix cache.
+	// CacheCleared means that no block of the row is in the prefix cache.
 	CacheCleared CacheEventKind = "cleared"
 )
 
-// CacheEvent is one change of an engine's prefix cache. Sequences rise by one;
-// a missing number is an event that was lost.
+// CacheEvent is a change of an engine's prefix cache. Sequence numbers are
+// consecutive; a gap means that events were lost.
 type CacheEvent struct {
 	Sequence uint64          `json:"sequence"`
 	Kind     CacheEventKind  `json:"kind"`
 	Row      structs.RowName `json:"row"`
-	// Blocks are keys as PromptBlocks makes them.
+	// Blocks are block keys as returned by PromptBlocks.
 	Blocks []uint64 `json:"blocks,omitempty"`
 }
 
-// EventPage is the answer to a read of cache events.
+// EventPage is the reply to a read of cache events.
 type EventPage struct {
 	Incarnation structs.Incarnation `json:"incarnation"`
-	// Oldest is the lowest sequence that the engine still keeps; 0 when none.
+	// Oldest is the lowest retained sequence number, or 0 if there is none.
 	Oldest uint64 `json:"oldest"`
-	// Next is what to pass as after in the next read.
+	// Next is the sequence number to pass as after in the next read.
 	Next   uint64       `json:"next"`
 	Events []CacheEvent `json:"events"`
 }
 
-// ExportRequest asks for the KV cache of a request.
+// ExportRequest requests the KV cache of a request.
 type ExportRequest struct {
 	ID  structs.RequestID `json:"id"`
 	Row structs.RowName   `json:"row"`
 }
 
-// KVCache is the exported KV cache of one request. Another engine that imports it
-// resumes the request without prefill.
+// KVCache is the exported KV cache of a request. An engine that imports it can resume
+// the request without prefill.
 type KVCache struct {
 	ID  structs.RequestID `json:"id"`
 	Row structs.RowName   `json:"row"`
-	// Tokens is how many tokens of prompt and answer the cache covers.
+	// Tokens is the number of prompt and answer tokens in the cache.
 	Tokens int `json:"tokens"`
-	// Generated is how many of them belong to the answer.
+	// Generated is the number of answer tokens in the cache.
 	Generated int `json:"generated"`
-	// Blocks are the keys of the covered blocks.
+	// Blocks are the keys of the blocks in the cache.
 	Blocks []uint64 `json:"blocks"`
 	// SizeBytes is the size of the cache in accelerator memory.
 	SizeBytes int64 `json:"size_bytes"`
 }
 
-// ImportReply says how many tokens the importing engine now holds.
+// ImportReply is the reply to Import. Tokens is the number of tokens that the engine
+// now has in its cache.
 type ImportReply struct {
 	Tokens int `json:"tokens"`
 }
 
-// EmbeddingsRequest asks for one vector for each input.
+// EmbeddingsRequest requests one vector for each input.
 type EmbeddingsRequest struct {
 	ID     structs.RequestID `json:"id"`
 	Row    structs.RowName   `json:"row"`
 	Inputs []string          `json:"inputs"`
-	// Incarnation, when set, must be the engine's own.
+	// Incarnation, if set, must match that of the engine.
 	Incarnation structs.Incarnation `json:"incarnation,omitempty"`
 }
 
-// EmbeddingsReply holds one vector for each input, in the order of the inputs.
+// EmbeddingsReply contains one vector for each input, in the order of the inputs.
 type EmbeddingsReply struct {
 	ID      structs.RequestID `json:"id"`
 	Vectors [][]float32       `json:"vectors"`
 }
 
-// FetchRequest asks the weight store for a checkpoint.
+// FetchRequest requests a checkpoint from the weight store.
 type FetchRequest struct {
 	Row structs.RowName `json:"row"`
 	// SizeBytes is the size of the checkpoint.
@@ -93,43 +93,44 @@
 	Runner    structs.RunnerID `json:"runner"`
 }
 
-// FetchReply is sent once the whole checkpoint has been read.
+// FetchReply is sent when the complete checkpoint has been read.
 type FetchReply struct {
 	Row       structs.RowName `json:"row"`
 	SizeBytes int64           `json:"size_bytes"`
-	// Took is how long the read took in the store, in nanoseconds.
+	// Took is the duration of the read in the store, in nanoseconds.
 	Took time.Duration `json:"took"`
 }
 
-// StoreState is the weight store's state.
+// StoreState is the state of the weight store.
 type StoreState struct {
-	// Active counts the reads under way; Waiting those not yet admitted by the rate.
+	// Active is the number of reads in progress, Waiting the number of reads waiting
+	// for the rate limit.
 	Active  int `json:"active"`
 	Waiting int `json:"waiting"`
-	// FullSpeed is how many reads may be under way before all slow down.
+	// FullSpeed is the number of concurrent reads beyond which all slow down.
 	FullSpeed int `json:"full_speed"`
 	// LoadsPerSecond is the rate at which reads are admitted.
 	LoadsPerSecond float64 `json:"loads_per_second"`
-	// Finished counts the reads since the store started.
+	// Finished is the number of reads finished since the store started.
 	Finished uint64 `json:"finished"`
 }
 
-// MachineChanges is what changed on the machine list after a version.
+// MachineChanges holds the changes of the machine list since a version.
 type MachineChanges struct {
-	// Version is what to pass as since in the next read.
+	// Version is the version to pass as since in the next read.
 	Version string `json:"version"`
-	// Full says that Machines is the whole list: the version that was asked for is
+	// Full reports that Machines is the full list, because the requested version is
 	// unknown or too old.
 	Full     bool              `json:"full,omitempty"`
 	Machines []structs.Machine `json:"machines,omitempty"`
-	// Gone are the machines that are no longer on the list, or not in the zone.
+	// Gone lists the machines that are no longer on the list or in the zone.
 	Gone []structs.RunnerID `json:"gone,omitempty"`
 }
 
 // LeaveRequest marks a machine as leaving on the machine list.
 type LeaveRequest struct {
 	Runner structs.RunnerID `json:"runner"`
-	// Gone removes the machine from the list instead.
+	// Gone removes the machine from the list instead of marking it.
 	Gone bool `json:"gone,omitempty"`
 }
 
@@ -142,12 +143,12 @@
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 }
 
-// NewErrorBody makes the body that carries err.
+// NewErrorBody returns the response body for err.
 func NewErrorBody(err structs.Error) ErrorBody {
 	return ErrorBody{Kind: err.Kind, Message: err.Message, Remedy: err.Remedy, RetryAfter: err.RetryAfter}
 }
 
-// Err returns the error that the body carries.
+// Err returns the error in the body.
 func (b ErrorBody) Err() *structs.Error {
 	return &structs.Error{Kind: b.Kind, Message: b.Message, Remedy: b.Remedy, RetryAfter: b.RetryAfter}
 }
--- a/request/engineapi/paths.go
+++ b/request/engineapi/paths.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The paths of a model engine.
+// Paths of a model engine.
 const (
 	PathGenerate   = "/engine/v1/generate"
 	PathCancel     = "/engine/v1/cancel"
@@ -15,7 +15,7 @@
 	PathEmbeddings = "/engine/v1/embeddings"
 )
 
-// The paths of the weight store and of the machine list.
+// Paths of the weight store and the machine list.
 const (
 	PathStoreFetch   = "/store/v1/fetch"
 	PathStoreState   = "/store/v1/state"
@@ -24,11 +24,11 @@
 )
 
 const (
-	// HeaderLoad carries a compact JSON structs.LoadReport in the header and in
-	// the trailer of a generate response.
+	// HeaderLoad is a structs.LoadReport in JSON, sent as header and as trailer of a
+	// generate response.
 	HeaderLoad = "Engine-Load"
-	// HeaderExecution carries a structs.Execution on an error response. Only
-	// structs.ExecutionNotRun makes the error a certain refusal.
+	// HeaderExecution is a structs.Execution, sent with an error response. Only
+	// structs.ExecutionNotRun means that the request did not run.
 	HeaderExecution = "Engine-Execution"
 	// ContentTypeEvents is the content type of a generate response.
 	ContentTypeEvents = "text/event-stream"
@@ -37,18 +37,18 @@
 )
 
 const (
-	// QueryAfter is the query parameter of PathEvents: the last sequence number seen.
+	// QueryAfter is the query parameter of PathEvents for the last sequence number seen.
 	QueryAfter = "after"
-	// QueryZone is the query parameter of PathMachineList: only this zone's machines.
-	// A list that does not know it answers with all.
+	// QueryZone is the query parameter of PathMachineList that selects the machines of
+	// a zone. A machine list that does not support it returns all machines.
 	QueryZone = "zone"
-	// QuerySince is the query parameter of PathMachineList that asks for a
-	// MachineChanges after the version, or for the whole list with its version when
-	// it is empty. A list that does not know it answers with an array of machines.
+	// QuerySince is the query parameter of PathMachineList that requests the
+	// MachineChanges since a version, or the full list with its version if it is empty.
+	// A machine list that does not support it returns an array of machines.
 	QuerySince = "since"
-	// QueryCancel is the query parameter of PathRequests that cancels the ID and
-	// refuses it from then on.
+	// QueryCancel is the query parameter of PathRequests that cancels the request and
+	// makes the engine refuse its ID from then on.
 	QueryCancel = "cancel"
-	// IDRetention is how long an engine remembers a request ID at least.
+	// IDRetention is the minimum time for which an engine remembers a request ID.
 	IDRetention = 15 * time.Minute
 )
--- a/request/engineapi/stream.go
+++ b/request/engineapi/stream.go
@@ -9,31 +9,31 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// drainBytes bounds what Close reads of a finished stream.
+// drainBytes is the maximum number of bytes that Close reads from a finished stream.
 const drainBytes = 4 << 10
 
-// Stream is the answer of an engine to one generate call. It is not safe for
-// concurrent use; cancel the context of the call to end it from elsewhere.
+// Stream is the token stream of a Generate call. It is not safe for concurrent use;
+// another goroutine may end it by cancelling the context of the call.
 type Stream struct {
 	address string
 	request structs.GenerateRequest
 	body    io.ReadCloser
 	decoder *TokenDecoder
-	// response gives the trailer once the body has been read.
-	response *http.Response
-	cancel   context.CancelFunc
-	drain    time.Duration
-	next     int
-	last     structs.Token
-	repeats  int
-	finish   structs.FinishReason
-	err      error
+	// response contains the trailer once the body has been read.
+	response     *http.Response
+	cancel       context.CancelFunc
+	drainTimeout time.Duration
+	next         int
+	last         structs.Token
+	repeats      int
+	finish       structs.FinishReason
+	err          error
 }
 
-// Next returns the next token. The token with a Finish is the last one: after a
-// finish of stop or length Next returns io.EOF, after any other a *CallError. A
-// body that ends before that, a token of another request, and a lost token are
-// errors of StageBroken. An exact repeat of the token before is left out.
+// Next returns the next token. The last token has a Finish reason. After it Next
+// returns io.EOF if the reason is stop or length, and a *CallError otherwise. An early
+// end of the body, a token of another request and a missing token are errors with
+// StageBroken. Exact repeats of the previous token are skipped.
 func (s *Stream) Next() (structs.Token, error) {
 	if s.err != nil {
 		return structs.Token{}, s.err
@@ -41,7 +41,7 @@
 	for {
 		token, err := s.decoder.Next()
 		if err == io.EOF {
-			err = malformed("the stream ended without a finish")
+			err = malformed("the stream ended without a finish reason")
 		}
 		if err != nil {
 			return structs.Token{}, s.fail(err)
@@ -50,7 +50,7 @@
 			s.repeats++
 			continue
 		}
-		if err := s.check(token); err != nil {
+		if err := s.validate(token); err != nil {
 			return structs.Token{}, s.fail(err)
 		}
 		s.accept(token)
@@ -58,18 +58,18 @@
 	}
 }
 
-// maxRepeats bounds the repeated tokens that a stream leaves out.
+// maxRepeats is the maximum number of repeated tokens that a stream skips.
 const maxRepeats = 64
 
-func (s *Stream) check(token structs.Token) error {
+func (s *Stream) validate(token structs.Token) error {
 	if token.ID != s.request.ID {
-		return malformed("the stream carries a token of another request")
+		return malformed("the stream contains a token of another request")
 	}
 	if token.Index != s.next {
 		return malformed("the stream lost or repeated a token")
 	}
 	if token.Index >= s.request.MaxTokens && token.Finish == "" {
-		return malformed("the stream has more tokens than were asked for")
+		return malformed("the stream has more tokens than requested")
 	}
 	return nil
 }
@@ -103,9 +103,9 @@
 	}
 }
 
-// Load returns the engine's newest load report of this stream: that of the
-// trailer once the stream has been closed after its finish, else that of the
-// header. The second result is false when there is none.
+// Load returns the latest load report received with this stream: that of the trailer
+// if the stream has finished and been closed, otherwise that of the header. The second
+// result is false if there is none.
 func (s *Stream) Load() (structs.LoadReport, bool) {
 	value := s.response.Header.Get(HeaderLoad)
 	if s.finish != "" {
@@ -120,14 +120,14 @@
 	return load, err == nil
 }
 
-// Repeats returns how many repeated tokens were left out.
+// Repeats returns the number of repeated tokens that were skipped.
 func (s *Stream) Repeats() int { return s.repeats }
 
-// Close ends the stream. When it was not finished, the engine sees the
-// connection end and cancels the request.
+// Close closes the stream. If the stream is not finished, this closes the connection,
+// and the engine cancels the request.
 func (s *Stream) Close() error {
 	if s.err == io.EOF {
-		timer := time.AfterFunc(s.drain, s.cancel)
+		timer := time.AfterFunc(s.drainTimeout, s.cancel)
 		_, _ = io.CopyN(io.Discard, s.decoder.reader, drainBytes)
 		timer.Stop()
 	}
--- a/request/engineapi/stream_test.go
+++ b/request/engineapi/stream_test.go
@@ -21,8 +21,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// serve starts a server on a network in memory and returns a client and the address.
-// It is for synctest bubbles.
+// serve starts a server on an in-memory network, for use in synctest bubbles, and
+// returns a client and the address.
 func serve(t testing.TB, handler http.HandlerFunc) (*engineapi.Client, string) {
 	memory := networktest.NewMemory(0)
 	address := memory.Serve(t, handler)
@@ -40,7 +40,7 @@
 	return string(encoded)
 }
 
-// readAll reads a stream to its end.
+// readAll reads a stream to its end and returns the token indexes.
 func readAll(stream *engineapi.Stream) (indexes []int, err error) {
 	for {
 		token, err := stream.Next()
@@ -51,15 +51,15 @@
 	}
 }
 
-// streamTest is the body of a stream and what a client makes of it.
+// streamTest is a stream body and the expected result of reading it.
 type streamTest struct {
 	name string
 	body string
-	// reset cuts the connection after the body.
+	// reset closes the connection after the body without ending the response.
 	reset bool
-	// want are the indexes of the tokens; whole says that the stream succeeds.
-	want  []int
-	whole bool
+	// want is the expected token indexes; succeeds reports whether the stream is complete.
+	want     []int
+	succeeds bool
 }
 
 func (test streamTest) run(t *testing.T) { synctest.Test(t, test.check) }
@@ -79,23 +79,23 @@
 	defer stream.Close()
 	indexes, err := readAll(stream)
 	c.Check(indexes, qt.DeepEquals, test.want)
-	if test.whole {
+	if test.succeeds {
 		c.Check(err, qt.Equals, io.EOF)
 		return
 	}
 	c.Check(engineapi.StageOf(err), qt.Equals, engineapi.StageBroken)
 	c.Check(err, qt.Not(qt.Equals), io.EOF)
 	_, again := stream.Next()
-	c.Check(again, qt.Equals, err, qt.Commentf("the error stays"))
+	c.Check(again, qt.Equals, err, qt.Commentf("the error persists"))
 }
 
-func TestStreamSucceedsOnlyWhenWhole(t *testing.T) {
-	whole := event("r", 0, "") + event("r", 1, "") + event("r", 2, structs.FinishStop)
+func TestStreamValidation(t *testing.T) {
+	complete := event("r", 0, "") + event("r", 1, "") + event("r", 2, structs.FinishStop)
 	tests := []streamTest{
-		{name: "whole", body: whole, want: []int{0, 1, 2}, whole: true},
-		{name: "finish by length", body: event("r", 0, structs.FinishLength), want: []int{0}, whole: true},
-		{name: "comments and CRLF", body: ": keep\r\n\r\n" + strings.ReplaceAll(whole, "\n", "\r\n"), want: []int{0, 1, 2}, whole: true},
-		{name: "exact repeat is left out", body: event("r", 0, "") + event("r", 0, "") + event("r", 1, structs.FinishStop), want: []int{0, 1}, whole: true},
+		{name: "complete", body: complete, want: []int{0, 1, 2}, succeeds: true},
+		{name: "finish by length", body: event("r", 0, structs.FinishLength), want: []int{0}, succeeds: true},
+		{name: "comments and CRLF", body: ": keep\r\n\r\n" + strings.ReplaceAll(complete, "\n", "\r\n"), want: []int{0, 1, 2}, succeeds: true},
+		{name: "exact repeat is skipped", body: event("r", 0, "") + event("r", 0, "") + event("r", 1, structs.FinishStop), want: []int{0, 1}, succeeds: true},
 		{name: "empty"},
 		{name: "no finish", body: event("r", 0, "") + event("r", 1, ""), want: []int{0, 1}},
 		{name: "ends inside an event", body: event("r", 0, "") + "data: {\"id\":\"r\"", want: []int{0}},
@@ -113,8 +113,8 @@
 		{name: "older token repeated", body: event("r", 0, "") + event("r", 1, "") + event("r", 0, ""), want: []int{0, 1}},
 		{name: "starts late", body: event("r", 1, structs.FinishStop)},
 		{name: "too many tokens", body: event("r", 0, "") + event("r", 1, "") + event("r", 2, "") + event("r", 3, ""), want: []int{0, 1, 2}},
-		{name: "too long a line", body: "data: " + strings.Repeat("x", 9000) + "\n\n"},
-		{name: "too long an event", body: strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", 3) + "\n"},
+		{name: "line too long", body: "data: " + strings.Repeat("x", 9000) + "\n\n"},
+		{name: "event too long", body: strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", 3) + "\n"},
 		{name: "endless line", body: strings.Repeat("x", 1<<20)},
 		{name: "cancelled", body: event("r", 0, structs.FinishCancelled), want: []int{0}},
 		{name: "engine error", body: event("r", 0, structs.FinishError), want: []int{0}},
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestStreamGivesLoadOfHeaderThenTrailer(t *testing.T) {
+func TestStreamLoadFromHeaderThenTrailer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		read := make(chan struct{})
@@ -153,24 +153,24 @@
 	})
 }
 
-// countedNetwork counts the connections that are dialled.
-type countedNetwork struct {
+// countingNetwork counts dialled connections.
+type countingNetwork struct {
 	*networktest.Memory
 	dialled *atomic.Int32
 }
 
 // DialContext implements network.Network.
-func (n countedNetwork) DialContext(ctx context.Context, protocol, address string) (net.Conn, error) {
+func (n countingNetwork) DialContext(ctx context.Context, protocol, address string) (net.Conn, error) {
 	n.dialled.Add(1)
 	return n.Memory.DialContext(ctx, protocol, address)
 }
 
-func TestFinishedStreamsShareAConnection(t *testing.T) {
+func TestFinishedStreamsReuseConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var connections atomic.Int32
 		memory := networktest.NewMemory(0)
-		counted := countedNetwork{Memory: memory, dialled: &connections}
+		counted := countingNetwork{Memory: memory, dialled: &connections}
 		address := memory.Serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", engineapi.ContentTypeEvents)
 			_, _ = io.WriteString(w, event("r", 0, structs.FinishStop))
