--- a/request/answerstore/doc.go
+++ b/request/answerstore/doc.go
@@ -1,8 +1,8 @@
-// Package answerstore keeps the answers to requests with idempotency keys on the
-// router that made them: in a file of its data folder (File), or in memory on a
-// router without a disk (Memory). Both are bounded in bytes and in the life of an
-// answer; the answer that was kept first makes way.
+// Package answerstore stores the answers to requests with idempotency keys on the
+// router that served them, in a file of its data folder (File) or, on a router without
+// a disk, in memory (Memory). Both limit the total size and the lifetime of answers,
+// and evict the oldest answer first.
 //
-// An answer that is lost is never a reason to run its request again: the zone
-// group remembers that it ran.
+// The loss of an answer does not cause its request to run again, because the zone
+// group records that it ran.
 package answerstore
--- a/request/answerstore/file.go
+++ b/request/answerstore/file.go
@@ -18,20 +18,20 @@
 
 const (
 	fileMode = 0o600
-	// lockTimeout is how long OpenFile waits for another process to let go of the file.
+	// lockTimeout is how long OpenFile waits for another process to release the file.
 	lockTimeout = time.Second
-	// expiredPerCommit bounds what one commit of Expire removes.
+	// expiredPerCommit is the maximum number of answers removed by one commit of Expire.
 	expiredPerCommit = 1_000
-	// maxRecorded bounds the notes that wait for a commit. Ends whose notes are left out
-	// are recorded again after a restart, which changes nothing.
+	// maxRecorded is the maximum number of recorded ends that wait for a commit. Further
+	// ones are recorded again after a restart, which is idempotent.
 	maxRecorded = 1 << 16
-	// damagedSuffix is added to the name of a file that cannot be read.
+	// damagedSuffix is appended to the name of a corrupt file.
 	damagedSuffix = ".damaged"
 )
 
-// The buckets of the file. answersBucket has the records by the hash of their keys,
-// orderBucket the hashes by the number of the keeping, unrecordedBucket the keys whose
-// ends their zones may not have, by their hashes, usageBucket what is in use.
+// The buckets of the file. answersBucket maps key hashes to records, orderBucket maps
+// sequence numbers to key hashes, unrecordedBucket maps key hashes to the keys whose ends
+// may not be recorded by their zones, and usageBucket holds the usage counters.
 var (
 	answersBucket    = []byte("answers")
 	orderBucket      = []byte("order")
@@ -41,42 +41,40 @@
 	countKey         = []byte("count")
 )
 
-// File is a Store in a bbolt file: each Put is synced before it returns, and each
-// record has a checksum.
+// File is a Store in a bbolt file. Put syncs the file before it returns, and each record
+// has a checksum.
 type File struct {
 	limit int64
 	db    *bbolt.DB
 
-	// waiting are the answers that the next commit takes in.
+	// pending are the answers to write in the next commit.
 	mutex   sync.Mutex
-	waiting []*ticket
-	// recorded are the notes that the next commit takes in.
-	recorded []recordedNote
-	// committing is held by whoever commits.
-	committing sync.Mutex
+	pending []*pendingPut
+	// recorded are the ends to mark as recorded in the next commit.
+	recorded []recordedEnd
+	// commitMutex is held during a commit.
+	commitMutex sync.Mutex
 }
 
-// ticket is an answer on its way into the file; done and err are guarded by
-// File.committing.
-type ticket struct {
+// pendingPut is an answer to write in a commit. File.commitMutex guards done and err.
+type pendingPut struct {
 	answer Answer
 	done   bool
 	err    error
 }
 
-// recordedNote says that the zone has the end of a request.
-type recordedNote struct {
+// recordedEnd identifies a request whose end the zone has recorded.
+type recordedEnd struct {
 	key     structs.ClaimKey
 	request structs.RequestID
 }
 
 var _ Store = (*File)(nil)
 
-// OpenFile opens the store at path, of at most limit bytes, and creates it when
-// there is none. A file that cannot be read is set aside under another name and
-// an empty one takes its place; damaged then names it. Answers beyond the limit
-// make way at the next Put. ErrorUnavailable says that another process has the
-// file open.
+// OpenFile opens or creates the store at path with a limit in bytes. A corrupt file is
+// renamed and replaced by an empty one; damaged is then its new name. Answers above the
+// limit are evicted by the next Put. The error has kind ErrorUnavailable if another
+// process has the file open.
 func OpenFile(path string, limit int64) (store *File, damaged string, err error) {
 	store, err = openFile(path, limit)
 	if err == nil || structs.KindOf(err) != structs.ErrorCorrupt {
@@ -84,7 +82,7 @@
 	}
 	damaged = path + damagedSuffix
 	if err := os.Rename(path, damaged); err != nil {
-		return nil, "", errors.Wrap(err, "set the damaged file of answers aside")
+		return nil, "", errors.Wrap(err, "rename the damaged answer store")
 	}
 	store, err = openFile(path, limit)
 	return store, damaged, err
@@ -92,16 +90,16 @@
 
 func openFile(path string, limit int64) (*File, error) {
 	store := &File{limit: limit}
-	err := guarded(path, func() error {
+	err := recoverCorruption(path, func() error {
 		db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 		if err != nil {
-			return openProblem(path, err)
+			return classifyOpenError(path, err)
 		}
 		store.db = db
 		return db.Update(func(tx *bbolt.Tx) error {
 			for _, name := range [][]byte{answersBucket, orderBucket, unrecordedBucket, usageBucket} {
 				if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-					return errors.Wrap(err, "prepare the file of answers")
+					return errors.Wrap(err, "create the buckets of the answer store")
 				}
 			}
 			return nil
@@ -113,69 +111,69 @@
 	return store, err
 }
 
-func openProblem(path string, err error) error {
+func classifyOpenError(path string, err error) error {
 	switch {
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		return structs.NewError(structs.ErrorUnavailable, path+" is in use by another process", "Give each daemon a data folder of its own.")
 	case errors.Is(err, bbolterrors.ErrInvalid), errors.Is(err, bbolterrors.ErrChecksum), errors.Is(err, bbolterrors.ErrVersionMismatch):
-		return damage(path, err)
+		return corruptError(path, err)
 	}
-	return errors.Wrap(err, "open the file of answers")
+	return errors.Wrap(err, "open the answer store")
 }
 
-func damage(path string, cause any) *structs.Error {
-	return structs.NewError(structs.ErrorCorrupt, fmt.Sprintf("the file of answers %s is damaged: %v", path, cause),
-		"Nothing needs to be done: the answers in it are lost, and their requests do not run again.")
+func corruptError(path string, cause any) *structs.Error {
+	return structs.NewError(structs.ErrorCorrupt, fmt.Sprintf("the answer store %s is damaged: %v", path, cause),
+		"No action is required: the stored answers are lost, and their requests do not run again.")
 }
 
-// guarded runs work on the file and returns the library's panics, and faults in
-// the mapped file, as damage.
-func guarded(path string, work func() error) (err error) {
+// recoverCorruption runs work and returns panics of bbolt and faults in the mapped file as
+// corruption errors.
+func recoverCorruption(path string, work func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = damage(path, cause)
+			err = corruptError(path, cause)
 		}
 	}()
 	return work()
 }
 
-// Put implements Store. Answers that wait while a commit is under way share the
-// next one: a commit costs two syncs.
+// Put implements Store. Concurrent calls during a commit share the next commit, because
+// a commit needs two syncs.
 func (f *File) Put(answer Answer, now time.Time) error {
 	if answer.size() > f.limit {
 		return tooLarge()
 	}
-	own := &ticket{answer: answer}
+	put := &pendingPut{answer: answer}
 	f.mutex.Lock()
-	f.waiting = append(f.waiting, own)
+	f.pending = append(f.pending, put)
 	f.mutex.Unlock()
-	f.committing.Lock()
-	defer f.committing.Unlock()
-	if !own.done {
+	f.commitMutex.Lock()
+	defer f.commitMutex.Unlock()
+	if !put.done {
 		f.commit(now)
 	}
-	return own.err
+	return put.err
 }
 
-// commit takes in all answers that wait. The caller holds committing.
+// commit writes all pending answers and recorded ends. The caller must hold commitMutex.
 func (f *File) commit(now time.Time) {
 	f.mutex.Lock()
-	tickets := f.waiting
-	f.waiting = nil
+	puts := f.pending
+	f.pending = nil
 	f.mutex.Unlock()
-	notes := f.takeRecorded()
-	err := guarded(f.db.Path(), func() error {
+	ends := f.takeRecorded()
+	err := recoverCorruption(f.db.Path(), func() error {
 		return f.db.Update(func(tx *bbolt.Tx) error {
-			books := openBooks(tx)
-			if err := books.note(notes); err != nil {
+			buckets := openBuckets(tx)
+			if err := buckets.markRecorded(ends); err != nil {
 				return err
 			}
-			return books.take(tickets, f.limit, now)
+			return buckets.putAll(puts, f.limit, now)
 		})
 	})
-	for _, taken := range tickets {
-		taken.done, taken.err = true, err
+	for _, put := range puts {
+		put.done, put.err = true, err
 	}
 }
 
@@ -184,33 +182,33 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if len(f.recorded) < maxRecorded {
-		f.recorded = append(f.recorded, recordedNote{key: key, request: request})
+		f.recorded = append(f.recorded, recordedEnd{key: key, request: request})
 	}
 }
 
-func (f *File) takeRecorded() []recordedNote {
+func (f *File) takeRecorded() []recordedEnd {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	notes := f.recorded
+	ends := f.recorded
 	f.recorded = nil
-	return notes
+	return ends
 }
 
-// saveRecorded writes the notes that no commit has taken in.
+// saveRecorded writes the pending recorded ends. The caller must hold commitMutex.
 func (f *File) saveRecorded() error {
-	notes := f.takeRecorded()
-	if len(notes) == 0 {
+	ends := f.takeRecorded()
+	if len(ends) == 0 {
 		return nil
 	}
-	return guarded(f.db.Path(), func() error {
-		return f.db.Update(func(tx *bbolt.Tx) error { return openBooks(tx).note(notes) })
+	return recoverCorruption(f.db.Path(), func() error {
+		return f.db.Update(func(tx *bbolt.Tx) error { return openBuckets(tx).markRecorded(ends) })
 	})
 }
 
 // Unrecorded implements Store.
 func (f *File) Unrecorded() ([]structs.ClaimKey, error) {
 	var unrecorded []structs.ClaimKey
-	err := guarded(f.db.Path(), func() error {
+	err := recoverCorruption(f.db.Path(), func() error {
 		return f.db.View(func(tx *bbolt.Tx) error {
 			return tx.Bucket(unrecordedBucket).ForEach(func(_, key []byte) error {
 				unrecorded = append(unrecorded, structs.ClaimKey(key))
@@ -226,7 +224,7 @@
 func (f *File) Get(key structs.ClaimKey, now time.Time) (Answer, bool) {
 	var answer Answer
 	found := false
-	err := guarded(f.db.Path(), func() error {
+	err := recoverCorruption(f.db.Path(), func() error {
 		return f.db.View(func(tx *bbolt.Tx) error {
 			answer, found = decodeRecord(key, tx.Bucket(answersBucket).Get(hashKey(key)))
 			return nil
@@ -237,20 +235,20 @@
 
 // Expire implements Store.
 func (f *File) Expire(now time.Time) error {
-	f.committing.Lock()
-	defer f.committing.Unlock()
+	f.commitMutex.Lock()
+	defer f.commitMutex.Unlock()
 	if err := f.saveRecorded(); err != nil {
 		return err
 	}
 	for {
 		removed := 0
-		err := guarded(f.db.Path(), func() error {
+		err := recoverCorruption(f.db.Path(), func() error {
 			return f.db.Update(func(tx *bbolt.Tx) (err error) {
-				books := openBooks(tx)
-				if removed, err = books.expire(now, expiredPerCommit); err != nil {
+				buckets := openBuckets(tx)
+				if removed, err = buckets.expire(now, expiredPerCommit); err != nil {
 					return err
 				}
-				return books.save()
+				return buckets.save()
 			})
 		})
 		if err != nil || removed < expiredPerCommit {
@@ -262,10 +260,10 @@
 // Usage implements Store.
 func (f *File) Usage() Usage {
 	var usage Usage
-	_ = guarded(f.db.Path(), func() error {
+	_ = recoverCorruption(f.db.Path(), func() error {
 		return f.db.View(func(tx *bbolt.Tx) error {
-			books := openBooks(tx)
-			usage = books.usage
+			buckets := openBuckets(tx)
+			usage = buckets.usage
 			return nil
 		})
 	})
@@ -274,16 +272,16 @@
 
 // Close implements Store.
 func (f *File) Close() error {
-	f.committing.Lock()
+	f.commitMutex.Lock()
 	err := f.saveRecorded()
-	f.committing.Unlock()
+	f.commitMutex.Unlock()
 	if closeErr := f.db.Close(); err == nil {
 		err = closeErr
 	}
-	return errors.Wrap(err, "close the file of answers")
+	return errors.Wrap(err, "close the answer store")
 }
 
-func readNumber(bucket *bbolt.Bucket, key []byte) int64 {
+func readCounter(bucket *bbolt.Bucket, key []byte) int64 {
 	value := bucket.Get(key)
 	if len(value) != 8 {
 		return 0
--- a/request/answerstore/memory.go
+++ b/request/answerstore/memory.go
@@ -8,20 +8,20 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Memory is a Store that ends with its process.
+// Memory is an in-memory Store.
 type Memory struct {
 	limit int64
 
 	mutex sync.Mutex
 	byKey map[structs.ClaimKey]*list.Element
-	// order holds the answers, the one kept first at its front.
+	// order holds the answers in insertion order.
 	order *list.List
 	bytes int64
 }
 
 var _ Store = (*Memory)(nil)
 
-// NewMemory makes an empty store of at most limit bytes.
+// NewMemory returns an empty store with a limit in bytes.
 func NewMemory(limit int64) *Memory {
 	return &Memory{limit: limit, byKey: map[structs.ClaimKey]*list.Element{}, order: list.New()}
 }
@@ -33,15 +33,15 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if earlier, isKept := m.byKey[answer.Key]; isKept {
-		m.remove(earlier)
+	if previous, isKept := m.byKey[answer.Key]; isKept {
+		m.remove(previous)
 	}
 	m.byKey[answer.Key] = m.order.PushBack(answer)
 	m.bytes += answer.size()
 	for first := m.order.Front(); m.bytes > m.limit; first = m.order.Front() {
 		m.remove(first)
 	}
-	m.expire(now, expiredAtOnce)
+	m.expire(now, expiredPerPut)
 	return nil
 }
 
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// expire removes expired answers from the front of the order, at most so many.
-func (m *Memory) expire(now time.Time, most int) {
-	for range most {
+// expire removes at most limit expired answers in insertion order.
+func (m *Memory) expire(now time.Time, limit int) {
+	for range limit {
 		first := m.order.Front()
 		if first == nil || first.Value.(Answer).ExpiresAt.After(now) {
 			return
@@ -76,14 +76,14 @@
 	}
 }
 
-func (m *Memory) remove(kept *list.Element) {
-	answer := m.order.Remove(kept).(Answer)
+func (m *Memory) remove(element *list.Element) {
+	answer := m.order.Remove(element).(Answer)
 	delete(m.byKey, answer.Key)
 	m.bytes -= answer.size()
 }
 
-// Recorded implements Store. Nothing of this store outlasts the process that records
-// the ends, so no note is needed.
+// Recorded implements Store. It does nothing, because the store does not outlive the
+// process that records the ends.
 func (m *Memory) Recorded(structs.ClaimKey, structs.RequestID) {}
 
 // Unrecorded implements Store.
--- a/request/answerstore/store.go
+++ b/request/answerstore/store.go
@@ -7,54 +7,56 @@
 )
 
 const (
-	// overheadBytes is what an answer counts beside its data: its key, its request,
-	// its place in the order and the pages of the file.
+	// overheadBytes is the assumed overhead of a stored answer: key, position in the
+	// order and file pages.
 	overheadBytes = 160
-	// expiredAtOnce bounds the expired answers that one Put removes.
-	expiredAtOnce = 64
+	// expiredPerPut is the maximum number of expired answers removed by one Put.
+	expiredPerPut = 64
 )
 
-// Answer is the whole answer to a request with a key.
+// Answer is the complete answer to a request with an idempotency key.
 type Answer struct {
 	Key     structs.ClaimKey
 	Request structs.RequestID
 	// Data is the encoded answer.
 	Data []byte
-	// ExpiresAt is when the answer may be removed, to the second.
+	// ExpiresAt is the expiry of the answer, with a resolution of one second.
 	ExpiresAt time.Time
 }
 
-// size is what the answer counts in bytes.
+// size returns the size of the answer in bytes, including overhead.
 func (a Answer) size() int64 { return int64(len(a.Data)+len(a.Request)) + overheadBytes }
 
-// Usage is what a store holds.
+// Usage is the number and the total size of the answers in a store.
 type Usage struct {
 	Answers int
 	Bytes   int64
 }
 
-// Store keeps answers by key. Its methods may be called from several goroutines.
+// Store stores answers by key. It is safe for concurrent use.
 type Store interface {
-	// Put keeps an answer, in the place of an earlier one under its key. It returns
-	// once the answer outlasts a crash, as far as the store can. An answer that is
-	// larger than the store is refused with ErrorLimit.
+	// Put stores an answer and replaces an earlier one with the same key. When it
+	// returns, the answer is durable if the store is. An answer larger than the limit of
+	// the store is refused with ErrorLimit.
 	Put(answer Answer, now time.Time) error
-	// Get returns the answer under a key, and false when there is none, it has
-	// expired or it is damaged.
+	// Get returns the answer with the key, or false if there is none or it is expired
+	// or corrupt.
 	Get(key structs.ClaimKey, now time.Time) (Answer, bool)
-	// Expire removes answers whose time is over.
+	// Expire removes expired answers.
 	Expire(now time.Time) error
-	// Recorded notes that the key's home zone has the end of the request. The note is
-	// written with the next commit: one that a crash loses makes the end be recorded again.
+	// Recorded marks the end of the request as recorded by the home zone of the key. The
+	// mark is written with the next commit. If it is lost in a crash, the end is
+	// recorded again.
 	Recorded(key structs.ClaimKey, request structs.RequestID)
-	// Unrecorded returns the keys of the answers without such a note, ordered by key.
+	// Unrecorded returns the sorted keys of the answers whose ends are not marked as
+	// recorded.
 	Unrecorded() ([]structs.ClaimKey, error)
-	// Usage says what is kept.
+	// Usage returns the current usage.
 	Usage() Usage
-	// Close ends the use of the store.
+	// Close closes the store.
 	Close() error
 }
 
 func tooLarge() *structs.Error {
-	return structs.NewError(structs.ErrorLimit, "the answer is larger than all the place for answers", "Raise limits.answer_bytes.")
+	return structs.NewError(structs.ErrorLimit, "the answer is larger than the limit of the answer store", "Raise limits.answer_bytes.")
 }
--- a/request/answerstore/store_test.go
+++ b/request/answerstore/store_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// eachStore runs a test on a store of each kind.
+// eachStore runs a test with each Store implementation.
 func eachStore(t *testing.T, limit int64, test func(c *qt.C, store Store)) {
 	t.Run("file", func(t *testing.T) {
 		c := qt.New(t)
@@ -35,12 +35,12 @@
 	t.Run("memory", func(t *testing.T) { test(qt.New(t), NewMemory(limit)) })
 }
 
-func (a Answer) isKept(store Store) bool {
+func (a Answer) isStoredIn(store Store) bool {
 	kept, found := store.Get(a.Key, testNow)
 	return found && kept.Request == a.Request && string(kept.Data) == string(a.Data)
 }
 
-func TestAnswerKeptFirstMakesWayAtTheLimit(t *testing.T) {
+func TestOldestAnswersAreEvictedAtLimit(t *testing.T) {
 	const fits = 10
 	size := testAnswer(1, 100).size()
 	eachStore(t, fits*size, func(c *qt.C, store Store) {
@@ -51,14 +51,14 @@
 		c.Assert(store.Usage().Answers, qt.Equals, fits)
 		for number := range 2 * fits {
 			answer := testAnswer(1+number, 100-len(fmt.Sprint(1+number))+1)
-			c.Assert(answer.isKept(store), qt.Equals, number >= fits)
+			c.Assert(answer.isStoredIn(store), qt.Equals, number >= fits)
 		}
 		err := store.Put(testAnswer(1, int(fits*size)), testNow)
 		c.Assert(structs.KindOf(err), qt.Equals, structs.ErrorLimit)
 	})
 }
 
-func TestAnswerIsNotGivenOrKeptAfterItsTime(t *testing.T) {
+func TestExpiry(t *testing.T) {
 	eachStore(t, 1<<20, func(c *qt.C, store Store) {
 		for number := range 5 {
 			c.Assert(store.Put(testAnswer(1+number, 10), testNow), qt.IsNil)
@@ -67,24 +67,24 @@
 		c.Assert(found, qt.IsFalse)
 		c.Assert(store.Expire(testNow.Add(2*time.Hour)), qt.IsNil)
 		c.Assert(store.Usage().Answers, qt.Equals, 3)
-		// Keeping another one removes what has expired as well.
+		// Put also removes expired answers.
 		c.Assert(store.Put(testAnswer(9, 10), testNow.Add(4*time.Hour)), qt.IsNil)
 		c.Assert(store.Usage().Answers, qt.Equals, 2)
 	})
 }
 
-func TestLaterAnswerUnderAKeyTakesThePlaceOfTheEarlier(t *testing.T) {
+func TestPutReplacesAnswerWithSameKey(t *testing.T) {
 	eachStore(t, 1<<20, func(c *qt.C, store Store) {
 		earlier, later := testAnswer(1, 10), testAnswer(1, 30)
 		later.Request = "later"
 		c.Assert(store.Put(earlier, testNow), qt.IsNil)
 		c.Assert(store.Put(later, testNow), qt.IsNil)
-		c.Assert(later.isKept(store), qt.IsTrue)
+		c.Assert(later.isStoredIn(store), qt.IsTrue)
 		c.Assert(store.Usage(), qt.Equals, Usage{Answers: 1, Bytes: later.size()})
 	})
 }
 
-func TestAnswersAndTheirCountOutlastTheProcess(t *testing.T) {
+func TestAnswersAndUsageSurviveRestart(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "answers.db")
 	store, _, err := OpenFile(path, 1<<20)
@@ -93,7 +93,7 @@
 		c.Assert(store.Put(testAnswer(1+number, 100), testNow), qt.IsNil)
 	}
 	usage := store.Usage()
-	// A copy of the file is what a crash leaves.
+	// Restore the file as of before Close, as after a crash.
 	file, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
 	c.Assert(store.Close(), qt.IsNil)
@@ -103,12 +103,12 @@
 	c.Assert(damaged, qt.Equals, "")
 	c.Assert(store.Usage(), qt.Equals, usage)
 	for number := range 20 {
-		c.Assert(testAnswer(1+number, 100).isKept(store), qt.IsTrue)
+		c.Assert(testAnswer(1+number, 100).isStoredIn(store), qt.IsTrue)
 	}
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-func TestAnswerIsUnrecordedUntilItsEndIsNoted(t *testing.T) {
+func TestUnrecorded(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "answers.db")
 	store, _, err := OpenFile(path, 1<<20)
@@ -120,7 +120,7 @@
 	}
 	store.Recorded(keys[0], testAnswer(1, 10).Request)
 	store.Recorded(keys[1], "an earlier request")
-	// A crash now loses the notes: the ends are recorded again.
+	// The marks are not yet written.
 	unrecorded, err := store.Unrecorded()
 	c.Assert(err, qt.IsNil)
 	c.Assert(unrecorded, qt.DeepEquals, keys)
@@ -128,7 +128,7 @@
 	unrecorded, err = store.Unrecorded()
 	c.Assert(err, qt.IsNil)
 	c.Assert(unrecorded, qt.DeepEquals, keys[1:])
-	// The end of an answer that made way is recorded no more.
+	// An expired answer is no longer listed as unrecorded.
 	c.Assert(store.Expire(testNow.Add(2*time.Hour)), qt.IsNil)
 	store.Recorded(keys[2], testAnswer(3, 10).Request)
 	c.Assert(store.Close(), qt.IsNil)
@@ -140,12 +140,12 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-func TestAnswersThatWaitTogetherShareACommit(t *testing.T) {
+func TestConcurrentPutsShareCommit(t *testing.T) {
 	c := qt.New(t)
 	store, _, err := OpenFile(filepath.Join(t.TempDir(), "answers.db"), 1<<20)
 	c.Assert(err, qt.IsNil)
-	first, second := &ticket{answer: testAnswer(1, 10)}, &ticket{answer: testAnswer(2, 10)}
-	store.waiting = []*ticket{first, second}
+	first, second := &pendingPut{answer: testAnswer(1, 10)}, &pendingPut{answer: testAnswer(2, 10)}
+	store.pending = []*pendingPut{first, second}
 	writes := func() int64 {
 		stats := store.db.Stats()
 		return stats.TxStats.GetWrite()
@@ -157,18 +157,18 @@
 	c.Assert(store.Put(testAnswer(3, 10), testNow), qt.IsNil)
 	c.Assert(writes()-before-shared, qt.Equals, shared)
 	for number := range 3 {
-		c.Assert(testAnswer(1+number, 10).isKept(store), qt.IsTrue)
+		c.Assert(testAnswer(1+number, 10).isStoredIn(store), qt.IsTrue)
 	}
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-func TestDamagedAnswerIsNotGiven(t *testing.T) {
+func TestCorruptRecordIsNotReturned(t *testing.T) {
 	c := qt.New(t)
 	store, _, err := OpenFile(filepath.Join(t.TempDir(), "answers.db"), 1<<20)
 	c.Assert(err, qt.IsNil)
 	answer := testAnswer(1, 100)
 	c.Assert(store.Put(answer, testNow), qt.IsNil)
-	for position := range requestAt + len(answer.Request) + len(answer.Data) {
+	for position := range requestOffset + len(answer.Request) + len(answer.Data) {
 		change := func(tx *bbolt.Tx) error {
 			record := append([]byte(nil), tx.Bucket(answersBucket).Get(hashKey(answer.Key))...)
 			record[position] ^= 1
@@ -179,11 +179,11 @@
 		c.Assert(found, qt.IsFalse, qt.Commentf("position %d", position))
 		c.Assert(store.db.Update(change), qt.IsNil)
 	}
-	c.Assert(answer.isKept(store), qt.IsTrue)
+	c.Assert(answer.isStoredIn(store), qt.IsTrue)
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-func TestFileThatCannotBeReadIsSetAside(t *testing.T) {
+func TestCorruptFileIsRenamed(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(t.TempDir(), "answers.db")
 	c.Assert(os.WriteFile(path, make([]byte, 1<<16), fileMode), qt.IsNil)
