--- a/request/explain/account.go
+++ b/request/explain/account.go
@@ -10,37 +10,39 @@
 )
 
 const (
-	// before and after are how far beliefs are looked for around a request.
-	before = 10 * time.Second
-	after  = time.Second
+	// contextBefore and contextAfter are the times around a request in which related
+	// lines are searched.
+	contextBefore = 10 * time.Second
+	contextAfter  = time.Second
 )
 
-// Account is what the logs tell of a request.
+// Account is the history of a request according to the logs.
 type Account struct {
 	Request string `json:"request"`
-	// Arrived is when it came, by the clock of its router.
+	// Arrived is the arrival time by the clock of the router.
 	Arrived time.Time `json:"arrived"`
-	// Outcome is that of its last line; empty if it was answered.
+	// Outcome is the outcome in the last line of the request, or empty if it was answered.
 	Outcome string `json:"outcome"`
 	Model   string `json:"model,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
-	// Events are the request's own lines, Beliefs those around it that bear on it.
+	// Events are the lines of the request, Beliefs the lines related to it.
 	Events  []Line `json:"events"`
 	Beliefs []Line `json:"beliefs"`
-	// Findings are what they point to, in plain words.
+	// Findings are the probable causes of the outcome, as text.
 	Findings []string `json:"findings"`
 	Clocks   []Clock  `json:"clocks,omitempty"`
 }
 
-// Clock says that the clock of a process is behind those of the controllers.
+// Clock describes a process whose clock is behind those of the controllers.
 type Clock struct {
 	Node string `json:"node"`
-	// Behind is by how much at least, in nanoseconds.
+	// Behind is a lower bound of the clock difference, in nanoseconds.
 	Behind time.Duration `json:"behind_ns"`
 }
 
-// Request gives an account of a request from the lines of all logs, in any order. The
-// error is of kind ErrorNotFound if no line names it.
+// Request returns the account of a request from the lines of all logs, which may be in any
+// order and are sorted by time. The error has kind ErrorNotFound if no line contains the
+// request.
 func Request(lines []Line, id string) (*Account, error) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	account := &Account{Request: id}
@@ -50,18 +52,18 @@
 		}
 	}
 	if len(account.Events) == 0 {
-		return nil, structs.NewError(structs.ErrorNotFound, "no line names the request "+id,
-			"Give the logs of all routers. Of requests that were answered in time, one in sixteen is logged.")
+		return nil, structs.NewError(structs.ErrorNotFound, "no log line contains the request "+id,
+			"Provide the logs of all routers. Of the requests answered in time, one in sixteen is logged.")
 	}
-	account.addBeliefs(lines)
-	account.Clocks = clocks(lines)
-	account.find(lines)
+	account.addRelatedLines(lines)
+	account.Clocks = clockSkews(lines)
+	account.addFindings(lines)
 	return account, nil
 }
 
 func (a *Account) addEvent(line Line) {
 	a.Events = append(a.Events, line)
-	arrived := line.Time.Add(-line.duration("age"))
+	arrived := line.Time.Add(-line.durationField("age"))
 	if a.Arrived.IsZero() || arrived.Before(a.Arrived) {
 		a.Arrived = arrived
 	}
@@ -71,10 +73,10 @@
 	}
 }
 
-// ended is when the last line of the request was written.
+// ended returns the time of the last line of the request.
 func (a *Account) ended() time.Time { return a.Events[len(a.Events)-1].Time }
 
-// values lists the values of a field over the request's lines.
+// values returns the distinct values of a field in the lines of the request.
 func (a *Account) values(key string) []string {
 	var found []string
 	for i := range a.Events {
@@ -95,9 +97,9 @@
 	return nodes
 }
 
-// addBeliefs keeps the lines around the request that are about its runners, its model, the
-// leader, or the life of its routers.
-func (a *Account) addBeliefs(lines []Line) {
+// addRelatedLines adds the lines around the request that concern its runners, its model,
+// its tenant, its content, the leader or the lifecycle of its routers.
+func (a *Account) addRelatedLines(lines []Line) {
 	routers, runners := a.routers(), a.values("runner")
 	last := a.Events[len(a.Events)-1]
 	tenant, content := last.Get("tenant"), last.Get("content")
@@ -106,62 +108,63 @@
 			a.Beliefs = append(a.Beliefs, line)
 			continue
 		}
-		isNear := !line.Time.Before(a.Arrived.Add(-before)) && !line.Time.After(a.ended().Add(after))
+		isNear := !line.Time.Before(a.Arrived.Add(-contextBefore)) && !line.Time.After(a.ended().Add(contextAfter))
 		if !isNear || line.Get("request") != "" {
 			continue
 		}
-		bears := slices.Contains(runners, line.Get("runner")) ||
+		isRelevant := slices.Contains(runners, line.Get("runner")) ||
 			a.Model != "" && line.Get("model") == a.Model ||
-			isAboutLeader(line) || isAboutLife(line) && slices.Contains(routers, line.Node) ||
+			isAboutLeadership(line) || isAboutLifecycle(line) && slices.Contains(routers, line.Node) ||
 			a.Model != "" && (strings.Contains(line.Get("models"), a.Model+":") || strings.Contains(line.Get("unmet"), a.Model+":"))
-		if bears {
+		if isRelevant {
 			a.Beliefs = append(a.Beliefs, line)
 		}
 	}
 }
 
-// The messages that an account knows.
+// Log messages that are evaluated.
 const (
-	messageLeads       = "This controller leads."
-	messageLeadsNoMore = "This controller leads no more."
-	messageOrdersFrom  = "The time of the first order is known."
-	messageLost        = "The leader of the controllers is lost."
-	messageOrder       = "An order was answered."
-	messageAttempt     = "An attempt ended."
-	messageDemand      = "The demand is met so."
-	messageJudged      = "A runner's speed was judged."
-	messageRunnerLost  = "A runner is taken for lost, as routers could not reach it."
-	messagePut         = "A document was put."
-	messageInForce     = "A document is in force."
-	messageStarts      = "The process starts."
-	messageRouterStops = "The router stops."
-	messageLimit       = "A tenant's limit is in force."
-	messageSuspect     = "A request may crash runners: it is run by permission of the leader only."
-	messageRefused     = "A request is refused for a while, as its trial did not end well."
+	messageLeads           = "This controller leads."
+	messageStoppedLeading  = "This controller leads no more."
+	messageFirstOrderKnown = "The time of the first order is known."
+	messageLeaderLost      = "The leader of the controllers is lost."
+	messageOrder           = "An order was answered."
+	messageAttempt         = "An attempt ended."
+	messageDemand          = "The demand is met so."
+	messageSpeedJudged     = "A runner's speed was judged."
+	messageRunnerLost      = "A runner is taken for lost, as routers could not reach it."
+	messagePut             = "A document was put."
+	messageInForce         = "A document is in force."
+	messageStarts          = "The process starts."
+	messageRouterStops     = "The router stops."
+	messageLimit           = "A tenant's limit is in force."
+	messageTrialOnly       = "A request may crash runners: it is run by permission of the leader only."
+	messageRefused         = "A request is refused for a while, as its trial did not end well."
 )
 
-func isAboutLeader(line Line) bool {
-	return line.Message == messageLeads || line.Message == messageOrdersFrom || line.Message == messageLeadsNoMore || line.Message == messageLost
+func isAboutLeadership(line Line) bool {
+	return line.Message == messageLeads || line.Message == messageFirstOrderKnown || line.Message == messageStoppedLeading || line.Message == messageLeaderLost
 }
 
-func isAboutLife(line Line) bool {
+func isAboutLifecycle(line Line) bool {
 	return line.Message == messageStarts || line.Message == messageRouterStops || line.Message == messageInForce
 }
 
-// clocks compares when documents came into force with when they were put.
-func clocks(lines []Line) []Clock {
+// clockSkews returns the processes by whose clocks a document came into force before it was
+// put, sorted by node.
+func clockSkews(lines []Line) []Clock {
 	put := make(map[string]time.Time)
 	behind := make(map[string]time.Duration)
 	for _, line := range lines {
-		// Lines are in the order of time. A document is sent again when its answer was lost,
-		// so that the first line counts, whatever it says of the outcome.
+		// A put is retried if its reply was lost, so the first line counts, whatever its
+		// outcome.
 		if _, isKnown := put[line.Get("version")]; line.Message == messagePut && !isKnown {
 			put[line.Get("version")] = line.Time
 		}
 	}
 	for _, line := range lines {
 		at, isKnown := put[line.Get("version")]
-		// The line of a put is written after routers may have the document.
+		// Routers may receive the document before the line of the put is written.
 		const slack = 50 * time.Millisecond
 		if line.Message != messageInForce || !isKnown || line.Time.After(at.Add(-slack)) {
 			continue
@@ -176,7 +179,7 @@
 	return found
 }
 
-// since writes a time as seconds after the request's arrival.
-func (a *Account) since(at time.Time) string {
+// relativeTime formats a time as seconds relative to the arrival of the request.
+func (a *Account) relativeTime(at time.Time) string {
 	return fmt.Sprintf("%+.3f s", at.Sub(a.Arrived).Seconds())
 }
--- a/request/explain/content.go
+++ b/request/explain/content.go
@@ -5,44 +5,46 @@
 	"strings"
 )
 
-// isAboutContent reports whether a line is about what the request asks for: what the leader holds of
-// it, or a run under another ID that lost its runner. Both may be from long before.
+// isAboutContent reports whether a line is about the content of the request: a decision of
+// the leader, or an attempt of another request whose connection failed. There is no limit
+// on the age of the line.
 func (a *Account) isAboutContent(line Line, content string) bool {
 	if content == "" || line.Get("content") != content || line.Time.After(a.ended()) {
 		return false
 	}
 	switch line.Message {
-	case messageSuspect, messageRefused:
+	case messageTrialOnly, messageRefused:
 		return true
 	case messageAttempt:
-		return line.Get("request") != a.Request && isBroken(line)
+		return line.Get("request") != a.Request && isConnectionFailure(line)
 	}
 	return false
 }
 
-// isBroken reports whether an attempt ended with its connection.
-func isBroken(attempt Line) bool {
+// isConnectionFailure reports whether an attempt failed with its connection after the
+// request was sent.
+func isConnectionFailure(attempt Line) bool {
 	outcome := attempt.Get("outcome")
 	wasSent := !strings.Contains(attempt.Get("err"), "the request was not sent")
 	return outcome == "cut_short" || outcome == "send_failed" && wasSent
 }
 
-// findContent says why a request was not sent that may crash runners.
-func (a *Account) findContent() {
+// addContentFindings explains the refusal of a request that may crash runners.
+func (a *Account) addContentFindings() {
 	if a.Outcome != "crashes_runners" && a.Outcome != "trial_later" {
 		return
 	}
 	var runners []string
 	for _, line := range slices.Concat(a.Beliefs, a.Events) {
-		if runner := line.Get("runner"); line.Message == messageAttempt && isBroken(line) && !slices.Contains(runners, runner) {
+		if runner := line.Get("runner"); line.Message == messageAttempt && isConnectionFailure(line) && !slices.Contains(runners, runner) {
 			runners = append(runners, runner)
 		}
 	}
-	a.note("What it asks for was under way at %d runners when their connections broke: %v.", len(runners), runners)
+	a.addFinding("The same content was running on %d runners when their connections broke: %v.", len(runners), runners)
 	for _, line := range slices.Backward(a.Beliefs) {
 		if line.Message == messageRefused {
-			a.note("It is refused since %s for %s, as the runner of its trial was lost or the trial showed nothing.",
-				a.since(line.Time), line.Get("refused_for"))
+			a.addFinding("It has been refused since %s for %s, because the runner of its trial was lost or the trial was inconclusive.",
+				a.relativeTime(line.Time), line.Get("refused_for"))
 			return
 		}
 	}
--- a/request/explain/doc.go
+++ b/request/explain/doc.go
@@ -1,7 +1,7 @@
-// Package explain tells from the logs of many processes what became of one request: its
-// own lines in order, the changes of belief that bear on it, and what they point to.
+// Package explain reconstructs the history of a request from the logs of many processes:
+// its own log lines in order, related lines, and the probable causes of its outcome.
 //
-// Times are those that each process wrote. Where the clock of one differs, an effect may
-// stand before its cause; Account.Clocks says by how much a process's clock is behind at
-// least, as far as documents that came into force show it.
+// Times are by the clock of the process that wrote the line. If clocks differ, an effect
+// may precede its cause; Account.Clocks has lower bounds of the differences, derived from
+// the times at which documents came into force.
 package explain
--- a/request/explain/find.go
+++ b/request/explain/find.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// longWait is the waiting for a runner that makes an answer late by itself.
-	longWait = 300 * time.Millisecond
-	// sameMoment is how close attempts that one fault ended lie together.
-	sameMoment = 100 * time.Millisecond
+	// longWaitThreshold is the waiting time that is reported as the cause of a late answer.
+	longWaitThreshold = 300 * time.Millisecond
+	// sameFailureWindow is the maximum time between attempts ended by the same failure.
+	sameFailureWindow = 100 * time.Millisecond
 )
 
-// find says what the lines point to.
-func (a *Account) find(lines []Line) {
+// addFindings derives the findings from the lines.
+func (a *Account) addFindings(lines []Line) {
 	last := a.Events[len(a.Events)-1]
-	waited := last.duration("waited")
+	waited := last.durationField("waited")
 	switch {
-	case a.Outcome == "no_runner", a.Outcome == "router_stops", waited >= longWait:
-		a.findLoads()
+	case a.Outcome == "no_runner", a.Outcome == "router_stops", waited >= longWaitThreshold:
+		a.addLoadFindings()
 	case a.Outcome == "retry_budget":
-		a.note("The runner's failure was passed on, as the budget of repeated requests was used up.")
+		a.addFinding("The runner's failure was returned, because the retry budget was exhausted.")
 	case a.Outcome == "timeout", a.Outcome == "silent":
-		a.note("The runner did not answer in time; the lines about it, if there are any, are below.")
-	case last.duration("pause") >= longWait:
-		a.note("The stream paused for %v.", last.duration("pause"))
+		a.addFinding("The runner did not respond in time; any lines about it are below.")
+	case last.durationField("pause") >= longWaitThreshold:
+		a.addFinding("The stream paused for %v.", last.durationField("pause"))
 	}
-	a.findTenant()
-	a.findContent()
-	a.findBreaks(lines)
-	a.findSlow()
-	a.findLost()
-	a.findLeaders()
+	a.addTenantFindings()
+	a.addContentFindings()
+	a.addFailureFindings(lines)
+	a.addSlowRunnerFindings()
+	a.addLostRunnerFindings()
+	a.addLeaderFindings()
 }
 
-func (a *Account) note(format string, arguments ...any) {
+func (a *Account) addFinding(format string, arguments ...any) {
 	a.Findings = append(a.Findings, fmt.Sprintf(format, arguments...))
 }
 
-// findLoads says what the leader did about the model that the request waited for.
-func (a *Account) findLoads() {
+// addLoadFindings reports the load orders for the model of the request.
+func (a *Account) addLoadFindings() {
 	ordered := false
 	for _, line := range a.Beliefs {
 		isLoad := line.Message == messageOrder && line.Get("operation") == "load" && line.Get("model") == a.Model
@@ -47,11 +47,11 @@
 			continue
 		}
 		ordered = true
-		a.note("At %s a load of %s%s on %s was answered with %q.", a.since(line.Time), a.Model,
+		a.addFinding("At %s a load of %s%s on %s was answered with %q.", a.relativeTime(line.Time), a.Model,
 			adapterSuffix(line.Get("adapter")), line.Get("runner"), line.Get("outcome"))
 	}
 	if a.Model != "" && !ordered {
-		a.note("No load of %s was ordered within %v before the request nor while it waited.", a.Model, before)
+		a.addFinding("No load of %s was ordered within %v before the request or while it waited.", a.Model, contextBefore)
 	}
 }
 
@@ -62,8 +62,9 @@
 	return "/" + adapter
 }
 
-// findBreaks counts the other requests that the same runner broke off at the same time.
-func (a *Account) findBreaks(lines []Line) {
+// addFailureFindings counts the attempts of other requests that failed on the same runner at
+// the same time.
+func (a *Account) addFailureFindings(lines []Line) {
 	for _, event := range a.Events {
 		outcome := event.Get("outcome")
 		if event.Message != messageAttempt || outcome != "cut_short" && outcome != "send_failed" {
@@ -73,49 +74,49 @@
 		for _, line := range lines {
 			isSame := line.Message == messageAttempt && line.Get("runner") == event.Get("runner") &&
 				line.Get("outcome") == outcome && line.Get("request") != a.Request
-			if distance := line.Time.Sub(event.Time).Abs(); isSame && distance <= sameMoment {
+			if distance := line.Time.Sub(event.Time).Abs(); isSame && distance <= sameFailureWindow {
 				others++
 			}
 		}
 		if others > 0 {
-			a.note("Runner %s ended %d other attempts so within %v: the runner failed, not the router.",
-				event.Get("runner"), others, sameMoment)
+			a.addFinding("Runner %s ended %d other attempts with the same outcome within %v: the runner failed, not the router.",
+				event.Get("runner"), others, sameFailureWindow)
 		}
 	}
 }
 
-// findSlow says which of the request's runners were believed to be slow.
-func (a *Account) findSlow() {
+// addSlowRunnerFindings reports related runners that were judged slow.
+func (a *Account) addSlowRunnerFindings() {
 	noted := make(map[string]bool)
 	for _, line := range a.Beliefs {
 		runner := line.Get("runner")
 		isSlow := line.Get("slow") == "true" || line.Get("pauses") == "true"
-		if line.Message == messageJudged && isSlow && !noted[runner] {
+		if line.Message == messageSpeedJudged && isSlow && !noted[runner] {
 			noted[runner] = true
-			a.note("Runner %s was judged slow at %s.", runner, a.since(line.Time))
+			a.addFinding("Runner %s was judged slow at %s.", runner, a.relativeTime(line.Time))
 		}
 	}
 }
 
-// findLost says which of the request's runners were taken for lost.
-func (a *Account) findLost() {
+// addLostRunnerFindings reports related runners that were declared lost.
+func (a *Account) addLostRunnerFindings() {
 	for _, line := range a.Beliefs {
 		if line.Message == messageRunnerLost {
-			a.note("Runner %s was taken for lost at %s, silent for %s: %s routers could not reach it.",
-				line.Get("runner"), a.since(line.Time), line.Get("silent"), line.Get("routers"))
+			a.addFinding("Runner %s was declared lost at %s after no response for %s: %s routers could not reach it.",
+				line.Get("runner"), a.relativeTime(line.Time), line.Get("silent"), line.Get("routers"))
 		}
 	}
 }
 
-// findLeaders says when the leader changed.
-func (a *Account) findLeaders() {
+// addLeaderFindings reports changes of the leader.
+func (a *Account) addLeaderFindings() {
 	for _, line := range a.Beliefs {
 		if line.Message == messageLeads {
-			a.note("The leader changed: %s leads from %s, and sends orders after another %s at the latest.",
-				line.Node, a.since(line.Time), line.Get("orders_in"))
+			a.addFinding("The leader changed: %s has led since %s and sends orders after at most another %s.",
+				line.Node, a.relativeTime(line.Time), line.Get("orders_in"))
 		}
-		if line.Message == messageOrdersFrom {
-			a.note("%s learned that it may send orders %s after it began to lead.", line.Node, line.Get("orders_in"))
+		if line.Message == messageFirstOrderKnown {
+			a.addFinding("%s learned that it may send orders %s after it began to lead.", line.Node, line.Get("orders_in"))
 		}
 	}
 }
--- a/request/explain/line.go
+++ b/request/explain/line.go
@@ -12,26 +12,26 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds a line; longer ones are passed over.
+// maxLineBytes is the maximum length of a line. Longer lines are skipped.
 const maxLineBytes = 64 << 10
 
-// Field is one field of a line.
+// Field is a key-value pair of a line.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	Time      time.Time `json:"time"`
 	Node      string    `json:"node"`
 	Component string    `json:"component,omitempty"`
 	Message   string    `json:"message"`
-	// Fields are the others, in their order.
+	// Fields are the remaining fields in order.
 	Fields []Field `json:"fields,omitempty"`
 }
 
-// Get returns the value of a field, or "".
+// Get returns the value of a field, or "" if there is none.
 func (l *Line) Get(key string) string {
 	for _, field := range l.Fields {
 		if field.Key == key {
@@ -41,8 +41,8 @@
 	return ""
 }
 
-// duration returns the value of a field as a duration, or 0.
-func (l *Line) duration(key string) time.Duration {
+// durationField returns the value of a field as a duration, or 0 if it is not valid.
+func (l *Line) durationField(key string) time.Duration {
 	value, err := time.ParseDuration(l.Get(key))
 	if err != nil {
 		return 0
@@ -50,7 +50,7 @@
 	return value
 }
 
-// String returns the line without its time.
+// String returns the line without time and component.
 func (l *Line) String() string {
 	var text strings.Builder
 	text.WriteString(l.Node + " " + l.Message)
@@ -67,10 +67,11 @@
 	return text.String()
 }
 
-// Stats counts what was read.
+// Stats counts the lines of logs.
 type Stats struct {
 	Lines int `json:"lines"`
-	// Foreign lines are torn or no lines of this product, TooLong ones were not looked at.
+	// Foreign counts truncated lines and lines of other programs, TooLong the skipped
+	// lines above the maximum length.
 	Foreign int `json:"foreign"`
 	TooLong int `json:"too_long"`
 }
@@ -82,8 +83,8 @@
 	s.TooLong += other.TooLong
 }
 
-// Read reads a log. What is not a line of this product is passed over and counted; what
-// stands before the first field, as some collectors write it, is passed over too.
+// Read parses the lines of a log. Lines of other programs are skipped and counted. Text
+// before the first field, as added by some log collectors, is ignored.
 func Read(log io.Reader) ([]Line, Stats, error) {
 	reader := bufio.NewReaderSize(log, maxLineBytes)
 	var lines []Line
@@ -96,7 +97,7 @@
 			text = nil
 		}
 		if len(bytes.TrimSpace(text)) > 0 {
-			if line, isOwn := parse(text); isOwn {
+			if line, isValid := parse(text); isValid {
 				stats.Lines++
 				lines = append(lines, line)
 			} else {
@@ -121,12 +122,12 @@
 	}
 }
 
-// firstKeys are the fields that a line may begin with.
-var firstKeys = [][]byte{[]byte("level="), []byte("ts=")}
+// initialKeys are the possible first keys of a line.
+var initialKeys = [][]byte{[]byte("level="), []byte("ts=")}
 
 func parse(text []byte) (Line, bool) {
 	begin := len(text)
-	for _, key := range firstKeys {
+	for _, key := range initialKeys {
 		if at := bytes.Index(text, key); at >= 0 {
 			begin = min(begin, at)
 		}
--- a/request/explain/tenants.go
+++ b/request/explain/tenants.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	messageTenant    = "A tenant stands so."
-	messageOverLimit = "A request was refused for its key or limit."
-	messageComeBack  = "A request was told to come back."
+	messageTenantStatus  = "A tenant stands so."
+	messageTenantRefused = "A request was refused for its key or limit."
+	messageRetryLater    = "A request was told to come back."
 )
 
-// Tenant is how a tenant stood when the leader last told of it, and how many of its requests
-// routers said that they refused, by outcome.
+// Tenant is the last status of a tenant reported by the leader, with the number of its
+// requests that routers refused.
 type Tenant struct {
 	Name string    `json:"tenant"`
 	At   time.Time `json:"at"`
 	Node string    `json:"leader,omitempty"`
-	// Share is the work done for it over its share of all: 1 for all of it and no more.
+	// Share is the work done for the tenant divided by its fair share.
 	Share   float64 `json:"share"`
 	Waiting int     `json:"waiting"`
-	// Used is what was granted of its limit in the last window, of Most; Most is 0 for one without
-	// a limit.
+	// Used is the part of the limit granted in the last window, Most the limit for a
+	// window, or 0 if there is none.
 	Used           int `json:"used"`
 	Most           int `json:"most"`
 	DrawnPerSecond int `json:"drawn_per_second"`
-	// Asked, LimitRefused and Promised count what the leader decided on in all that was read.
+	// Asked, LimitRefused and Promised are the totals of the leader's decisions in the logs.
 	Asked        int `json:"asked"`
 	LimitRefused int `json:"limit_refused"`
 	Promised     int `json:"promised"`
-	// Refused counts what routers refused, by outcome; lines that they did not write included.
+	// Refused counts the requests refused by routers by outcome, including those not logged.
 	Refused map[string]int `json:"refused,omitempty"`
 }
 
-// Tenants lists how tenants stand by the lines of all logs, in any order, by name.
+// Tenants returns the tenants found in the lines of all logs, which may be in any order,
+// sorted by name.
 func Tenants(lines []Line) []Tenant {
 	byName := make(map[string]*Tenant)
 	for i := range lines {
@@ -48,10 +49,10 @@
 			byName[name] = &Tenant{Name: name}
 		}
 		switch line.Message {
-		case messageTenant:
-			byName[name].stand(line)
-		case messageOverLimit, messageComeBack:
-			byName[name].refuse(line)
+		case messageTenantStatus:
+			byName[name].addStatus(line)
+		case messageTenantRefused, messageRetryLater:
+			byName[name].addRefusals(line)
 		}
 	}
 	var listed []Tenant
@@ -64,27 +65,27 @@
 	return listed
 }
 
-func (t *Tenant) stand(line *Line) {
-	t.Asked += line.number("asked")
-	t.LimitRefused += line.number("refused")
-	t.Promised += line.number("promised")
+func (t *Tenant) addStatus(line *Line) {
+	t.Asked += line.intField("asked")
+	t.LimitRefused += line.intField("refused")
+	t.Promised += line.intField("promised")
 	if line.Time.Before(t.At) {
 		return
 	}
 	t.At, t.Node = line.Time, line.Node
 	t.Share, _ = strconv.ParseFloat(line.Get("share"), 64)
-	t.Waiting, t.Used, t.Most = line.number("waiting"), line.number("used"), line.number("most")
-	t.DrawnPerSecond = line.number("drawn_per_second")
+	t.Waiting, t.Used, t.Most = line.intField("waiting"), line.intField("used"), line.intField("most")
+	t.DrawnPerSecond = line.intField("drawn_per_second")
 }
 
-func (t *Tenant) refuse(line *Line) {
+func (t *Tenant) addRefusals(line *Line) {
 	if t.Refused == nil {
 		t.Refused = make(map[string]int)
 	}
-	t.Refused[line.Get("outcome")] += 1 + line.number("not_logged")
+	t.Refused[line.Get("outcome")] += 1 + line.intField("not_logged")
 }
 
-func (l *Line) number(key string) int {
+func (l *Line) intField(key string) int {
 	number, err := strconv.Atoi(l.Get(key))
 	if err != nil {
 		return 0
