--- a/kit/emulator/arrival_test.go
+++ b/kit/emulator/arrival_test.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/kit/emulator"
 )
 
-func TestQueuedRequestsAreRecordedWithTheirArrival(t *testing.T) {
+func TestExecutionsRecordArrivalTime(t *testing.T) {
 	h := newHarness(t, func(o *emulator.EngineOptions) { o.MaxBatch = 1 })
 	h.ready("m")
 	h.generate(request("r1", "m", "p"))
--- a/kit/emulator/batch.go
+++ b/kit/emulator/batch.go
@@ -9,50 +9,51 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// maxAnswerTokens bounds what a request may ask for.
+// maxAnswerTokens limits the max_tokens and resume_from of a request.
 const maxAnswerTokens = 1 << 20
 
-// sequence is one request in the queue or in the batch.
+// sequence is one queued or running request.
 type sequence struct {
 	request structs.GenerateRequest
 	call    CallID
 	seed    uint64
-	// length is the number of tokens of the whole answer; next the index of the
-	// next one to be produced.
+	// length is the number of tokens of the complete answer; next is the index of the
+	// next token to generate.
 	length int
 	next   int
-	// stopped is set when a stop text ends the answer, cut bytes into its last token.
+	// stopped is set if a stop sequence ends the answer; cut is the length in bytes of
+	// its last token.
 	stopped bool
 	cut     int
-	// prefill counts the tokens still to be prefilled.
+	// prefill is the number of tokens that remain to be prefilled.
 	prefill int
-	// reserved counts the KV blocks reserved.
+	// reserved is the number of reserved KV blocks.
 	reserved int
-	// context are the keys of the blocks before the first token wanted.
+	// context holds the keys of the blocks before the first requested token.
 	context   []uint64
 	replica   *replica
 	record    *requestRecord
 	execution *Execution
-	// arrivedAt is when the engine took the request.
+	// arrivedAt is the time at which the engine accepted the request.
 	arrivedAt time.Time
-	// embeddings is set for a request for embeddings, which is not in the batch.
+	// embeddings is the reply to an embeddings request, which bypasses the batch.
 	embeddings *engineapi.EmbeddingsReply
 	stalled    bool
 	ended      bool
 }
 
-// batch is the continuous batch of an engine and the queue before it.
+// batch is the continuous batch of an engine with its queues.
 type batch struct {
-	// queues hold the waiting requests of each priority, in the order of arrival.
+	// queues hold the waiting requests by priority, in order of arrival.
 	queues  [structs.PriorityCount][]*sequence
 	running []*sequence
-	// stalled counts the requests that were accepted and never run.
+	// stalled is the number of accepted requests that never run.
 	stalled int
-	// reserved counts the KV blocks reserved by the running requests.
+	// reserved is the number of KV blocks reserved by running requests.
 	reserved int
 	stepping bool
 	stepEnd  time.Time
-	// rate is the tokens a second of the last step.
+	// rate is the token throughput of the last step, per second.
 	rate float64
 }
 
@@ -64,7 +65,7 @@
 	return count
 }
 
-// remove takes a sequence out of its queue or out of the batch.
+// remove removes a sequence from its queue or from the batch.
 func (b *batch) remove(current *sequence) {
 	if current.stalled {
 		b.stalled--
@@ -75,15 +76,15 @@
 		b.running = slices.DeleteFunc(b.running, same)
 		return
 	}
-	class := classOf(current.request.Priority)
+	class := priorityClass(current.request.Priority)
 	b.queues[class] = slices.DeleteFunc(b.queues[class], same)
 }
 
-func classOf(priority structs.Priority) int {
+func priorityClass(priority structs.Priority) int {
 	return min(max(int(priority), 0), structs.PriorityCount-1)
 }
 
-// text returns the text of the next token: a vector as JSON for an embedding.
+// text returns the text of the next token. That of an embedding is the vector as JSON.
 func (s *sequence) text() string {
 	if !s.request.Embedding {
 		text := tokenText(s.seed, s.next)
@@ -95,13 +96,13 @@
 	return ExpectedVectorText(s.request.Row, s.request.Prompt)
 }
 
-// stopAt ends the answer at the first token that holds one of the stop texts, before it.
-func (s *sequence) stopAt() {
+// truncateAtStop ends the answer before the first stop sequence within a token.
+func (s *sequence) truncateAtStop() {
 	if s.request.Sampling == nil {
 		return
 	}
 	for index := range s.length {
-		if cut := firstOf(tokenText(s.seed, index), s.request.Sampling.Stop); cut >= 0 {
+		if cut := firstIndex(tokenText(s.seed, index), s.request.Sampling.Stop); cut >= 0 {
 			s.length = index + 1
 			s.stopped = true
 			s.cut = cut
@@ -110,8 +111,8 @@
 	}
 }
 
-// firstOf returns where the first of the texts begins in text, or -1.
-func firstOf(text string, texts []string) int {
+// firstIndex returns the lowest index in text of any of the substrings, or -1.
+func firstIndex(text string, texts []string) int {
 	first := -1
 	for _, sought := range texts {
 		if at := strings.Index(text, sought); at >= 0 && (first < 0 || at < first) {
@@ -128,7 +129,7 @@
 	return finishReason(s.seed, s.request.MaxTokens)
 }
 
-// generate takes a request: it is refused at once or put into the queue.
+// generate queues a request or refuses it.
 func (e *Engine) generate(call CallID, request structs.GenerateRequest) {
 	target, refusal := e.checkGenerate(request)
 	if refusal != nil {
@@ -138,7 +139,7 @@
 	current := &sequence{request: request, call: call, replica: target, next: request.ResumeFrom}
 	current.seed = PromptHash(request.Row, request.Prompt)
 	current.length = min(naturalLength(current.seed), request.MaxTokens)
-	current.stopAt()
+	current.truncateAtStop()
 	if request.Embedding {
 		current.length = 1
 	}
@@ -146,12 +147,12 @@
 	target.pending++
 	target.queued++
 	e.emit(EngineOutput{Kind: OutputAccepted, Call: call, Load: e.currentLoad()})
-	if e.happens(e.faults.StallRate) {
+	if e.occurs(e.faults.StallRate) {
 		current.stalled = true
 		e.batch.stalled++
 		return
 	}
-	class := classOf(request.Priority)
+	class := priorityClass(request.Priority)
 	e.batch.queues[class] = append(e.batch.queues[class], current)
 	if !e.batch.stepping {
 		e.startStep()
@@ -163,9 +164,9 @@
 	wrongResume := request.ResumeFrom < 0 || request.ResumeFrom > maxAnswerTokens
 	if request.ID == "" || wrongTokens || wrongResume {
 		return nil, notRun(structs.NewError(structs.ErrorInvalid,
-			"the request lacks an ID or has a wrong number of tokens", "Set id, max_tokens above 0 and resume_from from 0."))
+			"the request has no ID or an invalid number of tokens", "Set id, a positive max_tokens and a non-negative resume_from."))
 	}
-	if refusal := e.admissible(request.ID, request.Incarnation, request.ResumeFrom > 0); refusal != nil {
+	if refusal := e.checkAdmission(request.ID, request.Incarnation, request.ResumeFrom > 0); refusal != nil {
 		return nil, refusal
 	}
 	if e.reservation(request) > e.blockCapacity() {
@@ -177,14 +178,14 @@
 		return nil, refusal
 	}
 	if e.batch.queued() >= e.options.MaxQueue {
-		full := structs.NewError(structs.ErrorOverloaded, "the engine's queue is full", "Choose another replica or come back later.")
+		full := structs.NewError(structs.ErrorOverloaded, "the engine's queue is full", "Choose another replica or retry later.")
 		full.RetryAfter = e.stepTime(e.options.MaxBatch, 0) * time.Duration(e.options.MaxBatch)
 		return nil, notRun(full)
 	}
 	return target, nil
 }
 
-// reservation returns the KV blocks that a request may come to need.
+// reservation returns the number of KV blocks that a request may need.
 func (e *Engine) reservation(request structs.GenerateRequest) int {
 	tokens := engineapi.PromptTokens(request.Prompt) + max(request.MaxTokens, request.ResumeFrom)
 	return (tokens + engineapi.BlockTokens - 1) / engineapi.BlockTokens
@@ -194,7 +195,7 @@
 	return int(e.options.KVBytes / (e.options.KVBytesPerToken * engineapi.BlockTokens))
 }
 
-// startStep admits waiting requests into the batch and begins the next step.
+// startStep admits waiting requests to the batch and starts the next step.
 func (e *Engine) startStep() {
 	e.admit()
 	e.batch.stepping = len(e.batch.running) > 0
@@ -217,7 +218,8 @@
 	e.batch.stepEnd = e.now.Add(duration)
 }
 
-// stepTime returns how long a step takes with so many requests and prompt tokens.
+// stepTime returns the duration of a step with the given numbers of running requests and
+// prefilled tokens.
 func (e *Engine) stepTime(running, prefill int) time.Duration {
 	duration := e.options.DecodeBase
 	duration += time.Duration(running) * e.options.DecodePerSequence
@@ -225,8 +227,8 @@
 	return max(e.faults.slow(duration), 1)
 }
 
-// admit moves waiting requests into the batch, highest priority first. The first
-// one that does not fit waits for room, and all after it.
+// admit moves waiting requests to the batch in order of priority. A request that does
+// not fit blocks all those behind it.
 func (e *Engine) admit() {
 	for class := structs.PriorityCount - 1; class >= 0; class-- {
 		for len(e.batch.queues[class]) > 0 {
@@ -240,14 +242,14 @@
 			e.batch.queues[class] = e.batch.queues[class][1:]
 			current.reserved = needed
 			e.batch.reserved += needed
-			e.enter(current)
+			e.start(current)
 		}
 		e.batch.queues[class] = nil
 	}
 }
 
-// enter puts a sequence into the batch: what the caches cover needs no prefill.
-func (e *Engine) enter(current *sequence) {
+// start adds a sequence to the batch. Tokens found in the caches need no prefill.
+func (e *Engine) start(current *sequence) {
 	current.replica.queued--
 	tokens := engineapi.PromptTokens(current.request.Prompt) + current.request.ResumeFrom
 	current.context = contextBlocks(current.request, current.seed, current.request.ResumeFrom)
@@ -261,7 +263,7 @@
 	e.records.PeakKV = max(e.records.PeakKV, kv)
 }
 
-// finishStep emits the tokens of the step and begins the next one.
+// finishStep emits the tokens of the step and starts the next one.
 func (e *Engine) finishStep() {
 	emitting := make([]*sequence, 0, len(e.batch.running))
 	for _, current := range e.batch.running {
@@ -276,14 +278,14 @@
 		if !current.ended {
 			e.produce(current)
 		}
-		if e.dead {
+		if e.crashed {
 			return
 		}
 	}
 	e.startStep()
 }
 
-// produce makes the next token of a sequence.
+// produce generates the next token of a sequence.
 func (e *Engine) produce(current *sequence) {
 	if current.next == current.request.ResumeFrom {
 		e.cacheBlocks(current.request.Row, current.context)
--- a/kit/emulator/cache_test.go
+++ b/kit/emulator/cache_test.go
@@ -12,8 +12,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// firstToken runs a request to its end and returns the time to its first token.
-func (h *harness) firstToken(each structs.GenerateRequest) time.Duration {
+// timeToFirstToken runs a request to completion and returns the time to its first token.
+func (h *harness) timeToFirstToken(each structs.GenerateRequest) time.Duration {
 	began := h.now
 	call := h.generate(each)
 	h.run(5 * time.Second)
@@ -32,14 +32,14 @@
 	long := prompt("p", 1600)
 	options := h.engine.Options()
 	step := options.DecodeBase + options.DecodePerSequence
-	h.Check(h.firstToken(request("1", "m", long)), qt.Equals, step+1600*options.PrefillPerToken)
-	h.Check(h.firstToken(request("2", "m", long)), qt.Equals, step)
-	h.Check(h.firstToken(request("3", "m", long+prompt("q", 160))), qt.Equals, step+160*options.PrefillPerToken)
-	h.Check(h.firstToken(request("4", "n", long)), qt.Equals, step+1600*options.PrefillPerToken, qt.Commentf("another row"))
-	h.Check(h.firstToken(request("5", "m", prompt("r", 4096))), qt.Equals, 2*step+4096*options.PrefillPerToken, qt.Commentf("two chunks"))
+	h.Check(h.timeToFirstToken(request("1", "m", long)), qt.Equals, step+1600*options.PrefillPerToken)
+	h.Check(h.timeToFirstToken(request("2", "m", long)), qt.Equals, step)
+	h.Check(h.timeToFirstToken(request("3", "m", long+prompt("q", 160))), qt.Equals, step+160*options.PrefillPerToken)
+	h.Check(h.timeToFirstToken(request("4", "n", long)), qt.Equals, step+1600*options.PrefillPerToken, qt.Commentf("another row"))
+	h.Check(h.timeToFirstToken(request("5", "m", prompt("r", 4096))), qt.Equals, 2*step+4096*options.PrefillPerToken, qt.Commentf("two chunks"))
 }
 
-func TestPrefixCacheIsLimitedAndPublishesItsChanges(t *testing.T) {
+func TestPrefixCacheIsBoundedAndPublishesChanges(t *testing.T) {
 	h := newHarness(t, func(o *emulator.EngineOptions) {
 		o.KVBytesPerToken = 1
 		o.KVBytes = 100 * engineapi.BlockTokens
@@ -48,7 +48,7 @@
 	cached := make(map[uint64]bool)
 	after := uint64(0)
 	for i := range 20 {
-		h.firstToken(request(fmt.Sprint(i), "m", prompt(fmt.Sprint(i), 480)))
+		h.timeToFirstToken(request(fmt.Sprint(i), "m", prompt(fmt.Sprint(i), 480)))
 		page := h.events(after)
 		for _, event := range page.Events {
 			h.Assert(event.Sequence, qt.Equals, after+1, qt.Commentf("no gap without loss"))
@@ -66,15 +66,15 @@
 		}
 		h.Assert(held > 0 && held <= 100, qt.IsTrue, qt.Commentf("%d blocks", held))
 	}
-	h.firstToken(request("again", "m", prompt("17", 480)))
-	h.firstToken(request("new", "m", prompt("new", 480)))
+	h.timeToFirstToken(request("again", "m", prompt("17", 480)))
+	h.timeToFirstToken(request("new", "m", prompt("new", 480)))
 	options := h.engine.Options()
 	step := options.DecodeBase + options.DecodePerSequence
-	h.Check(h.firstToken(request("used", "m", prompt("17", 480))), qt.Equals, step, qt.Commentf("use keeps a prefix"))
+	h.Check(h.timeToFirstToken(request("used", "m", prompt("17", 480))), qt.Equals, step, qt.Commentf("a recently used prefix is retained"))
 	after = h.events(after).Next
 	for i := range 20 {
 		blocks := engineapi.PromptBlocks("m", prompt(fmt.Sprint(i), 480))
-		h.Check(cached[blocks[0]], qt.Equals, i >= 17, qt.Commentf("prompt %d: the newest stay", i))
+		h.Check(cached[blocks[0]], qt.Equals, i >= 17, qt.Commentf("prompt %d: the newest are retained", i))
 	}
 	h.Check(h.engine.Records().PeakKV <= 100*engineapi.BlockTokens, qt.IsTrue)
 	h.order(structs.Order{Kind: structs.OrderUnload, Row: "m"})
@@ -84,20 +84,20 @@
 	h.Check(page.Events[0].Kind, qt.Equals, engineapi.CacheCleared)
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndLossy(t *testing.T) {
 	h := newHarness(t, func(o *emulator.EngineOptions) { o.EventLag = time.Minute; o.EventLossRate = 0.5 })
 	h.ready("m")
 	for i := range 30 {
-		h.firstToken(request(fmt.Sprint(i), "m", prompt(fmt.Sprint(i), 32)))
+		h.timeToFirstToken(request(fmt.Sprint(i), "m", prompt(fmt.Sprint(i), 32)))
 		if i < 10 {
-			h.Assert(h.events(0).Events, qt.HasLen, 0, qt.Commentf("nothing shows before the lag"))
+			h.Assert(h.events(0).Events, qt.HasLen, 0, qt.Commentf("no event is visible before the lag"))
 		}
 	}
 	h.run(time.Minute)
 	page := h.events(0)
 	h.Assert(page.Events, qt.Not(qt.HasLen), 0)
 	last := page.Events[len(page.Events)-1].Sequence
-	h.Check(len(page.Events) < int(last), qt.IsTrue, qt.Commentf("gaps show in the sequence"))
+	h.Check(len(page.Events) < int(last), qt.IsTrue, qt.Commentf("the sequence has gaps"))
 	h.Check(page.Next, qt.Equals, last)
 	h.Check(h.events(page.Next).Events, qt.HasLen, 0)
 }
@@ -142,7 +142,7 @@
 			}
 			options := to.engine.Options()
 			want := options.DecodeBase + options.DecodePerSequence + time.Duration(test.prefill)*options.PrefillPerToken
-			to.Check(to.firstToken(resumed), qt.Equals, want)
+			to.Check(to.timeToFirstToken(resumed), qt.Equals, want)
 		})
 	}
 }
--- a/kit/emulator/checkpoint_cache.go
+++ b/kit/emulator/checkpoint_cache.go
@@ -7,12 +7,12 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// tierCache holds checkpoints in one cache tier and drops the least recently
-// used ones. Checkpoints are few, so a slice in the order of use serves.
+// tierCache is an LRU cache of checkpoints in one tier. There are few checkpoints, so a
+// slice in order of use suffices.
 type tierCache struct {
 	capacity int64
 	used     int64
-	// checkpoints run from the least to the most recently used.
+	// checkpoints are sorted from the least to the most recently used.
 	checkpoints []checkpoint
 }
 
@@ -27,8 +27,8 @@
 
 func (c *tierCache) has(row structs.RowName) bool { return c.index(row) >= 0 }
 
-// put adds a checkpoint or marks it used. One that is larger than the tier is
-// not kept.
+// put adds a checkpoint or marks it as used. A checkpoint larger than the tier is not
+// cached.
 func (c *tierCache) put(row structs.RowName, sizeBytes int64) {
 	if i := c.index(row); i >= 0 {
 		c.used -= c.checkpoints[i].sizeBytes
@@ -50,22 +50,22 @@
 	c.used = 0
 }
 
-// CheckpointCache holds the checkpoints near a runner, in host memory and on disk,
-// and drops the least recently used ones of a full tier. It is for one goroutine.
+// CheckpointCache is an LRU cache of the checkpoints in a runner's host memory and on
+// its disk. It is not safe for concurrent use.
 type CheckpointCache struct {
 	memory tierCache
 	disk   tierCache
-	// listed is what List returned, until it is stale.
+	// listed is the last result of List; stale tells that it is outdated.
 	listed []structs.CachedRow
 	stale  bool
 }
 
-// NewCheckpointCache makes an empty cache with tiers of so many bytes.
+// NewCheckpointCache returns an empty cache with tiers of the given sizes in bytes.
 func NewCheckpointCache(memoryBytes, diskBytes int64) *CheckpointCache {
 	return &CheckpointCache{memory: tierCache{capacity: memoryBytes}, disk: tierCache{capacity: diskBytes}}
 }
 
-// Tier returns the nearest tier that has the row.
+// Tier returns the nearest tier that holds the row.
 func (c *CheckpointCache) Tier(row structs.RowName) structs.CacheTier {
 	switch {
 	case c.memory.has(row):
@@ -76,8 +76,8 @@
 	return structs.TierStore
 }
 
-// Put adds a checkpoint to the tier, or marks it used there. One that is larger
-// than the tier is not kept. What is put into any tier but memory goes to disk.
+// Put adds a checkpoint to the tier or marks it as used there. A checkpoint larger than
+// the tier is not cached. Any tier other than memory means disk.
 func (c *CheckpointCache) Put(tier structs.CacheTier, row structs.RowName, sizeBytes int64) {
 	target := &c.disk
 	if tier == structs.TierMemory {
@@ -87,20 +87,20 @@
 	target.put(row, sizeBytes)
 }
 
-// ClearMemory drops what is in host memory.
+// ClearMemory drops the checkpoints in host memory.
 func (c *CheckpointCache) ClearMemory() {
 	c.memory.clear()
 	c.stale = true
 }
 
-// ClearDisk drops what is on disk.
+// ClearDisk drops the checkpoints on disk.
 func (c *CheckpointCache) ClearDisk() {
 	c.disk.clear()
 	c.stale = true
 }
 
-// List returns the nearest tier of each cached row, by name. The list must not be
-// changed; later calls make a new one when anything has changed.
+// List returns the nearest tier of each cached row, sorted by name. The result is shared
+// and must not be modified.
 func (c *CheckpointCache) List() []structs.CachedRow {
 	if !c.stale {
 		return c.listed
--- a/kit/emulator/death_test.go
+++ b/kit/emulator/crash_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestDeathIsOnRecordAsTheEndOfAllReplicas(t *testing.T) {
+func TestCrashRecordsAllReplicasAsAbsent(t *testing.T) {
 	h := newHarness(t, nil)
 	h.ready("row-a")
 	h.load("row-b", "", gigabyte)
--- a/kit/emulator/delivery.go
+++ b/kit/emulator/delivery.go
@@ -4,13 +4,13 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// happens draws whether something of the given rate happens.
-func (e *Engine) happens(rate float64) bool {
+// occurs reports whether a random event with the given probability occurs.
+func (e *Engine) occurs(rate float64) bool {
 	return rate > 0 && e.options.Random.Float64() < rate
 }
 
-// deliver sends a token through the faults. It returns false when the sequence
-// was ended by one of them.
+// deliver emits a token subject to the injected faults. It returns false if a fault
+// ended the sequence.
 func (e *Engine) deliver(current *sequence, token structs.Token) bool {
 	output := EngineOutput{Kind: OutputToken, Call: current.call, Token: token}
 	if token.Finish != "" {
@@ -20,28 +20,28 @@
 		e.emit(output)
 		return true
 	}
-	if e.happens(e.faults.ResetRate) {
+	if e.occurs(e.faults.ResetRate) {
 		e.emit(EngineOutput{Kind: OutputReset, Call: current.call})
 		e.stop(current, false)
 		return false
 	}
 	switch {
-	case e.happens(e.faults.LossRate):
-	case e.happens(e.faults.LateRate):
+	case e.occurs(e.faults.LossRate):
+	case e.occurs(e.faults.LateRate):
 		e.after(e.faults.LateBy, func() { e.emit(output) })
 	default:
 		e.emit(output)
 	}
-	if e.happens(e.faults.RepeatRate) {
+	if e.occurs(e.faults.RepeatRate) {
 		e.emit(output)
 	}
-	if e.happens(e.faults.CrossRate) {
+	if e.occurs(e.faults.CrossRate) {
 		e.cross(current, token)
 	}
 	return e.countDown()
 }
 
-// cross sends the token on the stream of another running request as well.
+// cross also emits the token on the stream of another running request.
 func (e *Engine) cross(current *sequence, token structs.Token) {
 	others := make([]*sequence, 0, len(e.batch.running))
 	for _, other := range e.batch.running {
@@ -56,8 +56,8 @@
 	e.emit(EngineOutput{Kind: OutputToken, Call: other.call, Token: token})
 }
 
-// countDown lets the engine die once it has emitted its last token. It returns
-// false when the engine died.
+// countDown crashes the engine once DieAfterTokens tokens were generated. It returns
+// false if the engine crashed.
 func (e *Engine) countDown() bool {
 	if e.faults.DieAfterTokens == 0 {
 		return true
@@ -66,6 +66,6 @@
 	if e.faults.DieAfterTokens > 0 {
 		return true
 	}
-	e.die()
+	e.crash()
 	return false
 }
--- a/kit/emulator/embedding_test.go
+++ b/kit/emulator/embedding_test.go
@@ -10,8 +10,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestGenerateAnswersAnEmbeddingWithOneToken(t *testing.T) {
-	r := newRig(t, testScale, nil)
+func TestEmbeddingAnswerHasOneToken(t *testing.T) {
+	r := newServerFixture(t, testScale, nil)
 	each := request("e", "m", "the first picking of the season")
 	each.Embedding = true
 	tokens, err := r.generate(each)
--- a/kit/emulator/engine.go
+++ b/kit/emulator/engine.go
@@ -8,14 +8,14 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Engine is a model engine in virtual time. It is not safe for concurrent use.
-// Times passed to its methods must not go backwards.
+// Engine is an emulated model engine in virtual time. It is not safe for concurrent use.
+// Times passed to its methods must not decrease.
 type Engine struct {
 	options EngineOptions
 	faults  EngineFaults
 
 	now         time.Time
-	dead        bool
+	crashed     bool
 	incarnation structs.Incarnation
 	role        structs.RunnerRole
 
@@ -26,7 +26,7 @@
 	memoryUsed  int64
 	idleBytes   int64
 	checkpoints *CheckpointCache
-	// fetches are the checkpoints asked of the weight store.
+	// fetches are the pending reads from the weight store.
 	fetches map[structs.RowName]*fetch
 
 	requests requestRegister
@@ -38,11 +38,11 @@
 	timers  timerQueue
 	report  reporter
 	records Records
-	// outputs gathers the outputs of the Step or Advance under way.
+	// outputs collects the outputs of the current Step or Advance.
 	outputs []EngineOutput
 }
 
-// NewEngine makes an engine that holds nothing.
+// NewEngine returns an engine without replicas.
 func NewEngine(options EngineOptions) *Engine {
 	options = options.withDefaults()
 	e := &Engine{options: options, faults: options.Faults, incarnation: options.Incarnation, role: options.Role}
@@ -51,35 +51,35 @@
 	return e
 }
 
-// Options returns the options with their defaults filled in.
+// Options returns the options with defaults applied.
 func (e *Engine) Options() EngineOptions { return e.options }
 
-// Incarnation returns the number of the current life.
+// Incarnation returns the current incarnation.
 func (e *Engine) Incarnation() structs.Incarnation { return e.incarnation }
 
-// Dead reports whether the process has died and was not restarted.
-func (e *Engine) Dead() bool { return e.dead }
+// Dead reports whether the engine has crashed and was not restarted.
+func (e *Engine) Dead() bool { return e.crashed }
 
-// Records returns the engine's own records. They change with the engine.
+// Records returns the engine's records. They are updated as the engine runs.
 func (e *Engine) Records() *Records { return &e.records }
 
-// Faults returns the faults that are switched on.
+// Faults returns the injected faults.
 func (e *Engine) Faults() EngineFaults { return e.faults }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(faults EngineFaults) { e.faults = faults }
 
-// Step takes one input at now. It first does what was due before now, so the
-// outputs may belong to other calls too.
+// Step processes one input at now, after all events due before. The outputs may
+// therefore belong to other calls as well.
 func (e *Engine) Step(now time.Time, input EngineInput) []EngineOutput {
 	e.advance(now)
-	if e.dead {
+	if e.crashed {
 		if input.Kind != InputDisconnect && input.Kind != InputFetched && input.Kind != InputCrash {
 			e.emit(EngineOutput{Kind: OutputReset, Call: input.Call})
 		}
 		return e.takeOutputs()
 	}
-	e.reach(now)
+	e.advanceClock(now)
 	e.handle(input)
 	return e.takeOutputs()
 }
@@ -93,7 +93,7 @@
 	case InputStatus:
 		e.status(input.Call, input.ID, input.Cancel)
 	case InputOrder:
-		e.takeOrder(input.Call, input.Order)
+		e.handleOrder(input.Call, input.Order)
 	case InputReport:
 		report := e.currentReport()
 		e.emit(EngineOutput{Kind: OutputReport, Call: input.Call, Report: &report})
@@ -110,12 +110,12 @@
 	case InputFetched:
 		e.fetched(input.Row, input.Failed)
 	case InputCrash:
-		e.die()
+		e.crash()
 	}
 }
 
-// NextEvent returns when Advance must be called next; false means that nothing
-// happens without an input.
+// NextEvent returns the time at which Advance must be called next, and false if no event
+// is scheduled.
 func (e *Engine) NextEvent() (time.Time, bool) {
 	at, found := e.timers.first()
 	if e.batch.stepping && (!found || e.batch.stepEnd.Before(at)) {
@@ -124,22 +124,22 @@
 	return at, found
 }
 
-// Advance does all that is due up to now and returns its outputs.
+// Advance processes all events up to now and returns their outputs.
 func (e *Engine) Advance(now time.Time) []EngineOutput {
 	e.advance(now)
-	if !e.dead {
-		e.reach(now)
+	if !e.crashed {
+		e.advanceClock(now)
 	}
 	return e.takeOutputs()
 }
 
 func (e *Engine) advance(now time.Time) {
-	for !e.dead {
+	for !e.crashed {
 		at, found := e.NextEvent()
 		if !found || at.After(now) {
 			return
 		}
-		e.reach(at)
+		e.advanceClock(at)
 		if first, timed := e.timers.first(); timed && !first.After(at) {
 			e.timers.pop().run()
 			continue
@@ -148,9 +148,10 @@
 	}
 }
 
-// reach moves the engine's time to at, before anything changes: the idle time
-// and the lagging report are taken from the state that lasted until then.
-func (e *Engine) reach(at time.Time) {
+// advanceClock sets the current time to at. It must be called before a state change,
+// because it accumulates the idle time and refreshes the report from the unchanged
+// state.
+func (e *Engine) advanceClock(at time.Time) {
 	if at.Before(e.now) {
 		return
 	}
@@ -177,9 +178,9 @@
 	return outputs
 }
 
-// die ends the process: all state but the disk cache is lost.
-func (e *Engine) die() {
-	e.dead = true
+// crash stops the engine. All state is lost except the disk cache.
+func (e *Engine) crash() {
+	e.crashed = true
 	for _, sequence := range e.batch.running {
 		e.endExecution(sequence, structs.FinishError)
 	}
@@ -202,16 +203,16 @@
 	e.checkpoints.ClearMemory()
 }
 
-// Restart begins a new life at now. The incarnation must be higher than the last
-// one; a living engine dies first, and its OutputDied is returned.
+// Restart starts the next incarnation at now; it must be higher than the last one. A
+// running engine crashes first, and its OutputDied is returned.
 func (e *Engine) Restart(now time.Time, incarnation structs.Incarnation) []EngineOutput {
 	e.advance(now)
-	if !e.dead {
-		e.reach(now)
-		e.die()
+	if !e.crashed {
+		e.advanceClock(now)
+		e.crash()
 	}
 	e.now = now
-	e.dead = false
+	e.crashed = false
 	e.incarnation = incarnation
 	e.role = e.options.Role
 	e.fence = structs.Fence{}
--- a/kit/emulator/engine_handlers.go
+++ b/kit/emulator/engine_handlers.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The paths by which a test or a rehearsal steers an emulated engine. They are no
+// Control paths by which tests and rehearsals drive an emulated engine. They are not
 // part of the engine protocol.
 const (
 	PathFaults  = "/emulator/v1/faults"
@@ -20,14 +20,14 @@
 	PathRecords = "/emulator/v1/records"
 )
 
-// RestartRequest asks an emulated engine to begin its next life.
+// RestartRequest restarts an emulated engine.
 type RestartRequest struct {
-	// Incarnation of the next life; 0 means the one after the last.
+	// Incarnation is that of the restarted engine; 0 means the next one.
 	Incarnation structs.Incarnation `json:"incarnation"`
 }
 
-// handler returns the handler of a path. It is made for each call, so that idle
-// engines hold no handlers.
+// handler returns the handler of a path. Handlers are created per call so that idle
+// engines hold none.
 func (s *EngineServer) handler(path string) http.Handler {
 	switch path {
 	case engineapi.PathGenerate:
@@ -53,7 +53,7 @@
 	return s.controlHandler(path)
 }
 
-// controlHandler returns the handler of a path that steers the emulator.
+// controlHandler returns the handler of a control path.
 func (s *EngineServer) controlHandler(path string) http.Handler {
 	done := struct{}{}
 	switch path {
@@ -78,16 +78,16 @@
 	return http.NotFoundHandler()
 }
 
-// statusQuestion is a decoded status call.
-type statusQuestion struct {
+// statusQuery is a decoded status call.
+type statusQuery struct {
 	id     structs.RequestID
 	cancel bool
 }
 
-func decodeStatus(r *http.Request) (statusQuestion, error) {
-	question := statusQuestion{id: structs.RequestID(strings.TrimPrefix(r.URL.Path, engineapi.PathRequests))}
+func decodeStatus(r *http.Request) (statusQuery, error) {
+	question := statusQuery{id: structs.RequestID(strings.TrimPrefix(r.URL.Path, engineapi.PathRequests))}
 	if question.id == "" {
-		return question, invalidRequest("the path lacks a request ID")
+		return question, invalidRequest("the path has no request ID")
 	}
 	value := r.URL.Query().Get(engineapi.QueryCancel)
 	if value == "" {
@@ -95,7 +95,7 @@
 	}
 	cancel, err := strconv.ParseBool(value)
 	if err != nil {
-		return question, invalidRequest("the cancel flag is not true or false")
+		return question, invalidRequest("the cancel flag is not a boolean")
 	}
 	question.cancel = cancel
 	return question, nil
@@ -115,12 +115,12 @@
 
 func (s *EngineServer) serveCancel(ctx context.Context, request engineapi.CancelRequest) (structs.RequestStatus, error) {
 	if request.ID == "" {
-		return structs.RequestStatus{}, invalidRequest("the body lacks a request ID")
+		return structs.RequestStatus{}, invalidRequest("the body has no request ID")
 	}
-	return s.serveStatus(ctx, statusQuestion{id: request.ID, cancel: true})
+	return s.serveStatus(ctx, statusQuery{id: request.ID, cancel: true})
 }
 
-func (s *EngineServer) serveStatus(ctx context.Context, question statusQuestion) (structs.RequestStatus, error) {
+func (s *EngineServer) serveStatus(ctx context.Context, question statusQuery) (structs.RequestStatus, error) {
 	output, err := s.ask(ctx, EngineInput{Kind: InputStatus, ID: question.id, Cancel: question.cancel})
 	if err != nil {
 		return structs.RequestStatus{}, err
@@ -176,8 +176,7 @@
 	return *output.Embeddings, nil
 }
 
-// serveRecords answers with the records as they are now; an engine that died
-// still has them.
+// serveRecords returns the current records. They survive a crash of the engine.
 func (s *EngineServer) serveRecords(context.Context, struct{}) (Records, error) {
 	var records Records
 	s.Engine(func(engine *Engine, now time.Time) []EngineOutput {
--- a/kit/emulator/engine_server.go
+++ b/kit/emulator/engine_server.go
@@ -14,8 +14,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// EngineServer serves an Engine over HTTP in the machine's time. Many of them
-// share a process; an idle one has no goroutine.
+// EngineServer serves an Engine over HTTP, driven by a Clock. An idle server has no
+// goroutine, so that many can share a process.
 type EngineServer struct {
 	logger log.Logger
 	clock  *Clock
@@ -26,9 +26,9 @@
 	calls  map[CallID]*callQueue
 	last   CallID
 	closed bool
-	// life is cancelled when the engine dies, and with it its fetches.
-	life    context.Context
-	endLife context.CancelFunc
+	// incarnationContext is cancelled when the engine crashes, which aborts its fetches.
+	incarnationContext context.Context
+	cancelIncarnation  context.CancelFunc
 
 	store        *engineapi.Client
 	storeAddress string
@@ -41,17 +41,17 @@
 	ready chan struct{}
 }
 
-// NewEngineServer makes the server of an engine, which nobody else may use from
-// then on but through the server. Close it after use.
+// NewEngineServer returns a server of the engine and takes ownership of it. Close it
+// after use.
 func NewEngineServer(logger log.Logger, engine *Engine, clock *Clock) *EngineServer {
 	s := &EngineServer{logger: log.With(logger, "component", "engine"), clock: clock, engine: engine}
 	s.alarm = alarm{clock: clock, fire: s.advance}
-	s.life, s.endLife = context.WithCancel(context.Background())
+	s.incarnationContext, s.cancelIncarnation = context.WithCancel(context.Background())
 	return s
 }
 
-// UseStore lets the engine fetch checkpoints from the weight store at address.
-// Without it, and without EngineOptions.FetchTime, all fetches fail.
+// UseStore sets the weight store from which the engine fetches checkpoints. Without it
+// or EngineOptions.FetchTime, all fetches fail.
 func (s *EngineServer) UseStore(client *engineapi.Client, address string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,22 +59,22 @@
 	s.storeAddress = address
 }
 
-// Engine calls use with the engine while nothing else happens to it, and then
-// sends out what it did.
+// Engine calls use with exclusive access to the engine and dispatches the returned
+// outputs.
 func (s *EngineServer) Engine(use func(engine *Engine, now time.Time) []EngineOutput) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.dispatch(use(s.engine, s.clock.Now()))
 }
 
-// Crash kills the engine: all its connections are cut until Restart.
+// Crash crashes the engine. All connections are reset until Restart.
 func (s *EngineServer) Crash() {
 	s.Engine(func(engine *Engine, now time.Time) []EngineOutput {
 		return engine.Step(now, EngineInput{Kind: InputCrash})
 	})
 }
 
-// Restart begins the engine's next life; 0 means the incarnation after the last.
+// Restart restarts the engine under the given incarnation; 0 means the next one.
 func (s *EngineServer) Restart(incarnation structs.Incarnation) {
 	s.Engine(func(engine *Engine, now time.Time) []EngineOutput {
 		option.Default(&incarnation, engine.Incarnation()+1)
@@ -82,7 +82,7 @@
 	})
 }
 
-// SetFaults replaces the engine's faults.
+// SetFaults replaces the injected faults of the engine.
 func (s *EngineServer) SetFaults(faults EngineFaults) {
 	s.Engine(func(engine *Engine, now time.Time) []EngineOutput {
 		outputs := engine.Advance(now)
@@ -91,14 +91,14 @@
 	})
 }
 
-// Close stops the server: calls under way are reset.
+// Close stops the server and resets the calls in progress.
 func (s *EngineServer) Close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
 	s.resetCalls()
 	s.alarm.stop()
-	s.endLife()
+	s.cancelIncarnation()
 }
 
 func (s *EngineServer) advance() {
@@ -111,8 +111,8 @@
 	s.dispatch(s.engine.Advance(s.clock.Now()))
 }
 
-// open begins a call and gives its input to the engine.
-func (s *EngineServer) open(input EngineInput) (CallID, *callQueue) {
+// openCall starts a call and passes its input to the engine.
+func (s *EngineServer) openCall(input EngineInput) (CallID, *callQueue) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.last++
@@ -130,17 +130,18 @@
 	return input.Call, queue
 }
 
-// end forgets a call. With gone set its caller left before the answer's end.
-func (s *EngineServer) end(call CallID, gone bool) {
+// endCall removes a call. If disconnected is set, the caller left before the endCall of the
+// response.
+func (s *EngineServer) endCall(call CallID, disconnected bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.calls, call)
-	if gone && !s.closed {
+	if disconnected && !s.closed {
 		s.dispatch(s.engine.Step(s.clock.Now(), EngineInput{Kind: InputDisconnect, Call: call}))
 	}
 }
 
-// take returns the outputs of a call that wait.
+// take removes and returns the pending outputs of a call.
 func (s *EngineServer) take(queue *callQueue) []EngineOutput {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -157,17 +158,17 @@
 	}
 }
 
-// dispatch hands outputs to their calls and sets the alarm.
+// dispatch passes outputs to their calls and sets the alarm.
 func (s *EngineServer) dispatch(outputs []EngineOutput) {
 	for _, output := range outputs {
 		switch output.Kind {
 		case OutputDied:
-			level.Warn(s.logger).Log("msg", "The engine died.", "runner", s.engine.options.Runner)
+			level.Warn(s.logger).Log("msg", "Engine crashed.", "runner", s.engine.options.Runner)
 			s.resetCalls()
-			s.endLife()
-			s.life, s.endLife = context.WithCancel(context.Background())
+			s.cancelIncarnation()
+			s.incarnationContext, s.cancelIncarnation = context.WithCancel(context.Background())
 		case OutputFetch:
-			go s.fetch(s.life, *output.Fetch)
+			go s.fetch(s.incarnationContext, *output.Fetch)
 		default:
 			if queue := s.calls[output.Call]; queue != nil {
 				queue.put(output)
@@ -184,37 +185,37 @@
 	s.calls = nil
 }
 
-// fetch reads a checkpoint from the weight store and tells the engine.
-func (s *EngineServer) fetch(life context.Context, request engineapi.FetchRequest) {
+// fetch reads a checkpoint from the weight store and reports the result to the engine.
+func (s *EngineServer) fetch(ctx context.Context, request engineapi.FetchRequest) {
 	s.mutex.Lock()
 	store, address := s.store, s.storeAddress
 	s.mutex.Unlock()
 	err := error(structs.NewError(structs.ErrorUnavailable, "the engine has no weight store", "Call UseStore."))
 	if store != nil {
-		_, err = store.Fetch(life, address, request)
+		_, err = store.Fetch(ctx, address, request)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if life.Err() != nil || s.closed {
+	if ctx.Err() != nil || s.closed {
 		return
 	}
 	if err != nil {
-		level.Warn(s.logger).Log("msg", "A checkpoint could not be fetched.", "runner", request.Runner, "row", request.Row, "err", err)
+		level.Warn(s.logger).Log("msg", "Checkpoint fetch failed.", "runner", request.Runner, "row", request.Row, "err", err)
 	}
 	input := EngineInput{Kind: InputFetched, Row: request.Row, Failed: err != nil}
 	s.dispatch(s.engine.Step(s.clock.Now(), input))
 }
 
-// ask makes a call with one output and returns it.
+// ask makes a call that has a single output and returns the output.
 func (s *EngineServer) ask(ctx context.Context, input EngineInput) (EngineOutput, error) {
-	call, queue := s.open(input)
+	call, queue := s.openCall(input)
 	select {
 	case <-queue.ready:
 	case <-ctx.Done():
-		s.end(call, true)
+		s.endCall(call, true)
 		return EngineOutput{}, errReset
 	}
-	s.end(call, false)
+	s.endCall(call, false)
 	output := s.take(queue)[0]
 	switch output.Kind {
 	case OutputReset:
--- a/kit/emulator/engine_stream.go
+++ b/kit/emulator/engine_stream.go
@@ -9,44 +9,44 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// serveGenerate answers a generate call with an event stream. It uses net/http
-// directly, because a go-kit server encodes one response as a whole.
+// serveGenerate streams the tokens of a generate call as server-sent events. It uses
+// net/http directly because a go-kit server encodes a response as a whole.
 func (s *EngineServer) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	request, err := decodeBody[structs.GenerateRequest](r)
 	if err != nil {
 		writeError(r.Context(), err, w)
 		return
 	}
-	call, queue := s.open(EngineInput{Kind: InputGenerate, Generate: request})
+	call, queue := s.openCall(EngineInput{Kind: InputGenerate, Generate: request})
 	stream := tokenStream{writer: w, controller: http.NewResponseController(w)}
 	for {
 		select {
 		case <-queue.ready:
 		case <-r.Context().Done():
-			s.end(call, true)
+			s.endCall(call, true)
 			return
 		}
 		ended, err := stream.write(s.take(queue))
 		if err != nil {
-			s.end(call, true)
+			s.endCall(call, true)
 			panic(http.ErrAbortHandler)
 		}
 		if ended {
-			s.end(call, false)
+			s.endCall(call, false)
 			return
 		}
 	}
 }
 
-// tokenStream writes the outputs of one generate call.
+// tokenStream writes the outputs of one generate call to the response.
 type tokenStream struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 	buffer     []byte
 }
 
-// write sends outputs and reports whether the answer is ended. On an error the
-// connection must be cut.
+// write sends outputs and reports whether the response is complete. After an error the
+// connection must be closed.
 func (t *tokenStream) write(outputs []EngineOutput) (ended bool, err error) {
 	t.buffer = t.buffer[:0]
 	for _, output := range outputs {
@@ -85,8 +85,8 @@
 	t.writer.WriteHeader(http.StatusOK)
 }
 
-// finish writes the last tokens and the trailer; they leave in one piece when the
-// handler returns.
+// finish writes the last tokens and sets the trailer. Both are flushed when the handler
+// returns.
 func (t *tokenStream) finish(output EngineOutput) error {
 	_, err := t.writer.Write(t.buffer)
 	if output.Load != nil {
--- a/kit/emulator/generate_test.go
+++ b/kit/emulator/generate_test.go
@@ -12,7 +12,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestAnswersAreWholeAndTheirOwn(t *testing.T) {
+func TestAnswersAreCompleteAndNotMixed(t *testing.T) {
 	h := newHarness(t, nil)
 	h.ready("m")
 	h.ready("n")
@@ -34,9 +34,9 @@
 	h.Check(h.report().Load.Queued, qt.Equals, 0)
 }
 
-// TestCheckerSeesEveryFault shows that the check of answers, which other tests
-// rely on, fails for each fault of the streams.
-func TestCheckerSeesEveryFault(t *testing.T) {
+// TestCheckAnswerDetectsFaults guards against a checkAnswer that misses stream faults,
+// since other tests rely on it.
+func TestCheckAnswerDetectsFaults(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults emulator.EngineFaults
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestResumeGivesExactlyTheMissingTokens(t *testing.T) {
+func TestResumeReturnsExactlyTheMissingTokens(t *testing.T) {
 	whole := request("r", "m", prompt("p", 50))
 	length := emulator.ExpectedLength("m", whole.Prompt, whole.MaxTokens)
 	for from := 0; from <= length+1; from++ {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestRequestAfterABreakResumesUnderItsID(t *testing.T) {
+func TestDisconnectedRequestResumesUnderItsID(t *testing.T) {
 	h := newHarness(t, nil)
 	h.ready("m")
 	whole := request("r", "m", prompt("p", 50))
@@ -91,7 +91,7 @@
 	received := h.tokens(call)
 	h.Assert(len(received) > 0 && received[len(received)-1].Finish == "", qt.IsTrue)
 	h.Check(h.status("r", false).State, qt.Equals, structs.RunRunning)
-	h.sort(h.engine.Step(h.now, emulator.EngineInput{Kind: emulator.InputDisconnect, Call: call}))
+	h.record(h.engine.Step(h.now, emulator.EngineInput{Kind: emulator.InputDisconnect, Call: call}))
 	h.Check(h.status("r", false).State, qt.Equals, structs.RunCancelled)
 	resumed := whole
 	resumed.ResumeFrom = len(received)
@@ -107,7 +107,8 @@
 func TestCancelledIDsAreRefused(t *testing.T) {
 	tests := []struct {
 		name string
-		// wait is how long the request runs before the cancel; -1 sends it never.
+		// wait is how long the request runs before it is cancelled; -1 means that it is
+		// not sent.
 		wait      time.Duration
 		state     structs.RunState
 		started   bool
@@ -143,12 +144,12 @@
 			h.run(engineapi.IDRetention + time.Second)
 			h.Check(h.status("other", true).State, qt.Equals, structs.RunUnknown)
 			each.ResumeFrom = 0
-			h.Check(h.last(h.generate(each)).Kind, qt.Equals, emulator.OutputAccepted, qt.Commentf("after the retention"))
+			h.Check(h.last(h.generate(each)).Kind, qt.Equals, emulator.OutputAccepted, qt.Commentf("after the retention time"))
 		})
 	}
 }
 
-func TestResumeSupersedesTheLiveRequest(t *testing.T) {
+func TestResumeCancelsTheLiveRequest(t *testing.T) {
 	h := newHarness(t, nil)
 	h.ready("m")
 	whole := request("r", "m", prompt("p", 50))
@@ -164,7 +165,7 @@
 	h.Check(checkAnswer(whole, append(received, h.tokens(rest)...)), qt.Equals, "")
 }
 
-func TestResumedRequestIsRememberedFromItsOwnEnd(t *testing.T) {
+func TestResumedRequestExpiresAfterItsOwnEnd(t *testing.T) {
 	h := newHarness(t, nil)
 	h.ready("m")
 	each := request("r", "m", "p")
@@ -180,7 +181,7 @@
 	h.Check(h.status("r", false).State, qt.Equals, structs.RunUnknown)
 }
 
-func TestQueuedRequestIsCancelledWithoutHavingRun(t *testing.T) {
+func TestCancelledQueuedRequestDoesNotRun(t *testing.T) {
 	h := newHarness(t, func(o *emulator.EngineOptions) { o.MaxBatch = 1 })
 	h.ready("m")
 	h.generate(request("r1", "m", "p"))
@@ -227,20 +228,20 @@
 	}
 }
 
-func TestDuplicateOfALiveRequestIsNotRun(t *testing.T) {
+func TestDuplicateOfALiveRequestIsRefused(t *testing.T) {
 	h := newHarness(t, nil)
 	h.ready("m")
 	each := request("r", "m", "p")
 	first := h.generate(each)
 	refused := h.last(h.generate(each))
 	h.Assert(refused.Kind, qt.Equals, emulator.OutputRefused)
-	h.Check(refused.Refusal.Execution, qt.Equals, structs.ExecutionUnknown, qt.Commentf("the ID runs"))
+	h.Check(refused.Refusal.Execution, qt.Equals, structs.ExecutionUnknown, qt.Commentf("the request ID is running"))
 	h.run(5 * time.Second)
 	h.Check(checkAnswer(each, h.tokens(first)), qt.Equals, "")
 	h.Check(h.engine.Records().Executions, qt.HasLen, 1)
 }
 
-func TestQueueHonoursPriorities(t *testing.T) {
+func TestQueueIsOrderedByPriority(t *testing.T) {
 	h := newHarness(t, func(o *emulator.EngineOptions) { o.MaxBatch = 1 })
 	h.ready("m")
 	h.generate(request("first", "m", "p"))
--- a/kit/emulator/harness_test.go
+++ b/kit/emulator/harness_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// harness drives an engine in virtual time and sorts its outputs by call.
+// harness drives an engine in virtual time and groups its outputs by call.
 type harness struct {
 	*qt.C
 	engine *emulator.Engine
@@ -25,11 +25,12 @@
 	calls  emulator.CallID
 	fence  structs.OrderNumber
 	byCall map[emulator.CallID][]emulator.EngineOutput
-	// tokenAt holds the times of the tokens of each call.
+	// tokenAt holds the arrival times of the tokens of each call.
 	tokenAt map[emulator.CallID][]time.Time
 }
 
-// newHarness makes an engine with room for several rows; change may alter it.
+// newHarness returns a harness around an engine with room for several rows; change may
+// modify the options.
 func newHarness(t testing.TB, change func(options *emulator.EngineOptions)) *harness {
 	options := emulator.EngineOptions{
 		Runner:          "runner-1",
@@ -55,7 +56,7 @@
 	}
 }
 
-func (h *harness) sort(outputs []emulator.EngineOutput) {
+func (h *harness) record(outputs []emulator.EngineOutput) {
 	for _, output := range outputs {
 		h.byCall[output.Call] = append(h.byCall[output.Call], output)
 		if output.Kind == emulator.OutputToken {
@@ -64,15 +65,15 @@
 	}
 }
 
-// step gives an input and returns its call.
+// step passes an input to the engine and returns its call ID.
 func (h *harness) step(input emulator.EngineInput) emulator.CallID {
 	h.calls++
 	input.Call = h.calls
-	h.sort(h.engine.Step(h.now, input))
+	h.record(h.engine.Step(h.now, input))
 	return h.calls
 }
 
-// run lets the time pass to the given point, one event at a time.
+// run advances virtual time by duration, one event at a time.
 func (h *harness) run(duration time.Duration) {
 	until := h.now.Add(duration)
 	for {
@@ -81,10 +82,10 @@
 			break
 		}
 		h.now = at
-		h.sort(h.engine.Advance(at))
+		h.record(h.engine.Advance(at))
 	}
 	h.now = until
-	h.sort(h.engine.Advance(until))
+	h.record(h.engine.Advance(until))
 }
 
 func (h *harness) order(order structs.Order) structs.OrderReply {
@@ -106,7 +107,7 @@
 	return h.order(structs.Order{Kind: structs.OrderLoad, Row: row, Base: base, MemoryBytes: memory})
 }
 
-// ready loads a row and waits for it.
+// ready loads a row and waits until it is ready.
 func (h *harness) ready(row structs.RowName) {
 	h.Assert(h.load(row, "", gigabyte).Accepted, qt.IsTrue)
 	h.run(10 * time.Second)
@@ -150,7 +151,7 @@
 	return tokens
 }
 
-// checkAnswer returns what is wrong with the tokens of a request's answer, or "".
+// checkAnswer describes how the tokens differ from the expected answer, or returns "".
 func checkAnswer(request structs.GenerateRequest, tokens []structs.Token) string {
 	length := emulator.ExpectedLength(request.Row, request.Prompt, request.MaxTokens)
 	if len(tokens) != length-request.ResumeFrom {
@@ -169,7 +170,7 @@
 	return ""
 }
 
-// prompt returns a prompt of so many tokens that begins with name.
+// prompt returns a prompt of the given number of tokens that begins with name.
 func prompt(name string, tokens int) string {
 	text := strings.Repeat(name+" ", tokens*4)
 	return text[:tokens*4]
--- a/kit/emulator/http.go
+++ b/kit/emulator/http.go
@@ -14,11 +14,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// maxRequestBody bounds the body of a request in bytes.
+// maxRequestBody is the maximum size of a request body in bytes.
 const maxRequestBody = 16 << 20
 
-// errReset makes a server cut the connection without an answer.
-var errReset = errors.New("the connection is reset")
+// errReset makes a server close the connection without a response.
+var errReset = errors.New("connection reset")
 
 // refusalError is the error of a refused call.
 type refusalError struct {
@@ -28,7 +28,7 @@
 // Error implements error.
 func (e *refusalError) Error() string { return e.refusal.Error.Error() }
 
-// newHandler makes the go-kit handler of one unary call.
+// newHandler returns the go-kit handler of a unary call.
 func newHandler[Request, Reply any](decode func(*http.Request) (Request, error), answer func(context.Context, Request) (Reply, error)) http.Handler {
 	call := endpoint.Endpoint(func(ctx context.Context, request any) (any, error) {
 		return answer(ctx, request.(Request))
@@ -37,7 +37,7 @@
 	return kithttp.NewServer(call, decodeAny, kithttp.EncodeJSONResponse, kithttp.ServerErrorEncoder(writeError))
 }
 
-// decodeBody reads the JSON body of a request.
+// decodeBody decodes the JSON body of a request.
 func decodeBody[Request any](request *http.Request) (Request, error) {
 	var decoded Request
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxRequestBody+1))
@@ -53,15 +53,16 @@
 	return decoded, nil
 }
 
-// noBody is the decoder of calls without a body.
+// noBody is the decoder for calls without a body.
 func noBody(*http.Request) (struct{}, error) { return struct{}{}, nil }
 
 func invalidRequest(message string) error {
-	refusal := notRun(structs.NewError(structs.ErrorInvalid, message, "Send the request as the protocol describes it."))
+	refusal := notRun(structs.NewError(structs.ErrorInvalid, message, "Send the request in the format of the engine protocol."))
 	return &refusalError{refusal: *refusal}
 }
 
-// writeError answers a call with its error; a reset cuts the connection.
+// writeError responds with the refusal in err. On any other error it aborts the
+// connection.
 func writeError(_ context.Context, err error, w http.ResponseWriter) {
 	var refused *refusalError
 	if !errors.As(err, &refused) {
@@ -75,11 +76,11 @@
 	if refusal.Execution == structs.ExecutionNotRun {
 		w.Header().Set(engineapi.HeaderExecution, string(refusal.Execution))
 	}
-	w.WriteHeader(statusOf(refusal.Error.Kind))
+	w.WriteHeader(httpStatus(refusal.Error.Kind))
 	_ = json.NewEncoder(w).Encode(engineapi.NewErrorBody(refusal.Error))
 }
 
-func statusOf(kind structs.ErrorKind) int {
+func httpStatus(kind structs.ErrorKind) int {
 	switch kind {
 	case structs.ErrorInvalid:
 		return http.StatusBadRequest
@@ -93,7 +94,7 @@
 	return http.StatusInternalServerError
 }
 
-// requireMethod answers 405 to other methods than the given one.
+// requireMethod responds with 405 to any other method.
 func requireMethod(method string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
--- a/kit/emulator/books_test.go
+++ b/kit/emulator/invariants_test.go
@@ -12,9 +12,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// TestRandomOperationsKeepTheBooks drives engines with random orders, requests,
-// cancels, disconnects and crashes, and checks what must hold for all of them.
-func TestRandomOperationsKeepTheBooks(t *testing.T) {
+// TestRandomOperationsKeepInvariants guards against inconsistent records and memory use
+// after random orders, requests, cancels, disconnects and crashes.
+func TestRandomOperationsKeepInvariants(t *testing.T) {
 	answered := 0
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -33,10 +33,10 @@
 				h.checkMemory()
 			}
 			h.run(time.Hour)
-			answered += h.checkEnds(requests)
+			answered += h.checkFinalState(requests)
 		})
 	}
-	qt.Check(t, answered > 0, qt.IsTrue, qt.Commentf("no request was answered: the test shows nothing"))
+	qt.Check(t, answered > 0, qt.IsTrue, qt.Commentf("no request was answered, so the answer check never ran"))
 }
 
 var rows = []structs.RowName{"m", "n", "adapter", "o"}
@@ -57,10 +57,10 @@
 	case draw < 40:
 		h.calls++
 		call := emulator.CallID(1 + random.IntN(int(h.calls)))
-		h.sort(h.engine.Step(h.now, emulator.EngineInput{Kind: emulator.InputDisconnect, Call: call}))
+		h.record(h.engine.Step(h.now, emulator.EngineInput{Kind: emulator.InputDisconnect, Call: call}))
 		delete(requests, call)
 	case draw < 42:
-		h.sort(h.engine.Restart(h.now, h.engine.Incarnation()+1))
+		h.record(h.engine.Restart(h.now, h.engine.Incarnation()+1))
 		h.fence = 0
 		clear(requests)
 	default:
@@ -70,8 +70,8 @@
 	}
 }
 
-// checkMemory checks that no more memory is used than there is, and that the
-// record of it is the sum of the replicas.
+// checkMemory checks that memory use is within its limits and that the load equals the
+// sum over the replicas.
 func (h *harness) checkMemory() {
 	report := h.report()
 	h.Assert(report.MemoryUsed >= 0 && report.MemoryUsed <= report.MemoryBytes, qt.IsTrue)
@@ -87,10 +87,10 @@
 	h.Assert(queued, qt.Equals, report.Load.Queued)
 }
 
-// checkEnds checks that each request of this life whose caller stayed was
-// refused, cancelled, or answered whole, and that nothing runs any more. It
-// returns how many were answered.
-func (h *harness) checkEnds(requests map[emulator.CallID]structs.GenerateRequest) (answered int) {
+// checkFinalState checks that each request of the current incarnation whose caller
+// stayed connected was refused, cancelled or completely answered, and that no request is
+// running. It returns the number of answered requests.
+func (h *harness) checkFinalState(requests map[emulator.CallID]structs.GenerateRequest) (answered int) {
 	for call, each := range requests {
 		last := h.last(call)
 		switch {
--- a/kit/emulator/kv.go
+++ b/kit/emulator/kv.go
@@ -8,11 +8,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// importedLimit bounds the imported caches that wait for their request.
+// importedLimit is the maximum number of imported caches that wait for their request.
 const importedLimit = 256
 
-// importedCaches are the ends of imported caches that fill no whole block, by
-// request ID. The whole blocks are in the prefix cache.
+// importedCaches holds the imported caches by request ID, to account for their last,
+// partial blocks. The full blocks are in the prefix cache.
 type importedCaches struct {
 	caches []engineapi.KVCache
 }
@@ -26,9 +26,9 @@
 	c.caches = append(c.caches, cache)
 }
 
-// take returns how many tokens an imported cache covers of the request, given
-// that its context has so many whole blocks and covered tokens of them are still
-// cached. The imported cache is used up.
+// take removes the imported cache of the request and returns the number of tokens it
+// covers. The context has the given number of full blocks, and covered tokens are in the
+// prefix cache.
 func (c *importedCaches) take(request structs.GenerateRequest, blocks, covered int) int {
 	for i, held := range c.caches {
 		if held.ID != request.ID || held.Row != request.Row {
@@ -43,9 +43,9 @@
 	return 0
 }
 
-// contextBlocks returns the keys of the whole blocks of the prompt and of the
-// first generated tokens of the answer. Blocks that hold generated tokens have
-// keys of the prompt's hash and their position.
+// contextBlocks returns the keys of the full blocks of the prompt and of the first
+// generated tokens. The key of a block with generated tokens depends on the prompt hash
+// and the block's position.
 func contextBlocks(request structs.GenerateRequest, seed uint64, generated int) []uint64 {
 	keys := engineapi.PromptBlocks(request.Row, request.Prompt)
 	whole := (engineapi.PromptTokens(request.Prompt) + generated) / engineapi.BlockTokens
@@ -55,7 +55,7 @@
 	return keys
 }
 
-// cacheBlocks puts blocks into the prefix cache and publishes the change.
+// cacheBlocks adds blocks to the prefix cache and publishes the change.
 func (e *Engine) cacheBlocks(row structs.RowName, keys []uint64) {
 	added := e.prefix.insert(row, keys, e.blockCapacity()-e.batch.reserved)
 	if len(added) > 0 {
@@ -64,7 +64,7 @@
 	e.fitPrefixCache()
 }
 
-// fitPrefixCache keeps the prefix cache within what the reservations leave.
+// fitPrefixCache evicts blocks to keep the prefix cache within the unreserved KV blocks.
 func (e *Engine) fitPrefixCache() {
 	dropped := e.prefix.shrink(e.blockCapacity() - e.batch.reserved)
 	for len(dropped) > 0 {
@@ -82,14 +82,14 @@
 	e.events.add(e.now.Add(e.options.EventLag), kind, row, keys, e.options.EventLossRate, e.options.Random)
 }
 
-// exportCache answers with the KV cache of a running request.
+// exportCache exports the KV cache of a running request.
 func (e *Engine) exportCache(call CallID, id structs.RequestID, row structs.RowName) {
 	record := e.requests.byID[id]
 	exportable := record != nil && record.sequence != nil && record.sequence.execution != nil &&
 		record.sequence.next > record.sequence.request.ResumeFrom && record.sequence.request.Row == row
 	if !exportable {
 		e.refuse(call, structs.ExecutionNotRun, structs.NewError(structs.ErrorNotFound,
-			"no such request has begun its answer", "Resume it elsewhere without its cache."))
+			"no running request with this ID and row has generated a token", "Resume the request elsewhere without its cache."))
 		return
 	}
 	current := record.sequence
@@ -108,7 +108,7 @@
 	})
 }
 
-// importCache takes the KV cache of a request that will be resumed here.
+// importCache imports the KV cache of a request to be resumed on this engine.
 func (e *Engine) importCache(call CallID, cache engineapi.KVCache) {
 	if _, refusal := e.servingReplica(cache.Row); refusal != nil {
 		e.emit(EngineOutput{Kind: OutputRefused, Call: call, Refusal: refusal})
@@ -116,12 +116,12 @@
 	}
 	if cache.ID == "" || cache.Tokens < cache.Generated || len(cache.Blocks) != cache.Tokens/engineapi.BlockTokens {
 		e.refuse(call, structs.ExecutionNotRun, structs.NewError(structs.ErrorInvalid,
-			"the cache's blocks do not match its tokens", "Export it again."))
+			"the KV cache has no ID or its blocks do not match its tokens", "Export the cache again."))
 		return
 	}
 	if len(cache.Blocks) > e.blockCapacity()-e.batch.reserved {
 		e.refuse(call, structs.ExecutionNotRun, structs.NewError(structs.ErrorOverloaded,
-			"there is no room for the cache", "Resume the request without it or on another replica."))
+			"there are not enough free KV blocks for the cache", "Resume the request without it or on another replica."))
 		return
 	}
 	e.after(e.transferTime(cache), func() {
@@ -135,7 +135,7 @@
 	return e.faults.slow(transferTime(cache.SizeBytes, e.options.KVSpeed))
 }
 
-// transferTime returns how long so many bytes take at a speed in bytes a second.
+// transferTime returns the time to transfer sizeBytes at speed bytes per second.
 func transferTime(sizeBytes, speed int64) time.Duration {
 	return time.Duration(float64(sizeBytes) / float64(speed) * float64(time.Second))
 }
--- a/kit/emulator/machine_changes_test.go
+++ b/kit/emulator/machine_changes_test.go
@@ -17,7 +17,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// zoneList is the zone's part of the whole list.
+// zoneList returns the machines of the zone in the full list.
 func zoneList(list *MachineList, now time.Time, zone structs.ZoneID) []structs.Machine {
 	var machines []structs.Machine
 	for _, machine := range list.List(now) {
@@ -28,7 +28,7 @@
 	return machines
 }
 
-func TestReaderOfChangesHasTheListWhateverAnswersItMisses(t *testing.T) {
+func TestMachineReaderConvergesDespiteMissedResponses(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 5))
@@ -44,12 +44,12 @@
 			case 1:
 				list.Leave(now, runner)
 			case 2:
-				// A machine may come again in another zone.
+				// A removed machine may be added again in another zone.
 				zone := structs.ZoneID([]string{"y", "z"}[random.IntN(2)])
 				list.Put(now, structs.Machine{Runner: runner, Zone: zone, State: structs.MachineLive})
 			}
 			if random.IntN(60) == 0 {
-				list.forgetGone()
+				list.dropRemoved()
 			}
 			var since uint64
 			_, _ = fmt.Sscan(reader.Since(), &since)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestOnlyWhatChangedIsReadOfTheMachineList(t *testing.T) {
+func TestMachineListSendsOnlyChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		list := NewMachineList(0)
@@ -96,14 +96,14 @@
 		c.Assert(machines, qt.HasLen, 99)
 		c.Assert(machines[7].State, qt.Equals, structs.MachineLeaving)
 
-		// A list that was started anew does not know the version.
+		// A new server instance does not know the version.
 		again := NewMachineServer(log.NewNopLogger(), NewMachineList(0), NewClock(1))
 		again.Put(structs.Machine{Runner: "only", Zone: "z", State: structs.MachineLive})
 		changes, machines = read(address(again))
 		c.Assert(changes.Full, qt.IsTrue)
 		c.Assert(machines, qt.HasLen, 1)
 
-		// One that tells no changes sends all, of every zone.
+		// A server without support for changes returns the machines of all zones.
 		plain := address(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(` [{"runner":"a","zone":"y"},{"runner":"b","zone":"z"}]`))
 		}))
@@ -123,6 +123,6 @@
 				full++
 			}
 		}
-		c.Assert(full, qt.Equals, 2, qt.Commentf("the whole list is read now and then all the same"))
+		c.Assert(full, qt.Equals, 2, qt.Commentf("the full list is read periodically"))
 	})
 }
--- a/kit/emulator/machine_server.go
+++ b/kit/emulator/machine_server.go
@@ -16,22 +16,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// MachineServer serves a MachineList over HTTP in the machine's time.
+// MachineServer serves a MachineList over HTTP, driven by a Clock.
 type MachineServer struct {
 	logger log.Logger
 	clock  *Clock
 	mux    *http.ServeMux
-	// instance tells this server's versions from those of an earlier one.
+	// instance distinguishes the versions of this server from those of an earlier one.
 	instance string
 
 	mutex sync.Mutex
 	list  *MachineList
 }
 
-// versionSeparator stands between a server's instance and the list's revision.
+// versionSeparator separates the server instance from the list revision in a version.
 const versionSeparator = "."
 
-// NewMachineServer makes the server of a list, which nobody else may use from then on.
+// NewMachineServer returns a server of the list and takes ownership of it.
 func NewMachineServer(logger log.Logger, list *MachineList, clock *Clock) *MachineServer {
 	s := &MachineServer{logger: log.With(logger, "component", "machines"), clock: clock, list: list, mux: http.NewServeMux(), instance: uuid.NewString()}
 	s.mux.Handle("GET "+engineapi.PathMachineList, newHandler(decodeListQuery, s.serveList))
@@ -49,8 +49,8 @@
 	s.list.Put(s.clock.Now(), machine)
 }
 
-// listQuery is what is asked of the list: a zone's part or, for "", all; and the
-// changes after a version when asked for.
+// listQuery selects the list of a zone, or of all zones if zone is empty, and optionally
+// only the changes after a version.
 type listQuery struct {
 	zone    structs.ZoneID
 	changes bool
@@ -80,13 +80,13 @@
 	return machines, nil
 }
 
-// changes answers a read of changes. A version of another server, or one that is not
-// understood, is answered with the whole list.
+// changes returns the changes after the version in the query. An invalid version, or one
+// of another server instance, yields the full list.
 func (s *MachineServer) changes(query listQuery) engineapi.MachineChanges {
 	var since uint64
 	instance, revision, _ := strings.Cut(query.since, versionSeparator)
 	if instance == s.instance {
-		// What is no number is 0, which asks for all.
+		// An invalid number parses as 0, which requests the full list.
 		since, _ = strconv.ParseUint(revision, 10, 64)
 	}
 	changes, shown := s.list.Changes(s.clock.Now(), query.zone, since)
@@ -105,6 +105,6 @@
 		unknown := structs.NewError(structs.ErrorNotFound, "the machine is not on the list", "Check the runner's name.")
 		return struct{}{}, &refusalError{refusal: *notRun(unknown)}
 	}
-	level.Info(s.logger).Log("msg", "A machine leaves.", "runner", request.Runner, "gone", request.Gone)
+	level.Info(s.logger).Log("msg", "Machine is leaving.", "runner", request.Runner, "gone", request.Gone)
 	return struct{}{}, nil
 }
--- a/kit/emulator/messages.go
+++ b/kit/emulator/messages.go
@@ -5,43 +5,44 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// CallID names one call to an engine; its caller chooses it, and the outputs of
-// the call carry it.
+// CallID identifies a call to an engine. The caller chooses it, and the outputs of the
+// call carry it.
 type CallID uint64
 
-// InputKind tells what an EngineInput asks.
+// InputKind is the kind of an EngineInput.
 type InputKind uint8
 
-// The kinds of input, with the fields that they read.
+// The kinds of input and the fields that they use.
 const (
-	// InputGenerate reads Generate. It is answered by OutputAccepted and then
-	// OutputToken, or by OutputRefused.
+	// InputGenerate uses Generate. It yields OutputAccepted and then OutputToken, or
+	// OutputRefused.
 	InputGenerate InputKind = iota
-	// InputDisconnect says that the caller of Call is gone: its request is
-	// cancelled, and may be resumed under the same ID.
+	// InputDisconnect reports that the caller of Call has disconnected. Its request is
+	// cancelled and may be resumed under the same ID.
 	InputDisconnect
-	// InputStatus reads ID and Cancel. It is answered by OutputStatus.
+	// InputStatus uses ID and Cancel. It yields OutputStatus.
 	InputStatus
-	// InputOrder reads Order. It is answered by OutputOrder.
+	// InputOrder uses Order. It yields OutputOrder.
 	InputOrder
-	// InputReport is answered by OutputReport.
+	// InputReport yields OutputReport.
 	InputReport
-	// InputEvents reads After. It is answered by OutputEvents.
+	// InputEvents uses After. It yields OutputEvents.
 	InputEvents
-	// InputExport reads ID and Row. It is answered by OutputExport or OutputRefused.
+	// InputExport uses ID and Row. It yields OutputExport or OutputRefused.
 	InputExport
-	// InputImport reads Cache. It is answered by OutputImport or OutputRefused.
+	// InputImport uses Cache. It yields OutputImport or OutputRefused.
 	InputImport
-	// InputEmbeddings reads Embeddings. It is answered by OutputEmbeddings or
-	// OutputRefused.
+	// InputEmbeddings uses Embeddings. It yields OutputEmbeddings or OutputRefused.
 	InputEmbeddings
-	// InputFetched reads Row and Failed: the fetch asked by OutputFetch has ended.
+	// InputFetched uses Row and Failed. It reports the end of the fetch requested by
+	// OutputFetch.
 	InputFetched
-	// InputCrash kills the engine: OutputDied follows, and every later call is reset.
+	// InputCrash crashes the engine. It yields OutputDied, and every later call is
+	// reset.
 	InputCrash
 )
 
-// EngineInput is one message to an engine.
+// EngineInput is a message to an engine.
 type EngineInput struct {
 	Kind       InputKind
 	Call       CallID
@@ -56,40 +57,40 @@
 	Failed     bool
 }
 
-// OutputKind tells what an EngineOutput carries.
+// OutputKind is the kind of an EngineOutput.
 type OutputKind uint8
 
-// The kinds of output, with the fields that they carry.
+// The kinds of output and the fields that they set.
 const (
-	// OutputAccepted carries Load: the request is in the queue.
+	// OutputAccepted sets Load: the request is queued.
 	OutputAccepted OutputKind = iota
-	// OutputRefused carries Refusal.
+	// OutputRefused sets Refusal.
 	OutputRefused
-	// OutputToken carries Token, and Load when the token finishes the stream.
+	// OutputToken sets Token, and Load if the token ends the stream.
 	OutputToken
-	// OutputReset says that the connection of Call is cut without an answer.
+	// OutputReset reports that the connection of Call is closed without a response.
 	OutputReset
-	// OutputStatus carries Status.
+	// OutputStatus sets Status.
 	OutputStatus
-	// OutputOrder carries Order.
+	// OutputOrder sets Order.
 	OutputOrder
-	// OutputReport carries Report.
+	// OutputReport sets Report.
 	OutputReport
-	// OutputEvents carries Events.
+	// OutputEvents sets Events.
 	OutputEvents
-	// OutputExport carries Cache.
+	// OutputExport sets Cache.
 	OutputExport
-	// OutputImport carries Import.
+	// OutputImport sets Import.
 	OutputImport
-	// OutputEmbeddings carries Embeddings.
+	// OutputEmbeddings sets Embeddings.
 	OutputEmbeddings
-	// OutputFetch carries Fetch: the engine asks the weight store for a checkpoint.
+	// OutputFetch sets Fetch: the engine requests a checkpoint from the weight store.
 	OutputFetch
-	// OutputDied says that the process is gone and all its connections are cut.
+	// OutputDied reports that the engine crashed and all its connections are closed.
 	OutputDied
 )
 
-// EngineOutput is one message of an engine.
+// EngineOutput is a message from an engine.
 type EngineOutput struct {
 	Kind       OutputKind
 	Call       CallID
--- a/kit/emulator/options.go
+++ b/kit/emulator/options.go
@@ -9,67 +9,71 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// EngineOptions describe an engine. A zero field means its default, where one is
-// given in brackets.
+// EngineOptions configure an engine. A zero field means the default in brackets, if
+// there is one.
 type EngineOptions struct {
 	Runner  structs.RunnerID
 	Zone    structs.ZoneID
 	Address string
 	Role    structs.RunnerRole
-	// MemoryBytes is the accelerator memory for weights, all accelerators together.
+	// MemoryBytes is the memory for weights of all accelerators together.
 	MemoryBytes  int64
 	Accelerators int
-	// Incarnation of the first life (1).
+	// Incarnation is the initial incarnation (1).
 	Incarnation structs.Incarnation
 
-	// MaxBatch is how many requests run at once (32).
+	// MaxBatch is the maximum number of running requests (32).
 	MaxBatch int
-	// MaxQueue is how many requests wait at most; further ones are refused (1024).
+	// MaxQueue is the maximum number of waiting requests; further ones are refused
+	// (1024).
 	MaxQueue int
-	// KVBytes is the accelerator memory for the KV cache (8 GB), of which each
-	// token takes KVBytesPerToken (128 kB).
+	// KVBytes is the accelerator memory for the KV cache (8 GB). Each token takes
+	// KVBytesPerToken (128 kB).
 	KVBytes         int64
 	KVBytesPerToken int64
 
-	// A decode step takes DecodeBase (12 ms) and DecodePerSequence (400 µs) for
-	// each running request, and PrefillPerToken (60 µs) for each of the at most
-	// PrefillChunk (2048) prompt tokens of the step.
+	// A step takes DecodeBase (12 ms), DecodePerSequence (400 µs) for each running
+	// request, and PrefillPerToken (60 µs) for each of at most PrefillChunk (2048)
+	// prompt tokens.
 	DecodeBase        time.Duration
 	DecodePerSequence time.Duration
 	PrefillPerToken   time.Duration
 	PrefillChunk      int
 
-	// HostMemoryBytes and DiskBytes are the sizes of the checkpoint caches.
+	// HostMemoryBytes and DiskBytes are the sizes of the checkpoint cache tiers.
 	HostMemoryBytes int64
 	DiskBytes       int64
-	// A load takes LoadBase (200 ms) and the bytes at the speed of their tier:
-	// MemorySpeed (20 GB/s) or DiskSpeed (4 GB/s). A checkpoint of the store is
-	// fetched first and then loaded as from memory.
+	// A load takes LoadBase (200 ms) and the transfer time at MemorySpeed (20 GB/s) or
+	// DiskSpeed (4 GB/s). A checkpoint in the weight store is first fetched, and then
+	// loaded as from memory.
 	LoadBase    time.Duration
 	MemorySpeed int64
 	DiskSpeed   int64
-	// UnloadTime passes between the last request and the freeing of memory (50 ms).
+	// UnloadTime is the time from the end of the last request until the memory is freed
+	// (50 ms).
 	UnloadTime time.Duration
-	// KVSpeed is how fast KV caches are exported and imported (10 GB/s).
+	// KVSpeed is the bandwidth of KV cache exports and imports (10 GB/s).
 	KVSpeed int64
 
-	// ReportLag is the interval at which the engine renews its report.
+	// ReportLag is the interval at which the report is refreshed; 0 means always
+	// current.
 	ReportLag time.Duration
-	// EventLag is how late cache events show, and EventLossRate (0 to 1) how many
-	// never do.
+	// EventLag is the delay of cache events, and EventLossRate (0 to 1) the fraction
+	// that is lost.
 	EventLag      time.Duration
 	EventLossRate float64
-	// IDRetention is how long ended request IDs are remembered (engineapi.IDRetention).
+	// IDRetention is how long the IDs of ended requests are retained
+	// (engineapi.IDRetention).
 	IDRetention time.Duration
-	// RecordLimit bounds each list of the records; 0 keeps all.
+	// RecordLimit limits the length of each list of the records; 0 means no limit.
 	RecordLimit int
 
-	// Random is the source of all chance; nil is a source with a fixed seed.
+	// Random is the source of randomness; nil means a source with a fixed seed.
 	Random *rand.Rand
 	Faults EngineFaults
-	// FetchTime, when set, stands for the weight store: it returns how long a
-	// fetch takes and whether it succeeds. When nil, the engine emits
-	// OutputFetch and waits for InputFetched.
+	// FetchTime, if set, replaces the weight store: it returns the duration of a fetch
+	// and whether it succeeds. If nil, the engine emits OutputFetch and waits for
+	// InputFetched.
 	FetchTime func(row structs.RowName, sizeBytes int64) (time.Duration, bool)
 }
 
@@ -112,29 +116,31 @@
 	return o
 }
 
-// EngineFaults are faults that can be switched at run time with SetFaults. Rates
-// run from 0 to 1.
+// EngineFaults are faults that can be injected at run time with SetFaults. Rates range
+// from 0 to 1.
 type EngineFaults struct {
-	// DieOnLoad makes the engine die in the middle of its next load.
+	// DieOnLoad makes the engine crash in the middle of its next load.
 	DieOnLoad bool `json:"die_on_load,omitempty"`
-	// DieAfterTokens makes the engine die once it has emitted so many more tokens.
+	// DieAfterTokens makes the engine crash after generating the given number of tokens.
 	DieAfterTokens int `json:"die_after_tokens,omitempty"`
-	// StallRate is the share of requests that are accepted and never run.
+	// StallRate is the fraction of requests that are accepted but never run.
 	StallRate float64 `json:"stall_rate,omitempty"`
-	// LateRate is the share of tokens that come late by LateBy, after their successors.
+	// LateRate is the fraction of tokens that are delayed by LateBy and may arrive out
+	// of order.
 	LateRate float64       `json:"late_rate,omitempty"`
 	LateBy   time.Duration `json:"late_by,omitempty"`
-	// RepeatRate is the share of tokens sent twice.
+	// RepeatRate is the fraction of tokens sent twice.
 	RepeatRate float64 `json:"repeat_rate,omitempty"`
-	// LossRate is the share of tokens that are never sent.
+	// LossRate is the fraction of tokens that are never sent.
 	LossRate float64 `json:"loss_rate,omitempty"`
-	// CrossRate is the share of tokens sent on the stream of another request as well.
+	// CrossRate is the fraction of tokens that are also sent on the stream of another
+	// request.
 	CrossRate float64 `json:"cross_rate,omitempty"`
-	// ResetRate is the share of tokens at which the connection is reset.
+	// ResetRate is the fraction of tokens at which the connection is reset.
 	ResetRate float64 `json:"reset_rate,omitempty"`
-	// HideLoad makes reports say that nothing runs or waits.
+	// HideLoad makes reports show no running or queued requests.
 	HideLoad bool `json:"hide_load,omitempty"`
-	// SlowFactor multiplies the time of steps and loads; 0 and 1 mean none.
+	// SlowFactor multiplies the duration of steps and loads; 0 and 1 have no effect.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 }
 
--- a/kit/emulator/orders.go
+++ b/kit/emulator/orders.go
@@ -6,11 +6,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// takeOrder accepts or refuses a fenced order.
-func (e *Engine) takeOrder(call CallID, order structs.Order) {
+// handleOrder accepts or refuses a fenced order.
+func (e *Engine) handleOrder(call CallID, order structs.Order) {
 	reason, repeated := e.checkFence(order)
 	if reason == "" && !repeated {
-		reason = e.carryOut(order)
+		reason = e.execute(order)
 		if reason == "" {
 			e.fence = order.Fence
 			e.lastOrder = order
@@ -25,8 +25,8 @@
 	e.emit(EngineOutput{Kind: OutputOrder, Call: call, Order: &reply})
 }
 
-// checkFence returns why an order may not be carried out, or that it repeats the
-// last accepted one.
+// checkFence returns the reason for refusing an order, or whether it repeats the last
+// accepted order.
 func (e *Engine) checkFence(order structs.Order) (reason string, repeated bool) {
 	switch {
 	case order.Runner != e.options.Runner:
@@ -36,13 +36,13 @@
 	case order == e.lastOrder:
 		return "", true
 	case !e.fence.Before(order.Fence):
-		return "a newer order was accepted: give up this reign or read the zone log again", false
+		return "a newer order was accepted: step down as leader or read the zone log again", false
 	}
 	return "", false
 }
 
-// carryOut begins an order; a reason means that nothing was done.
-func (e *Engine) carryOut(order structs.Order) string {
+// execute starts an order. A non-empty reason means that the order had no effect.
+func (e *Engine) execute(order structs.Order) string {
 	switch order.Kind {
 	case structs.OrderLoad:
 		return e.load(order)
@@ -149,7 +149,7 @@
 	return ""
 }
 
-// copyToMemory brings a checkpoint from disk into host memory.
+// copyToMemory copies a checkpoint from disk to host memory.
 func (e *Engine) copyToMemory(row structs.RowName, sizeBytes int64) {
 	duration := e.faults.slow(transferTime(sizeBytes, e.options.DiskSpeed))
 	e.after(duration, func() {
--- a/kit/emulator/orders_test.go
+++ b/kit/emulator/orders_test.go
@@ -18,8 +18,8 @@
 		change   func(order *structs.Order)
 		accepted bool
 	}{
-		{"resend of the newest", func(*structs.Order) {}, true},
-		{"other order of the same fence", func(o *structs.Order) { o.Row = "n" }, false},
+		{"repeated newest order", func(*structs.Order) {}, true},
+		{"different order with the same fence", func(o *structs.Order) { o.Row = "n" }, false},
 		{"older number", func(o *structs.Order) { o.Fence.Number = 4 }, false},
 		{"older epoch with higher number", func(o *structs.Order) { o.Fence = structs.Fence{Epoch: 1, Number: 9} }, false},
 		{"newer epoch with lower number", func(o *structs.Order) { o.Fence = structs.Fence{Epoch: 3, Number: 1} }, true},
@@ -87,7 +87,7 @@
 	h.Check(fromDisk, qt.Equals, 2700*time.Millisecond)
 	loadTime(h, "b")
 	loadTime(h, "c")
-	h.Check(loadTime(h, "a"), qt.Equals, fromStore, qt.Commentf("the least recently used checkpoint left the disk"))
+	h.Check(loadTime(h, "a"), qt.Equals, fromStore, qt.Commentf("the least recently used checkpoint was evicted from disk"))
 
 	h.Assert(h.order(structs.Order{Kind: structs.OrderPrefetch, Row: "d", MemoryBytes: 10 * gigabyte, Tier: structs.TierMemory}).Accepted, qt.IsTrue)
 	h.run(5 * time.Second)
@@ -102,7 +102,7 @@
 	h.Assert(h.load("adapter", "m", 1).Accepted, qt.IsTrue)
 	h.run(3300 * time.Millisecond)
 	h.Check(h.state("m"), qt.Equals, structs.ReplicaLoading)
-	h.Check(h.state("adapter"), qt.Equals, structs.ReplicaLoading, qt.Commentf("its weights are read, its base is not ready"))
+	h.Check(h.state("adapter"), qt.Equals, structs.ReplicaLoading, qt.Commentf("weights are read but the base is not ready"))
 	h.run(time.Second)
 	h.Check(h.state("m"), qt.Equals, structs.ReplicaReady)
 	h.Check(h.state("adapter"), qt.Equals, structs.ReplicaReady)
@@ -185,10 +185,10 @@
 		at, _ := h.engine.NextEvent()
 		h.run(at.Sub(h.now))
 	}
-	h.Check(h.engine.Records().IdleAccelerator, qt.Equals, before, qt.Commentf("a running request is not idle"))
+	h.Check(h.engine.Records().IdleAccelerator, qt.Equals, before, qt.Commentf("memory of a running request is not idle"))
 }
 
-func TestRequestOfAnAdapterKeepsItsBaseBusy(t *testing.T) {
+func TestAdapterRequestKeepsItsBaseBusy(t *testing.T) {
 	h := newHarness(t, nil)
 	h.ready("m")
 	h.Assert(h.load("adapter", "m", gigabyte).Accepted, qt.IsTrue)
--- a/kit/emulator/prefix_cache.go
+++ b/kit/emulator/prefix_cache.go
@@ -4,22 +4,21 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// prefixBlock is one block of the prefix cache, linked from the most to the least
-// recently used.
+// prefixBlock is an entry of the prefix cache's LRU list.
 type prefixBlock struct {
 	key          uint64
 	row          structs.RowName
 	newer, older *prefixBlock
 }
 
-// prefixCache holds prefix blocks and drops the least recently used ones.
+// prefixCache is an LRU cache of prefix blocks.
 type prefixCache struct {
 	blocks         map[uint64]*prefixBlock
 	newest, oldest *prefixBlock
 }
 
-// leading returns how many of the leading keys are cached and marks them used,
-// the first key as the most recent: ends of prefixes go first.
+// leading returns the number of leading keys that are cached and marks them as used. The
+// first key becomes the most recent, so that prefixes are evicted from their ends.
 func (c *prefixCache) leading(keys []uint64) int {
 	count := 0
 	for count < len(keys) && c.blocks[keys[count]] != nil {
@@ -33,8 +32,8 @@
 	return count
 }
 
-// insert adds the leading keys that fit within limit blocks. It returns the keys
-// that were not there before.
+// insert adds the leading keys that fit within limit blocks and returns those that were
+// new.
 func (c *prefixCache) insert(row structs.RowName, keys []uint64, limit int) []uint64 {
 	keys = keys[:min(len(keys), max(limit, 0))]
 	if c.blocks == nil && len(keys) > 0 {
@@ -55,7 +54,7 @@
 	return added
 }
 
-// shrink drops the least recently used blocks down to limit and returns them.
+// shrink evicts the least recently used blocks down to limit and returns them.
 func (c *prefixCache) shrink(limit int) []*prefixBlock {
 	var dropped []*prefixBlock
 	for len(c.blocks) > max(limit, 0) {
@@ -67,7 +66,7 @@
 	return dropped
 }
 
-// removeRow drops all blocks of a row and returns how many there were.
+// removeRow removes all blocks of a row and returns their number.
 func (c *prefixCache) removeRow(row structs.RowName) int {
 	removed := 0
 	for block := c.newest; block != nil; {
--- a/kit/emulator/records.go
+++ b/kit/emulator/records.go
@@ -7,75 +7,77 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Execution is the record that an engine ran (a part of) a request.
+// Execution records the execution of a request, or of a part of it.
 type Execution struct {
 	ID          structs.RequestID
 	Row         structs.RowName
 	PromptHash  uint64
 	Incarnation structs.Incarnation
-	// ResumeFrom is the index of the first token wanted: 0 means from the start.
+	// ResumeFrom is the index of the first requested token; 0 means a complete
+	// execution.
 	ResumeFrom int
-	// Emitted counts the tokens produced.
+	// Emitted is the number of generated tokens.
 	Emitted int
-	// ArrivedAt is when the engine took the request, StartedAt when it began to run.
+	// ArrivedAt is the time at which the engine accepted the request, StartedAt the time
+	// at which it entered the batch.
 	ArrivedAt time.Time
 	StartedAt time.Time
 	// EndedAt is zero while the request runs.
 	EndedAt time.Time
 	Finish  structs.FinishReason
-	// Cached counts the prompt tokens that needed no prefill.
+	// Cached is the number of prompt tokens that needed no prefill.
 	Cached int
 }
 
-// ReplicaChange is the record that a replica changed its state on the engine.
+// ReplicaChange records a state change of a replica.
 type ReplicaChange struct {
 	At    time.Time
 	Row   structs.RowName
 	State structs.ReplicaState
-	// MemoryUsed is the memory of all replicas after the change.
+	// MemoryUsed is the memory of all replicas after the change, in bytes.
 	MemoryUsed int64
 }
 
-// OrderRefusal is the record of a refused order.
+// OrderRefusal records a refused order.
 type OrderRefusal struct {
 	At     time.Time
 	Order  structs.Order
 	Reason string
 }
 
-// Violation is the record of an order that would have broken an invariant had
-// the engine carried it out.
+// Violation records an order that was refused because it would have violated an
+// invariant.
 type Violation struct {
 	At     time.Time
 	Order  structs.Order
 	Detail string
 }
 
-// Records are what an engine really did over all its lives, for checkers. They
-// are not what it reports.
+// Records hold the actual behaviour of an engine over all its incarnations, for
+// checkers. They are independent of its reports.
 type Records struct {
-	// Executions are in the order of their start.
+	// Executions are in order of their start.
 	Executions     []*Execution
 	ReplicaChanges []ReplicaChange
 	RefusedOrders  []OrderRefusal
 	Violations     []Violation
-	// Dropped counts the entries of these lists dropped by RecordLimit. A checker
-	// that needs all of them must see 0 here.
+	// Dropped is the number of entries dropped because of RecordLimit. A checker that
+	// needs complete records must check that it is 0.
 	Dropped        int
 	AcceptedOrders int
-	// PeakMemory and PeakKV are the highest uses of memory in bytes.
+	// PeakMemory and PeakKV are the peak memory uses in bytes.
 	PeakMemory int64
 	PeakKV     int64
-	// IdleAccelerator is accelerator time: the number of accelerators times the
-	// share of their memory that held weights without a running request.
+	// IdleAccelerator is the accumulated idle time: the number of accelerators times the
+	// fraction of their memory that holds weights without a running request.
 	IdleAccelerator time.Duration
-	// Tokens counts all tokens produced.
+	// Tokens is the number of generated tokens.
 	Tokens uint64
-	// Lives counts the incarnations.
+	// Lives is the number of incarnations.
 	Lives int
 }
 
-// ByRequest returns the executions of each request ID, in the order of their start.
+// ByRequest returns the executions by request ID, in order of their start.
 func (r *Records) ByRequest() map[structs.RequestID][]*Execution {
 	byRequest := make(map[structs.RequestID][]*Execution, len(r.Executions))
 	for _, execution := range r.Executions {
@@ -84,7 +86,7 @@
 	return byRequest
 }
 
-// ByPrompt returns the executions of each PromptHash, in the order of their start.
+// ByPrompt returns the executions by PromptHash, in order of their start.
 func (r *Records) ByPrompt() map[uint64][]*Execution {
 	byPrompt := make(map[uint64][]*Execution, len(r.Executions))
 	for _, execution := range r.Executions {
@@ -93,8 +95,8 @@
 	return byPrompt
 }
 
-// appendLimited appends an item. When limit is positive and reached, the older
-// half is dropped first and counted.
+// appendLimited appends an item. At a positive limit it first drops the older half of
+// the list and adds its length to dropped.
 func appendLimited[T any](list []T, item T, limit int, dropped *int) []T {
 	if limit > 0 && len(list) >= limit {
 		kept := copy(list, list[len(list)-limit/2:])
@@ -105,7 +107,7 @@
 	return append(list, item)
 }
 
-// Clone returns a copy that does not change with the engine.
+// Clone returns a deep copy.
 func (r *Records) Clone() Records {
 	copied := *r
 	copied.Executions = make([]*Execution, 0, len(r.Executions))
--- a/kit/emulator/reporter.go
+++ b/kit/emulator/reporter.go
@@ -8,18 +8,18 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// reporter keeps the report as it was at the last multiple of the report lag.
+// reporter caches the report as of the last multiple of the report lag.
 type reporter struct {
 	taken  bool
 	at     time.Time
 	report structs.EngineReport
 	cached []structs.CachedRow
-	// stale is set when the checkpoint caches changed since cached was made.
+	// stale is set if the checkpoint caches changed after cached was set.
 	stale bool
 }
 
-// renewReport takes the report that fell due up to now. The state did not change
-// since the engine's last event, so it is what the report showed when it fell due.
+// renewReport refreshes the report if it is due by now. The state is unchanged since the
+// last event, so it equals the state at the due time.
 func (e *Engine) renewReport(now time.Time) {
 	lag := e.options.ReportLag
 	if !e.report.taken {
@@ -37,7 +37,7 @@
 	e.report.report = e.makeReport(e.report.at)
 }
 
-// currentReport returns what the engine says of itself now.
+// currentReport returns the engine's report at the current time.
 func (e *Engine) currentReport() structs.EngineReport {
 	report := e.report.report
 	if e.options.ReportLag <= 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// currentLoad returns the load that the engine reports now.
+// currentLoad returns the load that the engine reports at the current time.
 func (e *Engine) currentLoad() *structs.LoadReport {
 	load := e.report.report.Load
 	if e.options.ReportLag <= 0 {
--- a/kit/emulator/requests.go
+++ b/kit/emulator/requests.go
@@ -7,21 +7,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// requestRecord is what the engine remembers of a request ID.
+// requestRecord is the state of a request ID.
 type requestRecord struct {
 	status structs.RequestStatus
-	// refused IDs are not run from now on.
+	// refused tells that further requests with this ID are refused.
 	refused bool
-	// sequence is set while the request waits or runs.
+	// sequence is set while the request is queued or running.
 	sequence *sequence
 }
 
-// live reports whether the request waits or runs.
+// live reports whether the request is queued or running.
 func (r *requestRecord) live() bool {
 	return r.status.State == structs.RunQueued || r.status.State == structs.RunRunning
 }
 
-// requestRegister remembers request IDs and forgets them some time after they ended.
+// requestRegister holds the records of request IDs and expires them after the retention
+// time.
 type requestRegister struct {
 	byID   map[structs.RequestID]*requestRecord
 	byCall map[CallID]*sequence
@@ -47,9 +48,9 @@
 	r.byCall[call] = current
 }
 
-// forget drops the records that ended before the given time. A record that a
-// later request of the same ID replaced or revived is left alone.
-func (r *requestRegister) forget(before time.Time) {
+// expire drops the records that ended before the given time, except those that a later
+// request with the same ID has replaced.
+func (r *requestRegister) expire(before time.Time) {
 	count := 0
 	for count < len(r.ended) && r.ended[count].at.Before(before) {
 		record := r.ended[count].record
@@ -64,13 +65,13 @@
 	}
 }
 
-func (e *Engine) remember(record *requestRecord) {
+func (e *Engine) scheduleExpiry(record *requestRecord) {
 	e.requests.ended = append(e.requests.ended, endedRequest{at: e.now, record: record})
-	e.requests.forget(e.now.Add(-e.options.IDRetention))
+	e.requests.expire(e.now.Add(-e.options.IDRetention))
 }
 
-// status answers what became of an ID; with cancel set it also stops the request
-// and refuses the ID from then on.
+// status returns the status of a request ID. If cancel is set, it also stops the request
+// and refuses further requests with this ID.
 func (e *Engine) status(call CallID, id structs.RequestID, cancel bool) {
 	record := e.requests.byID[id]
 	if cancel {
@@ -83,13 +84,13 @@
 	e.emit(EngineOutput{Kind: OutputStatus, Call: call, Status: &status})
 }
 
-// cancel stops the request and refuses its ID from now on.
+// cancel stops the request and refuses further requests with its ID.
 func (e *Engine) cancel(id structs.RequestID) *requestRecord {
 	record := e.requests.byID[id]
 	if record == nil {
 		record = &requestRecord{status: structs.RequestStatus{ID: id, State: structs.RunUnknown, Incarnation: e.incarnation}}
 		e.requests.put(id, record)
-		e.remember(record)
+		e.scheduleExpiry(record)
 	}
 	record.refused = true
 	if record.sequence != nil {
@@ -98,40 +99,40 @@
 	return record
 }
 
-// disconnect stops the request of a call whose caller is gone.
+// disconnect stops the request of a call whose caller has disconnected.
 func (e *Engine) disconnect(call CallID) {
 	if current := e.requests.byCall[call]; current != nil {
 		e.stop(current, false)
 	}
 }
 
-// stop ends a waiting or running sequence before its finish; with tell set its
-// caller gets a last token that says so.
-func (e *Engine) stop(current *sequence, tell bool) {
+// stop ends a queued or running sequence early. If notify is set, the caller gets a
+// final token or a refusal.
+func (e *Engine) stop(current *sequence, notify bool) {
 	e.batch.remove(current)
-	if tell && current.embeddings == nil {
+	if notify && current.embeddings == nil {
 		token := structs.Token{ID: current.request.ID, Index: current.next, Finish: structs.FinishCancelled}
 		e.emit(EngineOutput{Kind: OutputToken, Call: current.call, Token: token, Load: e.currentLoad()})
 	}
-	if tell && current.embeddings != nil {
-		e.refuse(current.call, "", structs.NewError(structs.ErrorUnavailable, "the request was cancelled", "Send it under a new ID."))
+	if notify && current.embeddings != nil {
+		e.refuse(current.call, "", structs.NewError(structs.ErrorUnavailable, "the request was cancelled", "Send the request under a new ID."))
 	}
 	e.endSequence(current, structs.RunCancelled, structs.FinishCancelled)
 }
 
-// admissible checks a new request against the register. It returns the refusal,
-// or nil when the request may run.
-func (e *Engine) admissible(id structs.RequestID, incarnation structs.Incarnation, resume bool) *structs.Refusal {
+// checkAdmission checks a new request against the register. It returns nil if the
+// request may run.
+func (e *Engine) checkAdmission(id structs.RequestID, incarnation structs.Incarnation, resume bool) *structs.Refusal {
 	if incarnation != 0 && incarnation != e.incarnation {
 		return notRun(structs.NewError(structs.ErrorUnavailable,
-			"the engine has another incarnation", "Read the placement again and choose another replica."))
+			"the engine has another incarnation", "Refresh the placement and choose another replica."))
 	}
 	record := e.requests.byID[id]
 	if record == nil {
 		return nil
 	}
 	refusal := notRun(structs.NewError(structs.ErrorConflict,
-		"the request ID was cancelled here", "Send the request under a new ID."))
+		"the request ID was cancelled on this engine", "Send the request under a new ID."))
 	if record.status.Started {
 		refusal.Execution = structs.ExecutionUnknown
 	}
@@ -140,7 +141,7 @@
 	}
 	if record.live() && !resume {
 		refusal.Error = *structs.NewError(structs.ErrorConflict,
-			"the request ID is waiting or running here", "Ask for its status, or resume it from the first missing token.")
+			"the request ID is queued or running on this engine", "Query its status, or resume it from the first missing token.")
 		refusal.Execution = structs.ExecutionUnknown
 		return refusal
 	}
@@ -151,14 +152,14 @@
 	return &structs.Refusal{Error: *err, Execution: structs.ExecutionNotRun}
 }
 
-// refuse answers a call with an error. An empty execution means that the request
-// ran or may have run.
+// refuse responds to a call with an error. An empty execution means that the request ran
+// or may have run.
 func (e *Engine) refuse(call CallID, execution structs.Execution, err *structs.Error) {
 	e.emit(EngineOutput{Kind: OutputRefused, Call: call, Refusal: &structs.Refusal{Error: *err, Execution: execution}})
 }
 
-// register makes the record of an accepted request. A live request of the same
-// ID is superseded: its caller is known to resume.
+// register adds the record of an accepted request. A live request with the same ID is
+// cancelled, since its caller resumes it.
 func (e *Engine) register(current *sequence) {
 	id := current.request.ID
 	if earlier := e.requests.byID[id]; earlier != nil && earlier.sequence != nil {
@@ -178,7 +179,7 @@
 	e.requests.attach(current.call, current)
 }
 
-// begin notes that a sequence starts to run.
+// begin records the start of a sequence.
 func (e *Engine) begin(current *sequence, cached int) {
 	current.record.status.State = structs.RunRunning
 	current.record.status.Started = true
@@ -196,7 +197,7 @@
 	e.occupy(current, 1)
 }
 
-// endSequence closes the books of a sequence that is in no queue any more.
+// endSequence updates the records for a sequence that has left the queue or the batch.
 func (e *Engine) endSequence(current *sequence, state structs.RunState, finish structs.FinishReason) {
 	current.ended = true
 	delete(e.requests.byCall, current.call)
@@ -210,8 +211,8 @@
 	}
 	e.batch.reserved -= current.reserved
 	current.reserved = 0
-	e.remember(record)
-	e.leaveReplica(current)
+	e.scheduleExpiry(record)
+	e.releaseReplica(current)
 }
 
 func (e *Engine) endExecution(current *sequence, finish structs.FinishReason) {
@@ -222,9 +223,9 @@
 	current.execution.Finish = finish
 }
 
-// embed takes a request for embeddings: it runs beside the batch.
+// embed runs an embeddings request outside the batch.
 func (e *Engine) embed(call CallID, request engineapi.EmbeddingsRequest) {
-	refusal := e.admissible(request.ID, request.Incarnation, false)
+	refusal := e.checkAdmission(request.ID, request.Incarnation, false)
 	var target *replica
 	if refusal == nil {
 		target, refusal = e.servingReplica(request.Row)
--- a/kit/emulator/server_test.go
+++ b/kit/emulator/server_test.go
@@ -21,17 +21,17 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// testScale is how much faster than the machine's time the engines of these tests run.
+// testScale is the clock scale of the engines in these tests.
 const testScale = 20
 
-// rigLimit ends a test that would otherwise wait for ever. It is no measure of speed.
-const rigLimit = 5 * time.Minute
+// testTimeout ends a test that would otherwise block forever.
+const testTimeout = 5 * time.Minute
 
-// pollPause separates two looks at an engine, in virtual time.
-const pollPause = time.Millisecond
+// pollInterval is the interval between status polls.
+const pollInterval = time.Millisecond
 
-// rig is an engine server with row "m" ready, on a network in memory.
-type rig struct {
+// serverFixture is an engine server with the ready row "m" on an in-memory network.
+type serverFixture struct {
 	*qt.C
 	memory  *networktest.Memory
 	server  *emulator.EngineServer
@@ -40,14 +40,14 @@
 	ctx     context.Context
 }
 
-func newRig(t testing.TB, scale float64, change func(options *emulator.EngineOptions)) *rig {
-	ctx, cancel := context.WithTimeout(context.Background(), rigLimit)
+func newServerFixture(t testing.TB, scale float64, change func(options *emulator.EngineOptions)) *serverFixture {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	memory := networktest.NewMemory(0)
 	client := engineapi.NewClient(engineapi.ClientOptions{Network: memory})
 	h := newHarness(t, change)
 	h.now = time.Now().Add(-time.Hour)
 	h.ready("m")
-	r := &rig{C: h.C, memory: memory, client: client, ctx: ctx}
+	r := &serverFixture{C: h.C, memory: memory, client: client, ctx: ctx}
 	r.server = emulator.NewEngineServer(log.NewNopLogger(), h.engine, emulator.NewClock(scale))
 	r.address = memory.Serve(t, r.server)
 	t.Cleanup(func() {
@@ -58,8 +58,8 @@
 	return r
 }
 
-// generate returns the tokens of a request until its stream ends, and the end.
-func (r *rig) generate(each structs.GenerateRequest) ([]structs.Token, error) {
+// generate returns the tokens of a request and the error that ended its stream.
+func (r *serverFixture) generate(each structs.GenerateRequest) ([]structs.Token, error) {
 	stream, err := r.client.Generate(r.ctx, r.address, each)
 	if err != nil {
 		return nil, err
@@ -85,17 +85,17 @@
 	return each
 }
 
-// control calls a path that steers the emulator and returns the status.
-func (r *rig) control(path, body string) int {
+// control posts to a path of the engine and returns the HTTP status.
+func (r *serverFixture) control(path, body string) int {
 	response, err := r.memory.Client(r.TB).Post("http://"+r.address+path, engineapi.ContentTypeJSON, strings.NewReader(body))
 	r.Assert(err, qt.IsNil)
 	defer response.Body.Close()
 	return response.StatusCode
 }
 
-func TestServerStreamsWholeAnswers(t *testing.T) {
+func TestServerStreamsCompleteAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, testScale, nil)
+		r := newServerFixture(t, testScale, nil)
 		var group sync.WaitGroup
 		for i := range 40 {
 			group.Go(func() {
@@ -112,7 +112,7 @@
 	})
 }
 
-func TestServerFaultsAreErrorsAtTheClient(t *testing.T) {
+func TestServerFaultsSurfaceAsClientErrors(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults string
@@ -126,7 +126,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t, 1, nil)
+				r := newServerFixture(t, 1, nil)
 				r.Assert(r.control(emulator.PathFaults, test.faults), qt.Equals, http.StatusOK)
 				wrong := make([]error, 4)
 				var group sync.WaitGroup
@@ -148,9 +148,9 @@
 	}
 }
 
-func TestServerSaysWhatCertainlyDidNotRun(t *testing.T) {
+func TestServerReportsRequestsThatDidNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, testScale, nil)
+		r := newServerFixture(t, testScale, nil)
 		_, err := r.generate(request("r", "other", "p"))
 		r.Check(engineapi.StageOf(err), qt.Equals, engineapi.StageRefused)
 		status, err := r.client.Cancel(r.ctx, r.address, "s/1 ?")
@@ -166,16 +166,16 @@
 		r.Assert(err, qt.IsNil)
 		r.Check(status.Started, qt.IsTrue)
 		_, err = r.generate(each)
-		r.Check(engineapi.StageOf(err), qt.Equals, engineapi.StageBroken, qt.Commentf("the ID has run"))
+		r.Check(engineapi.StageOf(err), qt.Equals, engineapi.StageBroken, qt.Commentf("the request ID has run"))
 		r.Check(r.control(engineapi.PathOrders, "{"), qt.Equals, http.StatusBadRequest)
 		r.Check(r.control(engineapi.PathReport, "{}"), qt.Equals, http.StatusMethodNotAllowed)
 		r.Check(r.control("/nowhere", "{}"), qt.Equals, http.StatusNotFound)
 	})
 }
 
-func TestServerCancelsWhenTheCallerLeaves(t *testing.T) {
+func TestServerCancelsOnClientDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 1, nil)
+		r := newServerFixture(t, 1, nil)
 		each := longRequest("r")
 		stream, err := r.client.Generate(r.ctx, r.address, each)
 		r.Assert(err, qt.IsNil)
@@ -188,7 +188,7 @@
 			r.Assert(err, qt.IsNil)
 			state = status.State
 			r.Assert(state, qt.Not(qt.Equals), structs.RunFinished)
-			time.Sleep(pollPause)
+			time.Sleep(pollInterval)
 		}
 		r.server.SetFaults(emulator.EngineFaults{})
 		each.ResumeFrom = 1
@@ -201,7 +201,7 @@
 
 func TestServerCrashAndRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, testScale, nil)
+		r := newServerFixture(t, testScale, nil)
 		r.server.SetFaults(emulator.EngineFaults{StallRate: 1})
 		stream, err := r.client.Generate(r.ctx, r.address, request("r", "m", "p"))
 		r.Assert(err, qt.IsNil)
@@ -220,7 +220,7 @@
 
 func TestServerLoadsFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, testScale, func(o *emulator.EngineOptions) {
+		r := newServerFixture(t, testScale, func(o *emulator.EngineOptions) {
 			o.FetchTime = func(structs.RowName, int64) (time.Duration, bool) { return 0, true }
 		})
 		clock := emulator.NewClock(testScale)
@@ -246,7 +246,7 @@
 				if state := report.Replicas[0].State; state != structs.ReplicaLoading {
 					return state
 				}
-				time.Sleep(pollPause)
+				time.Sleep(pollInterval)
 			}
 		}
 		store.SetFaults(emulator.StoreFaults{FailRate: 1})
@@ -259,9 +259,9 @@
 	})
 }
 
-func TestServerMovesKVCacheAndReadsEvents(t *testing.T) {
+func TestServerTransfersKVCacheAndServesEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		from, to := newRig(t, 1, nil), newRig(t, testScale, nil)
+		from, to := newServerFixture(t, 1, nil), newServerFixture(t, testScale, nil)
 		each := longRequest("r")
 		stream, err := from.client.Generate(from.ctx, from.address, each)
 		from.Assert(err, qt.IsNil)
@@ -284,7 +284,7 @@
 	})
 }
 
-func TestServerOfTheMachineList(t *testing.T) {
+func TestMachineServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		server := emulator.NewMachineServer(log.NewNopLogger(), emulator.NewMachineList(0), emulator.NewClock(1))
@@ -310,7 +310,7 @@
 	})
 }
 
-// BenchmarkEngineCore measures the core with a full batch.
+// BenchmarkEngineCore measures the time per token of the core with a full batch.
 func BenchmarkEngineCore(b *testing.B) {
 	h := newHarness(b, nil)
 	h.ready("m")
@@ -337,8 +337,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(tokens), "ns/token")
 }
 
-// BenchmarkIdleEngine measures the memory of an idle engine server that holds a
-// loaded row; its listener is not counted.
+// BenchmarkIdleEngine measures the memory of an idle engine server with a loaded row,
+// without its listener.
 func BenchmarkIdleEngine(b *testing.B) {
 	var servers []*emulator.EngineServer
 	clock := emulator.NewClock(1)
--- a/kit/emulator/stop_test.go
+++ b/kit/emulator/stop_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestStopTextEndsTheAnswerBeforeIt(t *testing.T) {
+func TestAnswerEndsBeforeStopSequence(t *testing.T) {
 	whole := request("r", "m", "the prompt")
 	const last = 3
 	token := emulator.ExpectedToken("m", whole.Prompt, last)
--- a/kit/emulator/store.go
+++ b/kit/emulator/store.go
@@ -9,25 +9,26 @@
 	"github.com/lotusferry/lotusferry/request/engineapi"
 )
 
-// StoreOptions describe a weight store.
+// StoreOptions configure a weight store. A zero field means the default in brackets.
 type StoreOptions struct {
 	// LoadsPerSecond is the rate at which reads are admitted (2).
 	LoadsPerSecond float64
-	// FullSpeed is how many reads may be under way at full speed (8); more of them
-	// share the speed of so many. So many may be admitted in one burst, too.
+	// FullSpeed is the number of concurrent reads that run at full speed (8); further
+	// reads share the same total bandwidth. It is also the burst size of the admission
+	// rate.
 	FullSpeed int
-	// BytesPerSecond is the full speed of one read (4 GB/s).
+	// BytesPerSecond is the bandwidth of one read at full speed (4 GB/s).
 	BytesPerSecond float64
-	// Random is the source of all chance; nil is a source with a fixed seed.
+	// Random is the source of randomness; nil means a source with a fixed seed.
 	Random *rand.Rand
 	Faults StoreFaults
 }
 
-// StoreFaults are faults that can be switched at run time.
+// StoreFaults are the faults that can be injected at run time.
 type StoreFaults struct {
-	// SlowFactor multiplies the time of reads; 0 and 1 mean none.
+	// SlowFactor multiplies the duration of reads; 0 and 1 have no effect.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// FailRate is the share of reads that fail at their end, 0 to 1.
+	// FailRate is the fraction of reads that fail on completion, 0 to 1.
 	FailRate float64 `json:"fail_rate,omitempty"`
 }
 
@@ -35,11 +36,12 @@
 	defaultLoadsPerSecond = 2
 	defaultFullSpeed      = 8
 	defaultStoreSpeed     = 4 << 30
-	// restBytes is what may be left of a read by rounding when it counts as ended.
-	restBytes = 0.5
+	// remainderTolerance is the remainder in bytes, due to rounding, at which a read
+	// counts as complete.
+	remainderTolerance = 0.5
 )
 
-// StoreOutput is the end of a read.
+// StoreOutput is the completion of a read.
 type StoreOutput struct {
 	Call   CallID
 	Failed bool
@@ -58,15 +60,14 @@
 	finished uint64
 }
 
-// read is one read of a checkpoint.
 type read struct {
-	call    CallID
-	request engineapi.FetchRequest
-	asked   time.Time
-	rest    float64
+	call        CallID
+	request     engineapi.FetchRequest
+	requestedAt time.Time
+	remaining   float64
 }
 
-// NewStore makes a store without reads.
+// NewStore returns a store without reads.
 func NewStore(options StoreOptions) *Store {
 	option.Default(&options.LoadsPerSecond, defaultLoadsPerSecond)
 	option.Default(&options.FullSpeed, defaultFullSpeed)
@@ -77,15 +78,15 @@
 	return &Store{options: options, faults: options.Faults, tokens: float64(options.FullSpeed)}
 }
 
-// Fetch begins a read; its end comes from Advance under the same call.
+// Fetch starts a read. Advance returns its completion under the same call.
 func (s *Store) Fetch(now time.Time, call CallID, request engineapi.FetchRequest) []StoreOutput {
 	outputs := s.Advance(now)
-	s.waiting = append(s.waiting, &read{call: call, request: request, asked: now, rest: float64(request.SizeBytes)})
+	s.waiting = append(s.waiting, &read{call: call, request: request, requestedAt: now, remaining: float64(request.SizeBytes)})
 	s.admit()
 	return outputs
 }
 
-// Cancel ends a read whose caller is gone.
+// Cancel aborts a read whose caller has disconnected.
 func (s *Store) Cancel(now time.Time, call CallID) []StoreOutput {
 	outputs := s.Advance(now)
 	same := func(other *read) bool { return other.call == call }
@@ -94,14 +95,13 @@
 	return outputs
 }
 
-// SetFaults replaces the faults from now on.
+// SetFaults replaces the injected faults from now on.
 func (s *Store) SetFaults(now time.Time, faults StoreFaults) []StoreOutput {
 	outputs := s.Advance(now)
 	s.faults = faults
 	return outputs
 }
 
-// State returns the store's state.
 func (s *Store) State() engineapi.StoreState {
 	return engineapi.StoreState{
 		Active:         len(s.active),
@@ -112,8 +112,8 @@
 	}
 }
 
-// NextEvent returns when Advance must be called next; false means that nothing
-// happens without a call.
+// NextEvent returns the time at which Advance must be called next, and false if no event
+// is scheduled.
 func (s *Store) NextEvent() (time.Time, bool) {
 	wait := time.Duration(-1)
 	if len(s.waiting) > 0 {
@@ -121,7 +121,7 @@
 	}
 	speed := s.speed()
 	for _, current := range s.active {
-		rest := seconds(current.rest / speed)
+		rest := seconds(current.remaining / speed)
 		if wait < 0 || rest < wait {
 			wait = rest
 		}
@@ -129,12 +129,13 @@
 	return s.now.Add(wait), wait >= 0
 }
 
-// seconds returns a duration rounded up, at least 1 ns, so that time goes on.
+// seconds converts a number of seconds to a duration, rounded up to at least 1 ns so
+// that virtual time progresses.
 func seconds(value float64) time.Duration {
 	return max(time.Duration(value*float64(time.Second))+1, 1)
 }
 
-// speed returns the bytes a second of each active read.
+// speed returns the bandwidth of each active read in bytes per second.
 func (s *Store) speed() float64 {
 	speed := s.options.BytesPerSecond
 	if over := float64(len(s.active)) / float64(s.options.FullSpeed); over > 1 {
@@ -146,7 +147,7 @@
 	return speed
 }
 
-// Advance does all that is due up to now and returns the reads that ended.
+// Advance processes all events up to now and returns the completed reads.
 func (s *Store) Advance(now time.Time) []StoreOutput {
 	if s.now.IsZero() {
 		s.now = now
@@ -158,14 +159,14 @@
 			break
 		}
 		s.progress(at)
-		outputs = s.end(outputs)
+		outputs = s.removeCompleted(outputs)
 		s.admit()
 	}
 	s.progress(now)
 	return outputs
 }
 
-// progress lets the active reads and the admission rate go on until at.
+// progress advances the active reads and refills the admission tokens until at.
 func (s *Store) progress(at time.Time) {
 	passed := at.Sub(s.now).Seconds()
 	if passed <= 0 {
@@ -173,13 +174,13 @@
 	}
 	speed := s.speed()
 	for _, current := range s.active {
-		current.rest -= passed * speed
+		current.remaining -= passed * speed
 	}
 	s.tokens = min(s.tokens+passed*s.options.LoadsPerSecond, float64(s.options.FullSpeed))
 	s.now = at
 }
 
-// admit starts waiting reads as the rate allows.
+// admit starts waiting reads while admission tokens are available.
 func (s *Store) admit() {
 	for len(s.waiting) > 0 && s.tokens >= 1 {
 		s.tokens--
@@ -188,17 +189,17 @@
 	}
 }
 
-// end takes out the reads that have nothing left to read.
-func (s *Store) end(outputs []StoreOutput) []StoreOutput {
+// removeCompleted removes the completed reads and appends their outputs.
+func (s *Store) removeCompleted(outputs []StoreOutput) []StoreOutput {
 	kept := s.active[:0]
 	for _, current := range s.active {
-		if current.rest > restBytes {
+		if current.remaining > remainderTolerance {
 			kept = append(kept, current)
 			continue
 		}
 		s.finished++
 		failed := s.faults.FailRate > 0 && s.options.Random.Float64() < s.faults.FailRate
-		reply := engineapi.FetchReply{Row: current.request.Row, SizeBytes: current.request.SizeBytes, Took: s.now.Sub(current.asked)}
+		reply := engineapi.FetchReply{Row: current.request.Row, SizeBytes: current.request.SizeBytes, Took: s.now.Sub(current.requestedAt)}
 		outputs = append(outputs, StoreOutput{Call: current.call, Failed: failed, Reply: reply})
 	}
 	clear(s.active[len(kept):])
--- a/kit/emulator/store_server.go
+++ b/kit/emulator/store_server.go
@@ -13,7 +13,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// StoreServer serves a Store over HTTP in the machine's time.
+// StoreServer serves a Store over HTTP, driven by a Clock.
 type StoreServer struct {
 	logger log.Logger
 	clock  *Clock
@@ -26,7 +26,7 @@
 	last  CallID
 }
 
-// NewStoreServer makes the server of a store, which nobody else may use from then on.
+// NewStoreServer returns a server of the store and takes ownership of it.
 func NewStoreServer(logger log.Logger, store *Store, clock *Clock) *StoreServer {
 	s := &StoreServer{logger: log.With(logger, "component", "store"), clock: clock, store: store, calls: make(map[CallID]chan StoreOutput), mux: http.NewServeMux()}
 	s.alarm = alarm{clock: clock, fire: s.advance}
@@ -39,7 +39,7 @@
 // ServeHTTP implements http.Handler.
 func (s *StoreServer) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFaults replaces the store's faults.
+// SetFaults replaces the injected faults of the store.
 func (s *StoreServer) SetFaults(faults StoreFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,8 +77,8 @@
 	select {
 	case output := <-ended:
 		if output.Failed {
-			level.Warn(s.logger).Log("msg", "A read failed.", "row", request.Row, "runner", request.Runner)
-			failure := structs.NewError(structs.ErrorUnavailable, "the read failed", "Send the fetch again.")
+			level.Warn(s.logger).Log("msg", "Checkpoint read failed.", "row", request.Row, "runner", request.Runner)
+			failure := structs.NewError(structs.ErrorUnavailable, "the checkpoint read failed", "Retry the fetch.")
 			return engineapi.FetchReply{}, &refusalError{refusal: structs.Refusal{Error: *failure}}
 		}
 		return output.Reply, nil
--- a/kit/emulator/store_test.go
+++ b/kit/emulator/store_test.go
@@ -11,8 +11,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// endTimes begins so many reads of 1 s at once and returns when each ends, in
-// seconds, rounded to a millisecond.
+// endTimes starts the given number of reads of 1 s each and returns their completion
+// times in seconds, rounded to milliseconds.
 func endTimes(store *emulator.Store, reads int) []float64 {
 	for call := range reads {
 		store.Fetch(start, emulator.CallID(call), engineapi.FetchRequest{Row: "m", SizeBytes: 1000})
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestStoreLimitsRateAndSpeed(t *testing.T) {
+func TestStoreLimitsRateAndBandwidth(t *testing.T) {
 	tests := []struct {
 		name    string
 		options emulator.StoreOptions
@@ -39,7 +39,8 @@
 		{"alone", emulator.StoreOptions{}, 1, []float64{1}},
 		{"at full speed", emulator.StoreOptions{}, 2, []float64{1, 1}},
 		{"rate admits the rest later", emulator.StoreOptions{LoadsPerSecond: 0.5}, 4, []float64{1, 1, 3, 5}},
-		// The third read begins at 0.5 s: from then on three share the speed of two.
+		// The third read starts at 0.5 s; from then on three reads share the bandwidth
+		// of two.
 		{"beyond full speed all slow down", emulator.StoreOptions{LoadsPerSecond: 2}, 3, []float64{1.25, 1.25, 1.75}},
 		{"slow", emulator.StoreOptions{Faults: emulator.StoreFaults{SlowFactor: 4}}, 2, []float64{4, 4}},
 	}
--- a/kit/emulator/text.go
+++ b/kit/emulator/text.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// shortestAnswer and answerSpread bound the natural length of answers in tokens.
-	shortestAnswer = 8
-	answerSpread   = 248
-	// tokenDigits is how many letters a token's text has after its space.
-	tokenDigits = 8
-	// vectorLength is the length of an embedding.
+	// minAnswerTokens and answerTokenRange determine the natural length of answers in
+	// tokens.
+	minAnswerTokens  = 8
+	answerTokenRange = 248
+	// tokenLetters is the number of letters of a token, after its leading space.
+	tokenLetters = 8
+	// vectorLength is the dimension of embeddings.
 	vectorLength = 8
 )
 
 const tokenAlphabet = "abcdefghijklmnopqrstuvwxyz234567"
 
-// PromptHash returns the hash of a row and a prompt that executions are recorded under.
+// PromptHash returns the hash of a row and a prompt that identifies them in executions.
 func PromptHash(row structs.RowName, prompt string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -30,19 +31,19 @@
 	return digest.Sum64()
 }
 
-// ExpectedToken returns the text of the token with the given index of the answer
-// of a row to a prompt.
+// ExpectedToken returns the text of the token at index in the answer of a row to a
+// prompt.
 func ExpectedToken(row structs.RowName, prompt string, index int) string {
 	return tokenText(PromptHash(row, prompt), index)
 }
 
-// ExpectedLength returns how many tokens the answer of a row to a prompt has
-// when at most maxTokens are asked for.
+// ExpectedLength returns the number of tokens in the answer of a row to a prompt,
+// limited to maxTokens.
 func ExpectedLength(row structs.RowName, prompt string, maxTokens int) int {
 	return max(min(naturalLength(PromptHash(row, prompt)), maxTokens), 0)
 }
 
-// ExpectedFinish returns the finish reason of that answer.
+// ExpectedFinish returns the finish reason of the answer of a row to a prompt.
 func ExpectedFinish(row structs.RowName, prompt string, maxTokens int) structs.FinishReason {
 	return finishReason(PromptHash(row, prompt), maxTokens)
 }
@@ -57,10 +58,10 @@
 	return vector
 }
 
-// ExpectedVectorText returns that embedding as the text of the one token that
-// answers a generate request with Embedding set.
+// ExpectedVectorText returns the embedding as the text of the single token that answers
+// a generate request with Embedding set.
 func ExpectedVectorText(row structs.RowName, input string) string {
-	// A slice of finite numbers is always encoded.
+	// Encoding finite numbers cannot fail.
 	encoded, _ := json.Marshal(ExpectedVector(row, input))
 	return string(encoded)
 }
@@ -73,11 +74,11 @@
 }
 
 func naturalLength(seed uint64) int {
-	return shortestAnswer + int(mix(seed, 0)%answerSpread)
+	return minAnswerTokens + int(mix(seed, 0)%answerTokenRange)
 }
 
 func tokenText(seed uint64, index int) string {
-	var text [tokenDigits + 1]byte
+	var text [tokenLetters + 1]byte
 	text[0] = ' '
 	bits := mix(seed, uint64(index)+1)
 	for i := 1; i < len(text); i++ {
@@ -87,7 +88,7 @@
 	return string(text[:])
 }
 
-// mix is the output function of splitmix64 over seed and index.
+// mix returns output index of the splitmix64 generator with the given seed.
 func mix(seed, index uint64) uint64 {
 	bits := seed + (index+1)*0x9e3779b97f4a7c15
 	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
--- a/kit/emulator/timers.go
+++ b/kit/emulator/timers.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// timer is something an engine does at a later time.
+// timer is an action scheduled by an engine.
 type timer struct {
 	at time.Time
-	// order breaks ties: timers of the same time run in the order they were set.
+	// order breaks ties: timers with equal times run in the order in which they were
+	// added.
 	order uint64
 	run   func()
 }
 
-// timerQueue is a queue of timers by time.
+// timerQueue is a priority queue of timers by time.
 type timerQueue struct {
 	timers []timer
 	last   uint64
@@ -35,7 +36,6 @@
 	return heap.Pop((*timerHeap)(&q.timers)).(timer)
 }
 
-// timerHeap orders timers by time.
 type timerHeap []timer
 
 var _ heap.Interface = (*timerHeap)(nil)
@@ -43,7 +43,7 @@
 // Len implements heap.Interface.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less implements heap.Interface; order makes the order total.
+// Less implements heap.Interface.
 func (h timerHeap) Less(i, j int) bool {
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
--- a/kit/emulator/weights.go
+++ b/kit/emulator/weights.go
@@ -8,41 +8,42 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// replica is a row that is loaded, loading, unloading, or was dropped after a
-// failed load (absent).
+// replica is a loading, ready or unloading row, or one that was dropped after a failed
+// load (absent).
 type replica struct {
 	row       structs.RowName
 	base      structs.RowName
 	sizeBytes int64
 	state     structs.ReplicaState
 	fence     structs.Fence
-	// weightsRead is set when a loading adapter only waits for its base.
+	// weightsRead is set once the weights of a loading adapter are read and only its
+	// base is missing.
 	weightsRead bool
-	// running and queued count its own requests; pending is their sum.
+	// running and queued count the requests of the row itself; pending is their sum.
 	running int
 	queued  int
 	pending int
-	// occupied counts the running requests of the row and of its adapters.
+	// occupied is the number of running requests of the row and of its adapters.
 	occupied int
 }
 
-// idle reports whether its memory counts as idle.
+// idle reports whether the memory of the replica counts as idle.
 func (r *replica) idle() bool {
 	return r.occupied == 0 && (r.state == structs.ReplicaReady || r.state == structs.ReplicaUnloading)
 }
 
-// fetch is a checkpoint asked of the weight store.
+// fetch is a pending read of a checkpoint from the weight store.
 type fetch struct {
 	sizeBytes int64
-	// load is set when a replica waits for it, toMemory when it is to be kept in
-	// host memory.
+	// load is set if a replica waits for the checkpoint, toMemory if the checkpoint is
+	// to be kept in host memory.
 	load     bool
 	toMemory bool
 }
 
-// setState changes a replica's state and keeps the accounts.
+// setState changes the state of a replica and updates memory use and records.
 func (e *Engine) setState(target *replica, state structs.ReplicaState) {
-	e.account(target, func() { target.state = state })
+	e.updateIdle(target, func() { target.state = state })
 	if state == structs.ReplicaAbsent {
 		e.memoryUsed -= target.sizeBytes
 	}
@@ -51,8 +52,8 @@
 	e.records.ReplicaChanges = appendLimited(e.records.ReplicaChanges, change, e.options.RecordLimit, &e.records.Dropped)
 }
 
-// account applies a change to a replica and keeps the sum of idle bytes.
-func (e *Engine) account(target *replica, change func()) {
+// updateIdle applies a change to a replica and updates the sum of idle bytes.
+func (e *Engine) updateIdle(target *replica, change func()) {
 	if target.idle() {
 		e.idleBytes -= target.sizeBytes
 	}
@@ -62,20 +63,19 @@
 	}
 }
 
-// occupy notes that a request starts (1) or stops (-1) to run on its replica and
-// on the replica's base.
+// occupy adds change (1 or -1) to the running requests of the replica and of its base.
 func (e *Engine) occupy(current *sequence, change int) {
 	target := current.replica
 	target.running += change
-	e.account(target, func() { target.occupied += change })
+	e.updateIdle(target, func() { target.occupied += change })
 	if base := e.replicas[target.base]; target.base != "" && base != nil {
-		e.account(base, func() { base.occupied += change })
+		e.updateIdle(base, func() { base.occupied += change })
 	}
 }
 
-// leaveReplica notes that a request has ended; an unloading replica frees its
-// memory after its last request.
-func (e *Engine) leaveReplica(current *sequence) {
+// releaseReplica removes an ended request from its replica. An unloading replica is
+// freed after its last request.
+func (e *Engine) releaseReplica(current *sequence) {
 	target := current.replica
 	if current.execution == nil {
 		target.queued--
@@ -86,17 +86,17 @@
 	}
 }
 
-// servingReplica returns the ready replica of a row, or the refusal.
+// servingReplica returns the ready replica of a row, or a refusal.
 func (e *Engine) servingReplica(row structs.RowName) (*replica, *structs.Refusal) {
 	target := e.replicas[row]
 	if target == nil || target.state != structs.ReplicaReady {
 		return nil, notRun(structs.NewError(structs.ErrorUnavailable,
-			"the row is not loaded on this engine", "Read the placement again and choose another replica."))
+			"the row is not loaded on this engine", "Refresh the placement and choose another replica."))
 	}
 	return target, nil
 }
 
-// dependants returns the adapters on a base that are not absent, by name.
+// dependants returns the adapters of a base that are not absent, sorted by name.
 func (e *Engine) dependants(base structs.RowName) []*replica {
 	var found []*replica
 	for _, row := range slices.Sorted(maps.Keys(e.replicas)) {
@@ -108,7 +108,7 @@
 	return found
 }
 
-// beginLoad reads the weights from the nearest tier.
+// beginLoad loads the weights from the nearest cache tier.
 func (e *Engine) beginLoad(target *replica) {
 	switch e.checkpoints.Tier(target.row) {
 	case structs.TierMemory:
@@ -122,12 +122,13 @@
 	}
 }
 
-// readWeights lets the replica become ready after its weights were read.
+// readWeights schedules the end of the load after the weights are read at the given
+// speed.
 func (e *Engine) readWeights(target *replica, speed int64) {
 	duration := e.faults.slow(e.options.LoadBase + transferTime(target.sizeBytes, speed))
 	if e.faults.DieOnLoad {
 		e.faults.DieOnLoad = false
-		e.after(duration/2, e.die)
+		e.after(duration/2, e.crash)
 	}
 	e.after(duration, func() {
 		if target.state == structs.ReplicaLoading {
@@ -139,8 +140,8 @@
 	})
 }
 
-// becomeReady ends a load, unless the replica is an adapter whose base is still
-// loading. Adapters that waited for it follow.
+// becomeReady completes a load and those of the adapters that wait for it. An adapter
+// waits until its base is ready.
 func (e *Engine) becomeReady(target *replica) {
 	if target.base != "" {
 		base := e.replicas[target.base]
@@ -156,7 +157,8 @@
 	}
 }
 
-// beginFetch asks the weight store for a checkpoint, or joins a fetch under way.
+// beginFetch starts to fetch a checkpoint from the weight store, or joins a fetch in
+// progress.
 func (e *Engine) beginFetch(row structs.RowName, wanted fetch) {
 	if current := e.fetches[row]; current != nil {
 		current.load = current.load || wanted.load
@@ -176,7 +178,7 @@
 	e.emit(EngineOutput{Kind: OutputFetch, Fetch: &request})
 }
 
-// fetched takes the end of a fetch.
+// fetched completes a fetch.
 func (e *Engine) fetched(row structs.RowName, failed bool) {
 	ended := e.fetches[row]
 	if ended == nil {
@@ -201,7 +203,7 @@
 	e.readWeights(target, e.options.MemorySpeed)
 }
 
-// failLoad drops a replica whose weights could not be read, and its adapters.
+// failLoad drops a replica whose weights could not be read, with its adapters.
 func (e *Engine) failLoad(target *replica) {
 	e.setState(target, structs.ReplicaAbsent)
 	for _, adapter := range e.dependants(target.row) {
@@ -209,7 +211,7 @@
 	}
 }
 
-// finishUnload frees the memory of a replica without requests.
+// finishUnload frees the memory of a replica that has no requests.
 func (e *Engine) finishUnload(target *replica) {
 	e.after(e.faults.slow(e.options.UnloadTime), func() {
 		e.setState(target, structs.ReplicaAbsent)
