--- a/kit/report/doc.go
+++ b/kit/report/doc.go
@@ -1,3 +1,3 @@
-// Package report holds what the kit's reports share: plots as SVG elements, and
-// folders with a JSON file and an HTML page.
+// Package report renders plots as SVG elements and writes report folders with a JSON
+// file and an HTML page.
 package report
--- a/kit/report/report.go
+++ b/kit/report/report.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The names of the files of a report's folder.
+// File names in a report folder.
 const (
 	DocumentName = "report.json"
 	PageName     = "report.html"
@@ -25,7 +25,7 @@
 	fileMode   = 0o644
 )
 
-// SVG draws the plot as an element that can stand in an HTML page.
+// SVG renders the plot as an SVG element that can be embedded in an HTML page.
 func SVG(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	writer, err := p.WriterTo(width, height, "svg")
 	if err != nil {
@@ -40,11 +40,11 @@
 	return template.HTML(text[max(start, 0):]), nil
 }
 
-// WriteFolder writes the document as JSON and the page into the folder, which it
-// makes if need be.
+// WriteFolder writes the document as JSON and the HTML page to the folder. It creates
+// the folder if necessary.
 func WriteFolder(folder string, document any, writePage func(io.Writer) error) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make the report's folder")
+		return errors.Wrap(err, "create the report folder")
 	}
 	encoded, err := json.MarshalIndent(document, "", "  ")
 	if err != nil {
--- a/kit/report/report_test.go
+++ b/kit/report/report_test.go
@@ -13,13 +13,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-func TestPlotsAreElementsOfAPage(t *testing.T) {
+func TestSVGReturnsAnElement(t *testing.T) {
 	drawn, err := SVG(plot.New(), 5*vg.Centimeter, 5*vg.Centimeter)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, strings.HasPrefix(string(drawn), "<svg"), qt.IsTrue)
 }
 
-func TestWriteFolderMakesBothFilesAndTellsFailures(t *testing.T) {
+func TestWriteFolderWritesFilesAndReturnsErrors(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new")
 	write := func(w io.Writer) error { _, err := io.WriteString(w, "page"); return err }
 	qt.Assert(t, WriteFolder(folder, map[string]int{"a": 1}, write), qt.IsNil)
