--- a/kit/lab/addresses.go
+++ b/kit/lab/addresses.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// The ports of a daemon, each on the daemon's own loopback address.
+// Ports of the nodes. Each node listens on its own loopback address.
 const (
 	callersPort   = 7101
 	operatorsPort = 7102
@@ -15,8 +15,8 @@
 	machinesPort  = 7302
 )
 
-// addressPlan gives every node of a run its own address in 127.0.0.0/8, so that
-// ports never collide. The second octet tells runs of different processes apart.
+// addressPlan assigns each node of a run its own address in 127.0.0.0/8, so that ports
+// do not collide. The second octet distinguishes the runs of different processes.
 type addressPlan struct {
 	second int
 }
@@ -24,9 +24,9 @@
 const (
 	firstSecondOctet = 32
 	secondOctets     = 200
-	// nodesPerOctet leaves out .0 and .255.
+	// nodesPerOctet excludes .0 and .255.
 	nodesPerOctet = 250
-	// The third octets of the kinds of node begin here.
+	// First third octets by kind of node.
 	daemonOctets   = 10
 	engineOctets   = 60
 	platformOctets = 200
--- a/kit/lab/caller.go
+++ b/kit/lab/caller.go
@@ -10,51 +10,52 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Outcome is what one call of the kit came to, from the caller's own records.
+// Outcome is the result of one call as recorded by the caller.
 type Outcome struct {
 	Request structs.Request
 	// Router is the daemon that was called.
 	Router structs.DaemonID
-	// PlannedAt is when the call was due (open loop); SentAt when it was sent.
+	// PlannedAt is the time at which the call was due (open loop); SentAt is the time at
+	// which it was sent.
 	PlannedAt time.Time
 	SentAt    time.Time
-	// FirstTokenAt is zero when no token came.
+	// FirstTokenAt is zero if no token was received.
 	FirstTokenAt time.Time
 	EndedAt      time.Time
 	Tokens       int
-	// LongestGap is the longest time between two tokens.
+	// LongestGap is the longest time between two consecutive tokens.
 	LongestGap time.Duration
 	Finish     structs.FinishReason
-	// Refusal is set when the call got no whole answer.
+	// Refusal is set if the call was not completely answered.
 	Refusal *structs.Refusal
 	// NotSent and Broken tell that the transfer itself failed.
 	NotSent bool
 	Broken  bool
-	// RouterDied tells that the router was killed or frozen while the call was open.
+	// RouterDied tells that the router was killed or suspended during the call.
 	RouterDied bool
-	// Wrong describes an answer that is not the one to this request, or "".
+	// Wrong describes how the answer differs from the expected one, or is "".
 	Wrong string
 }
 
-// Answered reports whether the call got its whole answer.
+// Answered reports whether the call was completely answered.
 func (o Outcome) Answered() bool { return o.Finish != "" }
 
-// target is a router that is called.
+// target is a router to call.
 type target struct {
 	id  structs.DaemonID
 	url string
 }
 
-// caller makes calls and checks every token of the answers.
+// caller makes calls and checks the answers.
 type caller struct {
 	client *api.Client
-	// key is the caller's API key, or empty.
+	// key is the caller's API key, or "".
 	key string
-	// unchecked accepts any text, of engines that are not the stand-ins.
+	// unchecked disables the comparison of answers, for engines that are not emulated.
 	unchecked bool
 }
 
-// call makes one call and follows it to its end.
+// call makes one call and reads its answer to the end.
 func (c caller) call(ctx context.Context, router target, request structs.Request) Outcome {
 	outcome := Outcome{Request: request, Router: router.id, SentAt: time.Now()}
 	answer, err := c.client.Call(ctx, router.url, c.key, "", request)
@@ -105,14 +106,14 @@
 		return o
 	}
 	o.Refusal = &structs.Refusal{
-		Error:     *structs.NewError(structs.ErrorInternal, err.Error(), "Look in the report of the run for what the router and the engines did."),
+		Error:     *structs.NewError(structs.ErrorInternal, err.Error(), "Check the report of the run for the actions of the router and the engines."),
 		Execution: structs.ExecutionUnknown,
 	}
 	return o
 }
 
-// answerCheck compares an answer with the text that the stand-in engines must
-// give to exactly this request. A replayed answer comes as one token.
+// answerCheck compares an answer with the expected text of the emulated engines. A
+// replayed answer arrives as a single token.
 type answerCheck struct {
 	request structs.Request
 	text    []byte
@@ -120,7 +121,7 @@
 
 func (c *answerCheck) add(token structs.Token) { c.text = append(c.text, token.Text...) }
 
-// end returns what is wrong with the whole answer, or "".
+// end describes how the complete answer differs from the expected one, or returns "".
 func (c *answerCheck) end(finish structs.FinishReason) string {
 	row, prompt := c.request.Row, c.request.Prompt
 	if finish != emulator.ExpectedFinish(row, prompt, c.request.MaxTokens) {
@@ -131,7 +132,7 @@
 		expected = append(expected, emulator.ExpectedToken(row, prompt, i)...)
 	}
 	if string(expected) != string(c.text) {
-		return "the text is not the answer to this request"
+		return "the text is not the expected answer to this request"
 	}
 	return ""
 }
--- a/kit/lab/check.go
+++ b/kit/lab/check.go
@@ -10,17 +10,17 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Violation is a breach of what must always hold.
+// Violation is a violated invariant.
 type Violation struct {
-	// Invariant names the breached line: replicas, memory, answered, own_answer,
-	// not_run, at_most_once, planned_stop, leaving, in_force, one_winner or resend.
+	// Invariant is one of replicas, memory, answered, own_answer, not_run, at_most_once,
+	// planned_stop, leaving, in_force, one_winner and resend.
 	Invariant string `json:"invariant"`
 	Detail    string `json:"detail"`
 }
 
-// CheckRecords compares what the callers and the engines recorded with what must
-// always hold, for a run in which no row's limit was ever above that of rows. It
-// returns an empty list, never nil, when all held.
+// CheckRecords checks the records of callers and engines against the invariants. The
+// limit of a row must not have exceeded that in rows during the run. The result is empty
+// but not nil if there is no violation.
 func CheckRecords(rows []structs.Row, platform *Platform, outcomes []Outcome) []Violation {
 	records := platform.Records()
 	violations := []Violation{}
@@ -30,8 +30,8 @@
 	return violations
 }
 
-// checkMemory: accelerator memory is never overcommitted. The engine's own
-// record tells what it held and which orders it had to refuse for memory.
+// checkMemory checks that accelerator memory was not overcommitted, neither in use nor
+// by an order that an engine had to refuse.
 func checkMemory(platform *Platform, records map[structs.RunnerID]emulator.Records) []Violation {
 	var violations []Violation
 	for _, runner := range platform.Runners {
@@ -48,14 +48,14 @@
 	return violations
 }
 
-// replicaEdge is a change of the number of a row's replicas in the site.
+// replicaEdge is a change of the number of replicas of a row.
 type replicaEdge struct {
 	at    time.Time
 	delta int
 }
 
-// checkReplicas: no more replicas of a row are loaded than its limit, over all
-// engines, at any time.
+// checkReplicas checks that the number of loaded replicas of a row over all engines
+// never exceeded its limit.
 func checkReplicas(rows []structs.Row, records map[structs.RunnerID]emulator.Records) []Violation {
 	edges := map[structs.RowName][]replicaEdge{}
 	for _, record := range records {
@@ -80,8 +80,8 @@
 
 func isLoadedReplica(state structs.ReplicaState) bool { return state != structs.ReplicaAbsent }
 
-// replicaEdges turns one engine's changes into +1 and -1 per row, for the replicas in
-// a state that counts.
+// replicaEdges converts the changes of one engine to increments and decrements per row,
+// for the replicas in a counted state.
 func replicaEdges(changes []emulator.ReplicaChange, counts func(structs.ReplicaState) bool) map[structs.RowName][]replicaEdge {
 	edges := map[structs.RowName][]replicaEdge{}
 	present := map[structs.RowName]bool{}
@@ -112,8 +112,8 @@
 	return peak
 }
 
-// checkOutcomes: each caller got its own whole answer, what is said not to have
-// run did not run, and a key ran at most once.
+// checkOutcomes checks that each answer belongs to its request, that requests refused as
+// not run did not run, and that requests with a key ran at most once.
 func checkOutcomes(records map[structs.RunnerID]emulator.Records, outcomes []Outcome) []Violation {
 	executions := map[uint64]int{}
 	for _, record := range records {
@@ -124,16 +124,16 @@
 		}
 	}
 	var violations []Violation
-	for _, tries := range triesOf(outcomes) {
+	for _, tries := range groupByRequest(outcomes) {
 		ran := executions[emulator.PromptHash(tries[0].Request.Row, tries[0].Request.Prompt)]
-		violations = append(violations, checkTries(tries, ran)...)
+		violations = append(violations, checkAttempts(tries, ran)...)
 	}
 	return violations
 }
 
-// triesOf groups the outcomes by request: a caller whose router went away asks
-// another one again. The order is that of the first tries.
-func triesOf(outcomes []Outcome) [][]Outcome {
+// groupByRequest groups the outcomes by request, since a caller retries at another
+// router after a failure. Groups are in order of their first attempts.
+func groupByRequest(outcomes []Outcome) [][]Outcome {
 	index := map[structs.RequestID]int{}
 	var list [][]Outcome
 	for _, outcome := range outcomes {
@@ -148,8 +148,8 @@
 	return list
 }
 
-// checkTries checks all tries of one request, which ran so many times in all.
-func checkTries(tries []Outcome, ran int) []Violation {
+// checkAttempts checks all attempts of one request, which ran the given number of times.
+func checkAttempts(tries []Outcome, ran int) []Violation {
 	var violations []Violation
 	request := tries[0].Request
 	neverRan := true
--- a/kit/lab/check_test.go
+++ b/kit/lab/check_test.go
@@ -15,7 +15,7 @@
 
 func at(seconds int) time.Time { return began.Add(time.Duration(seconds) * time.Second) }
 
-// answered is a call that got its whole answer; change may alter it.
+// answered returns the outcome of a completely answered call; change may modify it.
 func answered(change func(*Outcome)) Outcome {
 	outcome := Outcome{
 		Request: structs.Request{ID: "q", Row: "r", Prompt: "p", MaxTokens: 5, DeadlineAt: at(10)},
@@ -27,7 +27,7 @@
 	return outcome
 }
 
-// refusedCall is a call that was refused with this execution.
+// refusedCall returns the outcome of a call refused with the given execution.
 func refusedCall(execution structs.Execution) Outcome {
 	return answered(func(outcome *Outcome) {
 		outcome.Finish = ""
@@ -61,11 +61,11 @@
 	}{
 		{"answered once", 1, []Outcome{answered(keyed)}, nil},
 		{"a repeatable request may run twice", 2, []Outcome{answered(nil)}, nil},
-		{"a key ran twice", 2, []Outcome{answered(keyed)}, []string{"at_most_once"}},
+		{"a request with a key ran twice", 2, []Outcome{answered(keyed)}, []string{"at_most_once"}},
 		{"refused as not run and did not run", 0, []Outcome{refusedCall(structs.ExecutionNotRun)}, nil},
 		{"refused as not run and ran", 1, []Outcome{refusedCall(structs.ExecutionNotRun)}, []string{"not_run"}},
 		{"refused as not run, then answered elsewhere", 1, []Outcome{refusedCall(structs.ExecutionNotRun), answered(nil)}, nil},
-		{"another one's answer", 1, []Outcome{answered(func(outcome *Outcome) { outcome.Wrong = "text" })}, []string{"own_answer"}},
+		{"answer to another request", 1, []Outcome{answered(func(outcome *Outcome) { outcome.Wrong = "text" })}, []string{"own_answer"}},
 	} {
 		qt.Check(t, invariants(checkOutcomes(ran(test.ran), test.outcomes)), qt.DeepEquals, test.want, qt.Commentf(test.about))
 	}
@@ -85,7 +85,7 @@
 	qt.Assert(t, invariants(checkReplicas(rows, records)), qt.DeepEquals, []string{"replicas"})
 }
 
-func TestRequestsWithoutATerminalAnswerInTimeAreLost(t *testing.T) {
+func TestCheckAnsweredDetectsLostRequests(t *testing.T) {
 	broken := func(outcome *Outcome) { outcome.Finish, outcome.Broken = "", true }
 	for _, test := range []struct {
 		about   string
@@ -96,10 +96,10 @@
 		{"refused", refusedCall(structs.ExecutionNotRun), false},
 		{"no refusal", answered(func(outcome *Outcome) { outcome.Finish = "" }), true},
 		{"broken", answered(broken), true},
-		{"broken with a dead router", answered(func(outcome *Outcome) { broken(outcome); outcome.RouterDied = true }), false},
+		{"broken with a failed router", answered(func(outcome *Outcome) { broken(outcome); outcome.RouterDied = true }), false},
 		{"refused late", func() Outcome {
 			late := refusedCall(structs.ExecutionNotRun)
-			late.EndedAt = at(10).Add(answerBound + time.Second)
+			late.EndedAt = at(10).Add(answerGrace + time.Second)
 			return late
 		}(), true},
 	} {
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestPlannedStopsThatCutAreFound(t *testing.T) {
+func TestCheckPlannedStopsDetectsInterruptedRequests(t *testing.T) {
 	stop := plannedStop{daemon: "d", from: at(1), until: at(3)}
 	broken := func(change func(*Outcome)) Outcome {
 		return answered(func(outcome *Outcome) {
@@ -129,7 +129,7 @@
 		{"broken at another daemon", daemon.ExitOK, broken(func(outcome *Outcome) { outcome.Router = "e" }), nil},
 		{"broken before the stop", daemon.ExitOK, broken(func(outcome *Outcome) { outcome.EndedAt = at(0) }), nil},
 		{"sent after the stop", daemon.ExitOK, broken(func(outcome *Outcome) { outcome.SentAt, outcome.EndedAt = at(4), at(5) }), nil},
-		{"the daemon cut requests", daemon.ExitCut, answered(nil), []string{"planned_stop"}},
+		{"the daemon interrupted requests", daemon.ExitCut, answered(nil), []string{"planned_stop"}},
 		{"the daemon had to be killed", -1, answered(nil), []string{"planned_stop"}},
 	} {
 		stop.exitCode = test.exitCode
--- a/kit/lab/compare.go
+++ b/kit/lab/compare.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Comparable is what the reports of a fleet run and of the load tool share.
+// Comparable holds the fields that the reports of fleet runs and of the load tool share.
 type Comparable struct {
 	Totals
 	EditInForce          Percentiles `json:"edit_in_force_seconds"`
@@ -13,7 +13,7 @@
 	Violations           []Violation `json:"violations"`
 }
 
-// Difference is one figure of two reports.
+// Difference is one metric of two reports.
 type Difference struct {
 	Name string  `json:"name"`
 	A    float64 `json:"a"`
@@ -24,13 +24,12 @@
 	Worse bool `json:"worse"`
 }
 
-// latencyFloor is the difference of latencies, in seconds, below which the
-// machine's own jitter decides.
+// latencyFloor is the latency difference in seconds that is attributed to jitter.
 const latencyFloor = 0.005
 
-// Compare compares B with A, figure by figure. A figure of B is worse when it is
-// worse by more than tolerance times that of A; latencies must differ by 5 ms as
-// well. More lost requests and more violations are always worse.
+// Compare compares the metrics of B with those of A. A metric is worse if it degrades by
+// more than tolerance relative to A; latencies must also differ by at least 5 ms. Any
+// increase in lost requests or violations is worse.
 func Compare(a, b Comparable, tolerance float64) []Difference {
 	list := []Difference{
 		higherIsWorse("violations", float64(len(a.Violations)), float64(len(b.Violations)), 0, 0),
@@ -60,7 +59,7 @@
 	return list
 }
 
-// Verdict says why B does not pass, or "".
+// Verdict returns the reason why B does not pass, or "".
 func Verdict(b Comparable, differences []Difference) string {
 	if len(b.Violations) > 0 {
 		return fmt.Sprintf("B has %d violations", len(b.Violations))
--- a/kit/lab/demo.go
+++ b/kit/lab/demo.go
@@ -15,20 +15,20 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// DemoReport is what the demonstration did and measured.
+// DemoReport is the result of the demonstration.
 type DemoReport struct {
 	Daemons      int     `json:"daemons"`
 	Engines      int     `json:"engines"`
 	ReadySeconds float64 `json:"ready_seconds"`
-	// EditSeconds is the time from the edit to its being in force in every zone.
+	// EditSeconds is the time until the edit is in force in every zone.
 	EditSeconds float64       `json:"edit_seconds"`
 	Requests    []DemoRequest `json:"requests"`
-	// Effect describes what the last edit changed.
+	// Effect describes the effect of the last edit.
 	Effect     string      `json:"effect"`
 	Violations []Violation `json:"violations"`
 }
 
-// DemoRequest is one request of the demonstration.
+// DemoRequest is the result of one request of the demonstration.
 type DemoRequest struct {
 	Row               structs.RowName  `json:"row"`
 	Router            structs.DaemonID `json:"router"`
@@ -39,8 +39,8 @@
 
 const demoTokens = 24
 
-// RunDemo brings up the demonstration site, applies its table, sends requests,
-// edits the table, shows the effect, and stops everything.
+// RunDemo starts the demonstration site, applies its table, sends requests, edits the
+// table, shows the effect, and stops the site.
 func RunDemo(ctx context.Context, logger log.Logger, options FleetOptions, progress io.Writer) (DemoReport, error) {
 	began := time.Now()
 	fleet, err := StartFleet(ctx, logger, options)
@@ -84,7 +84,7 @@
 	d.send(ctx, d.fleet.Daemons[last], "explain-7b")
 	d.send(ctx, d.fleet.Daemons[1], "explain-7b/cobol")
 	d.send(ctx, d.fleet.Daemons[1], "review-13b")
-	return d.closeRow(ctx, "review-13b")
+	return d.disableRow(ctx, "review-13b")
 }
 
 func (d *demonstration) send(ctx context.Context, router *Process, row structs.RowName) Outcome {
@@ -115,9 +115,9 @@
 	return "refused (" + string(outcome.Refusal.Execution) + "): " + outcome.Refusal.Error.Error()
 }
 
-// closeRow sets a row's limit to no replica and shows that it is unloaded and
-// that its requests are refused.
-func (d *demonstration) closeRow(ctx context.Context, name structs.RowName) error {
+// disableRow sets a row's replica limit to 0 and shows that the row is unloaded and its
+// requests are refused.
+func (d *demonstration) disableRow(ctx context.Context, name structs.RowName) error {
 	view, err := d.fleet.Operators.Table(ctx)
 	if err != nil {
 		return err
--- a/kit/lab/diskfault.go
+++ b/kit/lab/diskfault.go
@@ -10,12 +10,12 @@
 	"github.com/lotusferry/lotusferry/operatorapi"
 )
 
-// repairLimit bounds the wait for a daemon with a new disk to vote again.
-const repairLimit = 20 * time.Second
+// repairTimeout limits the wait for a daemon with a replaced disk to vote again.
+const repairTimeout = 20 * time.Second
 
-// replaceDisk kills a daemon and empties its data folder before it is restarted.
-// The fault lasts until the daemon votes again in each of its groups: only then may
-// the next disk be lost.
+// replaceDisk kills a daemon and restarts it with an empty data folder. It returns once
+// the daemon votes again in each of its groups, since only then may another disk be
+// lost.
 func (r *faultRun) replaceDisk(ctx context.Context) string {
 	return r.replaceDiskOf(ctx, r.anyDaemon())
 }
@@ -23,7 +23,7 @@
 func (r *faultRun) replaceDiskOf(ctx context.Context, target *Process) string {
 	defer r.addOutage(target.ID, time.Now())
 	lost, known := r.nodesOf(ctx, target)
-	for !known && pause.For(ctx, pollPause) {
+	for !known && pause.For(ctx, pollInterval) {
 		lost, known = r.nodesOf(ctx, target)
 	}
 	if !known {
@@ -35,14 +35,14 @@
 	}
 	pause.For(ctx, downTime)
 	name := r.restart(target)
-	ctx, cancel := context.WithTimeout(ctx, repairLimit)
+	ctx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
 	for {
 		now, _ := r.nodesOf(ctx, target)
 		if replaced(lost, now) {
 			return name
 		}
-		if !pause.For(ctx, pollPause) {
+		if !pause.For(ctx, pollInterval) {
 			return name + " (not repaired in time)"
 		}
 	}
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// nodesOf returns the voting identity of a daemon in each group that answers, and
-// whether all answered.
+// nodesOf returns the voting node ID of a daemon by group, and whether all groups
+// answered.
 func (r *faultRun) nodesOf(ctx context.Context, target *Process) (map[string]uint64, bool) {
 	nodes := map[string]uint64{}
 	groups, err := r.fleet.Operators.Members(ctx)
@@ -88,7 +88,7 @@
 	return operatorapi.MemberStatus{}, false
 }
 
-// replaced reports whether each lost identity has another one in its place.
+// replaced reports whether each lost node ID was replaced by another one.
 func replaced(lost, now map[string]uint64) bool {
 	for group, node := range lost {
 		if now[group] == 0 || now[group] == node {
--- a/kit/lab/doc.go
+++ b/kit/lab/doc.go
@@ -1,8 +1,8 @@
-// Package lab is the rehearsal kit: it brings up a whole site on one machine,
-// with the daemons as processes of their own and the stand-in engines, weight
-// store and machine list in the kit's process, puts load and faults on it, and
-// checks what must always hold from records kept outside the daemons.
+// Package lab runs rehearsals of a complete site on one machine. The daemons run as
+// separate processes; the emulated engines, weight store and machine list run in the
+// process of the lab. The package generates load and faults, and checks invariants
+// against records kept outside the daemons.
 //
-// All traffic stays on loopback addresses, and every run is bounded in time. The
-// kit ends only processes that it started.
+// All traffic uses loopback addresses, and every run is limited in time. The package
+// terminates only processes that it started.
 package lab
--- a/kit/lab/editfaults.go
+++ b/kit/lab/editfaults.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// racingOperators edit the same row as they all saw it.
+	// racingOperators is the number of operators that edit the same revision of a row
+	// concurrently.
 	racingOperators = 3
-	// raceRounds is how many races or lost answers one fault has.
+	// raceRounds is the number of repetitions of an edit fault.
 	raceRounds = 5
-	// answerLostAfter is when an operator's connection is cut after sending an edit.
-	answerLostAfter = 5 * time.Millisecond
-	// passingEdits is how many edits a daemon misses while it is down, and
-	// passingLimit bounds the time they take.
-	passingEdits = 300
-	passingLimit = 20 * time.Second
-	// catchUpLimit is how long after its start a daemon may lack the edits that it
-	// missed: its start, and the time in which edits are in force.
-	catchUpLimit = outageMargin + inForceBound
+	// editResponseCutoff is the time after which an operator is disconnected from an
+	// edit in progress.
+	editResponseCutoff = 5 * time.Millisecond
+	// missedEdits is the number of edits accepted while a daemon is down, and
+	// missedEditsTimeout limits the time they take.
+	missedEdits        = 300
+	missedEditsTimeout = 20 * time.Second
+	// catchUpTimeout is the time within which a restarted daemon must apply the missed
+	// edits: its start and the bound for edits to be in force.
+	catchUpTimeout = outageMargin + inForceBound
 )
 
-// sentEdit is one sending of an edit and its answer.
+// sentEdit is a sent edit and its result.
 type sentEdit struct {
 	edit   structs.Edit
 	result structs.EditResult
 }
 
-// editFaults are the records of races and resends, kept by the kit.
+// editFaults records the concurrent and the resent edits.
 type editFaults struct {
 	races   [][]sentEdit
 	resends [][]sentEdit
-	// behind names the daemons that did not catch up in time.
+	// behind describes the daemons that did not catch up in time.
 	behind []string
 }
 
-// checkEditFaults: of edits against the same revision of a row at most one wins, an
-// edit that is sent again gets its first answer, and a daemon that was down catches up.
+// checkEditFaults checks that at most one edit against a revision of a row is accepted,
+// that a resent edit gets the original result, and that a restarted daemon catches up.
 func checkEditFaults(records editFaults) []Violation {
 	var violations []Violation
 	for _, race := range records.races {
@@ -73,23 +75,23 @@
 	return violations
 }
 
-// operatorOf returns a client of one daemon's operators' address alone.
+// operatorOf returns an operator client of a single daemon.
 func operatorOf(process *Process) *operatorapi.Client {
 	return operatorapi.NewClient(operatorapi.ClientOptions{Addresses: []string{process.Settings.Listen.Operators}, AttemptTimeout: editAttempt})
 }
 
-// newEdit makes an edit of any row's weight, against the row as the table shows it.
+// newEdit returns an edit of a random row's weight, based on the current table.
 func (r *faultRun) newEdit(ctx context.Context) (structs.Edit, bool) {
 	view, err := r.edits.operators.Table(ctx)
 	if err != nil || len(view.Rows) == 0 {
 		return structs.Edit{}, false
 	}
 	row := view.Rows[r.random.IntN(len(view.Rows))]
-	return r.weighed(row), true
+	return r.weightEdit(row), true
 }
 
-// weighed makes an edit that gives the row another weight.
-func (r *faultRun) weighed(row structs.Row) structs.Edit {
+// weightEdit returns an edit that sets a random weight for the row.
+func (r *faultRun) weightEdit(row structs.Row) structs.Edit {
 	base := row.Revision
 	row.Weight = lowestWeight + r.random.IntN(weightRange)
 	return structs.Edit{
@@ -99,27 +101,26 @@
 	}
 }
 
-// send sends an edit until it is answered or ctx ends, and notes it once accepted.
+// send sends an edit until it is answered or ctx ends.
 func (r *faultRun) send(ctx context.Context, operator *operatorapi.Client, edit structs.Edit) (sentEdit, bool) {
 	for ctx.Err() == nil {
 		result, err := operator.Apply(ctx, edit, false)
 		if err == nil {
 			return sentEdit{edit, result}, true
 		}
-		pause.For(ctx, retryWait)
+		pause.For(ctx, retryInterval)
 	}
 	return sentEdit{}, false
 }
 
-// note records an accepted edit with those of the run.
-func (r *faultRun) note(sent sentEdit) {
+// recordAccepted records an edit that was accepted.
+func (r *faultRun) recordAccepted(sent sentEdit) {
 	if sent.result.Accepted {
 		r.edits.accept(acceptedEdit{revision: sent.result.Revision, at: time.Now(), row: sent.edit.Changes[0].Row})
 	}
 }
 
-// raceEdits lets operators send edits against the same revision at once, each to
-// another daemon.
+// raceEdits sends concurrent edits against the same revision to random daemons.
 func (r *faultRun) raceEdits(ctx context.Context) string {
 	for range raceRounds {
 		first, ok := r.newEdit(ctx)
@@ -131,7 +132,7 @@
 		answers := make([]sentEdit, racingOperators)
 		var operators sync.WaitGroup
 		for i := range answers {
-			edit, operator := r.weighed(row), operatorOf(r.anyDaemon())
+			edit, operator := r.weightEdit(row), operatorOf(r.anyDaemon())
 			operators.Go(func() {
 				defer operator.Close()
 				answers[i], _ = r.send(r.sending, operator, edit)
@@ -139,22 +140,22 @@
 		}
 		operators.Wait()
 		for _, sent := range answers {
-			r.note(sent)
+			r.recordAccepted(sent)
 		}
 		r.editFaults.races = append(r.editFaults.races, answers)
 	}
 	return fmt.Sprintf("%d operators, %d times", racingOperators, raceRounds)
 }
 
-// loseAnswers cuts operators off right after they sent an edit; they send it again to
-// another daemon, and once more after its answer.
-func (r *faultRun) loseAnswers(ctx context.Context) string {
+// loseEditResponses disconnects from an edit in progress and then sends the edit twice
+// more.
+func (r *faultRun) loseEditResponses(ctx context.Context) string {
 	for range raceRounds {
 		edit, ok := r.newEdit(ctx)
 		if !ok {
 			continue
 		}
-		r.sendAndLose(edit)
+		r.sendAndDisconnect(edit)
 		var sendings []sentEdit
 		for range 2 {
 			operator := operatorOf(r.anyDaemon())
@@ -164,39 +165,39 @@
 			operator.Close()
 		}
 		if len(sendings) > 0 {
-			r.note(sendings[0])
+			r.recordAccepted(sendings[0])
 			r.editFaults.resends = append(r.editFaults.resends, sendings)
 		}
 	}
 	return fmt.Sprintf("%d edits", raceRounds)
 }
 
-// sendAndLose sends an edit whose answer nobody waits for.
-func (r *faultRun) sendAndLose(edit structs.Edit) {
-	ctx, cancel := context.WithTimeout(r.sending, answerLostAfter)
+// sendAndDisconnect sends an edit and disconnects before the response.
+func (r *faultRun) sendAndDisconnect(edit structs.Edit) {
+	ctx, cancel := context.WithTimeout(r.sending, editResponseCutoff)
 	defer cancel()
 	operator := operatorOf(r.anyDaemon())
 	defer operator.Close()
-	// The answer is lost on purpose.
+	// The result is ignored because the response is meant to be lost.
 	_, _ = operator.Apply(ctx, edit, false)
 }
 
-// passEdits lets hundreds of edits pass a daemon that is down, and checks that it
-// catches up once it is back.
-func (r *faultRun) passEdits(ctx context.Context) string {
+// editDuringOutage makes edits while a daemon is down and checks that the daemon catches
+// up after its restart.
+func (r *faultRun) editDuringOutage(ctx context.Context) string {
 	target := r.anyDaemon()
 	from := time.Now()
 	target.Kill()
-	limited, cancel := context.WithTimeout(ctx, passingLimit)
+	limited, cancel := context.WithTimeout(ctx, missedEditsTimeout)
 	defer cancel()
 	passed, newest := 0, uint64(0)
-	for passed < passingEdits && limited.Err() == nil {
+	for passed < missedEdits && limited.Err() == nil {
 		edit, ok := r.newEdit(limited)
 		if !ok {
 			continue
 		}
 		sent, answered := r.send(r.sending, r.edits.operators, edit)
-		r.note(sent)
+		r.recordAccepted(sent)
 		if answered && sent.result.Accepted {
 			newest = sent.result.Revision
 			passed++
@@ -210,10 +211,10 @@
 
 // awaitCaughtUp waits until the daemon has the revision in force.
 func (r *faultRun) awaitCaughtUp(target *Process, revision uint64) {
-	ctx, cancel := context.WithTimeout(r.sending, catchUpLimit)
+	ctx, cancel := context.WithTimeout(r.sending, catchUpTimeout)
 	defer cancel()
 	reply := daemon.ZoneStatusReply{}
-	for pause.For(ctx, pollPause) {
+	for pause.For(ctx, pollInterval) {
 		reply = daemon.ZoneStatusReply{}
 		err := r.client.Call(ctx, target.Settings.Listen.Internal, methodZoneStatus, daemon.StatusArguments{}, &reply)
 		if err == nil && reply.Status.TableRevision >= revision {
@@ -222,6 +223,6 @@
 	}
 	if r.sending.Err() == nil {
 		r.editFaults.behind = append(r.editFaults.behind, fmt.Sprintf("%s has revision %d of %d in force %v after its restart",
-			target.ID, reply.Status.TableRevision, revision, catchUpLimit))
+			target.ID, reply.Status.TableRevision, revision, catchUpTimeout))
 	}
 }
--- a/kit/lab/editrun.go
+++ b/kit/lab/editrun.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// editPause separates two edits under load, sightPause two looks at a daemon.
-	editPause  = 2 * time.Second
-	sightPause = 200 * time.Millisecond
-	// editAttempt bounds one try of an edit; a resend carries the same ID.
+	// editInterval separates edits under load, sampleInterval samples of a daemon's
+	// revision.
+	editInterval   = 2 * time.Second
+	sampleInterval = 200 * time.Millisecond
+	// editAttempt limits one attempt of an edit; a retry carries the same ID.
 	editAttempt = 3 * time.Second
-	// Edits set weights from lowestWeight on, near the sites' own: far ones decide who
-	// waits where memory is short, and runs could not be compared.
+	// Edits set weights from lowestWeight, close to the default of 100: other weights
+	// affect who waits when memory is short, and runs would not be comparable.
 	lowestWeight = 90
 	weightRange  = 21
-	// methodZoneStatus is the daemons' own method that tells what a member of a zone has in force.
+	// methodZoneStatus is the internal RPC method that returns a daemon's zone status.
 	methodZoneStatus = "Zone.Status"
 )
 
-// editRun edits rows' weights one after another, as an operator does who sends an
-// edit again until it is answered, and looks at what each daemon has in force.
-// Weights decide no limit, so that the limits of the run stay known.
+// editRun edits the weights of rows, retrying each edit until it is answered, and
+// samples the revision in force at each daemon. Weights do not affect replica limits, so
+// the limits stay known.
 type editRun struct {
 	fleet     *Fleet
 	random    *rand.Rand
@@ -59,20 +60,20 @@
 	return run
 }
 
-// run edits until editing ends and looks until looking ends.
-func (r *editRun) run(editing, looking context.Context) {
-	var looks sync.WaitGroup
+// run makes edits until editing ends and samples daemons until sampling ends.
+func (r *editRun) run(editing, sampling context.Context) {
+	var samplers sync.WaitGroup
 	for _, process := range r.fleet.Daemons {
-		looks.Go(func() { r.look(looking, process) })
+		samplers.Go(func() { r.sample(sampling, process) })
 	}
 	for editing.Err() == nil {
-		r.edit(editing, looking)
-		pause.For(editing, editPause)
+		r.edit(editing, sampling)
+		pause.For(editing, editInterval)
 	}
-	looks.Wait()
+	samplers.Wait()
 }
 
-// edit makes one edit; once sent, it is sent again until sending ends.
+// edit makes one edit and retries it until sending ends.
 func (r *editRun) edit(reading, sending context.Context) {
 	view, err := r.operators.Table(reading)
 	if err != nil || len(view.Rows) == 0 {
@@ -89,7 +90,7 @@
 	for sending.Err() == nil {
 		result, err := r.operators.Apply(sending, edit, false)
 		if err != nil {
-			pause.For(sending, retryWait)
+			pause.For(sending, retryInterval)
 			continue
 		}
 		if result.Accepted {
@@ -105,24 +106,24 @@
 	r.records.accepted = append(r.records.accepted, edit)
 }
 
-// look notes again and again what a daemon has in force.
-func (r *editRun) look(ctx context.Context, process *Process) {
-	for pause.For(ctx, sightPause) {
-		life := process.starts.Load()
+// sample records periodically which revision a daemon has in force.
+func (r *editRun) sample(ctx context.Context, process *Process) {
+	for pause.For(ctx, sampleInterval) {
+		startCount := process.starts.Load()
 		reply := daemon.ZoneStatusReply{}
 		err := r.client.Call(ctx, process.Settings.Listen.Internal, methodZoneStatus, daemon.StatusArguments{}, &reply)
-		if err != nil || reply.Error != nil || process.starts.Load() != life {
+		if err != nil || reply.Error != nil || process.starts.Load() != startCount {
 			continue
 		}
 		r.mutex.Lock()
-		r.records.sights = append(r.records.sights, zoneSight{
-			zone: process.Zone, daemon: process.ID, life: life, at: time.Now(), revision: reply.Status.TableRevision,
+		r.records.samples = append(r.records.samples, revisionSample{
+			zone: process.Zone, daemon: process.ID, startCount: startCount, at: time.Now(), revision: reply.Status.TableRevision,
 		})
 		r.mutex.Unlock()
 	}
 }
 
-// settled reports whether each zone was seen with all accepted edits in force.
+// settled reports whether all accepted edits were seen in force in each zone.
 func (r *editRun) settled() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -131,22 +132,23 @@
 		newest = max(newest, edit.revision)
 	}
 	for _, zone := range r.records.zones {
-		if _, seen := firstInForce(r.records.sightsOf(zone), newest); !seen {
+		if _, seen := firstInForce(r.records.samplesOf(zone), newest); !seen {
 			return false
 		}
 	}
 	return true
 }
 
-// awaitSettled waits until the edits are in force everywhere, or must have been.
+// awaitSettled waits until the edits are in force in every zone, or the bound has
+// passed.
 func (r *editRun) awaitSettled(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, inForceBound+editAttempt)
 	defer cancel()
-	for !r.settled() && pause.For(ctx, sightPause) {
+	for !r.settled() && pause.For(ctx, sampleInterval) {
 	}
 }
 
-// finish returns the records, with the table as it is now.
+// finish returns the records with the final table.
 func (r *editRun) finish(ctx context.Context, outages []zoneOutage) (editRecords, error) {
 	defer r.operators.Close()
 	defer r.client.Close()
--- a/kit/lab/edits.go
+++ b/kit/lab/edits.go
@@ -12,11 +12,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// pollPause separates two looks at the site's status.
-const pollPause = 20 * time.Millisecond
+// pollInterval is the interval between status polls.
+const pollInterval = 20 * time.Millisecond
 
-// ApplyRows makes one edit of the given rows and waits until it is in force in
-// every zone. It returns the seconds that took.
+// ApplyRows applies one edit of the given rows and waits until it is in force in every
+// zone. It returns the elapsed seconds.
 func (f *Fleet) ApplyRows(ctx context.Context, rows []structs.Row) (float64, error) {
 	edit := structs.Edit{ID: structs.EditID(uuid.NewString()), Author: "lab"}
 	for _, row := range rows {
@@ -30,7 +30,7 @@
 	if !result.Accepted {
 		return 0, structs.NewError(structs.ErrorConflict,
 			fmt.Sprintf("the edit was refused: %+v %+v", result.Problems, result.Conflicts),
-			"Read the table again, and correct what the problems name.")
+			"Read the table again and correct the reported problems.")
 	}
 	if err := f.awaitRevision(ctx, result.Revision); err != nil {
 		return 0, err
@@ -44,10 +44,10 @@
 		if err == nil && len(outstanding) == 0 {
 			return nil
 		}
-		if !pause.For(ctx, pollPause) {
+		if !pause.For(ctx, pollInterval) {
 			return structs.NewError(structs.ErrorDeadline,
 				fmt.Sprintf("revision %d is not in force in %v (%v)", revision, outstanding, err),
-				"Read log.txt in the folders of those zones' daemons.")
+				"Check log.txt in the folders of those zones' daemons.")
 		}
 	}
 }
@@ -66,8 +66,8 @@
 	return behind, nil
 }
 
-// awaitUnloaded waits until no zone has a replica of the row and returns the
-// seconds that took.
+// awaitUnloaded waits until no zone has a replica of the row and returns the elapsed
+// seconds.
 func (f *Fleet) awaitUnloaded(ctx context.Context, row structs.RowName) (float64, error) {
 	began := time.Now()
 	for {
@@ -75,10 +75,10 @@
 		if err == nil && countReplicas(status.Zones, row) == 0 {
 			return time.Since(began).Seconds(), nil
 		}
-		if !pause.For(ctx, pollPause) {
+		if !pause.For(ctx, pollInterval) {
 			return 0, structs.NewError(structs.ErrorDeadline,
 				fmt.Sprintf("replicas of %s are still loaded (%v)", row, err),
-				"Read log.txt in the folders of the daemons for why the row is kept.")
+				"Check log.txt in the folders of the daemons for the reason.")
 		}
 	}
 }
--- a/kit/lab/faults.go
+++ b/kit/lab/faults.go
@@ -17,7 +17,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// FaultEvent is one fault of a run, for the report's timeline.
+// FaultEvent is an injected fault in the report's timeline.
 type FaultEvent struct {
 	AtSeconds  float64 `json:"at_seconds"`
 	ForSeconds float64 `json:"for_seconds"`
@@ -25,15 +25,15 @@
 	Target     string  `json:"target"`
 }
 
-// FaultKind is one kind of fault of a fleet run.
+// FaultKind is a kind of fault of a fleet run.
 type FaultKind struct {
 	Name     string
 	Sentence string
-	// strike begins the fault, lets it last, ends it, and returns its target.
-	strike func(*faultRun, context.Context) string
+	// inject starts the fault, waits, ends it, and returns its target.
+	inject func(*faultRun, context.Context) string
 }
 
-// How long the faults last.
+// Durations and strength of the faults.
 const (
 	downTime    = 2 * time.Second
 	pauseTime   = 4 * time.Second
@@ -42,65 +42,65 @@
 	slowFactor  = 4
 )
 
-// FaultKinds lists the faults of a fleet run.
+// FaultKinds returns the faults of a fleet run.
 func FaultKinds() []FaultKind {
 	return []FaultKind{
-		{"daemon-kill", "A daemon dies without warning and is restarted.", (*faultRun).killDaemon},
-		{"daemon-pause", "A daemon is frozen, comes back, and still believes what it believed.", (*faultRun).pauseDaemon},
-		{"daemon-stop", "A daemon makes a planned stop and is started again.", (*faultRun).stopDaemon},
-		{"disk-replace", "A daemon loses its disk and comes back with an empty one.", (*faultRun).replaceDisk},
-		{"second-disk", "A daemon loses its disk right after the repair of another one of its zone.", (*faultRun).loseTwoDisks},
-		{"edits-pass", "Hundreds of edits pass a daemon that is down; it restarts behind.", (*faultRun).passEdits},
-		{"edit-race", "Operators send edits against the same revision at once.", (*faultRun).raceEdits},
-		{"edit-resend", "Operators lose the answer to an edit and send it again.", (*faultRun).loseAnswers},
-		{"site-restart", "All daemons and engines die at once and are started again.", (*faultRun).restartSite},
-		{"zone-cut", "A zone is cut off from the others.", (*faultRun).cutZone},
-		{"leader-cut", "A daemon is cut off from all others while engines and callers still reach it.", (*faultRun).cutDaemon},
-		{"engine-crash", "An engine dies and restarts empty.", (*faultRun).crashEngine},
-		{"engine-die-on-load", "An engine dies in the middle of its next load.", (*faultRun).dieOnLoad},
-		{"engine-reset", "An engine breaks connections in the middle of answers.", (*faultRun).resetStreams},
-		{"engine-cross", "An engine sends late, repeated and crossed tokens.", (*faultRun).crossTokens},
+		{"daemon-kill", "A daemon is killed and restarted.", (*faultRun).killDaemon},
+		{"daemon-pause", "A daemon is suspended and resumes with stale state.", (*faultRun).pauseDaemon},
+		{"daemon-stop", "A daemon makes a planned stop and is restarted.", (*faultRun).stopDaemon},
+		{"disk-replace", "A daemon loses its disk and restarts with an empty one.", (*faultRun).replaceDisk},
+		{"second-disk", "A daemon loses its disk right after the repair of another one in its zone.", (*faultRun).loseTwoDisks},
+		{"edits-pass", "A daemon is down during hundreds of edits and restarts with an old revision.", (*faultRun).editDuringOutage},
+		{"edit-race", "Operators send concurrent edits against the same revision.", (*faultRun).raceEdits},
+		{"edit-resend", "Operators lose the response to an edit and retry it.", (*faultRun).loseEditResponses},
+		{"site-restart", "All daemons and engines are killed at once and restarted.", (*faultRun).restartSite},
+		{"zone-cut", "A zone is partitioned from the others.", (*faultRun).cutZone},
+		{"leader-cut", "A daemon is partitioned from all others but reachable by engines and callers.", (*faultRun).cutDaemon},
+		{"engine-crash", "An engine crashes and restarts empty.", (*faultRun).crashEngine},
+		{"engine-die-on-load", "An engine crashes in the middle of its next load.", (*faultRun).dieOnLoad},
+		{"engine-reset", "An engine resets connections in the middle of answers.", (*faultRun).resetStreams},
+		{"engine-cross", "An engine sends late, repeated and misdirected tokens.", (*faultRun).crossTokens},
 		{"store-slow", "The weight store slows down.", (*faultRun).slowStore},
 		{"runner-leave", "A machine is reclaimed: it is listed as leaving, then gone.", (*faultRun).reclaimRunner},
 	}
 }
 
-// faultRun strikes faults one after another, in an order that the seed decides.
+// faultRun injects faults one after another, in a random order that depends on the seed.
 type faultRun struct {
 	fleet  *Fleet
 	random *rand.Rand
 	client *transport.Client
 	began  time.Time
 	kinds  []FaultKind
-	// edits makes and records the edits of the run; sending lasts as long as edits
-	// may still be sent again.
+	// edits makes and records the edits of the run; sending ends when edits may no
+	// longer be retried.
 	edits   *editRun
 	sending context.Context
 
 	events []FaultEvent
-	// outages are the times during which a daemon could not answer.
+	// outages are the periods during which a daemon could not respond.
 	outages    []outage
 	editFaults editFaults
-	// stops are the planned stops, which must cut nothing.
+	// stops are the planned stops, which must not interrupt requests.
 	stops []plannedStop
-	// notices are the times during which a machine was listed as leaving.
+	// notices are the periods during which a machine was listed as leaving.
 	notices []leavingNotice
-	// cuts are the times during which a zone was cut off.
+	// cuts are the periods during which a zone was partitioned from the others.
 	cuts []zoneOutage
-	// striking is the kind of the fault that strikes now, or nil.
-	striking atomic.Pointer[string]
+	// active is the kind of the fault in progress, or nil.
+	active atomic.Pointer[string]
 }
 
-// current returns the kind of the fault that strikes now, or "". It may be called
-// while the faults run.
+// current returns the kind of the fault in progress, or "". It is safe for concurrent
+// use.
 func (r *faultRun) current() string {
-	if name := r.striking.Load(); name != nil {
+	if name := r.active.Load(); name != nil {
 		return *name
 	}
 	return ""
 }
 
-// plannedStop is one planned stop of a daemon, from the signal to its end.
+// plannedStop is a planned stop of a daemon, from the signal to its exit.
 type plannedStop struct {
 	daemon   structs.DaemonID
 	from     time.Time
@@ -108,22 +108,23 @@
 	exitCode int
 }
 
-// outage is a time during which a daemon was dead or frozen.
+// outage is a period during which a daemon was down or suspended.
 type outage struct {
 	daemon structs.DaemonID
 	from   time.Time
 	until  time.Time
 }
 
-// outageMargin covers the daemon's start after its restart.
+// outageMargin covers the startup time of a restarted daemon.
 const outageMargin = 3 * time.Second
 
 func (r *faultRun) addOutage(daemon structs.DaemonID, from time.Time) {
 	r.outages = append(r.outages, outage{daemon, from, time.Now().Add(outageMargin)})
 }
 
-// markDead marks the broken calls whose router was dead or frozen meanwhile.
-func (r *faultRun) markDead(outcomes []Outcome) {
+// markRouterFailures marks the failed calls whose router was down or suspended during
+// the call.
+func (r *faultRun) markRouterFailures(outcomes []Outcome) {
 	for i := range outcomes {
 		call := &outcomes[i]
 		for _, down := range r.outages {
@@ -146,11 +147,11 @@
 	}
 }
 
-// faultGap separates the end of one fault from the next.
+// faultGap is the pause between two faults.
 const faultGap = 1500 * time.Millisecond
 
-// run strikes faults until ctx ends; each fault is ended before it returns. What was
-// begun is completed while sending lasts.
+// run injects faults until ctx ends; each fault is ended before run returns. Edits in
+// progress are completed until sending ends.
 func (r *faultRun) run(ctx, sending context.Context) {
 	r.began = time.Now()
 	r.sending = sending
@@ -160,16 +161,16 @@
 			if !pause.For(ctx, faultGap) {
 				return
 			}
-			r.strike(ctx, r.kinds[index])
+			r.inject(ctx, r.kinds[index])
 		}
 	}
 }
 
-func (r *faultRun) strike(ctx context.Context, kind FaultKind) {
+func (r *faultRun) inject(ctx context.Context, kind FaultKind) {
 	began := time.Now()
-	r.striking.Store(&kind.Name)
-	defer r.striking.Store(nil)
-	target := kind.strike(r, ctx)
+	r.active.Store(&kind.Name)
+	defer r.active.Store(nil)
+	target := kind.inject(r, ctx)
 	r.events = append(r.events, FaultEvent{
 		AtSeconds:  began.Sub(r.began).Seconds(),
 		ForSeconds: time.Since(began).Seconds(),
@@ -194,7 +195,7 @@
 	return r.restart(target)
 }
 
-// restart starts a daemon again; a start that fails shows in the target's name.
+// restart restarts a daemon. A failure is reported in the returned target name.
 func (r *faultRun) restart(target *Process) string {
 	if err := target.Start(); err != nil {
 		return r.notRestarted(target, err)
@@ -218,7 +219,7 @@
 func (r *faultRun) stopDaemon(ctx context.Context) string {
 	target := r.anyDaemon()
 	stop := plannedStop{daemon: target.ID, from: time.Now()}
-	stop.exitCode = target.Terminate(target.Settings.Timing.StopTimeout + stopLimit)
+	stop.exitCode = target.Terminate(target.Settings.Timing.StopTimeout + stopTimeout)
 	stop.until = time.Now()
 	r.stops = append(r.stops, stop)
 	pause.For(ctx, downTime)
@@ -239,7 +240,8 @@
 	return string(target.ID)
 }
 
-// cut separates the daemons inside from those outside, both ways, then heals.
+// cut partitions the daemons inside from the others in both directions, then heals the
+// partition.
 func (r *faultRun) cut(ctx context.Context, inside func(*Process) bool) {
 	for _, daemon := range r.fleet.Daemons {
 		r.setCut(daemon, r.addressesWhere(func(other *Process) bool { return inside(other) != inside(daemon) }))
@@ -260,13 +262,13 @@
 	return addresses
 }
 
-// faultCallTimeout bounds telling one daemon whom to cut.
+// faultCallTimeout limits the call that sets the partition at one daemon.
 const faultCallTimeout = time.Second
 
 func (r *faultRun) setCut(target *Process, addresses []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), faultCallTimeout)
 	defer cancel()
-	// A daemon that does not answer is down, which cuts it off as well.
+	// A daemon that does not respond is down and thus cut off as well.
 	_ = r.client.Call(ctx, target.Settings.Listen.Internal, "Fault.Set", daemon.FaultArguments{Cut: addresses}, &daemon.FaultReply{})
 }
 
@@ -274,12 +276,12 @@
 	target := r.anyRunner()
 	target.Server.Crash()
 	pause.For(ctx, downTime)
-	target.revive()
+	target.restartIfCrashed()
 	return string(target.Machine.Runner)
 }
 
-// revive restarts a dead engine, empty, under the next incarnation.
-func (r *Runner) revive() {
+// restartIfCrashed restarts a crashed engine under the next incarnation.
+func (r *Runner) restartIfCrashed() {
 	dead, next := false, structs.Incarnation(0)
 	r.Server.Engine(func(engine *emulator.Engine, _ time.Time) []emulator.EngineOutput {
 		dead, next = engine.Dead(), engine.Incarnation()+1
@@ -291,21 +293,21 @@
 }
 
 func (r *faultRun) dieOnLoad(ctx context.Context) string {
-	return r.disturb(ctx, emulator.EngineFaults{DieOnLoad: true})
+	return r.injectEngineFaults(ctx, emulator.EngineFaults{DieOnLoad: true})
 }
 
-// The rates of the engines' faults, as shares of tokens.
+// Rates of engine faults, as fractions of tokens.
 const (
 	resetRate = 0.01
 	crossRate = 0.02
 )
 
 func (r *faultRun) resetStreams(ctx context.Context) string {
-	return r.disturb(ctx, emulator.EngineFaults{ResetRate: resetRate})
+	return r.injectEngineFaults(ctx, emulator.EngineFaults{ResetRate: resetRate})
 }
 
 func (r *faultRun) crossTokens(ctx context.Context) string {
-	return r.disturb(ctx, emulator.EngineFaults{
+	return r.injectEngineFaults(ctx, emulator.EngineFaults{
 		LateRate:   crossRate,
 		LateBy:     300 * time.Millisecond,
 		RepeatRate: crossRate,
@@ -313,12 +315,12 @@
 	})
 }
 
-func (r *faultRun) disturb(ctx context.Context, faults emulator.EngineFaults) string {
+func (r *faultRun) injectEngineFaults(ctx context.Context, faults emulator.EngineFaults) string {
 	target := r.anyRunner()
 	target.Server.SetFaults(faults)
 	pause.For(ctx, engineFault)
 	target.Server.SetFaults(emulator.EngineFaults{})
-	target.revive()
+	target.restartIfCrashed()
 	return string(target.Machine.Runner)
 }
 
@@ -329,7 +331,8 @@
 	return "weight store"
 }
 
-// reclaimRunner lists a machine as leaving, takes it away, and brings it back empty.
+// reclaimRunner lists a machine as leaving, crashes its engine, and returns it to the
+// list with an empty engine.
 func (r *faultRun) reclaimRunner(ctx context.Context) string {
 	target := r.anyRunner()
 	notice := leavingNotice{runner: target.Machine.Runner, from: r.fleet.Platform.Now()}
@@ -339,7 +342,7 @@
 	r.notices = append(r.notices, notice)
 	target.Server.Crash()
 	pause.For(ctx, downTime)
-	target.revive()
+	target.restartIfCrashed()
 	r.fleet.Platform.setState(target, structs.MachineLive)
 	return string(target.Machine.Runner)
 }
--- a/kit/lab/fleet.go
+++ b/kit/lab/fleet.go
@@ -15,18 +15,18 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// FleetOptions set up a fleet.
+// FleetOptions configure a fleet.
 type FleetOptions struct {
 	Site Site
-	// Folder is where the daemons' folders are made.
+	// Folder is the parent of the daemons' folders.
 	Folder string
 	// Command starts a daemon; "--config FILE" is appended.
 	Command []string
 	Seed    uint64
 }
 
-// Fleet is a whole site on this machine: daemons as processes and the platform
-// in this process.
+// Fleet is a complete site on the local machine: daemons as processes, and the emulated
+// platform in this process.
 type Fleet struct {
 	Site      Site
 	Daemons   []*Process
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// daemonSettings makes the settings of all daemons: each is a router and a
-// controller, and the first controller of each zone votes globally; where that
-// makes an even number of voters, one more of the first zone votes.
+// daemonSettings returns the settings of all daemons. Each daemon is a router and a
+// controller. The first controller of each zone is a global voter; if their number is
+// even, the second one of the first zone is a voter too.
 func daemonSettings(site Site, plan addressPlan) []config.Config {
 	shared := config.Site{
 		Name:            site.Name,
@@ -126,8 +126,8 @@
 	return structs.DaemonID(fmt.Sprintf("%s-%d", zone, index))
 }
 
-// readyPause separates two looks at whether a daemon is ready.
-const readyPause = 50 * time.Millisecond
+// readyPollInterval is the interval between readiness polls.
+const readyPollInterval = 50 * time.Millisecond
 
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	for _, daemon := range f.Daemons {
@@ -148,13 +148,13 @@
 			return daemonError(structs.ErrorDeadline, daemon, "is not ready")
 		case <-daemon.ended:
 			return daemonError(structs.ErrorInternal, daemon, "ended")
-		case <-time.After(readyPause):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
 func daemonError(kind structs.ErrorKind, daemon *Process, problem string) error {
-	return structs.NewError(kind, fmt.Sprintf("daemon %s %s", daemon.ID, problem), "Read log.txt in "+daemon.folder+".")
+	return structs.NewError(kind, fmt.Sprintf("daemon %s %s", daemon.ID, problem), "Check log.txt in "+daemon.folder+".")
 }
 
 func isReady(ctx context.Context, daemon *Process) bool {
@@ -170,15 +170,15 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// stopLimit bounds the planned stop of a daemon at the end of a run.
-const stopLimit = 10 * time.Second
+// stopTimeout limits the planned stop of a daemon at the end of a run.
+const stopTimeout = 10 * time.Second
 
-// Stop ends everything that the fleet started.
+// Stop stops the daemons and the platform.
 func (f *Fleet) Stop() {
 	done := make(chan struct{}, len(f.Daemons))
 	for _, daemon := range f.Daemons {
 		go func() {
-			daemon.Terminate(stopLimit)
+			daemon.Terminate(stopTimeout)
 			done <- struct{}{}
 		}()
 	}
@@ -191,7 +191,7 @@
 	f.Platform.close()
 }
 
-// RemoveFolder deletes the daemons' folders, after a run that needs no inquiry.
+// RemoveFolder deletes the folder of the run with the daemons' data and logs.
 func (f *Fleet) RemoveFolder() error {
 	return errors.Wrap(os.RemoveAll(f.Folder), "remove the run's folder")
 }
--- a/kit/lab/inforce.go
+++ b/kit/lab/inforce.go
@@ -9,69 +9,70 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// inForceBound is how long an accepted edit may take to be in force in every zone
-// that can be reached, and how long a zone may take that was cut off.
+// inForceBound is the time within which an accepted edit must be in force in every zone,
+// from its acceptance or the end of a partition of the zone.
 const inForceBound = 7 * time.Second
 
-// acceptedEdit is an edit that an operator was told is in the table.
+// acceptedEdit is an edit whose acceptance was confirmed to the operator.
 type acceptedEdit struct {
 	revision uint64
 	at       time.Time
 	row      structs.Row
 }
 
-// zoneSight is one look at the table revision that a daemon's member of its zone
-// has in force. Lives tell the starts of the daemon apart.
-type zoneSight struct {
-	zone     structs.ZoneID
-	daemon   structs.DaemonID
-	life     int64
-	at       time.Time
-	revision uint64
+// revisionSample is a sample of the table revision in force at a daemon. startCount
+// distinguishes the starts of the daemon.
+type revisionSample struct {
+	zone       structs.ZoneID
+	daemon     structs.DaemonID
+	startCount int64
+	at         time.Time
+	revision   uint64
 }
 
-// zoneOutage is a time during which a zone was cut off from the others.
+// zoneOutage is a period during which a zone was partitioned from the others.
 type zoneOutage struct {
 	zone  structs.ZoneID
 	from  time.Time
 	until time.Time
 }
 
-// editRecords are what the kit itself knows of the edits under load.
+// editRecords are the lab's own records of the edits under load.
 type editRecords struct {
 	zones    []structs.ZoneID
 	accepted []acceptedEdit
-	sights   []zoneSight
+	samples  []revisionSample
 	outages  []zoneOutage
 	// end is the table at the end of the run.
 	end []structs.Row
 }
 
-// checkEdits: an accepted edit is in force in every reachable zone within seconds
-// and never reverts. It returns how long each edit took in each zone as well.
+// checkEdits checks that each accepted edit is in force in every reachable zone within
+// inForceBound and is never reverted. It also returns the distribution of the times
+// taken.
 func checkEdits(records editRecords) ([]Violation, Percentiles) {
 	taken := newLatencies()
 	var violations []Violation
 	for _, zone := range records.zones {
-		sights := records.sightsOf(zone)
+		samples := records.samplesOf(zone)
 		for _, edit := range records.accepted {
-			at, seen := firstInForce(sights, edit.revision)
+			at, seen := firstInForce(samples, edit.revision)
 			due := records.reachableSince(zone, edit.at)
 			if seen {
 				taken.add(max(at.Sub(due), 0))
 			}
-			if problem := lateness(at, seen, due); problem != "" {
+			if problem := describeDelay(at, seen, due); problem != "" {
 				violations = append(violations, Violation{"in_force", fmt.Sprintf("revision %d in zone %s %s", edit.revision, zone, problem)})
 			}
 		}
-		violations = append(violations, checkReverts(sights)...)
+		violations = append(violations, checkReverts(samples)...)
 	}
 	violations = append(violations, checkEndTable(records)...)
 	return violations, taken.percentiles()
 }
 
-// lateness tells what is wrong with when an edit came into force, or "".
-func lateness(at time.Time, seen bool, due time.Time) string {
+// describeDelay describes why an edit was not in force in time, or returns "".
+func describeDelay(at time.Time, seen bool, due time.Time) string {
 	switch {
 	case !seen:
 		return "was never seen in force"
@@ -81,25 +82,25 @@
 	return ""
 }
 
-// sightsOf returns the looks at a zone in the order of time.
-func (r editRecords) sightsOf(zone structs.ZoneID) []zoneSight {
-	sights := slices.DeleteFunc(slices.Clone(r.sights), func(sight zoneSight) bool { return sight.zone != zone })
-	slices.SortStableFunc(sights, func(a, b zoneSight) int { return a.at.Compare(b.at) })
-	return sights
+// samplesOf returns the samples of a zone in order of time.
+func (r editRecords) samplesOf(zone structs.ZoneID) []revisionSample {
+	samples := slices.DeleteFunc(slices.Clone(r.samples), func(sample revisionSample) bool { return sample.zone != zone })
+	slices.SortStableFunc(samples, func(a, b revisionSample) int { return a.at.Compare(b.at) })
+	return samples
 }
 
-// firstInForce returns when a member of the zone first had the revision in force:
-// then the zone's log holds it.
-func firstInForce(sights []zoneSight, revision uint64) (time.Time, bool) {
-	at := slices.IndexFunc(sights, func(sight zoneSight) bool { return sight.revision >= revision })
+// firstInForce returns the time at which a daemon of the zone first had the revision in
+// force.
+func firstInForce(samples []revisionSample, revision uint64) (time.Time, bool) {
+	at := slices.IndexFunc(samples, func(sample revisionSample) bool { return sample.revision >= revision })
 	if at < 0 {
 		return time.Time{}, false
 	}
-	return sights[at].at, true
+	return samples[at].at, true
 }
 
-// reachableSince returns from when on the zone had to bring an edit into force
-// that was accepted then: a cut that comes within the bound starts the time anew.
+// reachableSince returns the time from which inForceBound counts for an edit accepted at
+// the given time. A partition within the bound restarts the period at its end.
 func (r editRecords) reachableSince(zone structs.ZoneID, accepted time.Time) time.Time {
 	outages := slices.Clone(r.outages)
 	slices.SortFunc(outages, func(a, b zoneOutage) int { return a.from.Compare(b.from) })
@@ -111,26 +112,27 @@
 	return accepted
 }
 
-// checkReverts: while a daemon lives, the revision that it has in force never falls.
-func checkReverts(sights []zoneSight) []Violation {
-	type life struct {
+// checkReverts checks that the revision in force never decreases between restarts of a
+// daemon.
+func checkReverts(samples []revisionSample) []Violation {
+	type daemonRun struct {
 		daemon structs.DaemonID
 		number int64
 	}
-	highest := map[life]uint64{}
+	highest := map[daemonRun]uint64{}
 	var violations []Violation
-	for _, sight := range sights {
-		key := life{sight.daemon, sight.life}
-		if sight.revision < highest[key] {
+	for _, sample := range samples {
+		key := daemonRun{sample.daemon, sample.startCount}
+		if sample.revision < highest[key] {
 			violations = append(violations, Violation{"in_force",
-				fmt.Sprintf("%s went back from revision %d to %d", sight.daemon, highest[key], sight.revision)})
+				fmt.Sprintf("%s reverted from revision %d to %d", sample.daemon, highest[key], sample.revision)})
 		}
-		highest[key] = max(highest[key], sight.revision)
+		highest[key] = max(highest[key], sample.revision)
 	}
 	return violations
 }
 
-// checkEndTable: the last accepted edit of each row is what the table holds.
+// checkEndTable checks that the final table holds the last accepted edit of each row.
 func checkEndTable(records editRecords) []Violation {
 	last := map[structs.RowName]acceptedEdit{}
 	for _, edit := range records.accepted {
@@ -145,7 +147,7 @@
 	var violations []Violation
 	for name, edit := range last {
 		if row := held[name]; row.Weight != edit.row.Weight || row.Revision != edit.revision {
-			violations = append(violations, Violation{"in_force", fmt.Sprintf("row %s has weight %d at revision %d, accepted was weight %d at revision %d",
+			violations = append(violations, Violation{"in_force", fmt.Sprintf("row %s has weight %d at revision %d, but weight %d at revision %d was accepted",
 				name, row.Weight, row.Revision, edit.row.Weight, edit.revision)})
 		}
 	}
--- a/kit/lab/leaving.go
+++ b/kit/lab/leaving.go
@@ -10,20 +10,21 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// leavingBound is how long a runner may still get new work after the machine list
-// was told that it leaves. The list's own lag is within it.
+// leavingBound is the time after which a runner listed as leaving must not get new work.
+// It includes the lag of the machine list.
 const leavingBound = 3 * time.Second
 
-// leavingNotice is the time from when a runner's machine was listed as leaving
-// until it was gone or live again.
+// leavingNotice is the period from listing a machine as leaving until it is gone or live
+// again.
 type leavingNotice struct {
 	runner structs.RunnerID
 	from   time.Time
 	until  time.Time
 }
 
-// checkLeaving: a leaving runner gets no new work after 3 seconds. Requests count
-// from when the engine took them, replicas from the beginning of their load.
+// checkLeaving checks that a leaving runner gets no new work after leavingBound.
+// Requests count from their acceptance by the engine, replicas from the start of their
+// load.
 func checkLeaving(notices []leavingNotice, records map[structs.RunnerID]emulator.Records) []Violation {
 	var violations []Violation
 	for _, notice := range notices {
--- a/kit/lab/load.go
+++ b/kit/lab/load.go
@@ -11,15 +11,15 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// answerBound is how long after its deadline a call may get its terminal answer:
-// the time of a router's tick and of the way back.
-const answerBound = 2 * time.Second
+// answerGrace is how long after its deadline a call may get its terminal answer. It
+// covers a router tick and the network.
+const answerGrace = 2 * time.Second
 
-// retryWait separates a caller's tries after a router could not be reached.
-const retryWait = 100 * time.Millisecond
+// retryInterval separates a caller's retries.
+const retryInterval = 100 * time.Millisecond
 
-// loadRun makes the planned calls, each at its time whatever became of the
-// earlier ones, spread over the routers in turn.
+// loadRun makes the planned calls in open loop and distributes them round-robin over the
+// routers.
 type loadRun struct {
 	caller  caller
 	routers []target
@@ -38,8 +38,8 @@
 	}
 }
 
-// run makes all calls and waits for their ends. Once ctx ends no more calls are
-// made, and those that are open go on to their deadlines.
+// run makes all calls and waits for their results. Once ctx ends it makes no more calls,
+// and those in progress continue to their deadlines.
 func (l *loadRun) run(ctx context.Context, arrivals []arrival) []Outcome {
 	began := time.Now()
 	var calls sync.WaitGroup
@@ -48,7 +48,7 @@
 			break
 		}
 		planned := began.Add(next.after)
-		calls.Go(func() { l.make(context.WithoutCancel(ctx), next, planned, i) })
+		calls.Go(func() { l.makeCall(context.WithoutCancel(ctx), next, planned, i) })
 	}
 	calls.Wait()
 	l.mutex.Lock()
@@ -56,13 +56,12 @@
 	return l.outcomes
 }
 
-// make makes one call as a member's client would: when a router cannot be
-// reached, or its answer breaks off before it began, it asks the next router,
-// with the same key if there is one.
-func (l *loadRun) make(ctx context.Context, next arrival, planned time.Time, first int) {
+// makeCall makes one call. If the transfer fails, it retries at the next router with the
+// same idempotency key, if there is one.
+func (l *loadRun) makeCall(ctx context.Context, next arrival, planned time.Time, first int) {
 	request := next.request
 	request.DeadlineAt = planned.Add(next.deadline)
-	ctx, cancel := context.WithDeadline(ctx, request.DeadlineAt.Add(answerBound))
+	ctx, cancel := context.WithDeadline(ctx, request.DeadlineAt.Add(answerGrace))
 	defer cancel()
 	l.begin()
 	if next.router > 0 {
@@ -71,21 +70,21 @@
 	for try := 0; ; try++ {
 		outcome := l.caller.call(ctx, l.routers[(first+try)%len(l.routers)], request)
 		outcome.PlannedAt = planned
-		l.keep(outcome)
-		if !shouldRetry(outcome) || !time.Now().Before(request.DeadlineAt) || !pause.For(ctx, retryWait) {
+		l.record(outcome)
+		if !shouldRetry(outcome) || !time.Now().Before(request.DeadlineAt) || !pause.For(ctx, retryInterval) {
 			l.end(outcome)
 			return
 		}
 	}
 }
 
-// shouldRetry reports whether the transfer failed and asking again is safe: a
-// repeatable call may run again, and a key protects the others.
+// shouldRetry reports whether the transfer failed. A retry is then safe: the request is
+// repeatable or protected by its idempotency key.
 func shouldRetry(outcome Outcome) bool {
 	return outcome.NotSent || outcome.Broken
 }
 
-func (l *loadRun) keep(outcome Outcome) {
+func (l *loadRun) record(outcome Outcome) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.outcomes = append(l.outcomes, outcome)
@@ -103,7 +102,7 @@
 	l.counts.end(last)
 }
 
-// lastOutcomes returns the last outcome of each request.
+// lastOutcomes returns the last outcome by request.
 func lastOutcomes(outcomes []Outcome) map[structs.RequestID]Outcome {
 	last := map[structs.RequestID]Outcome{}
 	for _, outcome := range outcomes {
--- a/kit/lab/load_test.go
+++ b/kit/lab/load_test.go
@@ -16,7 +16,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-func TestLatencyIsCountedFromWhenACallWasDue(t *testing.T) {
+func TestLatencyIsMeasuredFromDueTime(t *testing.T) {
 	sentLate := answered(func(outcome *Outcome) { outcome.SentAt, outcome.FirstTokenAt = at(4), at(5) })
 	report := newLoadReport(at(0), []Outcome{sentLate})
 	qt.Assert(t, int(report.FirstToken.Max+0.5), qt.Equals, 5)
@@ -33,7 +33,7 @@
 	qt.Assert(t, got.Lost, qt.Equals, 1)
 }
 
-func TestCallsAreMadeWhileEarlierOnesWait(t *testing.T) {
+func TestLoadIsOpenLoop(t *testing.T) {
 	const calls = 5
 	arrived := make(chan struct{}, calls)
 	release := make(chan struct{})
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestTracesAreReplayedFromAPointAtASpeed(t *testing.T) {
+func TestPlanTraceSelectsPartAndSpeed(t *testing.T) {
 	recorded := func(seconds int) workload.Arrival {
 		return workload.Arrival{At: time.Duration(seconds) * time.Second, Zone: "south", Router: 1, Row: "explain-7b", OutputTokens: 3, PromptTokens: 2, Deadline: time.Second}
 	}
@@ -135,7 +135,7 @@
 	qt.Check(t, strings.Count(page.String(), "<svg"), qt.Equals, 4)
 }
 
-func TestCompareFindsWhatIsWorse(t *testing.T) {
+func TestCompareDetectsRegressions(t *testing.T) {
 	base := Comparable{Totals: Totals{Requests: 100, Answered: 90, LiveInTime: 0.9, FirstToken: Percentiles{Count: 90, P50: 0.1, P95: 0.2, P99: 0.3}}}
 	for _, test := range []struct {
 		about  string
@@ -149,7 +149,7 @@
 		{"below the floor", func(b *Comparable) { b.FirstToken.P50 = 0.104 }, false},
 		{"fewer answers", func(b *Comparable) { b.Answered = 80 }, true},
 		{"late live calls", func(b *Comparable) { b.LiveInTime = 0.8 }, true},
-		{"one lost", func(b *Comparable) { b.Lost = 1 }, true},
+		{"one lost request", func(b *Comparable) { b.Lost = 1 }, true},
 		{"a violation", func(b *Comparable) { b.Violations = []Violation{{"memory", "e"}} }, true},
 	} {
 		b := base
--- a/kit/lab/loadtool.go
+++ b/kit/lab/loadtool.go
@@ -10,39 +10,39 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// LoadOptions set up a run of the load tool against routers that already run.
+// LoadOptions configure a run of the load tool against running routers.
 type LoadOptions struct {
 	// Targets are the routers' base URLs.
 	Targets []string
 	// AllowRemote permits targets that are not loopback addresses.
 	AllowRemote bool
-	// Key is the caller's API key, or empty.
+	// Key is the caller's API key, or "".
 	Key  string
 	Plan Plan
-	// CheckAnswers compares each answer with that of the stand-in engines.
+	// CheckAnswers compares each answer with that expected of the emulated engines.
 	CheckAnswers bool
-	// Show is told the progress every second, unless nil.
+	// Show is called with the progress every second, unless nil.
 	Show func(Progress)
 }
 
-// LoadReport is what the load tool measured. Latencies are counted from when a
-// call was due, so that a slow site cannot hide by slowing the calls down.
+// LoadReport is the result of a load tool run. Latencies are measured from the time at
+// which a call was due, which avoids coordinated omission.
 type LoadReport struct {
 	Command         string   `json:"command"`
 	Targets         []string `json:"targets"`
 	DurationSeconds float64  `json:"duration_seconds"`
-	// Planned counts the calls of the plan; it is above the requests of a run that
-	// was ended early.
+	// Planned is the number of planned calls; it exceeds the number of requests if the
+	// run was ended early.
 	Planned int `json:"planned"`
 	Totals
-	// SendLag is from when a call was due to its being sent: what the load tool
-	// itself was late.
+	// SendLag is the delay between the due time of a call and its sending, caused by the
+	// load tool itself.
 	SendLag    Percentiles `json:"send_lag_seconds"`
 	Violations []Violation `json:"violations"`
 	Timeline   []Second    `json:"timeline"`
 }
 
-// RunLoad makes the planned calls and waits for their ends.
+// RunLoad makes the planned calls and waits for their results.
 func RunLoad(ctx context.Context, options LoadOptions) (LoadReport, error) {
 	routers, err := routersOf(options.Targets, options.AllowRemote)
 	if err != nil {
@@ -67,7 +67,7 @@
 	report := LoadReport{Violations: []Violation{}}
 	report.sum(last, coldStarts{})
 	lag := newLatencies()
-	for _, tries := range triesOf(outcomes) {
+	for _, tries := range groupByRequest(outcomes) {
 		lag.add(tries[0].SentAt.Sub(tries[0].PlannedAt))
 		for _, outcome := range tries {
 			if outcome.Wrong != "" {
@@ -81,7 +81,7 @@
 	return report
 }
 
-// routersOf checks the URLs of the routers to call.
+// routersOf validates the URLs of the routers to call.
 func routersOf(targets []string, allowRemote bool) ([]target, error) {
 	var routers []target
 	for _, text := range targets {
@@ -97,7 +97,7 @@
 		routers = append(routers, target{id: structs.DaemonID(parsed.Host), url: parsed.Scheme + "://" + parsed.Host})
 	}
 	if len(routers) == 0 {
-		return nil, structs.NewError(structs.ErrorInvalid, "there is no router to call", "Give the URL of at least one router.")
+		return nil, structs.NewError(structs.ErrorInvalid, "no router to call", "Give the URL of at least one router.")
 	}
 	return routers, nil
 }
--- a/kit/lab/page.go
+++ b/kit/lab/page.go
@@ -10,11 +10,11 @@
 	"github.com/lotusferry/lotusferry/kit/report"
 )
 
-// page is what the HTML page of a run shows.
+// page is the data of a run's HTML page.
 type page struct {
 	Title   string
 	Command string
-	// Facts are lines about the run that its calls do not tell.
+	// Facts are additional lines about the run.
 	Facts      []string
 	Totals     Totals
 	Latencies  []namedPercentiles
@@ -40,7 +40,7 @@
 <table><tr><th>calls</th><th>number</th></tr>
 <tr><td>made</td><td>{{.Totals.Requests}}</td></tr><tr><td>answered</td><td>{{.Totals.Answered}}</td></tr>
 {{range $kind, $count := .Totals.RefusedBy}}<tr><td>refused: {{$kind}}</td><td>{{$count}}</td></tr>
-{{end}}<tr><td>lost</td><td>{{.Totals.Lost}}</td></tr><tr><td>router died, no time left to ask another</td><td>{{.Totals.Cut}}</td></tr>
+{{end}}<tr><td>lost</td><td>{{.Totals.Lost}}</td></tr><tr><td>router failed, no time left to retry</td><td>{{.Totals.Cut}}</td></tr>
 {{range $message, $count := .Totals.RefusedFor}}<tr><td>refused because {{$message}}</td><td>{{$count}}</td></tr>
 {{end}}<tr><td>share of live calls answered in time</td><td>{{printf "%.4f" .Totals.LiveInTime}}</td></tr></table>
 <table><tr><th>seconds</th><th>count</th><th>p50</th><th>p95</th><th>p99</th><th>max</th></tr>
--- a/kit/lab/plan.go
+++ b/kit/lab/plan.go
@@ -9,15 +9,14 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// MaximumCalls bounds the calls of one run of the load tool, which all are planned
-// and kept in memory.
+// MaximumCalls limits the calls of one load tool run, which are planned in memory.
 const MaximumCalls = 200_000
 
-// longestWait bounds the deadlines of replayed calls: batch work may be recorded
-// with hours, for which a run of the load tool does not wait.
+// longestWait limits the deadlines of replayed calls, since recorded batch work may have
+// deadlines of hours.
 const longestWait = 2 * time.Minute
 
-// Plan is the calls of a run, each with its time, planned before the run.
+// Plan is the planned calls of a run with their times.
 type Plan struct {
 	arrivals []arrival
 }
@@ -25,31 +24,31 @@
 // Calls returns the number of planned calls.
 func (p Plan) Calls() int { return len(p.arrivals) }
 
-// PlanSite plans calls of the site's rows: Poisson arrivals at rate a second.
+// PlanSite plans calls of the site's rows as Poisson arrivals at rate per second.
 func PlanSite(site Site, rate float64, duration time.Duration, seed uint64) (Plan, error) {
 	if rate <= 0 || duration <= 0 || rate*duration.Seconds() > MaximumCalls {
-		return Plan{}, structs.NewError(structs.ErrorInvalid, fmt.Sprintf("%g calls a second for %v is not a run", rate, duration),
-			fmt.Sprintf("Choose a rate and a time above 0 with at most %d calls in all.", MaximumCalls))
+		return Plan{}, structs.NewError(structs.ErrorInvalid, fmt.Sprintf("%g calls per second for %v is not a valid run", rate, duration),
+			fmt.Sprintf("Choose a positive rate and duration with at most %d calls in total.", MaximumCalls))
 	}
 	return Plan{planArrivals(site.Rows, rate, duration, seed)}, nil
 }
 
-// Replay says which part of a trace is replayed, and how fast.
+// Replay selects the part of a trace to replay, and the speed.
 type Replay struct {
-	// From is where in the trace the replay begins; Duration is how long it lasts in
-	// real time, 0 for the whole rest.
+	// From is the start of the replay within the trace; Duration is its length in real
+	// time, 0 for the rest of the trace.
 	From     time.Duration
 	Duration time.Duration
-	// Speed is trace time a real time, 1 for the recorded times.
+	// Speed is the ratio of trace time to real time; 1 replays at the recorded times.
 	Speed float64
 	Seed  uint64
 }
 
-// PlanTrace plans the calls of a recorded trace at their recorded times. Calls go
-// to the recorded router when there are as many targets as the shape has routers.
+// PlanTrace plans the calls of a recorded trace at their recorded times. Calls go to
+// their recorded routers if there are as many targets as routers in the shape.
 func PlanTrace(trace []workload.Arrival, shape workload.Shape, targets int, replay Replay) (Plan, error) {
 	if replay.Speed <= 0 {
-		return Plan{}, structs.NewError(structs.ErrorInvalid, "a trace cannot be replayed at this speed", "Give a speed above 0.")
+		return Plan{}, structs.NewError(structs.ErrorInvalid, "the replay speed is not positive", "Give a speed above 0.")
 	}
 	random := rand.New(rand.NewPCG(replay.Seed, 4))
 	firstRouter := map[structs.ZoneID]int{}
--- a/kit/lab/platform.go
+++ b/kit/lab/platform.go
@@ -16,7 +16,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The behaviour of the rehearsed platform.
+// Parameters of the emulated platform.
 const (
 	machineListLag   = time.Second
 	engineReportLag  = 200 * time.Millisecond
@@ -24,11 +24,12 @@
 	engineEventLoss  = 0.05
 	engineHostMemory = 64 * gibibyte
 	engineDisk       = 512 * gibibyte
-	// storeSpeed is one read at full speed: the largest model of a site loads in about 4 s.
+	// storeSpeed is the bandwidth of one read; the largest model of a site loads in
+	// about 4 s.
 	storeSpeed = 12 * gibibyte
 )
 
-// Runner is a stand-in engine of a run.
+// Runner is an emulated engine of a run.
 type Runner struct {
 	Machine      structs.Machine
 	Role         structs.RunnerRole
@@ -37,8 +38,8 @@
 	Server       *emulator.EngineServer
 }
 
-// Platform is what the site's daemons find outside themselves: engines, weight
-// store and machine list, all in this process.
+// Platform is the emulated environment of the daemons: engines, weight store and machine
+// list, all in this process.
 type Platform struct {
 	Runners []*Runner
 	Store   *emulator.StoreServer
@@ -49,15 +50,15 @@
 	servers []*http.Server
 }
 
-// platformAddresses says where the stand-ins listen.
+// platformAddresses assigns the listen addresses of the emulated services.
 type platformAddresses interface {
 	store() string
 	machines() string
-	// engine is the address of the runner with that index over all zones.
+	// engine returns the address of the runner with the given index over all zones.
 	engine(index int) string
 }
 
-// startPlatform starts the stand-ins of site on the plan's addresses.
+// startPlatform starts the emulated services of the site on the plan's addresses.
 func startPlatform(logger log.Logger, site Site, plan platformAddresses, seed uint64) (*Platform, error) {
 	p := &Platform{clock: emulator.NewClock(1), client: engineapi.NewClient(engineapi.ClientOptions{})}
 	p.Store = emulator.NewStoreServer(logger, emulator.NewStore(emulator.StoreOptions{
@@ -134,16 +135,16 @@
 func (p *Platform) serve(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return errors.Wrap(err, "listen for a stand-in")
+		return errors.Wrap(err, "listen for an emulated service")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
 	p.servers = append(p.servers, server)
-	// Serve always returns an error; after Close it tells nothing.
+	// Serve always returns an error, which is expected after Close.
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
 
-// Records returns a copy of what each engine did, by runner.
+// Records returns a copy of each engine's records, by runner.
 func (p *Platform) Records() map[structs.RunnerID]emulator.Records {
 	records := make(map[structs.RunnerID]emulator.Records, len(p.Runners))
 	for _, runner := range p.Runners {
@@ -155,12 +156,12 @@
 	return records
 }
 
-// Now returns the stand-ins' time.
+// Now returns the virtual time of the emulated services.
 func (p *Platform) Now() time.Time { return p.clock.Now() }
 
 func (p *Platform) close() {
 	for _, server := range p.servers {
-		// What is still open is cut: the run is over.
+		// Closing interrupts open connections, which no longer matter.
 		_ = server.Close()
 	}
 	for _, runner := range p.Runners {
@@ -169,7 +170,7 @@
 	p.client.Close()
 }
 
-// setState changes a runner's entry on the machine list.
+// setState changes the state of a runner's machine in the machine list.
 func (p *Platform) setState(runner *Runner, state structs.MachineState) {
 	machine := runner.Machine
 	machine.State = state
--- a/kit/lab/plot.go
+++ b/kit/lab/plot.go
@@ -21,16 +21,16 @@
 	plotWidth  = 32 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 	lineWidth  = 1.2
-	// legendRoom is the share of the time axis that is added for the legend.
+	// legendRoom is the fraction by which the time axis is extended for the legend.
 	legendRoom = 0.25
-	// curveColors is how many colours there are; further curves are dashed.
+	// curveColors is the number of colours; further curves are dashed.
 	curveColors   = 5
 	faultFontSize = 7
-	// faultNameHeight is where the faults' names begin, as a share of the height.
+	// faultNameHeight is the position of the fault names as a fraction of the height.
 	faultNameHeight = 0.7
 )
 
-// faultColor shades the times of faults.
+// faultColor is the shade of the fault periods.
 var faultColor = color.NRGBA{R: 200, G: 60, B: 40, A: 45}
 
 // curve is one line of a plot over the seconds of a run.
@@ -39,7 +39,7 @@
 	figure func(Second) float64
 }
 
-// timePlots draws the timeline as SVG elements.
+// timePlots renders the timeline as SVG elements.
 func timePlots(timeline []Second, faults []FaultEvent) ([]template.HTML, error) {
 	var plots []template.HTML
 	for _, wanted := range []struct {
@@ -51,7 +51,7 @@
 			{"p95", func(s Second) float64 { return s.FirstToken.P95 }},
 			{"p99", func(s Second) float64 { return s.FirstToken.P99 }},
 		}},
-		{"What became of the calls due in each second", "calls", outcomeCurves(timeline)},
+		{"Outcomes of the calls due in each second", "calls", outcomeCurves(timeline)},
 		{"Replicas held by the engines", "replicas", []curve{
 			{"replicas", func(s Second) float64 { return float64(s.Replicas) }},
 		}},
@@ -68,8 +68,8 @@
 	return plots, nil
 }
 
-// outcomeCurves are those of the answered calls, of each kind of refusal that
-// occurred, and of the lost calls.
+// outcomeCurves returns the curves of answered and lost calls, of failed routers, and of
+// each kind of refusal that occurred.
 func outcomeCurves(timeline []Second) []curve {
 	kinds := map[string]bool{}
 	for _, second := range timeline {
@@ -80,7 +80,7 @@
 	curves := []curve{
 		{"answered", func(s Second) float64 { return float64(s.Answered) }},
 		{"lost", func(s Second) float64 { return float64(s.Lost) }},
-		{"router died", func(s Second) float64 { return float64(s.Cut) }},
+		{"router failed", func(s Second) float64 { return float64(s.Cut) }},
 	}
 	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
 		curves = append(curves, curve{"refused: " + kind, func(s Second) float64 { return float64(s.Refused[kind]) }})
@@ -121,7 +121,7 @@
 	return report.SVG(p, plotWidth, plotHeight)
 }
 
-// addFaults shades and names the times of the faults, up to the height.
+// addFaults shades and labels the fault periods up to the height.
 func addFaults(p *plot.Plot, faults []FaultEvent, height float64) error {
 	if len(faults) == 0 {
 		return nil
@@ -138,7 +138,7 @@
 	}
 	labels, err := plotter.NewLabels(names)
 	if err != nil {
-		return errors.Wrap(err, "name the faults of a plot")
+		return errors.Wrap(err, "label the faults of a plot")
 	}
 	for i := range labels.TextStyle {
 		labels.TextStyle[i].Rotation = math.Pi / 2
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// faultBand shades the time of a fault up to the height.
+// faultBand returns the shaded period of a fault up to the height.
 func faultBand(fault FaultEvent, height float64) (*plotter.Polygon, error) {
 	from, until := fault.AtSeconds, fault.AtSeconds+fault.ForSeconds
 	band, err := plotter.NewPolygon(plotter.XYs{{X: from}, {X: until}, {X: until, Y: height}, {X: from, Y: height}})
--- a/kit/lab/process.go
+++ b/kit/lab/process.go
@@ -15,7 +15,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Process is a daemon that the kit started.
+// Process is a daemon process started by the lab.
 type Process struct {
 	ID       structs.DaemonID
 	Zone     structs.ZoneID
@@ -26,13 +26,13 @@
 	running *exec.Cmd
 	log     *os.File
 	ended   chan struct{}
-	// exitCode is that of the last run, once ended is closed; -1 after a signal.
+	// exitCode is that of the last run, valid once ended is closed; -1 after a signal.
 	exitCode int
-	// starts counts the starts; it tells the daemon's lives apart.
+	// starts is the number of starts; it distinguishes the runs of the daemon.
 	starts atomic.Int64
 }
 
-// newProcess writes the settings file of a daemon below folder.
+// newProcess creates the data folder and the settings file of a daemon below folder.
 func newProcess(command []string, folder string, settings config.Config) (*Process, error) {
 	own := filepath.Join(folder, string(settings.Daemon))
 	settings.DataFolder = filepath.Join(own, "data")
@@ -49,7 +49,7 @@
 	return &Process{ID: settings.Daemon, Zone: settings.Zone, Settings: settings, command: command, folder: own}, nil
 }
 
-// Start starts the process; its output goes to log.txt in its folder.
+// Start starts the process. Its output is appended to log.txt in its folder.
 func (p *Process) Start() error {
 	output, err := os.OpenFile(filepath.Join(p.folder, "log.txt"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -59,7 +59,7 @@
 	p.running = exec.Command(p.command[0], arguments...)
 	p.running.Stdout = output
 	p.running.Stderr = output
-	// The daemon must not outlive the kit.
+	// The daemon must not outlive the lab.
 	p.running.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := p.running.Start(); err != nil {
 		output.Close()
@@ -71,7 +71,7 @@
 	p.ended = ended
 	running := p.running
 	go func() {
-		// The error says no more than the exit code: faults end daemons in many ways.
+		// The exit code is sufficient; faults make daemons end in many ways.
 		_ = running.Wait()
 		p.exitCode = running.ProcessState.ExitCode()
 		output.Close()
@@ -80,23 +80,23 @@
 	return nil
 }
 
-// Signal sends a signal to the process that Start started, if it still runs.
+// Signal sends a signal to the process if it is still running.
 func (p *Process) Signal(signal os.Signal) {
 	if p.running == nil || p.running.Process == nil {
 		return
 	}
-	// A process that has ended cannot be signalled, which is what was wanted.
+	// An error means that the process has already ended.
 	_ = p.running.Process.Signal(signal)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits for its exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.wait()
 }
 
-// Terminate makes a planned stop and waits at most limit before it kills. It
-// returns the exit code, which is -1 for a daemon that was killed.
+// Terminate requests a planned stop and kills the process after limit. It returns the
+// exit code, or -1 if the process was killed.
 func (p *Process) Terminate(limit time.Duration) int {
 	p.Signal(syscall.SIGTERM)
 	if p.ended == nil {
@@ -116,8 +116,8 @@
 	}
 }
 
-// target names the daemon's router to a caller.
+// target returns the daemon's router as a call target.
 func (p *Process) target() target { return target{id: p.ID, url: p.CallersURL()} }
 
-// CallersURL is the base URL of the daemon's callers' interface.
+// CallersURL returns the base URL of the daemon's caller API.
 func (p *Process) CallersURL() string { return "http://" + p.Settings.Listen.Callers }
--- a/kit/lab/progress.go
+++ b/kit/lab/progress.go
@@ -10,29 +10,29 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// progressInterval separates two statements of a run's progress.
+// progressInterval is the interval between progress updates.
 const progressInterval = time.Second
 
-// Progress is how far a run under load has come.
+// Progress is the current state of a run under load.
 type Progress struct {
 	Elapsed time.Duration
-	// Sent counts the calls made so far, Open those that wait for their answer.
+	// Sent is the number of calls made so far, Open the number of those in progress.
 	Sent     int
 	Open     int
 	Answered int
 	Refused  int
-	// Failed counts the calls whose transfer failed to the end.
+	// Failed is the number of calls whose last transfer failed.
 	Failed int
-	// FirstToken is of all calls so far, from the time when they were due.
+	// FirstToken is the time to first token of all calls so far, from their due times.
 	FirstToken Percentiles
-	// Fault is the fault that strikes now, or "".
+	// Fault is the kind of the fault in progress, or "".
 	Fault string
-	// Replicas and LoadedBytes are what the stand-in engines hold; 0 without them.
+	// Replicas and LoadedBytes are held by the emulated engines; 0 without them.
 	Replicas    int
 	LoadedBytes int64
 }
 
-// String is one line for a terminal.
+// String returns the progress as one line.
 func (p Progress) String() string {
 	line := fmt.Sprintf("%4.0f s  sent %d, open %d, answered %d, refused %d, failed %d  first token p50 %.3f p95 %.3f p99 %.3f s",
 		p.Elapsed.Seconds(), p.Sent, p.Open, p.Answered, p.Refused, p.Failed, p.FirstToken.P50, p.FirstToken.P95, p.FirstToken.P99)
@@ -45,7 +45,7 @@
 	return line
 }
 
-// loadCounts are the counts of a run that still goes on.
+// loadCounts are the counts of a run in progress.
 type loadCounts struct {
 	sent, answered, refused, failed int
 	firstToken                      latencies
@@ -78,8 +78,8 @@
 	}
 }
 
-// showProgress calls show every second until the returned function is called,
-// which waits for the last call of show. A nil show is never called.
+// showProgress calls show every second until the returned function is called, which
+// waits for the last call to return. A nil show is never called.
 func (l *loadRun) showProgress(show func(Progress), complete func(*Progress)) (stop func()) {
 	if show == nil {
 		return func() {}
@@ -102,7 +102,8 @@
 	}
 }
 
-// loaded returns the replicas and the memory that the engines hold now.
+// loaded returns the number of replicas and the memory in bytes that the engines hold
+// now.
 func (p *Platform) loaded() (replicas int, bytes int64) {
 	for _, runner := range p.Runners {
 		runner.Server.Engine(func(engine *emulator.Engine, _ time.Time) []emulator.EngineOutput {
--- a/kit/lab/rehearsal.go
+++ b/kit/lab/rehearsal.go
@@ -13,20 +13,20 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// RehearsalOptions set up a fleet run with load and faults.
+// RehearsalOptions configure a fleet run with load and faults.
 type RehearsalOptions struct {
 	Fleet FleetOptions
-	// Duration is how long the load lasts, Rate the calls a second.
+	// Duration is the duration of the load, Rate the number of calls per second.
 	Duration time.Duration
 	Rate     float64
-	// Faults names the kinds of fault; none for an undisturbed run.
+	// Faults are the names of the fault kinds to inject; none for a run without faults.
 	Faults []string
-	// Show is told the progress every second, unless nil.
+	// Show is called with the progress every second, unless nil.
 	Show func(Progress)
 }
 
-// RunRehearsal starts a site, applies its table, puts load and faults on it,
-// checks the records and reports.
+// RunRehearsal starts a site, applies its table, generates load and faults, and reports
+// the results of the checks.
 func RunRehearsal(ctx context.Context, logger log.Logger, options RehearsalOptions) (Report, error) {
 	fleet, err := StartFleet(ctx, logger, options.Fleet)
 	if err != nil {
@@ -74,18 +74,18 @@
 	}
 }
 
-// underLoad puts load, faults and edits on the site and waits until all are over.
+// underLoad generates load, faults and edits, and waits until all of them have ended.
 func (r *rehearsal) underLoad(ctx context.Context) []Outcome {
 	arrivals := planArrivals(r.fleet.Site.Rows, r.options.Rate, r.options.Duration, r.options.Fleet.Seed)
-	striking, endFaults := context.WithTimeout(ctx, r.options.Duration)
+	injecting, endFaults := context.WithTimeout(ctx, r.options.Duration)
 	defer endFaults()
-	looking, endLooks := context.WithCancel(ctx)
-	defer endLooks()
+	sampling, endSampling := context.WithCancel(ctx)
+	defer endSampling()
 	var others sync.WaitGroup
 	r.began = time.Now()
-	others.Go(func() { r.faults.run(striking, looking) })
+	others.Go(func() { r.faults.run(injecting, sampling) })
 	var edits sync.WaitGroup
-	edits.Go(func() { r.edits.run(striking, looking) })
+	edits.Go(func() { r.edits.run(injecting, sampling) })
 	endProgress := r.load.showProgress(r.options.Show, r.completeProgress)
 	outcomes := r.load.run(ctx, arrivals)
 	r.elapsed = time.Since(r.began)
@@ -93,19 +93,19 @@
 	endFaults()
 	others.Wait()
 	r.edits.awaitSettled(ctx)
-	endLooks()
+	endSampling()
 	edits.Wait()
-	r.faults.markDead(outcomes)
+	r.faults.markRouterFailures(outcomes)
 	return outcomes
 }
 
-// completeProgress adds what the load itself cannot know.
+// completeProgress adds the state of faults and engines.
 func (r *rehearsal) completeProgress(progress *Progress) {
 	progress.Fault = r.faults.current()
 	progress.Replicas, progress.LoadedBytes = r.fleet.Platform.loaded()
 }
 
-// report sums up and checks the run.
+// report summarizes and checks the run.
 func (r *rehearsal) report(outcomes []Outcome, edits editRecords) Report {
 	report := newReport(r.fleet, r.options, outcomes, r.elapsed)
 	records := r.fleet.Platform.Records()
@@ -124,7 +124,7 @@
 	return report
 }
 
-// newReport sums up a run from the records of callers and engines.
+// newReport summarizes a run from the records of callers and engines.
 func newReport(fleet *Fleet, options RehearsalOptions, outcomes []Outcome, elapsed time.Duration) Report {
 	report := Report{
 		Site:            fleet.Site.Name,
@@ -145,8 +145,7 @@
 	return report
 }
 
-// checkAnswered: every waiting request is served or refused in time and never
-// silently dropped.
+// checkAnswered checks that every request was answered or refused in time.
 func checkAnswered(last map[structs.RequestID]Outcome) []Violation {
 	var violations []Violation
 	for id, outcome := range last {
@@ -157,9 +156,8 @@
 	return violations
 }
 
-// checkPlannedStops: a planned stop cuts no request in progress. The daemon tells
-// by its exit code whether it refused requests to be done in time, and the
-// callers' own records whether an answer broke off.
+// checkPlannedStops checks that planned stops interrupted no request, by the exit codes
+// of the daemons and the records of the callers.
 func checkPlannedStops(stops []plannedStop, outcomes []Outcome) []Violation {
 	var violations []Violation
 	for _, stop := range stops {
@@ -177,13 +175,13 @@
 	return violations
 }
 
-// isLost reports whether a call ended without an answer or a refusal by a router
-// that was there to give one: a connection that breaks with a killed router tells
-// its caller so, and the caller asks another one while it has time.
+// isLost reports whether a call ended without an answer or a refusal although its router
+// was up. A caller whose router was killed sees the broken connection and retries at
+// another router.
 func isLost(outcome Outcome) bool {
 	if outcome.Answered() || outcome.RouterDied {
 		return false
 	}
-	late := outcome.EndedAt.After(outcome.Request.DeadlineAt.Add(answerBound))
+	late := outcome.EndedAt.After(outcome.Request.DeadlineAt.Add(answerGrace))
 	return late || outcome.Refusal == nil || outcome.NotSent || outcome.Broken || outcome.Refusal.Error.Kind == structs.ErrorInternal
 }
--- a/kit/lab/report.go
+++ b/kit/lab/report.go
@@ -11,58 +11,59 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Report is what a fleet run measured and found.
+// Report is the result of a fleet run.
 type Report struct {
 	Site            string  `json:"site"`
 	Seed            uint64  `json:"seed"`
 	DurationSeconds float64 `json:"duration_seconds"`
 	Daemons         int     `json:"daemons"`
 	Engines         int     `json:"engines"`
-	// EditSeconds is the time from the edit of the whole table to its being in
-	// force in every zone.
+	// EditSeconds is the time until the initial edit of the whole table is in force in
+	// every zone.
 	EditSeconds float64 `json:"edit_seconds"`
 	Totals
-	// PlannedStops counts the planned stops of daemons; none may cut a request.
+	// PlannedStops is the number of planned stops of daemons, which must not interrupt
+	// requests.
 	PlannedStops int `json:"planned_stops"`
-	// Notices counts the times that a machine was listed as leaving; after a few
-	// seconds such a machine may get no new work.
+	// Notices is the number of times that a machine was listed as leaving.
 	Notices int `json:"leaving_notices"`
-	// Edits counts the edits accepted under load; EditInForce is how long each took
-	// from there to being in force in a zone.
+	// Edits is the number of edits accepted under load; EditInForce is the time from the
+	// acceptance until an edit is in force in a zone.
 	Edits                int          `json:"edits"`
 	EditInForce          Percentiles  `json:"edit_in_force_seconds"`
 	IdleAcceleratorHours float64      `json:"idle_accelerator_hours"`
 	Faults               []FaultEvent `json:"faults"`
 	Violations           []Violation  `json:"violations"`
-	// Command repeats the run.
+	// Command is the command that repeats the run.
 	Command  string   `json:"command,omitempty"`
 	Timeline []Second `json:"timeline"`
 }
 
-// Totals sums up the calls of a run.
+// Totals summarizes the calls of a run.
 type Totals struct {
 	Requests int `json:"requests"`
 	Answered int `json:"answered"`
 	Refused  int `json:"refused"`
-	// Lost counts requests that got no terminal answer in time.
+	// Lost is the number of requests without a terminal answer in time.
 	Lost int `json:"lost"`
-	// Cut counts requests whose router was killed or frozen and whose caller had
-	// no time left to ask another one.
+	// Cut is the number of requests whose router was killed or suspended and that could
+	// not be retried before their deadline.
 	Cut int `json:"cut_by_dead_router"`
-	// LiveInTime is the share of live requests that were answered within their deadline.
+	// LiveInTime is the fraction of live requests answered within their deadline.
 	LiveInTime float64 `json:"live_in_time"`
-	// RefusedBy counts refusals by kind and execution.
+	// RefusedBy is the number of refusals by kind and execution.
 	RefusedBy map[string]int `json:"refused_by"`
-	// RefusedFor counts refusals by their message, with # for every number.
+	// RefusedFor is the number of refusals by message, with # for every number.
 	RefusedFor map[string]int `json:"refused_for"`
-	// ColdStart is from the planned time to the first token, of requests that
-	// found no ready replica of their row in the whole site; FirstToken is of all others.
+	// ColdStart is the time to first token of requests whose row had no ready replica in
+	// the site when they were due; FirstToken is that of all others. Both count from the
+	// due time.
 	ColdStart  Percentiles `json:"cold_start_seconds"`
 	FirstToken Percentiles `json:"first_token_seconds"`
 	TokenGap   Percentiles `json:"longest_token_gap_seconds"`
 }
 
-// Percentiles sums up a distribution, in seconds.
+// Percentiles summarizes a distribution, in seconds.
 type Percentiles struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50"`
@@ -71,7 +72,7 @@
 	Max   float64 `json:"max"`
 }
 
-// latencies is a histogram of durations of 0.1 ms to 1 hour.
+// latencies is a histogram of durations from 0.1 ms to 1 hour.
 type latencies struct {
 	histogram *hdrhistogram.Histogram
 }
@@ -86,7 +87,7 @@
 }
 
 func (l latencies) add(duration time.Duration) {
-	// Durations are bounded by the deadlines, far below the histogram's top.
+	// Durations are bounded by the deadlines, far below the histogram's maximum.
 	_ = l.histogram.RecordValue(int64(duration / histogramUnit))
 }
 
@@ -103,7 +104,7 @@
 	}
 }
 
-// sum fills in the counts and distributions.
+// sum computes the counts and distributions.
 func (r *Totals) sum(last map[structs.RequestID]Outcome, cold coldStarts) {
 	coldStart, firstToken, gaps := newLatencies(), newLatencies(), newLatencies()
 	live, liveInTime := 0, 0
@@ -147,20 +148,20 @@
 	default:
 		r.Refused++
 		r.RefusedBy[refusalLabel(outcome)]++
-		r.RefusedFor[numbers.ReplaceAllString(outcome.Refusal.Error.Message, "#")]++
+		r.RefusedFor[numberPattern.ReplaceAllString(outcome.Refusal.Error.Message, "#")]++
 	}
 }
 
-// numbers are what differs between messages of the same sense: names of rows, times.
-var numbers = regexp.MustCompile(`[0-9]+`)
+// numberPattern matches the numberPattern in which messages of the same kind differ.
+var numberPattern = regexp.MustCompile(`[0-9]+`)
 
-// refusalLabel names the kind of a refusal and whether the request ran.
+// refusalLabel returns the kind and the execution of a refusal.
 func refusalLabel(outcome Outcome) string {
 	return string(outcome.Refusal.Error.Kind) + "/" + string(outcome.Refusal.Execution)
 }
 
-// coldStarts knows when a row had a ready replica anywhere in the site. Its zero
-// value, for a site whose engines keep no records, takes no call for a cold start.
+// coldStarts holds when a row had a ready replica in the site. Its zero value, for
+// engines without records, classifies no call as a cold start.
 type coldStarts struct {
 	ready map[structs.RowName][]replicaEdge
 }
@@ -180,7 +181,7 @@
 
 func isReadyReplica(state structs.ReplicaState) bool { return state == structs.ReplicaReady }
 
-// isCold reports whether no replica of the request's row was ready when it was due.
+// isCold reports whether the request's row had no ready replica when the call was due.
 func (c coldStarts) isCold(outcome Outcome) bool {
 	if c.ready == nil {
 		return false
--- a/kit/lab/site.go
+++ b/kit/lab/site.go
@@ -29,7 +29,7 @@
 	Runners []RunnerSet
 }
 
-// RunnerSet is a number of equal runners.
+// RunnerSet describes a number of identical runners.
 type RunnerSet struct {
 	Role         structs.RunnerRole
 	Count        int
@@ -37,7 +37,7 @@
 	Accelerators int
 }
 
-// The roles of the runners of the rehearsed sites.
+// Roles of the runners in the rehearsed sites.
 const (
 	roleAnswers   structs.RunnerRole = "answers"
 	roleSearch    structs.RunnerRole = "search"
@@ -51,7 +51,7 @@
 	daemonsPerZone     = 3
 )
 
-// DemoSite is a small site of two zones, for the demonstration.
+// DemoSite returns a small site of two zones for the demonstration.
 func DemoSite() Site {
 	return Site{
 		Name:                "demo",
@@ -70,8 +70,8 @@
 	}
 }
 
-// PadanoSite has the sizes of Consorzio Padano: 3 zones, 9 runners for answers
-// and 3 for search, 50 models and 60 adapters.
+// PadanoSite returns a site of the size of Consorzio Padano: 3 zones, 9 runners for
+// answers and 3 for search, 50 models and 60 adapters.
 func PadanoSite() Site {
 	site := Site{
 		Name:                "padano",
@@ -87,7 +87,7 @@
 	return site
 }
 
-// MeknesSite has the sizes of the Meknes growers' association: 4 zones, 12
+// MeknesSite returns a site of the size of the Meknes growers' association: 4 zones, 12
 // runners for summaries and 4 for records, 65 models and 75 adapters.
 func MeknesSite() Site {
 	site := Site{
@@ -104,7 +104,7 @@
 	return site
 }
 
-// SiteByName returns the site of that name.
+// SiteByName returns the site with the given name.
 func SiteByName(name string) (Site, error) {
 	for _, site := range []Site{DemoSite(), PadanoSite(), MeknesSite()} {
 		if site.Name == name {
@@ -122,11 +122,11 @@
 	models, secondModels, adapters int
 }
 
-// The generated models' sizes in GiB, in turn.
+// modelSizes are the sizes of generated models in GiB, used cyclically.
 var modelSizes = []int64{8, 14, 16, 20, 26}
 
-// generateRows makes a table: models of the first and second role, and adapters
-// spread over the first models of the first role.
+// generateRows returns models of the first and the second role, and adapters distributed
+// over the first models of the first role.
 func generateRows(counts rowCounts, first, second structs.RunnerRole) []structs.Row {
 	var rows []structs.Row
 	for i := range counts.models {
@@ -155,7 +155,7 @@
 	}
 }
 
-// adapterMemory is the accelerator memory of a generated adapter.
+// adapterMemory is the accelerator memory of a generated adapter in bytes.
 const adapterMemory = gibibyte / 4
 
 func adapterRow(name string, base structs.RowName, role structs.RunnerRole, maxReplicas int) structs.Row {
--- a/kit/lab/sitefaults.go
+++ b/kit/lab/sitefaults.go
@@ -8,15 +8,15 @@
 	"github.com/lotusferry/lotusferry/internal/pause"
 )
 
-// restartLimit bounds the wait for a restarted site to be ready.
-const restartLimit = 30 * time.Second
+// restartTimeout limits the wait for a restarted site to be ready.
+const restartTimeout = 30 * time.Second
 
-// loseTwoDisks replaces a daemon's disk and, as soon as the daemon votes again, that
-// of another daemon of the same zone.
+// loseTwoDisks replaces the disk of a daemon and, once the daemon votes again, that of
+// another daemon in its zone.
 func (r *faultRun) loseTwoDisks(ctx context.Context) string {
 	first := r.anyDaemon()
 	name := r.replaceDiskOf(ctx, first)
-	fellows := r.fellowsOf(first)
+	fellows := r.zonePeers(first)
 	if ctx.Err() != nil || len(fellows) == 0 {
 		return name
 	}
@@ -24,8 +24,8 @@
 	return fmt.Sprintf("%s, then %s", name, r.replaceDiskOf(ctx, second))
 }
 
-// fellowsOf lists the other daemons of the daemon's zone.
-func (r *faultRun) fellowsOf(target *Process) []*Process {
+// zonePeers returns the other daemons in the daemon's zone.
+func (r *faultRun) zonePeers(target *Process) []*Process {
 	var fellows []*Process
 	for _, other := range r.fleet.Daemons {
 		if other != target && other.Zone == target.Zone {
@@ -35,7 +35,7 @@
 	return fellows
 }
 
-// restartSite kills all daemons and engines at once and starts them again.
+// restartSite kills all daemons and engines at once and restarts them.
 func (r *faultRun) restartSite(ctx context.Context) string {
 	from := time.Now()
 	for _, process := range r.fleet.Daemons {
@@ -52,9 +52,9 @@
 		}
 	}
 	for _, runner := range r.fleet.Platform.Runners {
-		runner.revive()
+		runner.restartIfCrashed()
 	}
-	ready, cancel := context.WithTimeout(r.sending, restartLimit)
+	ready, cancel := context.WithTimeout(r.sending, restartTimeout)
 	defer cancel()
 	if err := r.fleet.awaitReady(ready); err != nil {
 		name += " (not ready in time: " + err.Error() + ")"
--- a/kit/lab/timeline.go
+++ b/kit/lab/timeline.go
@@ -8,25 +8,26 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Second is one second of a run: what became of the calls that were due in it, and
-// what the engines held at its end.
+// Second is one second of a run: the outcomes of the calls that were due in it, and the
+// state of the engines at its end.
 type Second struct {
-	// At counts the seconds from the beginning of the load.
+	// At is the time from the start of the load in seconds.
 	At       int `json:"at_seconds"`
 	Due      int `json:"due"`
 	Answered int `json:"answered"`
-	// Refused counts refusals by kind and execution; Lost and Cut are those of Totals.
+	// Refused is the number of refusals by kind and execution; Lost and Cut are those of
+	// Totals.
 	Refused map[string]int `json:"refused_by,omitempty"`
 	Lost    int            `json:"lost,omitempty"`
 	Cut     int            `json:"cut_by_dead_router,omitempty"`
-	// FirstToken is counted from when the calls were due.
+	// FirstToken is the time to first token from the due times of the calls.
 	FirstToken Percentiles `json:"first_token_seconds"`
-	// Replicas counts loading, ready and unloading ones.
+	// Replicas is the number of loading, ready and unloading replicas.
 	Replicas    int   `json:"replicas"`
 	LoadedBytes int64 `json:"loaded_bytes"`
 }
 
-// newTimeline sorts the last outcomes of all calls into seconds from began on.
+// newTimeline groups the last outcomes of all calls by second from began.
 func newTimeline(began time.Time, last map[structs.RequestID]Outcome) []Second {
 	var timeline []Second
 	bySecond := map[int][]Outcome{}
@@ -58,7 +59,8 @@
 	return second
 }
 
-// addLoaded fills in what the engines held at the end of each second.
+// addLoaded sets the replicas and the memory that the engines held at the end of each
+// second.
 func addLoaded(timeline []Second, began time.Time, records map[structs.RunnerID]emulator.Records) {
 	for _, record := range records {
 		changes := slices.Clone(record.ReplicaChanges)
--- a/kit/lab/workload.go
+++ b/kit/lab/workload.go
@@ -11,30 +11,29 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// arrival is one call to make, planned before the run so that a slow site does
-// not slow the load down (open loop).
+// arrival is a call planned before the run (open loop).
 type arrival struct {
 	after   time.Duration
 	request structs.Request
 	// deadline is how long the caller waits.
 	deadline time.Duration
-	// router is the number of the router to call, from 1; 0 for each in turn.
+	// router is the number of the router to call, from 1; 0 means round-robin.
 	router int
 }
 
-// requestClass is a kind of call of a workload.
+// requestClass is a class of calls of a workload.
 type requestClass struct {
 	share    float64
 	priority structs.Priority
 	deadline time.Duration
 	tokens   int
-	// keyed calls carry an idempotency key.
+	// keyed tells that calls carry an idempotency key.
 	keyed bool
 	words int
 }
 
-// The classes of calls: a person waits, ordinary work, batch work, and work that
-// may run at most once.
+// requestClasses are the classes of calls: interactive, standard and batch requests, and
+// requests that may run at most once.
 var requestClasses = []requestClass{
 	{share: 0.55, priority: structs.PriorityLive, deadline: 15 * time.Second, tokens: 48, words: 60},
 	{share: 0.15, priority: structs.PriorityStandard, deadline: 20 * time.Second, tokens: 96, words: 200},
@@ -42,12 +41,11 @@
 	{share: 0.15, priority: structs.PriorityLive, deadline: 20 * time.Second, tokens: 64, words: 80, keyed: true},
 }
 
-// popularityExponent shapes the long tail of rows: the n-th row gets a share
-// proportional to n^-exponent.
+// popularityExponent is the exponent of the Zipf distribution of rows.
 const popularityExponent = 1.5
 
-// planArrivals makes the calls of a run: Poisson arrivals at rate per second,
-// rows by a long-tailed popularity in an order that the seed decides.
+// planArrivals returns Poisson arrivals at rate per second, with Zipf-distributed rows
+// in an order that depends on the seed.
 func planArrivals(rows []structs.Row, rate float64, duration time.Duration, seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	names := rowNames(rows, random)
@@ -74,7 +72,7 @@
 	return arrival{after: at, request: request, deadline: class.deadline}
 }
 
-// newID makes a UUID from the run's randomness.
+// newID returns a UUID from the run's random source.
 func newID(random *rand.Rand) string {
 	var raw uuid.UUID
 	for i := range raw {
@@ -83,8 +81,8 @@
 	return raw.String()
 }
 
-// sharedPrefixes is how many prompt beginnings the callers of a run share, so
-// that prefix caches have something to find.
+// sharedPrefixes is the number of distinct prompt prefixes, which make prefix cache hits
+// possible.
 const sharedPrefixes = 20
 
 func prompt(random *rand.Rand, words int) string {
@@ -105,7 +103,7 @@
 	return names
 }
 
-// popularity returns cumulative weights.
+// popularity returns the cumulative weights of count rows.
 func popularity(count int) []float64 {
 	weights := make([]float64, count)
 	sum := 0.0
