--- a/kit/overload/call.go
+++ b/kit/overload/call.go
@@ -10,10 +10,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// What callers ask.
+// Parameters of the generated requests.
 const (
-	// promptBytes is the length of a prompt; the first sharedBytes of it are one of
-	// sharedPrompts beginnings of its row.
+	// A prompt has promptBytes bytes, of which the first sharedBytes are one of
+	// sharedPrompts prefixes of its row.
 	promptBytes   = 4096
 	sharedBytes   = 3584
 	sharedPrompts = 60
@@ -22,27 +22,27 @@
 	callerCount   = 24
 )
 
-// patienceOf is how long callers of each priority wait for a whole answer.
-var patienceOf = [structs.PriorityCount]time.Duration{30 * time.Second, 10 * time.Second, 4 * time.Second}
+// requestTimeouts is the time that callers of each priority allow for a complete answer.
+var requestTimeouts = [structs.PriorityCount]time.Duration{30 * time.Second, 10 * time.Second, 4 * time.Second}
 
-// arrivalsSource numbers the random source of the arrivals: it does not depend on
-// the policy.
-const arrivalsSource = 1 << 32
+// arrivalSeed is the second PCG seed of the arrivals. They do not depend on the policy.
+const arrivalSeed = 1 << 32
 
-// call is one request as its caller sees it. Times are virtual.
+// call is one request as observed by its caller, in virtual time.
 type call struct {
-	request  structs.Request
-	label    string
-	router   int
-	patience time.Duration
-	// returned says that the caller was refused before and came back when told to.
-	returned bool
+	request structs.Request
+	label   string
+	router  int
+	timeout time.Duration
+	// retried reports whether the call repeats a refused one.
+	retried bool
 
 	arrivedAt time.Duration
 	firstAt   time.Duration
 	endedAt   time.Duration
 	attempts  int
-	// estimated and waited are what the router says of its first attempt.
+	// estimated and waited are the queueing times that the router estimated and
+	// measured for the first attempt.
 	estimated time.Duration
 	waited    time.Duration
 	tokens    int
@@ -51,28 +51,28 @@
 }
 
 func (c *call) inTime() bool {
-	return c.terminals == 1 && c.refusal == nil && c.endedAt <= c.arrivedAt+c.patience
+	return c.terminals == 1 && c.refusal == nil && c.endedAt <= c.arrivedAt+c.timeout
 }
 
-// stream is a Poisson process of calls that have something in common.
+// stream is a Poisson arrival process of calls with common properties.
 type stream struct {
 	label       string
 	from, until time.Duration
-	// rate is in calls a second.
+	// rate is in calls per second.
 	rate float64
-	// caller, row and priority are drawn for each call when anyOne.
+	// caller, row and priority are fixed, or drawn for each call if drawEach.
 	caller   int
 	row      int
 	priority int
 }
 
-// anyOne asks for a random choice.
-const anyOne = -1
+// drawEach selects a random value for each call.
+const drawEach = -1
 
-// priorityShares are the parts of batch, standard and live in a mixed stream.
+// priorityShares holds the shares of batch, standard and live calls in a mixed stream.
 var priorityShares = [structs.PriorityCount]float64{0.2, 0.3, 0.5}
 
-// arrivals draws the calls of the stream, in the order of their arrival.
+// arrivals returns the calls of the stream in order of arrival.
 func (s stream) arrivals(random *rand.Rand) []*call {
 	var arriving []*call
 	at := s.from
@@ -87,7 +87,7 @@
 
 func (s stream) newCall(at time.Duration, random *rand.Rand) *call {
 	priority := drawPriority(random)
-	if s.priority != anyOne {
+	if s.priority != drawEach {
 		priority = structs.Priority(s.priority)
 	}
 	caller := choose(random, s.caller, callerCount)
@@ -99,15 +99,16 @@
 		},
 		label:     s.label,
 		router:    random.IntN(routerCount),
-		patience:  patienceOf[priority],
+		timeout:   requestTimeouts[priority],
 		arrivedAt: at,
 	}
 }
 
-// choose returns wanted, or a random number below count when it is anyOne.
+// choose returns wanted, or a random number in [0, count) if wanted is drawEach.
+// It draws a number in either case.
 func choose(random *rand.Rand, wanted, count int) int {
 	drawn := random.IntN(count)
-	if wanted == anyOne {
+	if wanted == drawEach {
 		return drawn
 	}
 	return wanted
@@ -124,8 +125,8 @@
 	return structs.PriorityLive
 }
 
-// newPrompt begins with one of the shared beginnings; which ones are frequent
-// follows a square law.
+// newPrompt returns a prompt with a shared prefix and a unique suffix. The index of
+// the prefix is the square of a uniform variable, scaled to sharedPrompts.
 func newPrompt(random *rand.Rand) string {
 	drawn := random.Float64()
 	beginning := fmt.Sprintf("%03d ", int(drawn*drawn*sharedPrompts))
--- a/kit/overload/capacity.go
+++ b/kit/overload/capacity.go
@@ -9,23 +9,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// capacityTime is how long the engines are measured.
-const capacityTime = 30 * time.Second
+// capacityDuration is the virtual time over which capacity is measured.
+const capacityDuration = 30 * time.Second
 
-// capacityOf measures how many answers a second the engines give when each always
-// has a full batch and requests are spread without regard to caches. It is the 1x
-// of the scenarios.
-func capacityOf(seed uint64) float64 {
-	measured := newSite(seed, PolicyRandom, scenario{})
-	random := rand.New(rand.NewPCG(seed, arrivalsSource+1))
-	source := stream{caller: anyOne, row: anyOne, priority: anyOne}
+// measureCapacity returns the throughput of the engines in answers per second, with
+// full batches and no cache-aware routing. Scenario loads are multiples of it.
+func measureCapacity(seed uint64) float64 {
+	measured := newSimulation(seed, PolicyRandom, scenario{})
+	random := rand.New(rand.NewPCG(seed, arrivalSeed+1))
+	source := stream{caller: drawEach, row: drawEach, priority: drawEach}
 	answers := 0
 	var next uint64
 	for _, host := range measured.engines {
 		now := epochStart.Add(warmUp)
 		host.engine.Advance(now)
 		pending := maxBatch
-		for now.Before(epochStart.Add(warmUp + capacityTime)) {
+		for now.Before(epochStart.Add(warmUp + capacityDuration)) {
 			for ; pending > 0; pending-- {
 				next++
 				asked := source.newCall(0, random).request
@@ -42,5 +41,5 @@
 			}
 		}
 	}
-	return float64(answers) / capacityTime.Seconds()
+	return float64(answers) / capacityDuration.Seconds()
 }
--- a/kit/overload/check.go
+++ b/kit/overload/check.go
@@ -9,10 +9,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// terminalBound is by how much a terminal answer may come after the deadline.
+// terminalBound is the tolerance for a terminal answer after the deadline.
 const terminalBound = 250 * time.Millisecond
 
-// The rules that the checker judges.
+// The rules that the checker verifies.
 const (
 	ruleTerminal   = "one terminal answer"
 	ruleDeadline   = "terminal answer by the deadline"
@@ -21,7 +21,7 @@
 	ruleRetryAfter = "refusal says when to come back"
 )
 
-// Violation is a rule that did not hold for a request.
+// Violation is a rule violated by a request.
 type Violation struct {
 	Seed     uint64 `json:"seed"`
 	Policy   string `json:"policy"`
@@ -31,15 +31,16 @@
 	Detail   string `json:"detail"`
 }
 
-func (s *site) violate(rule string, target *call, detail string) {
+func (s *simulation) addViolation(rule string, target *call, detail string) {
 	s.violations = append(s.violations, Violation{
 		Seed: s.seed, Policy: s.policy, Scenario: s.scenario.name, Rule: rule,
 		Request: string(target.request.ID), Detail: detail,
 	})
 }
 
-// check judges every call from what its caller saw, and from the engines' own records.
-func (s *site) check() {
+// check verifies every call against the caller's observations and the engines'
+// execution records.
+func (s *simulation) check() {
 	executed := map[structs.RequestID]bool{}
 	for _, engine := range s.engines {
 		for _, execution := range engine.engine.Records().Executions {
@@ -51,30 +52,30 @@
 	}
 }
 
-func (s *site) checkCall(target *call, executed bool) {
+func (s *simulation) checkCall(target *call, executed bool) {
 	if target.terminals != 1 {
-		s.violate(ruleTerminal, target, fmt.Sprintf("%d terminal answers", target.terminals))
+		s.addViolation(ruleTerminal, target, fmt.Sprintf("%d terminal answers", target.terminals))
 		return
 	}
-	if late := target.endedAt - target.arrivedAt - target.patience; late > terminalBound {
-		s.violate(ruleDeadline, target, fmt.Sprintf("%v after the deadline", late))
+	if late := target.endedAt - target.arrivedAt - target.timeout; late > terminalBound {
+		s.addViolation(ruleDeadline, target, fmt.Sprintf("%v after the deadline", late))
 	}
 	if target.refusal == nil {
 		want := emulator.ExpectedLength(target.request.Row, target.request.Prompt, target.request.MaxTokens)
 		if target.tokens < want {
-			s.violate(ruleWhole, target, fmt.Sprintf("%d of %d tokens", target.tokens, want))
+			s.addViolation(ruleWhole, target, fmt.Sprintf("%d of %d tokens", target.tokens, want))
 		}
 		return
 	}
 	if target.refusal.Error.RetryAfter <= 0 {
-		s.violate(ruleRetryAfter, target, target.refusal.Error.Message)
+		s.addViolation(ruleRetryAfter, target, target.refusal.Error.Message)
 	}
 	if target.refusal.Execution == structs.ExecutionNotRun && executed {
-		s.violate(ruleNotRun, target, target.refusal.Error.Message)
+		s.addViolation(ruleNotRun, target, target.refusal.Error.Message)
 	}
 }
 
-// attemptRequest is the request of an attempt that an engine knows by its ID.
+// attemptRequest returns the request ID of the attempt with the given ID.
 func attemptRequest(id structs.RequestID) structs.RequestID {
 	return router.AttemptID(id).Request()
 }
--- a/kit/overload/doc.go
+++ b/kit/overload/doc.go
@@ -1,13 +1,13 @@
-// Package overload measures what a zone gives its callers when more comes than
-// it can carry, in virtual time: several routers share the engines of a zone, and
-// see the engines' load and caches late.
+// Package overload simulates a zone under overload in virtual time: several routers
+// share the engines of the zone and observe engine load and caches with a delay.
 //
-// What decides is the daemons' own code: router.Core, with admission and routing,
-// and emulator.Engine. Each scenario runs under every Policy with the same
-// arrivals: the real one, the real one with plainer routing, and a FIFO queue
-// that refuses nothing early. All figures come from the callers' side, and a
-// checker judges that each request got one terminal answer in time.
+// The simulation runs the production code of router.Core, with admission and
+// routing, on emulator.Engine. Each scenario runs under every policy with the same
+// arrivals: the production router, the production router with simpler routing, and
+// a FIFO queue that rejects nothing before its deadline. All metrics are measured
+// at the callers, and a checker verifies that each request gets exactly one
+// terminal answer in time.
 //
-// A run is a function of its options and of the seed. It uses one goroutine;
-// several seeds run side by side.
+// A run is deterministic in its options and seed. It uses one goroutine; several
+// runs execute in parallel.
 package overload
--- a/kit/overload/engine.go
+++ b/kit/overload/engine.go
@@ -12,33 +12,33 @@
 
 // engineHost runs one engine core.
 type engineHost struct {
-	site   *site
-	id     structs.RunnerID
-	engine *emulator.Engine
-	calls  map[emulator.CallID]engineCall
-	byName map[router.AttemptID]emulator.CallID
-	last   emulator.CallID
-	wakeup wakeup
+	sim       *simulation
+	id        structs.RunnerID
+	engine    *emulator.Engine
+	calls     map[emulator.CallID]engineCall
+	byAttempt map[router.AttemptID]emulator.CallID
+	last      emulator.CallID
+	wakeup    wakeup
 }
 
-// engineCall is one attempt under way.
+// engineCall is an attempt in progress.
 type engineCall struct {
-	from    *routerHost
+	router  *routerHost
 	attempt router.AttemptID
 }
 
-func newEngineHost(site *site, index int) *engineHost {
+func newEngineHost(sim *simulation, index int) *engineHost {
 	host := &engineHost{
-		site:   site,
-		id:     structs.RunnerID(fmt.Sprintf("runner-%02d", index)),
-		calls:  map[emulator.CallID]engineCall{},
-		byName: map[router.AttemptID]emulator.CallID{},
+		sim:       sim,
+		id:        structs.RunnerID(fmt.Sprintf("runner-%02d", index)),
+		calls:     map[emulator.CallID]engineCall{},
+		byAttempt: map[router.AttemptID]emulator.CallID{},
 	}
 	host.engine = emulator.NewEngine(emulator.EngineOptions{
 		Runner: host.id, Zone: zone, MemoryBytes: rowCount * rowBytes, MaxBatch: maxBatch,
 		HostMemoryBytes: rowCount * rowBytes, DiskBytes: rowCount * rowBytes,
 		ReportLag: reportLag, EventLag: eventLag, EventLossRate: eventLossRate,
-		Random: rand.New(rand.NewPCG(site.seed, uint64(index+1)<<8)),
+		Random: rand.New(rand.NewPCG(sim.seed, uint64(index+1)<<8)),
 		FetchTime: func(structs.RowName, int64) (time.Duration, bool) {
 			return time.Millisecond, true
 		},
@@ -53,30 +53,30 @@
 }
 
 func (h *engineHost) step(input emulator.EngineInput) []emulator.EngineOutput {
-	outputs := h.engine.Step(h.site.now(), input)
-	h.passOn(outputs)
-	h.arm()
+	outputs := h.engine.Step(h.sim.now(), input)
+	h.sendOutputs(outputs)
+	h.scheduleWakeup()
 	return outputs
 }
 
-// arm schedules the engine's next event.
-func (h *engineHost) arm() {
+// scheduleWakeup schedules the next event of the engine.
+func (h *engineHost) scheduleWakeup() {
 	next, some := h.engine.NextEvent()
 	if !some {
 		return
 	}
-	h.wakeup.set(&h.site.scheduler, next.Sub(epochStart), func() {
-		h.passOn(h.engine.Advance(h.site.now()))
-		h.arm()
+	h.wakeup.set(&h.sim.scheduler, next.Sub(epochStart), func() {
+		h.sendOutputs(h.engine.Advance(h.sim.now()))
+		h.scheduleWakeup()
 	})
 }
 
-// passOn carries outputs to their routers.
-func (h *engineHost) passOn(outputs []emulator.EngineOutput) {
+// sendOutputs delivers outputs to their routers after networkDelay.
+func (h *engineHost) sendOutputs(outputs []emulator.EngineOutput) {
 	if len(outputs) == 0 {
 		return
 	}
-	h.site.scheduler.After(networkDelay, func() {
+	h.sim.scheduler.After(networkDelay, func() {
 		for index := range outputs {
 			h.deliver(&outputs[index])
 		}
@@ -90,36 +90,36 @@
 	}
 	switch output.Kind {
 	case emulator.OutputAccepted:
-		call.from.step(router.AttemptStarted{Attempt: call.attempt})
-		call.from.observe(h.id, output.Load)
+		call.router.step(router.AttemptStarted{Attempt: call.attempt})
+		call.router.observe(h.id, output.Load)
 	case emulator.OutputToken:
 		if output.Token.Finish != "" {
 			h.forget(output.Call)
 		}
-		call.from.step(router.TokenReceived{Attempt: call.attempt, Token: output.Token})
-		call.from.observe(h.id, output.Load)
+		call.router.step(router.TokenReceived{Attempt: call.attempt, Token: output.Token})
+		call.router.observe(h.id, output.Load)
 	case emulator.OutputRefused:
 		h.forget(output.Call)
 		problem := output.Refusal.Error
-		call.from.step(router.AttemptFailed{Attempt: call.attempt, Stage: router.RefusedByEngine, Error: &problem})
+		call.router.step(router.AttemptFailed{Attempt: call.attempt, Stage: router.RefusedByEngine, Error: &problem})
 	}
 }
 
 func (h *engineHost) forget(id emulator.CallID) {
-	delete(h.byName, h.calls[id].attempt)
+	delete(h.byAttempt, h.calls[id].attempt)
 	delete(h.calls, id)
 }
 
 func (h *engineHost) generate(from *routerHost, send router.SendAttempt) {
 	h.last++
-	h.calls[h.last] = engineCall{from: from, attempt: send.Attempt}
-	h.byName[send.Attempt] = h.last
+	h.calls[h.last] = engineCall{router: from, attempt: send.Attempt}
+	h.byAttempt[send.Attempt] = h.last
 	h.step(emulator.EngineInput{Kind: emulator.InputGenerate, Call: h.last, Generate: send.Generate})
 }
 
-// cancel ends an attempt whose router does not wait for it any more.
+// cancel disconnects an attempt that its router has abandoned.
 func (h *engineHost) cancel(attempt router.AttemptID) {
-	id, known := h.byName[attempt]
+	id, known := h.byAttempt[attempt]
 	if !known {
 		return
 	}
@@ -127,7 +127,7 @@
 	h.step(emulator.EngineInput{Kind: emulator.InputDisconnect, Call: id})
 }
 
-// load reads the engine's lagging report.
+// load returns the engine's delayed load report, or nil if there is none.
 func (h *engineHost) load() *structs.LoadReport {
 	for _, output := range h.step(emulator.EngineInput{Kind: emulator.InputReport}) {
 		if output.Kind == emulator.OutputReport {
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// promptTokens counts the prompt tokens of all executions, and those that were cached.
+// promptTokens returns the number of prompt tokens of all executions, and how many
+// of them were cached.
 func (h *engineHost) promptTokens() (all, cached int) {
 	for _, execution := range h.engine.Records().Executions {
 		all += promptTokens
--- a/kit/overload/fifo.go
+++ b/kit/overload/fifo.go
@@ -9,14 +9,14 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// fifo is the baseline of a router with one queue.
+// fifo is a baseline router with a single queue.
 type fifo struct {
 	now      time.Time
 	runners  []structs.RunnerInfo
 	inFlight map[structs.RunnerID]int
 	queue    []*fifoRequest
 	attempts map[router.AttemptID]*fifoRequest
-	held     []*fifoRequest
+	pending  []*fifoRequest
 	effects  []router.Effect
 }
 
@@ -32,7 +32,7 @@
 	return &fifo{inFlight: map[structs.RunnerID]int{}, attempts: map[router.AttemptID]*fifoRequest{}}
 }
 
-// Step implements decider.
+// Step implements routerCore.
 func (f *fifo) Step(now time.Time, event router.Event) []router.Effect {
 	f.now = now
 	f.effects = nil
@@ -42,7 +42,7 @@
 	case router.Arrived:
 		added := &fifoRequest{Request: event.Request}
 		f.queue = append(f.queue, added)
-		f.held = append(f.held, added)
+		f.pending = append(f.pending, added)
 	case router.TokenReceived:
 		f.receive(event)
 	case router.AttemptFailed:
@@ -77,7 +77,7 @@
 			f.queue = f.queue[1:]
 			continue
 		}
-		chosen := f.least()
+		chosen := f.leastLoaded()
 		if chosen == nil {
 			return
 		}
@@ -94,9 +94,9 @@
 	}
 }
 
-// least returns the runner with the fewest requests of this router, or nil if
-// all are full.
-func (f *fifo) least() *structs.RunnerInfo {
+// leastLoaded returns the runner with the fewest requests in flight from this
+// router, or nil if all are full.
+func (f *fifo) leastLoaded() *structs.RunnerInfo {
 	var best *structs.RunnerInfo
 	for index := range f.runners {
 		candidate := &f.runners[index]
@@ -109,8 +109,8 @@
 }
 
 func (f *fifo) expire(now time.Time) {
-	kept := f.held[:0]
-	for _, current := range f.held {
+	kept := f.pending[:0]
+	for _, current := range f.pending {
 		if current.ended {
 			continue
 		}
@@ -120,7 +120,7 @@
 		}
 		f.refuse(current)
 	}
-	f.held = kept
+	f.pending = kept
 }
 
 func (f *fifo) refuse(given *fifoRequest) {
@@ -130,7 +130,7 @@
 		f.effects = append(f.effects, router.CancelAttempt{Attempt: given.attempt()})
 	}
 	f.end(given)
-	problem := structs.NewError(structs.ErrorDeadline, "the deadline came before the answer was whole", fmt.Sprintf("Come back after %v.", fixedRetryAfter))
+	problem := structs.NewError(structs.ErrorDeadline, "the deadline passed before the answer was complete", fmt.Sprintf("Retry after %v.", fixedRetryAfter))
 	problem.RetryAfter = fixedRetryAfter
 	f.effects = append(f.effects, router.Refuse{ID: given.ID, Refusal: structs.Refusal{Error: *problem, Execution: execution}})
 }
@@ -143,11 +143,11 @@
 	}
 }
 
-// fixedRetryAfter is what the FIFO tells refused callers.
+// fixedRetryAfter is the retry delay in all refusals of the FIFO router.
 const fixedRetryAfter = time.Second
 
-// fifoTick is how often the FIFO looks at its deadlines.
+// fifoTick is the interval at which the FIFO router checks deadlines.
 const fifoTick = 100 * time.Millisecond
 
-// NextDeadline implements decider.
-func (f *fifo) NextDeadline() (time.Time, bool) { return f.now.Add(fifoTick), len(f.held) > 0 }
+// NextDeadline implements routerCore.
+func (f *fifo) NextDeadline() (time.Time, bool) { return f.now.Add(fifoTick), len(f.pending) > 0 }
--- a/kit/overload/measure.go
+++ b/kit/overload/measure.go
@@ -7,53 +7,54 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// heldMargin is how close to its deadline a refusal counts as held back.
-const heldMargin = 150 * time.Millisecond
+// atDeadlineMargin is the time before a deadline within which a refusal counts as
+// made at the deadline.
+const atDeadlineMargin = 150 * time.Millisecond
 
-// settleTime passes after the first arrival before goodput is counted; the count
-// ends with the last arrival, so that a backlog that drains later adds nothing.
+// settleTime is the initial transient excluded from goodput. Answers after the
+// arrival period are excluded too, so that draining a backlog does not count.
 const settleTime = 5 * time.Second
 
-// The names of the figures. Shares are parts of 1, times are in seconds.
+// The names of the metrics. Shares are in [0, 1], times in seconds.
 const (
-	figureGoodput        = "goodput_per_second"
-	figureOffered        = "offered_per_second"
-	figureInTime         = "in_time_share"
-	figureLate           = "late_share"
-	figureWasted         = "wasted_token_share"
-	figureFirstToken     = "first_token"
-	figureLiveFirstToken = "live_first_token"
-	figureLiveInTime     = "live_in_time_share"
-	figurePrefixHits     = "prefix_hit_share"
-	figureRefused        = "refused_share"
-	figureRefusalTime    = "refusal_time"
-	figureHeld           = "refused_at_deadline_share"
-	figureRetryAfter     = "retry_after"
-	figureReturnedInTime = "returned_in_time_share"
-	figureWaitMiss       = "wait_estimate_error_mean"
-	figureWaitMissP95    = "wait_estimate_error_p95"
-	figureWaitBias       = "wait_estimate_bias"
-	figureWait           = "wait_mean"
-	figureWorstCaller    = "worst_caller_in_time_share"
+	figureGoodput           = "goodput_per_second"
+	figureOffered           = "offered_per_second"
+	figureInTime            = "in_time_share"
+	figureLate              = "late_share"
+	figureWasted            = "wasted_token_share"
+	figureFirstToken        = "first_token"
+	figureLiveFirstToken    = "live_first_token"
+	figureLiveInTime        = "live_in_time_share"
+	figurePrefixHits        = "prefix_hit_share"
+	figureRefused           = "refused_share"
+	figureRefusalTime       = "refusal_time"
+	figureRefusedAtDeadline = "refused_at_deadline_share"
+	figureRetryAfter        = "retry_after"
+	figureRetriedInTime     = "returned_in_time_share"
+	figureWaitError         = "wait_estimate_error_mean"
+	figureWaitErrorP95      = "wait_estimate_error_p95"
+	figureWaitBias          = "wait_estimate_bias"
+	figureWait              = "wait_mean"
+	figureWorstCaller       = "worst_caller_in_time_share"
 )
 
-// priorityNames tell the figures of the classes apart.
+// priorityNames are the suffixes of metrics by priority.
 var priorityNames = [structs.PriorityCount]string{"batch", "standard", "live"}
 
-// measurement is one figure of one run.
+// measurement is the value of one metric in one run.
 type measurement struct {
 	name  string
 	value float64
 }
 
-// measurements gathers the figures of one run.
+// measurements collects the metrics of one run.
 type measurements struct{ all []measurement }
 
 func (m *measurements) add(name string, value float64) {
 	m.all = append(m.all, measurement{name, value})
 }
 
-// addShare adds part/whole, and nothing when there is no whole.
+// addShare adds part/whole, or nothing if whole is zero.
 func (m *measurements) addShare(name string, part, whole int) {
 	if whole > 0 {
 		m.add(name, float64(part)/float64(whole))
@@ -71,7 +72,7 @@
 	m.add(name, sum/float64(len(values)))
 }
 
-// addQuantiles sorts the values.
+// addQuantiles adds the median and the 95th and 99th percentiles. It sorts values.
 func (m *measurements) addQuantiles(name string, values []float64) {
 	if len(values) == 0 {
 		return
@@ -86,8 +87,8 @@
 	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
 }
 
-// measure sums up a run that has ended.
-func (s *site) measure() []measurement {
+// measure returns the metrics of a finished run.
+func (s *simulation) measure() []measurement {
 	gathered := &measurements{}
 	s.measureGoodput(gathered)
 	s.measureFirstToken(gathered)
@@ -97,7 +98,7 @@
 	return gathered.all
 }
 
-func (s *site) measureGoodput(gathered *measurements) {
+func (s *simulation) measureGoodput(gathered *measurements) {
 	var inTime, late, wasted, tokens int
 	from, until := warmUp+settleTime, warmUp+s.length()
 	labels := shares{}
@@ -127,7 +128,7 @@
 	}
 }
 
-// share counts calls, and those answered in time.
+// share counts calls and those answered in time.
 type share struct{ inTime, calls int }
 
 func (c *share) add(target *call) {
@@ -137,10 +138,10 @@
 	}
 }
 
-// shares are those of calls that are counted apart, by name.
+// shares holds separate counts of groups of calls by name.
 type shares map[string]*share
 
-// of returns the share of the name; one that was not asked for before is empty.
+// of returns the share with the given name, creating it if absent.
 func (s shares) of(name string) *share {
 	counted := s[name]
 	if counted == nil {
@@ -150,8 +151,8 @@
 	return counted
 }
 
-// length is how long calls arrive.
-func (s *site) length() time.Duration {
+// length returns the duration of the arrival period.
+func (s *simulation) length() time.Duration {
 	length := time.Duration(0)
 	for _, stream := range s.scenario.streams {
 		length = max(length, stream.until)
@@ -159,7 +160,7 @@
 	return length
 }
 
-func (s *site) measureFirstToken(gathered *measurements) {
+func (s *simulation) measureFirstToken(gathered *measurements) {
 	var waits, liveWaits []float64
 	var live share
 	for _, target := range s.calls {
@@ -188,14 +189,14 @@
 	gathered.addShare(figurePrefixHits, cached, all)
 }
 
-func (s *site) measureRefusals(gathered *measurements) {
+func (s *simulation) measureRefusals(gathered *measurements) {
 	var times, retryAfter []float64
 	var timesOf [structs.PriorityCount][]float64
-	held := 0
-	var returned share
+	atDeadline := 0
+	var retried share
 	for _, target := range s.calls {
-		if target.returned {
-			returned.add(target)
+		if target.retried {
+			retried.add(target)
 		}
 		if target.refusal == nil {
 			continue
@@ -204,46 +205,47 @@
 		times = append(times, took)
 		timesOf[target.request.Priority] = append(timesOf[target.request.Priority], took)
 		retryAfter = append(retryAfter, target.refusal.Error.RetryAfter.Seconds())
-		if target.arrivedAt+target.patience-target.endedAt < heldMargin {
-			held++
+		if target.arrivedAt+target.timeout-target.endedAt < atDeadlineMargin {
+			atDeadline++
 		}
 	}
 	gathered.addShare(figureRefused, len(times), len(s.calls))
-	gathered.addShare(figureHeld, held, len(times))
+	gathered.addShare(figureRefusedAtDeadline, atDeadline, len(times))
 	gathered.addQuantiles(figureRefusalTime, times)
 	for priority, own := range timesOf {
 		gathered.addQuantiles(figureRefusalTime+"_"+priorityNames[priority], own)
 	}
 	gathered.addQuantiles(figureRetryAfter, retryAfter)
-	gathered.addShare(figureReturnedInTime, returned.inTime, returned.calls)
+	gathered.addShare(figureRetriedInTime, retried.inTime, retried.calls)
 }
 
-// measureEstimates compares the routers' estimates with what came; the FIFO has none.
-func (s *site) measureEstimates(gathered *measurements) {
+// measureEstimates compares the wait estimates of the routers with the measured
+// waits. The FIFO router makes no estimates.
+func (s *simulation) measureEstimates(gathered *measurements) {
 	if s.policy == PolicyFIFO {
 		return
 	}
-	var misses, bias, waits []float64
+	var absoluteErrors, bias, waits []float64
 	for _, target := range s.calls {
 		if target.attempts == 0 {
 			continue
 		}
-		miss := (target.estimated - target.waited).Seconds()
-		bias = append(bias, miss)
-		misses = append(misses, max(miss, -miss))
+		waitError := (target.estimated - target.waited).Seconds()
+		bias = append(bias, waitError)
+		absoluteErrors = append(absoluteErrors, max(waitError, -waitError))
 		waits = append(waits, target.waited.Seconds())
 	}
-	gathered.addMean(figureWaitMiss, misses)
+	gathered.addMean(figureWaitError, absoluteErrors)
 	gathered.addMean(figureWaitBias, bias)
 	gathered.addMean(figureWait, waits)
-	if len(misses) > 0 {
-		slices.Sort(misses)
-		gathered.add(figureWaitMissP95, quantile(misses, 0.95))
+	if len(absoluteErrors) > 0 {
+		slices.Sort(absoluteErrors)
+		gathered.add(figureWaitErrorP95, quantile(absoluteErrors, 0.95))
 	}
 }
 
-// measureCallers finds the caller that does not flood and is served worst.
-func (s *site) measureCallers(gathered *measurements) {
+// measureCallers adds the lowest in-time share among the callers that do not flood.
+func (s *simulation) measureCallers(gathered *measurements) {
 	callers := shares{}
 	for _, target := range s.calls {
 		if target.label == labelOthers {
--- a/kit/overload/overload_test.go
+++ b/kit/overload/overload_test.go
@@ -12,7 +12,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// shortLength keeps the tests to seconds of real time.
+// shortLength is a short arrival period, to limit test time.
 const shortLength = 8 * time.Second
 
 func measured(t *testing.T, options Options) Report {
@@ -36,7 +36,7 @@
 	return 0
 }
 
-func TestGoodputDoesNotFallBeyondCapacity(t *testing.T) {
+func TestGoodputDoesNotDropUnderOverload(t *testing.T) {
 	var report Report
 	for _, factor := range []float64{1, 1.5, 3} {
 		part := measured(t, Options{Scenario: loadName(factor), Policy: PolicyLotusferry})
@@ -46,7 +46,7 @@
 	for _, factor := range []float64{1.5, 3} {
 		name := loadName(factor)
 		qt.Check(t, figureOf(t, report, name, PolicyLotusferry, figureGoodput) >= full, qt.IsTrue, qt.Commentf("%s", name))
-		qt.Check(t, figureOf(t, report, name, PolicyLotusferry, figureHeld) < 0.03, qt.IsTrue, qt.Commentf("%s", name))
+		qt.Check(t, figureOf(t, report, name, PolicyLotusferry, figureRefusedAtDeadline) < 0.03, qt.IsTrue, qt.Commentf("%s", name))
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestBurstHitsMorePrefixesThanWithoutAffinity(t *testing.T) {
+func TestAffinityRaisesPrefixHitsInBurst(t *testing.T) {
 	hits := func(policy string) float64 {
 		report := measured(t, Options{Scenario: scenarioBurst, Policy: policy})
 		return figureOf(t, report, scenarioBurst, policy, figurePrefixHits)
@@ -69,43 +69,43 @@
 	qt.Check(t, hits(PolicyLotusferry) > hits(PolicyNoAffinity)+0.1, qt.IsTrue)
 }
 
-func TestResultDependsOnTheSeedOnly(t *testing.T) {
+func TestResultIsIndependentOfWorkers(t *testing.T) {
 	options := Options{Scenario: loadName(1.5), Policy: PolicyLotusferry, Seeds: 2, Workers: 1}
 	first := measured(t, options)
 	options.Workers = 3
 	qt.Assert(t, reflect.DeepEqual(measured(t, options), first), qt.IsTrue)
 }
 
-func TestUnknownScenarioNamesTheRemedy(t *testing.T) {
+func TestUnknownScenarioIsRejected(t *testing.T) {
 	_, err := Run(context.Background(), Options{Scenario: "absent"})
 	qt.Assert(t, err, qt.ErrorMatches, "no scenario or policy has that name.*")
 }
 
-// saboteur changes the effects of a router on their way to the shell.
-type saboteur struct {
-	decider
+// faultyCore alters the effects of a router core before its host executes them.
+type faultyCore struct {
+	routerCore
 	change func(router.Effect) []router.Effect
-	// late, when set, keeps Ticks from the router that much longer.
-	late time.Duration
+	// tickDelay delays every Tick event.
+	tickDelay time.Duration
 }
 
-func (s saboteur) Step(now time.Time, event router.Event) []router.Effect {
+func (s faultyCore) Step(now time.Time, event router.Event) []router.Effect {
 	var changed []router.Effect
-	for _, effect := range s.decider.Step(now, event) {
+	for _, effect := range s.routerCore.Step(now, event) {
 		changed = append(changed, s.change(effect)...)
 	}
 	return changed
 }
 
-func (s saboteur) NextDeadline() (time.Time, bool) {
-	when, ok := s.decider.NextDeadline()
-	return when.Add(s.late), ok
+func (s faultyCore) NextDeadline() (time.Time, bool) {
+	when, ok := s.routerCore.NextDeadline()
+	return when.Add(s.tickDelay), ok
 }
 
 func unchanged(effect router.Effect) []router.Effect { return []router.Effect{effect} }
 
-// refusals changes refusals only.
-func refusals(change func(*router.Refuse) []router.Effect) func(router.Effect) []router.Effect {
+// changeRefusals returns a function that applies change to refusals only.
+func changeRefusals(change func(*router.Refuse) []router.Effect) func(router.Effect) []router.Effect {
 	return func(effect router.Effect) []router.Effect {
 		if refuse, ok := effect.(router.Refuse); ok {
 			return change(&refuse)
@@ -114,38 +114,38 @@
 	}
 }
 
-func TestCheckerSeesEachBrokenRule(t *testing.T) {
+func TestCheckerReportsEachViolatedRule(t *testing.T) {
 	tests := []struct {
 		rule   string
 		policy string
-		broken saboteur
+		broken faultyCore
 	}{
-		{"", PolicyLotusferry, saboteur{change: unchanged}},
-		{ruleTerminal, PolicyLotusferry, saboteur{change: refusals(func(*router.Refuse) []router.Effect { return nil })}},
-		{ruleTerminal, PolicyLotusferry, saboteur{change: refusals(func(refuse *router.Refuse) []router.Effect { return []router.Effect{*refuse, *refuse} })}},
-		{ruleRetryAfter, PolicyLotusferry, saboteur{change: refusals(func(refuse *router.Refuse) []router.Effect {
+		{"", PolicyLotusferry, faultyCore{change: unchanged}},
+		{ruleTerminal, PolicyLotusferry, faultyCore{change: changeRefusals(func(*router.Refuse) []router.Effect { return nil })}},
+		{ruleTerminal, PolicyLotusferry, faultyCore{change: changeRefusals(func(refuse *router.Refuse) []router.Effect { return []router.Effect{*refuse, *refuse} })}},
+		{ruleRetryAfter, PolicyLotusferry, faultyCore{change: changeRefusals(func(refuse *router.Refuse) []router.Effect {
 			refuse.Refusal.Error.RetryAfter = 0
 			return unchanged(*refuse)
 		})}},
-		{ruleNotRun, PolicyFIFO, saboteur{change: refusals(func(refuse *router.Refuse) []router.Effect {
+		{ruleNotRun, PolicyFIFO, faultyCore{change: changeRefusals(func(refuse *router.Refuse) []router.Effect {
 			refuse.Refusal.Execution = structs.ExecutionNotRun
 			return unchanged(*refuse)
 		})}},
-		{ruleWhole, PolicyLotusferry, saboteur{change: func(effect router.Effect) []router.Effect {
+		{ruleWhole, PolicyLotusferry, faultyCore{change: func(effect router.Effect) []router.Effect {
 			if deliver, ok := effect.(*router.Deliver); ok && deliver.Token.Index == 5 {
 				return nil
 			}
 			return unchanged(effect)
 		}}},
-		{ruleDeadline, PolicyFIFO, saboteur{change: unchanged, late: time.Second}},
+		{ruleDeadline, PolicyFIFO, faultyCore{change: unchanged, tickDelay: time.Second}},
 	}
-	capacity := capacityOf(1)
+	capacity := measureCapacity(1)
 	for _, test := range tests {
 		t.Run(test.rule, func(t *testing.T) {
-			mixed := stream{label: labelAll, until: shortLength / 2, rate: 3 * capacity, caller: anyOne, row: anyOne, priority: anyOne}
-			made := newSite(1, test.policy, scenario{name: "sabotage", streams: []stream{mixed}})
-			made.wrap = func(inner decider) decider {
-				test.broken.decider = inner
+			mixed := stream{label: labelAll, until: shortLength / 2, rate: 3 * capacity, caller: drawEach, row: drawEach, priority: drawEach}
+			made := newSimulation(1, test.policy, scenario{name: "faulty-router", streams: []stream{mixed}})
+			made.wrapCore = func(inner routerCore) routerCore {
+				test.broken.routerCore = inner
 				return test.broken
 			}
 			made.run()
--- a/kit/overload/policy.go
+++ b/kit/overload/policy.go
@@ -11,35 +11,36 @@
 
 // The policies.
 const (
-	// PolicyLotusferry is the router as the daemons run it.
+	// PolicyLotusferry is the production router.
 	PolicyLotusferry = "lotusferry"
-	// PolicyNoAffinity does not prefer runners that have cached the prompt.
+	// PolicyNoAffinity ignores prefix caches in routing.
 	PolicyNoAffinity = "no-affinity"
-	// PolicyRandom sends to any runner that has room.
+	// PolicyRandom sends to a random runner with capacity.
 	PolicyRandom = "random"
-	// PolicyLeastInFlight sends to the runner with the fewest requests of this
-	// router, and does not read load reports.
+	// PolicyLeastInFlight sends to the runner with the fewest requests in flight
+	// from this router and ignores load reports.
 	PolicyLeastInFlight = "least-in-flight"
-	// PolicyFIFO has one queue for all requests, in the order of arrival, sends as
-	// PolicyLeastInFlight does, and refuses nothing before its deadline.
+	// PolicyFIFO queues all requests in order of arrival, routes them like
+	// PolicyLeastInFlight and refuses none before its deadline.
 	PolicyFIFO = "fifo"
 )
 
-// Policies lists the policies, the real one first.
+// Policies returns the names of all policies, the production router first.
 func Policies() []string {
 	return []string{PolicyLotusferry, PolicyNoAffinity, PolicyRandom, PolicyLeastInFlight, PolicyFIFO}
 }
 
-// decider is what decides at one router.
-type decider interface {
+// routerCore is the decision logic of a router.
+type routerCore interface {
 	Step(now time.Time, event router.Event) []router.Effect
 	NextDeadline() (time.Time, bool)
 }
 
-// noHints is a bound on remembered prefixes so low that none is of use.
-const noHints = 1
+// minHintLimit is the smallest limit on remembered prefixes. It disables affinity in
+// effect.
+const minHintLimit = 1
 
-func newDecider(policy string, daemon structs.DaemonID, random *rand.Rand) decider {
+func newRouterCore(policy string, daemon structs.DaemonID, random *rand.Rand) routerCore {
 	if policy == PolicyFIFO {
 		return newFIFO()
 	}
@@ -47,19 +48,19 @@
 	options.Routing = routing.Options{MaxBatch: maxBatch}
 	switch policy {
 	case PolicyNoAffinity:
-		options.Routing.HintLimit = noHints
+		options.Routing.HintLimit = minHintLimit
 	case PolicyRandom:
-		options.Routing.HintLimit = noHints
+		options.Routing.HintLimit = minHintLimit
 		options.Routing.Choices = 1
 	case PolicyLeastInFlight:
-		options.Routing.HintLimit = noHints
+		options.Routing.HintLimit = minHintLimit
 		options.Routing.Choices = 4 * engineCount
 	}
 	return router.New(options)
 }
 
-// readsLoad reports whether the policy is given load reports.
+// readsLoad reports whether the policy uses load reports.
 func readsLoad(policy string) bool { return policy != PolicyLeastInFlight && policy != PolicyFIFO }
 
-// readsCaches reports whether the policy is given cache events.
+// readsCaches reports whether the policy uses cache events.
 func readsCaches(policy string) bool { return policy == PolicyLotusferry }
--- a/kit/overload/routerhost.go
+++ b/kit/overload/routerhost.go
@@ -10,60 +10,60 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// routerHost is the shell of one router.
+// routerHost runs one router core and executes its effects.
 type routerHost struct {
-	site    *site
-	decider decider
-	sent    map[router.AttemptID]*engineHost
-	// read is how far the cache events of each engine were read.
-	read   map[structs.RunnerID]uint64
-	wakeup wakeup
+	sim  *simulation
+	core routerCore
+	sent map[router.AttemptID]*engineHost
+	// cacheCursors holds the position in the cache events of each engine.
+	cacheCursors map[structs.RunnerID]uint64
+	wakeup       wakeup
 }
 
-func newRouterHost(site *site, index int) *routerHost {
-	random := rand.New(rand.NewPCG(site.seed, uint64(index+1)))
+func newRouterHost(sim *simulation, index int) *routerHost {
+	random := rand.New(rand.NewPCG(sim.seed, uint64(index+1)))
 	host := &routerHost{
-		site:    site,
-		decider: newDecider(site.policy, routerID(index), random),
-		sent:    map[router.AttemptID]*engineHost{},
-		read:    map[structs.RunnerID]uint64{},
+		sim:          sim,
+		core:         newRouterCore(sim.policy, routerID(index), random),
+		sent:         map[router.AttemptID]*engineHost{},
+		cacheCursors: map[structs.RunnerID]uint64{},
 	}
-	if site.wrap != nil {
-		host.decider = site.wrap(host.decider)
+	if sim.wrapCore != nil {
+		host.core = sim.wrapCore(host.core)
 	}
-	host.step(router.ViewChanged{View: site.view()})
+	host.step(router.ViewChanged{View: sim.view()})
 	offset := time.Duration(random.Int64N(int64(pollInterval)))
-	site.scheduler.After(offset, host.poll)
+	sim.scheduler.After(offset, host.poll)
 	return host
 }
 
 // poll reads the engines' load reports and cache events.
 func (h *routerHost) poll() {
-	for _, engine := range h.site.engines {
-		if readsLoad(h.site.policy) {
+	for _, engine := range h.sim.engines {
+		if readsLoad(h.sim.policy) {
 			h.observe(engine.id, engine.load())
 		}
-		if readsCaches(h.site.policy) {
+		if readsCaches(h.sim.policy) {
 			h.readCaches(engine)
 		}
 	}
-	h.site.scheduler.After(pollInterval, h.poll)
+	h.sim.scheduler.After(pollInterval, h.poll)
 }
 
 func (h *routerHost) readCaches(engine *engineHost) {
-	outputs := engine.step(emulator.EngineInput{Kind: emulator.InputEvents, After: h.read[engine.id]})
+	outputs := engine.step(emulator.EngineInput{Kind: emulator.InputEvents, After: h.cacheCursors[engine.id]})
 	for _, output := range outputs {
 		if output.Kind != emulator.OutputEvents {
 			continue
 		}
-		h.read[engine.id] = output.Events.Next
+		h.cacheCursors[engine.id] = output.Events.Next
 		for _, event := range output.Events.Events {
-			h.learn(engine.id, event)
+			h.applyCacheEvent(engine.id, event)
 		}
 	}
 }
 
-func (h *routerHost) learn(runner structs.RunnerID, event engineapi.CacheEvent) {
+func (h *routerHost) applyCacheEvent(runner structs.RunnerID, event engineapi.CacheEvent) {
 	for _, block := range event.Blocks {
 		h.step(router.CacheEvent{
 			Runner: runner, Sequence: event.Sequence, Row: event.Row, PrefixHash: block,
@@ -73,51 +73,51 @@
 }
 
 func (h *routerHost) observe(runner structs.RunnerID, load *structs.LoadReport) {
-	if load != nil && readsLoad(h.site.policy) {
+	if load != nil && readsLoad(h.sim.policy) {
 		h.step(router.LoadObserved{Runner: runner, Report: *load})
 	}
 }
 
 func (h *routerHost) step(event router.Event) {
-	for _, effect := range h.decider.Step(h.site.now(), event) {
-		h.carryOut(effect)
+	for _, effect := range h.core.Step(h.sim.now(), event) {
+		h.execute(effect)
 	}
-	h.arm()
+	h.scheduleTick()
 }
 
-// arm schedules the next Tick.
-func (h *routerHost) arm() {
-	next, some := h.decider.NextDeadline()
+// scheduleTick schedules the next Tick.
+func (h *routerHost) scheduleTick() {
+	next, some := h.core.NextDeadline()
 	if !some {
 		return
 	}
-	h.wakeup.set(&h.site.scheduler, next.Sub(epochStart), func() { h.step(router.Tick{}) })
+	h.wakeup.set(&h.sim.scheduler, next.Sub(epochStart), func() { h.step(router.Tick{}) })
 }
 
-func (h *routerHost) carryOut(effect router.Effect) {
+func (h *routerHost) execute(effect router.Effect) {
 	switch effect := effect.(type) {
 	case router.SendAttempt:
 		h.send(effect)
 	case router.CancelAttempt:
 		h.cancel(effect.Attempt)
 	case *router.Deliver:
-		h.site.delivered(effect.ID, effect.Token)
+		h.sim.recordToken(effect.ID, effect.Token)
 	case router.Finish:
-		h.site.ended(effect.ID, nil)
+		h.sim.recordEnd(effect.ID, nil)
 	case router.Refuse:
-		h.site.ended(effect.ID, &effect.Refusal)
+		h.sim.recordEnd(effect.ID, &effect.Refusal)
 	}
 }
 
 func (h *routerHost) send(send router.SendAttempt) {
-	engine := h.site.byID[send.Runner]
+	engine := h.sim.byID[send.Runner]
 	h.sent[send.Attempt] = engine
-	h.site.dispatched(send)
-	h.site.scheduler.After(networkDelay, func() { engine.generate(h, send) })
+	h.sim.recordAttempt(send)
+	h.sim.scheduler.After(networkDelay, func() { engine.generate(h, send) })
 }
 
 func (h *routerHost) cancel(attempt router.AttemptID) {
 	engine := h.sent[attempt]
 	delete(h.sent, attempt)
-	h.site.scheduler.After(networkDelay, func() { engine.cancel(attempt) })
+	h.sim.scheduler.After(networkDelay, func() { engine.cancel(attempt) })
 }
--- a/kit/overload/run.go
+++ b/kit/overload/run.go
@@ -10,20 +10,20 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// DefaultLength is how long calls arrive in a scenario, in virtual time.
+// DefaultLength is the default arrival period of a scenario, in virtual time.
 const DefaultLength = 30 * time.Second
 
-// Options say what Run measures.
+// Options configures Run.
 type Options struct {
-	// Seed is the first of Seeds seeds.
+	// Seed is the first of Seeds consecutive seeds.
 	Seed  uint64
 	Seeds int
-	// Workers is how many runs go side by side; one a processor if 0.
+	// Workers is the number of parallel runs; GOMAXPROCS if 0.
 	Workers int
-	// Length is how long calls arrive in each scenario; DefaultLength if 0.
+	// Length is the arrival period of each scenario; DefaultLength if 0.
 	Length time.Duration
-	// Scenario runs only the scenarios whose name begins so; Policy only this
-	// policy. Empty means all.
+	// Scenario is a prefix of the scenario names to run, and Policy the policy to
+	// run. Empty selects all.
 	Scenario string
 	Policy   string
 }
@@ -32,21 +32,21 @@
 type Report struct {
 	Seed  uint64 `json:"seed"`
 	Seeds int    `json:"seeds"`
-	// Capacity is the 1x of the scenarios, in answers a second.
+	// Capacity is the load factor 1 of the scenarios, in answers per second.
 	Capacity   Figure           `json:"capacity"`
 	Scenarios  []ScenarioReport `json:"scenarios"`
 	Requests   int              `json:"requests"`
 	Violations []Violation      `json:"violations"`
 }
 
-// ScenarioReport holds the figures of one scenario under one policy.
+// ScenarioReport holds the metrics of one scenario under one policy.
 type ScenarioReport struct {
 	Scenario string   `json:"scenario"`
 	Policy   string   `json:"policy"`
 	Figures  []Figure `json:"figures"`
 }
 
-// Figure is one figure over the seeds. Shares are parts of 1, times are in seconds.
+// Figure aggregates one metric over the seeds. Shares are in [0, 1], times in seconds.
 type Figure struct {
 	Name    string  `json:"name"`
 	Mean    float64 `json:"mean"`
@@ -65,7 +65,7 @@
 	f.Highest = max(f.Highest, value)
 }
 
-// Find returns the figure of the name; ok is false if it was not measured.
+// Find returns the figure with the given name, and whether it was measured.
 func (r *ScenarioReport) Find(name string) (found Figure, ok bool) {
 	for _, figure := range r.Figures {
 		if figure.Name == name {
@@ -77,23 +77,23 @@
 
 // job is one run; its result is written by one worker.
 type job struct {
-	seed     uint64
-	policy   string
-	scenario scenario
-	figures  []measurement
-	requests int
-	violated []Violation
+	seed       uint64
+	policy     string
+	scenario   scenario
+	figures    []measurement
+	requests   int
+	violations []Violation
 }
 
-// Run measures every scenario under every policy with every seed. The error is
-// an ErrorInvalid about the options, or that of the context.
+// Run simulates the selected scenarios and policies with every seed. It returns an
+// error of kind ErrorInvalid if the options select no run, or the context's error.
 func Run(ctx context.Context, options Options) (Report, error) {
 	options = options.withDefaults()
 	report := Report{Seed: options.Seed, Seeds: options.Seeds, Violations: []Violation{}}
 	report.Capacity.Name = "capacity_per_second"
 	capacities := make([]float64, options.Seeds)
 	parallel(ctx, options.Workers, options.Seeds, func(index int) {
-		capacities[index] = capacityOf(options.Seed + uint64(index))
+		capacities[index] = measureCapacity(options.Seed + uint64(index))
 	})
 	var jobs []*job
 	for index, capacity := range capacities {
@@ -138,14 +138,14 @@
 }
 
 func (j *job) run() {
-	made := newSite(j.seed, j.policy, j.scenario)
+	made := newSimulation(j.seed, j.policy, j.scenario)
 	made.run()
 	j.figures = made.measure()
 	j.requests = len(made.calls)
-	j.violated = made.violations
+	j.violations = made.violations
 }
 
-// parallel calls work for each index until the context ends.
+// parallel calls work for each index in [0, count) until the context is done.
 func parallel(ctx context.Context, workers, count int, work func(index int)) {
 	indexes := make(chan int)
 	var group sync.WaitGroup
@@ -166,8 +166,8 @@
 	group.Wait()
 }
 
-// combine sums the jobs up in their order, so that the result does not depend on
-// the workers.
+// combine adds the results of jobs to the report in order, so that it does not
+// depend on scheduling.
 func (r *Report) combine(jobs []*job) {
 	places := map[[2]string]int{}
 	for _, done := range jobs {
@@ -182,7 +182,7 @@
 			r.Scenarios[place].add(value)
 		}
 		r.Requests += done.requests
-		r.Violations = append(r.Violations, done.violated...)
+		r.Violations = append(r.Violations, done.violations...)
 	}
 }
 
--- a/kit/overload/scenario.go
+++ b/kit/overload/scenario.go
@@ -7,15 +7,15 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// scenario is what arrives.
+// scenario is a set of arrival streams.
 type scenario struct {
 	name    string
 	streams []stream
-	// returns lets refused callers come back once, when they were told to.
-	returns bool
+	// retries enables one retry per refused call, after its retry delay.
+	retries bool
 }
 
-// The labels of calls that are counted apart.
+// The labels of calls that are counted separately.
 const (
 	labelAll    = "all"
 	labelFlood  = "flood"
@@ -23,33 +23,35 @@
 	labelBurst  = "burst"
 )
 
-// The names of the scenarios; a load's name carries its factor.
+// The names of the scenarios. Load scenarios have the factor as a suffix.
 const (
 	scenarioLoad        = "load"
 	scenarioBatchFlood  = "batch-flood"
 	scenarioBurst       = "burst"
-	scenarioReturns     = "burst-with-returns"
+	scenarioRetries     = "burst-with-returns"
 	scenarioCallerFlood = "caller-flood"
 	scenarioRowFlood    = "row-flood"
 )
 
-// loadFactors are the offered loads, as multiples of capacity.
+// loadFactors holds the offered loads as multiples of capacity.
 var loadFactors = []float64{0.5, 1, 1.5, 2, 3}
 
 const (
-	// fairFactor is the load of those who do not flood, floodFactor of those who do.
-	fairFactor  = 0.4
-	floodFactor = 2.6
-	// usualFactor is the load around a burst; burstFactor comes on top for burstTime.
-	usualFactor = 0.6
+	// backgroundFactor and floodFactor are the loads of normal and of flooding
+	// callers.
+	backgroundFactor = 0.4
+	floodFactor      = 2.6
+	// baseFactor is the steady load; a burst adds burstFactor for burstTime.
+	baseFactor  = 0.6
 	burstFactor = 2.4
 	burstTime   = 8 * time.Second
 	burstStart  = 8 * time.Second
 )
 
-// scenarios lists what is measured at the given capacity, in answers a second.
+// scenarios returns all scenarios for a capacity in answers per second and an arrival
+// period.
 func scenarios(capacity float64, length time.Duration) []scenario {
-	mixed := stream{label: labelAll, until: length, caller: anyOne, row: anyOne, priority: anyOne}
+	mixed := stream{label: labelAll, until: length, caller: drawEach, row: drawEach, priority: drawEach}
 	var all []scenario
 	for _, factor := range loadFactors {
 		loaded := mixed
@@ -57,12 +59,12 @@
 		all = append(all, scenario{name: loadName(factor), streams: []stream{loaded}})
 	}
 	usual := mixed
-	usual.rate = usualFactor * capacity
+	usual.rate = baseFactor * capacity
 	burst := mixed
 	burst.label = labelBurst
 	burst.from, burst.until = burstStart, burstStart+burstTime
 	burst.rate = burstFactor * capacity
-	others := stream{label: labelOthers, until: length, caller: anyOne, row: anyOne, priority: int(structs.PriorityStandard), rate: fairFactor * capacity}
+	others := stream{label: labelOthers, until: length, caller: drawEach, row: drawEach, priority: int(structs.PriorityStandard), rate: backgroundFactor * capacity}
 	flood := others
 	flood.label = labelFlood
 	flood.rate = floodFactor * capacity
@@ -81,7 +83,7 @@
 	return append(all,
 		scenario{name: scenarioBatchFlood, streams: []stream{live, batch}},
 		scenario{name: scenarioBurst, streams: []stream{usual, burst}},
-		scenario{name: scenarioReturns, streams: []stream{usual, burst}, returns: true},
+		scenario{name: scenarioRetries, streams: []stream{usual, burst}, retries: true},
 		scenario{name: scenarioCallerFlood, streams: []stream{others, byCaller}},
 		scenario{name: scenarioRowFlood, streams: append(quiet, byRow)},
 	)
--- a/kit/overload/site.go
+++ b/kit/overload/simulation.go
@@ -10,7 +10,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The zone that every scenario runs in.
+// The configuration of the simulated zone.
 const (
 	zone        structs.ZoneID = "zone"
 	routerCount                = 4
@@ -20,27 +20,28 @@
 	maxBatch                   = 8
 )
 
-// What lags.
+// Delays and losses.
 const (
 	networkDelay  = time.Millisecond
 	reportLag     = 250 * time.Millisecond
 	eventLag      = 200 * time.Millisecond
 	eventLossRate = 0.02
-	// pollInterval is how often a router reads loads and cache events.
+	// pollInterval is the interval at which a router polls loads and cache events.
 	pollInterval = 300 * time.Millisecond
 )
 
-// epochStart is the wall time at virtual time zero.
+// epochStart is the wall-clock time at virtual time zero.
 var epochStart = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// warmUp passes before the first arrival: the rows are loaded meanwhile.
+// warmUp is the time before the first arrival, in which the engines load the rows.
 const warmUp = 2 * time.Second
 
-// drainTime passes after the last arrival, longer than the longest deadline.
+// drainTime is the time simulated after the last arrival. It exceeds the longest
+// request timeout.
 const drainTime = 40 * time.Second
 
-// site is one run of a scenario under a policy.
-type site struct {
+// simulation is one run of a scenario under a policy.
+type simulation struct {
 	seed      uint64
 	policy    string
 	scenario  scenario
@@ -51,19 +52,19 @@
 	routers   []*routerHost
 	calls     []*call
 	byRequest map[structs.RequestID]*call
-	// coming counts the refused callers that will come back.
-	coming     int
-	violations []Violation
-	// wrap, when set, stands between the routers' decisions and their shells.
-	wrap func(decider) decider
+	// pendingRetries counts the scheduled retries of refused calls.
+	pendingRetries int
+	violations     []Violation
+	// wrapCore, if set, wraps the core of each router.
+	wrapCore func(routerCore) routerCore
 }
 
-func newSite(seed uint64, policy string, given scenario) *site {
-	s := &site{
+func newSimulation(seed uint64, policy string, given scenario) *simulation {
+	s := &simulation{
 		seed:      seed,
 		policy:    policy,
 		scenario:  given,
-		random:    rand.New(rand.NewPCG(seed, arrivalsSource)),
+		random:    rand.New(rand.NewPCG(seed, arrivalSeed)),
 		byID:      map[structs.RunnerID]*engineHost{},
 		byRequest: map[structs.RequestID]*call{},
 	}
@@ -75,8 +76,8 @@
 	return s
 }
 
-// run lets the arrivals come and everything end.
-func (s *site) run() {
+// run simulates all arrivals until every call has ended, and checks the result.
+func (s *simulation) run() {
 	for index := range routerCount {
 		s.routers = append(s.routers, newRouterHost(s, index))
 	}
@@ -88,28 +89,28 @@
 		last = max(last, warmUp+stream.until)
 	}
 	s.scheduler.Run(last + drainTime)
-	for s.coming > 0 {
+	for s.pendingRetries > 0 {
 		s.scheduler.Run(s.scheduler.Now() + drainTime)
 	}
 	s.scheduler.Run(s.scheduler.Now() + drainTime)
 	s.check()
 }
 
-func (s *site) now() time.Time { return epochStart.Add(s.scheduler.Now()) }
+func (s *simulation) now() time.Time { return epochStart.Add(s.scheduler.Now()) }
 
-// arrive hands a call to one of the routers.
-func (s *site) arrive(arriving *call) {
+// arrive submits a call to its router.
+func (s *simulation) arrive(arriving *call) {
 	arriving.arrivedAt = s.scheduler.Now()
 	arriving.request.ID = structs.RequestID(fmt.Sprintf("request-%d", len(s.calls)))
 	arriving.request.ArrivedAt = s.now()
-	arriving.request.DeadlineAt = s.now().Add(arriving.patience)
+	arriving.request.DeadlineAt = s.now().Add(arriving.timeout)
 	s.calls = append(s.calls, arriving)
 	s.byRequest[arriving.request.ID] = arriving
 	s.routers[arriving.router].step(router.Arrived{Request: arriving.request})
 }
 
-// dispatched notes that a router sent an attempt.
-func (s *site) dispatched(send router.SendAttempt) {
+// recordAttempt records an attempt sent by a router.
+func (s *simulation) recordAttempt(send router.SendAttempt) {
 	target := s.byRequest[send.Attempt.Request()]
 	if target.attempts == 0 {
 		target.estimated = send.EstimatedWait
@@ -118,19 +119,19 @@
 	target.attempts++
 }
 
-func (s *site) delivered(id structs.RequestID, token structs.Token) {
+func (s *simulation) recordToken(id structs.RequestID, token structs.Token) {
 	target := s.byRequest[id]
 	if target.tokens == 0 {
 		target.firstAt = s.scheduler.Now()
 	}
 	if token.Index != target.tokens {
-		s.violate(ruleWhole, target, fmt.Sprintf("token %d came as token %d", token.Index, target.tokens))
+		s.addViolation(ruleWhole, target, fmt.Sprintf("token %d came as token %d", token.Index, target.tokens))
 	}
 	target.tokens++
 }
 
-// ended notes a terminal answer; refusal is nil for a whole answer.
-func (s *site) ended(id structs.RequestID, refusal *structs.Refusal) {
+// recordEnd records a terminal answer; refusal is nil for a complete answer.
+func (s *simulation) recordEnd(id structs.RequestID, refusal *structs.Refusal) {
 	target := s.byRequest[id]
 	target.terminals++
 	target.endedAt = s.scheduler.Now()
@@ -139,30 +140,30 @@
 	}
 	kept := *refusal
 	target.refusal = &kept
-	s.comeBack(target)
+	s.scheduleRetry(target)
 }
 
-// comeBack lets a refused caller return once, when it was told to.
-func (s *site) comeBack(refused *call) {
-	if !s.scenario.returns || refused.returned || refused.refusal.Error.RetryAfter <= 0 {
+// scheduleRetry schedules the retry of a refused call if the scenario allows one.
+func (s *simulation) scheduleRetry(refused *call) {
+	if !s.scenario.retries || refused.retried || refused.refusal.Error.RetryAfter <= 0 {
 		return
 	}
 	again := &call{
-		request:  refused.request,
-		label:    refused.label,
-		patience: refused.patience,
-		router:   (refused.router + 1) % routerCount,
-		returned: true,
+		request: refused.request,
+		label:   refused.label,
+		timeout: refused.timeout,
+		router:  (refused.router + 1) % routerCount,
+		retried: true,
 	}
-	s.coming++
+	s.pendingRetries++
 	s.scheduler.After(refused.refusal.Error.RetryAfter, func() {
-		s.coming--
+		s.pendingRetries--
 		s.arrive(again)
 	})
 }
 
-// view is what the zone's group tells the routers.
-func (s *site) view() structs.ZoneView {
+// view returns the routers' view of the zone.
+func (s *simulation) view() structs.ZoneView {
 	view := structs.ZoneView{Index: 1, Table: structs.TableDelta{Full: true, Revision: 1}, Placement: &structs.Placement{}}
 	for _, name := range rowNames() {
 		view.Table.Rows = append(view.Table.Rows, structs.Row{Name: name, MaxReplicas: engineCount})
--- a/kit/overload/table.go
+++ b/kit/overload/table.go
@@ -6,12 +6,11 @@
 	"strings"
 )
 
-// shownViolations is how many violations WriteTable lists.
+// shownViolations is the maximum number of violations that WriteTable prints.
 const shownViolations = 10
 
-// WriteTable writes the report as Markdown: a table for each scenario, a line for
-// each figure, a column for each policy; the lowest and highest of the seeds
-// stand in brackets.
+// WriteTable writes the report as Markdown, with a table for each scenario, a row for
+// each figure and a column for each policy. Parentheses give the range over the seeds.
 func (r *Report) WriteTable(out io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "Seeds %d to %d, %d requests, %d violations. Capacity %s answers a second.\n",
@@ -55,8 +54,8 @@
 	}
 }
 
-// figureNames lists the figures that any of the policies has, in the order of the
-// first one that has them.
+// figureNames returns the distinct figure names of all policies in order of first
+// appearance.
 func figureNames(policies []ScenarioReport) []string {
 	var names []string
 	seen := map[string]bool{}
@@ -71,7 +70,7 @@
 	return names
 }
 
-// String gives the mean, with the lowest and highest in brackets if they differ.
+// String returns the mean, with the range in parentheses if it is not a single value.
 func (f Figure) String() string {
 	if f.Lowest == f.Highest {
 		return fmt.Sprintf("%.3g", f.Mean)
--- a/kit/overload/wakeup.go
+++ b/kit/overload/wakeup.go
@@ -6,14 +6,14 @@
 	"github.com/lotusferry/lotusferry/kit/simulate"
 )
 
-// wakeup calls a host at the earliest of the times that it asked for since the last call.
+// wakeup schedules at most one callback, at the earliest time requested since the last.
 type wakeup struct {
-	// at is the time that is scheduled; 0 means none.
+	// at is the scheduled time, or 0 if there is none.
 	at time.Duration
 }
 
-// set schedules run at when, unless a call at that time or earlier is scheduled. A
-// call that was scheduled for later does not come.
+// set schedules run at when, unless a callback is scheduled at that time or earlier. It
+// replaces a callback scheduled later.
 func (w *wakeup) set(scheduler *simulate.Scheduler, when time.Duration, run func()) {
 	if w.at > 0 && w.at <= when {
 		return
