--- a/kit/capacity/claim.go
+++ b/kit/capacity/claim.go
@@ -9,16 +9,16 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// answerTokens is the mean length of an answer at the size designed for:
-// 15 million tokens over 63,000 requests. answerBytes is what a claim keeps of it.
+// answerTokens is the mean answer length at the design size: 15 million tokens over
+// 63,000 requests. answerBytes is the size of its text.
 const (
 	answerTokens = 15_000_000 / 63_000
 	tokenBytes   = 9
 	answerBytes  = answerTokens * tokenBytes
 )
 
-// claimStages are the operations of a claim: it is held with a runner named, and
-// ends. Without a free replica there is one more.
+// claimStages is the number of log entries of a claim: begin, with its runner, and
+// finish. A claim made without a free replica has one more.
 const claimStages = 2
 
 func claimProbes() []probe {
@@ -43,7 +43,7 @@
 			return float64(bytes)
 		}},
 		{RoleZone, "finished claims kept whole", "claim", unitBytes, methodHeap, claims, func(size int) float64 {
-			return heapOf(func() any {
+			return retainedHeap(func() any {
 				m := newZone(10, 10, 0)
 				m.claim(0, size)
 				return m.state
@@ -51,13 +51,14 @@
 		}},
 		{RoleZone, "claims encoded, decoded and applied", "claim", unitMicros, methodCPU, []int{100, 200, 400, 800, 1_600}, claimCPU},
 		{RoleZone, "claims shortened to their keys", "claim", unitBytes, methodHeap, keys, func(size int) float64 {
-			whole := heapOf(func() any { return restarted(fullOfClaims(0)) })
-			return heapOf(func() any { return restarted(fullOfClaims(size)) }) - whole
+			whole := retainedHeap(func() any { return restoreSnapshot(newZoneWithClaims(0)) })
+			return retainedHeap(func() any { return restoreSnapshot(newZoneWithClaims(size)) }) - whole
 		}},
 	}
 }
 
-// claimCommand is one of the log entries of a claim.
+// claimCommand returns the log entry of a claim at the given stage, with an answer of
+// size bytes in the last one.
 func claimCommand(index, stage, size int) zone.Command {
 	key := structs.ClaimKey(fmt.Sprintf("%s:%012d", zoneName(0), index))
 	request := structs.RequestID(fmt.Sprintf("01890a5d-ac96-774b-bcce-%012d", index))
@@ -87,17 +88,17 @@
 	}
 }
 
-// fullOfClaims makes a zone with as many whole claims as it keeps, and more of which
-// it keeps the keys.
-func fullOfClaims(more int) *zoneMachine {
+// newZoneWithClaims returns a zone that retains zone.MaxClaims complete claims, and the
+// keys alone of more older ones.
+func newZoneWithClaims(more int) *zoneMachine {
 	m := newZone(10, 10, 0)
 	m.claim(0, zone.MaxClaims+more)
 	return m
 }
 
-// restarted is the state of a member that starts with a snapshot: its maps are as
-// large as they must be.
-func restarted(m *zoneMachine) *zone.State {
+// restoreSnapshot returns the state restored from a snapshot of m. Its maps have no
+// spare capacity from earlier growth.
+func restoreSnapshot(m *zoneMachine) *zone.State {
 	state := zone.New(m.state.Zone())
 	if err := state.Restore(must(m.state.Snapshot())); err != nil {
 		panic(err)
@@ -105,10 +106,11 @@
 	return state
 }
 
-// claimCPU makes as many claims as given and lets them expire.
+// claimCPU returns the processor time to apply the given number of claims and to
+// expire them.
 func claimCPU(claims int) float64 {
 	m := newZone(10, 10, 0)
-	return cpuOf(func() {
+	return cpuTime(func() {
 		m.claim(0, claims)
 		m.apply(zone.Command{ClaimExpire: &zone.ClaimExpireCommand{Now: probeTime.Add(24 * time.Hour)}})
 	})
--- a/kit/capacity/engine.go
+++ b/kit/capacity/engine.go
@@ -28,7 +28,7 @@
 		}},
 		{RoleEngine, "machine list decoded", "machine", unitMicros, methodCPU, machines, func(size int) float64 {
 			data := must(json.Marshal(machineList(size)))
-			return cpuOf(func() { decode(data, &[]structs.Machine{}) })
+			return cpuTime(func() { decode(data, &[]structs.Machine{}) })
 		}},
 		{RoleEngine, "order to load, with reply", "order", unitBytes, methodJSON, []int{1, 2, 4, 8, 16}, orderBytes},
 		{RoleEngine, "changes of the machine list", "changed machine", unitBytes, methodJSON, sizes, func(size int) float64 {
@@ -38,11 +38,11 @@
 	}
 }
 
-// listVersion is a version as the machine list's servers make them.
+// listVersion is a typical version of a machine list.
 const listVersion = "8a2f6c1e-5b7d-4c3a-9e1f-0d2b4c6a8e1f.123456"
 
-// relayBytes is a router's message to the zone's leader with so many changed reports
-// of four replicas.
+// relayBytes returns the encoded size of a call from a router to the zone leader that
+// relays changed reports of four replicas each.
 func relayBytes(changed int) float64 {
 	relay := structs.ReportRelay{Daemon: "daemon-123", Epoch: 3, Version: 7, OldestAge: 1_500_000_000}
 	for index := range changed {
@@ -66,11 +66,12 @@
 	}
 }
 
-// reportCPU decodes as many reports as given, as a zone leader does each interval.
+// reportCPU returns the processor time to decode the given number of engine reports,
+// as a zone leader does in each interval.
 func reportCPU(reports int) float64 {
 	const replicas = 4
 	data := must(json.Marshal(engineReport(newZone(100, 1, replicas), 0)))
-	return cpuOf(func() {
+	return cpuTime(func() {
 		for range reports {
 			decode(data, &structs.EngineReport{})
 		}
--- a/kit/capacity/fit.go
+++ b/kit/capacity/fit.go
@@ -5,23 +5,22 @@
 	"slices"
 )
 
-// Fit is a straight line through measured points by least squares.
+// Fit is a least-squares line through measured points.
 type Fit struct {
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	// RSquared is the part of the variance that the line explains; 1 when all
-	// values are equal and on the line.
+	// RSquared is the coefficient of determination, or 1 if all values are equal.
 	RSquared float64 `json:"r_squared"`
-	// LargestResidual is the largest distance of a value from the line.
+	// LargestResidual is the maximum absolute residual.
 	LargestResidual float64 `json:"largest_residual"`
 }
 
-// LeastSquares fits a line. It needs as many values as sizes and two different
-// sizes at least; otherwise all fields are NaN.
+// LeastSquares returns the line fitted to the values at the sizes. All fields are NaN
+// if the lengths differ or if there are fewer than two distinct sizes.
 func LeastSquares(sizes, values []float64) Fit {
-	nothing := Fit{math.NaN(), math.NaN(), math.NaN(), math.NaN()}
+	undefined := Fit{math.NaN(), math.NaN(), math.NaN(), math.NaN()}
 	if len(sizes) != len(values) || len(sizes) < 2 {
-		return nothing
+		return undefined
 	}
 	meanSize, meanValue := mean(sizes), mean(values)
 	var covariance, sizeVariance, valueVariance float64
@@ -32,7 +31,7 @@
 		valueVariance += fromValue * fromValue
 	}
 	if sizeVariance == 0 {
-		return nothing
+		return undefined
 	}
 	fit := Fit{Slope: covariance / sizeVariance}
 	fit.Intercept = meanValue - fit.Slope*meanSize
@@ -49,35 +48,35 @@
 	return fit
 }
 
-// Verdict says what a fit is good for.
+// Verdict classifies a fit.
 type Verdict string
 
 // The verdicts.
 const (
-	// VerdictLinear: the slope may be multiplied up.
+	// VerdictLinear means that the slope can be extrapolated.
 	VerdictLinear Verdict = "linear"
-	// VerdictFlat: the driver moves the value by less than flatPart of its mean,
-	// and no value lies further than that from the line.
+	// VerdictFlat means that the change over the sizes and the largest residual are
+	// below flatFraction of the mean.
 	VerdictFlat Verdict = "no measurable slope"
-	// VerdictUneven: there is a slope, and the values lie off the line; use the
-	// value of the largest size.
+	// VerdictUneven means that the values change but do not fit a line. Use the value
+	// at the largest size.
 	VerdictUneven Verdict = "not a line"
 )
 
 const (
-	// linearRSquared is the least R² of a fit that counts as a line.
+	// linearRSquared is the minimum R² of a linear fit.
 	linearRSquared = 0.95
-	flatPart       = 0.2
+	flatFraction   = 0.2
 )
 
-// Judge says what the fit of the values is good for.
+// Judge returns the verdict on f as a fit of the values at the sizes.
 func (f Fit) Judge(sizes, values []float64) Verdict {
 	if math.IsNaN(f.Slope) {
 		return VerdictUneven
 	}
 	rise := math.Abs(f.Slope) * (slices.Max(sizes) - slices.Min(sizes))
 	switch {
-	case max(rise, f.LargestResidual) < flatPart*math.Abs(mean(values)):
+	case max(rise, f.LargestResidual) < flatFraction*math.Abs(mean(values)):
 		return VerdictFlat
 	case f.RSquared >= linearRSquared:
 		return VerdictLinear
@@ -85,7 +84,7 @@
 	return VerdictUneven
 }
 
-// At returns the line's value at a size.
+// At returns the value of the line at size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
 func mean(values []float64) float64 {
--- a/kit/capacity/fit_test.go
+++ b/kit/capacity/fit_test.go
@@ -9,7 +9,7 @@
 
 var fiveSizes = []float64{1, 2, 4, 8, 16}
 
-func TestFitFindsAKnownLine(t *testing.T) {
+func TestLeastSquaresRecoversExactLine(t *testing.T) {
 	c := qt.New(t)
 	var values []float64
 	for _, size := range fiveSizes {
@@ -23,9 +23,9 @@
 	c.Assert(fit.Judge(fiveSizes, values), qt.Equals, VerdictLinear)
 }
 
-func TestFitReportsTheLargestResidual(t *testing.T) {
+func TestLeastSquaresLargestResidual(t *testing.T) {
 	c := qt.New(t)
-	// The line is 1 + 0·size; the third value is off by 2/3 of its own height.
+	// The fitted line is 1 + 0·size, so the second value has the residual 2.
 	fit := LeastSquares([]float64{1, 2, 3}, []float64{0, 3, 0})
 	c.Assert(math.Abs(fit.Slope) < 1e-9, qt.IsTrue)
 	c.Assert(math.Abs(fit.Intercept-1) < 1e-9, qt.IsTrue)
@@ -33,7 +33,7 @@
 	c.Assert(math.Abs(fit.RSquared) < 1e-9, qt.IsTrue)
 }
 
-func TestFitOfTooLittleIsNotANumber(t *testing.T) {
+func TestLeastSquaresOfTooFewPointsIsNaN(t *testing.T) {
 	c := qt.New(t)
 	for _, sizes := range [][]float64{{}, {4}, {4, 4}} {
 		fit := LeastSquares(sizes, make([]float64, len(sizes)))
@@ -43,7 +43,7 @@
 	c.Assert(math.IsNaN(LeastSquares([]float64{1, 2}, []float64{1}).Slope), qt.IsTrue)
 }
 
-func TestVerdictTellsFlatAndCrookedFromLinear(t *testing.T) {
+func TestJudgeClassifiesFits(t *testing.T) {
 	for name, test := range map[string]struct {
 		values []float64
 		want   Verdict
--- a/kit/capacity/global.go
+++ b/kit/capacity/global.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The shape of the site that the probes of the global group use.
+// The dimensions of the site in the probes of the global group.
 const (
 	siteZones       = 24
 	adapterReplicas = 2
@@ -17,7 +17,7 @@
 	editRows        = 500
 )
 
-// tableSizes are sizes of the table up to the one designed for.
+// tableSizes holds table sizes in rows, up to the design size.
 var tableSizes = []int{8_000, 16_000, 24_000, 32_000, 45_000, 58_250}
 
 var probeTime = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -33,10 +33,10 @@
 	zones := []int{2, 6, 12, 18, 24}
 	return []probe{
 		{RoleGlobal, "table state, two grants a row", "row", unitBytes, methodHeap, rows, func(size int) float64 {
-			return heapOf(func() any { return newTable(siteZones, size, adapterReplicas) })
+			return retainedHeap(func() any { return newTable(siteZones, size, adapterReplicas) })
 		}},
 		{RoleGlobal, "table state, 4,000 rows granted in every zone", "row and zone", unitBytes, methodHeap, scaled(zones, 4_000), func(size int) float64 {
-			return heapOf(func() any { return newTable(size/4_000, 4_000, siteZones) })
+			return retainedHeap(func() any { return newTable(size/4_000, 4_000, siteZones) })
 		}},
 		{RoleGlobal, "apply of an edit of one row", "row in the table", unitMicros, methodCPU, rows, editCPU},
 		{RoleGlobal, "apply of an edit", "changed row", unitMicros, methodCPU, []int{1, 8, 32, 128, 512}, editSizeCPU},
@@ -54,11 +54,11 @@
 		}},
 		{RoleGlobal, "snapshot made", "row", unitMicros, methodCPU, rows, func(size int) float64 {
 			state := newTable(siteZones, size, adapterReplicas)
-			return cpuOf(func() { must(state.Snapshot()) })
+			return cpuTime(func() { must(state.Snapshot()) })
 		}},
 		{RoleGlobal, "snapshot restored", "row", unitMicros, methodCPU, rows, func(size int) float64 {
 			data := must(newTable(siteZones, size, adapterReplicas).Snapshot())
-			return cpuOf(func() {
+			return cpuTime(func() {
 				if err := table.New().Restore(data); err != nil {
 					panic(err)
 				}
@@ -104,8 +104,8 @@
 
 func zoneName(index int) structs.ZoneID { return structs.ZoneID(fmt.Sprintf("zone-%02d", index)) }
 
-// newTable makes the state of the global group with zones and rows. Commands go
-// through the codec, as they come out of a log.
+// newTable returns a state of the global group with the given zones and rows. Commands
+// pass through the codec, as those read from a log do.
 func newTable(zones, rows, replicas int) *table.State {
 	state := table.New()
 	for index := range zones {
@@ -130,7 +130,7 @@
 	return result
 }
 
-// editor makes edits of rows that are in the table.
+// editor generates edits of existing rows.
 type editor struct {
 	state *table.State
 	next  int
@@ -161,7 +161,7 @@
 
 func editSizeCPU(changed int) float64 {
 	editor := &editor{state: newTable(siteZones, 4_000, adapterReplicas)}
-	return cpuOf(func() { applyTable(editor.state, editor.edit(changed)) })
+	return cpuTime(func() { applyTable(editor.state, editor.edit(changed)) })
 }
 
 func changedTable(changed int) (*table.State, uint64) {
@@ -178,7 +178,7 @@
 
 func deltaCPU(changed int) float64 {
 	state, since := changedTable(changed)
-	return cpuOf(func() { state.Delta(zoneName(0), since) })
+	return cpuTime(func() { state.Delta(zoneName(0), since) })
 }
 
 func wishCommand(rows int) table.Command {
@@ -193,5 +193,5 @@
 	state := newTable(siteZones, 4_000, adapterReplicas)
 	command := wishCommand(rows)
 	applyTable(state, command)
-	return cpuOf(func() { applyTable(state, command) })
+	return cpuTime(func() { applyTable(state, command) })
 }
--- a/kit/capacity/measure.go
+++ b/kit/capacity/measure.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// roundTime is the least processor time of one round of a CPU measurement.
-	roundTime = 15 * time.Millisecond
-	// rounds is how many rounds the least is taken of: other work on the machine
-	// only ever adds to a round.
+	// minRoundTime is the minimum processor time of a round of a CPU measurement.
+	minRoundTime = 15 * time.Millisecond
+	// rounds is the number of rounds. The minimum is used, as interference from other
+	// processes only adds time.
 	rounds = 9
 )
 
-// heapOf returns the heap that what make returns keeps alive, in bytes.
-func heapOf(make func() any) float64 {
+// retainedHeap returns the heap size in bytes of all that the result of make keeps
+// reachable.
+func retainedHeap(make func() any) float64 {
 	before := liveHeap()
 	kept := make()
 	after := liveHeap()
@@ -27,10 +28,10 @@
 	return float64(after) - float64(before)
 }
 
-// heapBeside is heapOf for something made of an input that is alive before and
-// after, so that only what is kept of it counts.
-func heapBeside[T any](input T, make func(T) any) float64 {
-	size := heapOf(func() any { return make(input) })
+// retainedHeapBeside is like retainedHeap, but excludes input, which stays reachable
+// during the measurement.
+func retainedHeapBeside[T any](input T, make func(T) any) float64 {
+	size := retainedHeap(func() any { return make(input) })
 	runtime.KeepAlive(&input)
 	return size
 }
@@ -43,15 +44,15 @@
 	return stats.HeapAlloc
 }
 
-// cpuOf returns the processor time of one call, in microseconds.
-func cpuOf(call func()) float64 {
+// cpuTime returns the processor time of one call in microseconds.
+func cpuTime(call func()) float64 {
 	call()
 	runtime.GC()
 	var measured []float64
 	for range rounds {
 		began := processTime()
 		calls := 0
-		for processTime()-began < roundTime {
+		for processTime()-began < minRoundTime {
 			call()
 			calls++
 		}
@@ -60,11 +61,11 @@
 	return slices.Min(measured)
 }
 
-// batchCPU returns the processor time of one of count equal pieces of work that
-// one call does, in microseconds.
-func batchCPU(count int, call func()) float64 { return cpuOf(call) / float64(count) }
+// batchCPU returns the processor time in microseconds of each of the count equal
+// operations in one call.
+func batchCPU(count int, call func()) float64 { return cpuTime(call) / float64(count) }
 
-// processTime is the processor time that this process has taken.
+// processTime returns the user and system time used by this process.
 func processTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -73,22 +74,22 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// countedWriter counts what is written to it.
-type countedWriter struct{ bytes int }
+// countingWriter counts the bytes written to it.
+type countingWriter struct{ bytes int }
 
 // Write implements io.Writer.
-func (w *countedWriter) Write(data []byte) (int, error) {
+func (w *countingWriter) Write(data []byte) (int, error) {
 	w.bytes += len(data)
 	return len(data), nil
 }
 
-// callSequence stands for the number of a call on a long connection.
+// callSequence is a typical sequence number on a long-lived connection.
 const callSequence = 1 << 20
 
-// gobBytes returns the bytes of a value on a connection that has carried its type
-// before.
+// gobBytes returns the encoded size of a value on a connection that has already
+// transmitted its type.
 func gobBytes(value any) float64 {
-	var writer countedWriter
+	var writer countingWriter
 	encoder := gob.NewEncoder(&writer)
 	for range 2 {
 		writer.bytes = 0
@@ -99,11 +100,12 @@
 	return float64(writer.bytes)
 }
 
-// requestBytes and replyBytes add the header of net/rpc.
+// requestBytes returns the encoded size of a request with its net/rpc header.
 func requestBytes(method string, arguments any) float64 {
 	return gobBytes(rpc.Request{ServiceMethod: method, Seq: callSequence}) + gobBytes(arguments)
 }
 
+// replyBytes returns the encoded size of a reply with its net/rpc header.
 func replyBytes(method string, reply any) float64 {
 	return gobBytes(rpc.Response{ServiceMethod: method, Seq: callSequence}) + gobBytes(reply)
 }
@@ -116,7 +118,7 @@
 	return float64(len(encoded))
 }
 
-// must returns the value of a call that cannot fail with the probes' own input.
+// must returns value and panics if err is not nil.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/kit/capacity/operator.go
+++ b/kit/capacity/operator.go
@@ -26,7 +26,7 @@
 		}},
 		{RoleOperator, "whole table encoded for an operator", "row", unitMicros, methodCPU, tableSizes, func(size int) float64 {
 			view := tableView(size)
-			return cpuOf(func() { must(json.Marshal(view)) })
+			return cpuTime(func() { must(json.Marshal(view)) })
 		}},
 		{RoleOperator, "edit sent to the global group, with its result", "changed row", unitBytes, methodGob, changed, editBytes},
 		{RoleOperator, "changes to an operator who watches", "changed row", unitBytes, methodJSON, changed, func(size int) float64 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// revisedRows are rows as they are in a table that has been edited for a while.
+// revisedRows returns rows with the large revision numbers of a much-edited table.
 func revisedRows(count int) []structs.Row {
 	rows := makeRows(count, adapterReplicas)
 	for index := range rows {
@@ -48,7 +48,8 @@
 	return operatorapi.TableView{Revision: tableRevision, Rows: revisedRows(rows)}
 }
 
-// editBytes is an edit as the gateway proposes it, and the group's answer.
+// editBytes returns the encoded size of an edit proposed by the gateway and of the
+// reply of the global group.
 func editBytes(changed int) float64 {
 	state := newTable(siteZones, max(changed, 1), adapterReplicas)
 	editor := &editor{state: state}
--- a/kit/capacity/plan.go
+++ b/kit/capacity/plan.go
@@ -22,20 +22,20 @@
 	}
 }
 
-// decision is a controller with what it decides on.
+// decision is a controller with its input.
 type decision struct {
 	core  *controller.Core
 	input controller.Input
 }
 
-func (d decision) cpu() float64 { return cpuOf(func() { d.core.Decide(d.input) }) }
+func (d decision) cpu() float64 { return cpuTime(func() { d.core.Decide(d.input) }) }
 
 func decideCPU(runners, replicas, waiting int) float64 {
 	return decideInput(4_000, runners, replicas, waiting).cpu()
 }
 
-// decideInput makes a steady zone: replicas in use, and rows that wait without a
-// grant that would let them load.
+// decideInput returns the decision for a zone in steady state: all replicas are in use,
+// and the waiting rows have no grant for another replica.
 func decideInput(rows, runners, replicas, waiting int) decision {
 	m := newZone(rows, runners, replicas)
 	d := decision{core: controller.New(controller.Options{Zone: zoneName(0)})}
@@ -63,7 +63,8 @@
 	return structs.Machine{Runner: info.ID, Zone: info.Zone, Address: info.Address, State: structs.MachineLive}
 }
 
-// engineReport is what an engine with the zone's replicas says of itself.
+// engineReport returns the report of the engine with the given index, including its
+// replicas in the zone.
 func engineReport(m *zoneMachine, index int) structs.EngineReport {
 	info := runnerInfo(index)
 	report := structs.EngineReport{Runner: info.ID, Incarnation: 1, Role: info.Role, MemoryBytes: info.MemoryBytes, Accelerators: info.Accelerators}
--- a/kit/capacity/probe.go
+++ b/kit/capacity/probe.go
@@ -17,23 +17,22 @@
 	RoleRouter = "router"
 	RoleRaft   = "raft-member"
 	RoleEngine = "engine-traffic"
-	// RoleOperator is the daemon that an operator talks to.
+	// RoleOperator is the daemon that serves an operator.
 	RoleOperator = "operator-gateway"
 )
 
-// Slope is one measured cost of a role.
+// Slope is a measured cost of a role as a function of one variable.
 type Slope struct {
 	Role string `json:"role"`
-	// Name says what was measured, Driver what it was measured against.
+	// Name is the measured quantity, and Driver the independent variable.
 	Name   string `json:"name"`
 	Driver string `json:"driver"`
-	// Unit is that of the values; the slope is in Unit per unit of Driver.
+	// Unit is the unit of Values. The slope is in Unit per Driver.
 	Unit   string    `json:"unit"`
 	Method string    `json:"method"`
 	Sizes  []float64 `json:"sizes"`
 	Values []float64 `json:"values"`
 	Fit
-	// Verdict says what the values are good for.
 	Verdict Verdict `json:"verdict"`
 }
 
@@ -57,10 +56,10 @@
 
 var methodCPU = fmt.Sprintf("process time, least of %d rounds", rounds)
 
-// leastSizes is how many sizes a slope needs.
-const leastSizes = 5
+// minSizes is the minimum number of sizes of a probe.
+const minSizes = 5
 
-// Roles lists the roles that Measure knows.
+// Roles returns the roles accepted by Measure.
 func Roles() []string {
 	var roles []string
 	for _, p := range allProbes() {
@@ -75,9 +74,9 @@
 	return slices.Concat(globalProbes(), zoneProbes(), planProbes(), viewProbes(), claimProbes(), partProbes(), routerProbes(), raftProbes(), engineProbes(), operatorProbes())
 }
 
-// Measure measures the slopes of a role, or of all when role is empty. Progress
-// gets a line for each. The error is of kind invalid for a role that is not
-// known, or that of ctx.
+// Measure measures the slopes of a role, or of all roles if role is empty, and writes a
+// line for each to progress. It returns an error of kind ErrorInvalid if the role is
+// unknown, or the slopes measured so far and the error of ctx if ctx is done.
 func Measure(ctx context.Context, role string, progress io.Writer) ([]Slope, error) {
 	if role != "" && !slices.Contains(Roles(), role) {
 		return nil, structs.NewError(structs.ErrorInvalid, "there is no role "+role, "Choose from "+strings.Join(Roles(), ", ")+".")
@@ -108,7 +107,7 @@
 	return slope
 }
 
-// String is one line for a person.
+// String returns the slope as one line of text.
 func (s Slope) String() string {
 	return fmt.Sprintf("%-16s %-44s %12.4g + %10.4g %s per %s  (R² %.4f, largest residual %.3g: %s)",
 		s.Role, s.Name, s.Intercept, s.Slope, s.Unit, s.Driver, s.RSquared, s.LargestResidual, s.Verdict)
--- a/kit/capacity/probe_test.go
+++ b/kit/capacity/probe_test.go
@@ -16,13 +16,12 @@
 func TestEveryProbeHasEnoughSizes(t *testing.T) {
 	c := qt.New(t)
 	for _, p := range allProbes() {
-		c.Assert(len(p.sizes) >= leastSizes, qt.IsTrue, qt.Commentf("%s: %s", p.role, p.name))
+		c.Assert(len(p.sizes) >= minSizes, qt.IsTrue, qt.Commentf("%s: %s", p.role, p.name))
 		c.Assert(slices.IsSorted(p.sizes), qt.IsTrue, qt.Commentf("%s: %s", p.role, p.name))
 	}
 }
 
-// Probes of encoded bytes and of replies do not depend on the machine.
-func TestEveryProbeMeasuresItsLeastSize(t *testing.T) {
+func TestEveryProbeMeasuresItsSmallestSize(t *testing.T) {
 	for _, p := range allProbes() {
 		t.Run(p.role+" "+p.name, func(t *testing.T) {
 			value := p.measure(p.sizes[0])
@@ -31,7 +30,8 @@
 	}
 }
 
-func TestByteProbesAreLinearAndRepeat(t *testing.T) {
+// Encoded sizes do not depend on the machine.
+func TestByteProbesAreLinearAndRepeatable(t *testing.T) {
 	for _, p := range engineProbes() {
 		if p.unit != unitBytes {
 			continue
@@ -46,31 +46,31 @@
 	}
 }
 
-func TestProbeShowsAFittingErrorAndAFlatDriver(t *testing.T) {
+func TestProbeReportsUnevenAndFlatValues(t *testing.T) {
 	c := qt.New(t)
 	sizes := []int{1, 2, 4, 8, 16}
-	crooked := probe{sizes: sizes, measure: func(size int) float64 { return math.Exp2(float64(size)) }}.run()
-	c.Assert(crooked.Verdict, qt.Equals, VerdictUneven)
-	c.Assert(crooked.LargestResidual > 0, qt.IsTrue)
+	uneven := probe{sizes: sizes, measure: func(size int) float64 { return math.Exp2(float64(size)) }}.run()
+	c.Assert(uneven.Verdict, qt.Equals, VerdictUneven)
+	c.Assert(uneven.LargestResidual > 0, qt.IsTrue)
 	flat := probe{sizes: sizes, measure: func(int) float64 { return 7 }}.run()
 	c.Assert(flat.Verdict, qt.Equals, VerdictFlat)
 }
 
-func TestHeapProbeCountsWhatIsKept(t *testing.T) {
+func TestRetainedHeapBesideCountsRetainedBytes(t *testing.T) {
 	c := qt.New(t)
 	const kept = 8 << 20
-	size := heapBeside(make([]byte, kept), func(input []byte) any { return slices.Clone(input) })
+	size := retainedHeapBeside(make([]byte, kept), func(input []byte) any { return slices.Clone(input) })
 	c.Assert(math.Abs(size-kept) < kept/8, qt.IsTrue, qt.Commentf("%.0f bytes", size))
 }
 
-func TestMeasureRefusesAnUnknownRole(t *testing.T) {
+func TestMeasureRejectsUnknownRole(t *testing.T) {
 	c := qt.New(t)
 	_, err := Measure(context.Background(), "janitor", io.Discard)
 	c.Assert(err, qt.ErrorMatches, "there is no role janitor.*")
 	c.Assert(err.(*structs.Error).Kind, qt.Equals, structs.ErrorInvalid)
 }
 
-func TestMeasureStopsWithItsContext(t *testing.T) {
+func TestMeasureStopsWhenContextIsDone(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/kit/capacity/raft.go
+++ b/kit/capacity/raft.go
@@ -26,14 +26,14 @@
 	}
 }
 
-// cluster is a raft group whose messages arrive at once.
+// cluster is a raft group in which messages are delivered immediately.
 type cluster struct {
 	nodes map[raft.NodeID]*raft.Node
 	order []raft.NodeID
 	// bytes counts the encoded messages to and from the leader.
-	bytes  float64
-	counts bool
-	leader raft.NodeID
+	bytes      float64
+	countBytes bool
+	leader     raft.NodeID
 }
 
 func newCluster(voters int) *cluster {
@@ -64,10 +64,10 @@
 	for _, id := range c.order {
 		c.nodes[id].Tick()
 	}
-	c.settle()
+	c.deliverMessages()
 }
 
-func (c *cluster) settle() {
+func (c *cluster) deliverMessages() {
 	for busy := true; busy; {
 		busy = false
 		for _, id := range c.order {
@@ -77,7 +77,7 @@
 			}
 			busy = true
 			for _, message := range node.Ready().Messages {
-				if c.counts {
+				if c.countBytes {
 					c.bytes += stepBytes(message)
 				}
 				if err := c.nodes[message.To].Step(message); err != nil {
@@ -89,7 +89,8 @@
 	}
 }
 
-// stepBytes is one message as a call of its own, with its empty reply.
+// stepBytes returns the encoded size of a call with one message and of its empty
+// reply.
 func stepBytes(message raft.Message) float64 {
 	batch := group.StepArguments{Group: "zone-zone-00", From: message.From, To: message.To, Sent: 1 << 45, Echo: 1 << 45, EchoTerm: message.Term, Messages: []raft.Message{message}}
 	return requestBytes(methodStep, batch) + replyBytes(methodStep, group.StepReply{})
@@ -97,10 +98,11 @@
 
 func ticksPerSecond() int { return int(1e9 / config.Default().Timing.TickInterval.Nanoseconds()) }
 
-// idleBytes counts a second of an idle group. All messages go to or from the leader.
+// idleBytes returns the encoded size of all messages of an idle group in one second.
+// Each of them is to or from the leader.
 func idleBytes(voters int) float64 {
 	c := newCluster(voters)
-	c.counts = true
+	c.countBytes = true
 	for range ticksPerSecond() {
 		c.tick()
 	}
@@ -109,7 +111,7 @@
 
 func idleCPU(voters int) float64 {
 	c := newCluster(voters)
-	return cpuOf(func() {
+	return cpuTime(func() {
 		for range ticksPerSecond() {
 			c.tick()
 		}
@@ -126,7 +128,8 @@
 	}
 }
 
-// appendBytes is an append with its reply message and the empty replies of both calls.
+// appendBytes returns the encoded size of an append call, of the call with its reply
+// message, and of the empty replies to both.
 func appendBytes(size int) float64 {
 	reply := raft.Message{Kind: raft.MessageAppendReply, From: 2, To: 1, Term: 7, Index: 1<<20 + 1}
 	return requestBytes(methodStep, appendBatch(1, size)) + replyBytes(methodStep, group.StepReply{}) + stepBytes(reply)
@@ -135,19 +138,19 @@
 func proposeCPU(proposals int) float64 {
 	c := newCluster(3)
 	data := make([]byte, 200)
-	return cpuOf(func() {
+	return cpuTime(func() {
 		for range proposals {
 			if _, _, err := c.nodes[c.leader].Propose(data); err != nil {
 				panic(err)
 			}
 		}
-		c.settle()
-		c.compact()
+		c.deliverMessages()
+		c.compactLogs()
 	})
 }
 
-// compact keeps the logs short.
-func (c *cluster) compact() {
+// compactLogs discards the applied entries of all logs.
+func (c *cluster) compactLogs() {
 	for _, id := range c.order {
 		node := c.nodes[id]
 		status := node.Status()
--- a/kit/capacity/router.go
+++ b/kit/capacity/router.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// runnerBatch is how many requests a runner decodes at once.
+// runnerBatch is the maximum batch size of a runner.
 const runnerBatch = 64
 
 func routerProbes() []probe {
@@ -21,17 +21,17 @@
 	return []probe{
 		{RoleRouter, "router state, rows", "row", unitBytes, methodHeap, rows, func(size int) float64 {
 			view := newZone(size, 0, 0).state.View(0, 0)
-			return heapBeside(view, func(view structs.ZoneView) any { return newRouter(copyNames(view)) })
+			return retainedHeapBeside(view, func(view structs.ZoneView) any { return newRouter(copyNames(view)) })
 		}},
 		{RoleRouter, "router state, runners", "runner", unitBytes, methodHeap, runners, func(size int) float64 {
 			view := newZone(10, size, 0).state.View(0, 0)
-			return heapBeside(view, func(view structs.ZoneView) any { return newRouter(copyNames(view)) })
+			return retainedHeapBeside(view, func(view structs.ZoneView) any { return newRouter(copyNames(view)) })
 		}},
 		{RoleRouter, "router state, replicas on 100 runners", "replica", unitBytes, methodHeap, []int{200, 400, 800, 1_200, 1_600}, func(size int) float64 {
 			view := newZone(2_000, 100, size).state.View(0, 0)
-			return heapBeside(view, func(view structs.ZoneView) any { return newRouter(copyNames(view)) })
+			return retainedHeapBeside(view, func(view structs.ZoneView) any { return newRouter(copyNames(view)) })
 		}},
-		{RoleRouter, "requests held", "request", unitBytes, methodHeap, []int{250, 500, 1_000, 2_000, 4_000}, heldBytes},
+		{RoleRouter, "requests held", "request", unitBytes, methodHeap, []int{250, 500, 1_000, 2_000, 4_000}, pendingRequestBytes},
 		{RoleRouter, "requests of one token, from arrival to end", "request", unitMicros, methodCPU, []int{100, 200, 400, 800, 1_600}, requestCPU},
 		{RoleRouter, "tokens of streams", "token", unitMicros, methodCPU, []int{1_000, 2_000, 4_000, 8_000, 16_000}, tokenCPU},
 		{RoleRouter, "tick, one request waiting a row", "waiting row", unitMicros, methodCPU, []int{25, 50, 100, 200, 400}, func(size int) float64 {
@@ -42,7 +42,7 @@
 		}},
 		{RoleRouter, "view of the whole table adopted", "row", unitMicros, methodCPU, rows, func(size int) float64 {
 			view := newZone(size, 0, 0).state.View(0, 0)
-			return cpuOf(func() { newRouter(view) })
+			return cpuTime(func() { newRouter(view) })
 		}},
 		{RoleRouter, "placement adopted, 100 runners", "replica", unitMicros, methodCPU, []int{200, 400, 800, 1_200, 1_600}, func(size int) float64 {
 			return placementCPU(100, size)
@@ -56,7 +56,7 @@
 		}},
 		{RoleRouter, "demand report made", "active row", unitMicros, methodCPU, active, func(size int) float64 {
 			core, _ := activeRouter(size)
-			return cpuOf(func() { core.Demand() })
+			return cpuTime(func() { core.Demand() })
 		}},
 	}
 }
@@ -77,7 +77,8 @@
 	return core
 }
 
-// copyNames returns a view with strings of its own, as a message from the network has.
+// copyNames returns a view that shares no name strings with the original, like a view
+// decoded from the network.
 func copyNames(view structs.ZoneView) structs.ZoneView {
 	view.Table.Rows = slices.Clone(view.Table.Rows)
 	for i := range view.Table.Rows {
@@ -105,7 +106,8 @@
 	return view
 }
 
-// activeRouter has a running request for each of the rows.
+// activeRouter returns a router with one running request for each row, and the
+// attempts.
 func activeRouter(rows int) (*router.Core, []router.SendAttempt) {
 	core := newRouter(newZone(max(rows, 10), 100, rows).state.View(0, 0))
 	var sent []router.SendAttempt
@@ -115,7 +117,7 @@
 	return core, sent
 }
 
-// step lets a request arrive and returns what came of it.
+// step submits a request and returns the resulting effects.
 func step(core *router.Core, index int, row structs.RowName) []router.Effect {
 	return core.Step(probeTime, router.Arrived{Request: structs.Request{
 		ID: structs.RequestID(fmt.Sprintf("01890a5d-ac96-774b-bcce-%012d", index)), Row: row,
@@ -123,7 +125,7 @@
 	}})
 }
 
-// arrive is step for a request that is sent to a runner at once.
+// arrive is like step for a request that is sent to a runner immediately.
 func arrive(core *router.Core, index int, row structs.RowName) router.SendAttempt {
 	effects := step(core, index, row)
 	if len(effects) != 1 {
@@ -132,7 +134,8 @@
 	return effects[0].(router.SendAttempt)
 }
 
-// tickCPU is a tick while requests wait for rows that no zone has loaded.
+// tickCPU returns the processor time of a tick while requests wait for rows that no
+// zone has loaded.
 func tickCPU(rows, requests int) float64 {
 	core := newRouter(newZone(1_000, 10, 0).state.View(0, 0))
 	for index := range rows * requests {
@@ -141,11 +144,11 @@
 			panic(fmt.Sprintf("request %d does not wait: %v", index, effects))
 		}
 	}
-	return cpuOf(func() { core.Step(probeTime, router.Tick{}) })
+	return cpuTime(func() { core.Step(probeTime, router.Tick{}) })
 }
 
-// refuseOffers answers each offer as zones without a ready replica do, and returns
-// the other effects and what came of the answers.
+// refuseOffers rejects each offer on behalf of all its zones. It returns the other
+// effects and those of the rejections.
 func refuseOffers(core *router.Core, effects []router.Effect) []router.Effect {
 	var others []router.Effect
 	for _, effect := range slices.Clone(effects) {
@@ -159,9 +162,9 @@
 	return others
 }
 
-func heldBytes(requests int) float64 {
+func pendingRequestBytes(requests int) float64 {
 	core := newRouter(newZone(100, 100, 100).state.View(0, 0))
-	return heapOf(func() any {
+	return retainedHeap(func() any {
 		for index := range requests {
 			arrive(core, index, rowName(index%100))
 		}
@@ -172,7 +175,7 @@
 func requestCPU(requests int) float64 {
 	core := newRouter(newZone(100, 100, 100).state.View(0, 0))
 	next := 0
-	return cpuOf(func() {
+	return cpuTime(func() {
 		for range requests {
 			next++
 			sent := arrive(core, next, rowName(next%100))
@@ -190,7 +193,7 @@
 		events[index] = router.TokenReceived{Attempt: attempt.Attempt, Token: structs.Token{ID: attempt.Generate.ID, Text: " wordword"}}
 	}
 	next := 0
-	return cpuOf(func() {
+	return cpuTime(func() {
 		for range tokens {
 			event := &events[next%len(events)]
 			core.Step(probeTime, event)
@@ -204,5 +207,5 @@
 	m := newZone(2_000, runners, replicas)
 	core := newRouter(m.state.View(0, 0))
 	view := m.state.View(1, 0)
-	return cpuOf(func() { core.Step(probeTime, router.ViewChanged{View: view}) })
+	return cpuTime(func() { core.Step(probeTime, router.ViewChanged{View: view}) })
 }
--- a/kit/capacity/view.go
+++ b/kit/capacity/view.go
@@ -9,7 +9,7 @@
 const (
 	methodView   = "Zone.View"
 	methodDemand = "Zone.Demand"
-	// methodReports carries a router's word on its share of engine reports.
+	// methodReports relays engine reports from a router.
 	methodReports = "Zone.Reports"
 )
 
@@ -35,8 +35,8 @@
 	}
 }
 
-// partProbes measure the parts in which a zone adopts a large table and a router
-// without a view reads it.
+// partProbes returns the probes of partial transfers: of a large table adopted by a zone,
+// and of the first view read by a router.
 func partProbes() []probe {
 	return []probe{
 		{RoleZone, "largest part of a table adopted in parts", "change of a part", unitBytes, methodMsgpack, []int{512, 1_024, 2_048, 4_096, zone.MaxPartChanges}, largestPartBytes},
@@ -47,7 +47,8 @@
 	}
 }
 
-// largestPartBytes is the largest log entry of a table adopted in parts of so many changes.
+// largestPartBytes returns the size of the largest log entry of a table adopted in parts
+// of the given number of changes.
 func largestPartBytes(changes int) float64 {
 	largest := 0
 	for _, command := range zone.AdoptCommands(*fullDelta(changes), changes) {
@@ -56,7 +57,7 @@
 	return float64(largest)
 }
 
-// laterDelta changes rows of fullDelta.
+// laterDelta returns a delta that changes rows of fullDelta.
 func laterDelta(rows int) *structs.TableDelta {
 	delta := &structs.TableDelta{SinceRevision: 1, Revision: 2}
 	for _, row := range makeRows(rows, adapterReplicas) {
@@ -71,17 +72,19 @@
 	return replyBytes(methodView, daemon.ViewReply{View: m.state.View(sinceTable, sinceIndex)})
 }
 
-// oneChangeBytes is the view after one more replica was reserved.
+// oneChangeBytes returns the encoded size of the view update after the reservation of
+// one more replica.
 func oneChangeBytes(m *zoneMachine) float64 {
 	since, index := m.state.TableRevision(), m.state.Index()
 	m.apply(zone.Command{Reserve: &zone.ReserveCommand{Row: rowName(1_999), Runner: runnerName(0), Incarnation: 1, At: probeTime}})
 	return viewBytes(m, since, index)
 }
 
-// pollSeconds is how long a long poll without news lasts in the daemon.
+// pollSeconds is the timeout of a long poll in the daemon.
 const pollSeconds = 2
 
-// idlePollBytes are the requests and replies of the routers' polls in an hour.
+// idlePollBytes returns the encoded size of the requests and replies of all polls by the
+// routers in one hour.
 func idlePollBytes(routers int) float64 {
 	m := newZone(10, 10, 0)
 	arguments := daemon.ViewArguments{SinceTable: 1, SinceIndex: m.index, Wait: pollSeconds * 1e9}
--- a/kit/capacity/zone.go
+++ b/kit/capacity/zone.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The shape of one zone at the size designed for.
+// The dimensions of a zone at the design size.
 const (
 	zoneRunners  = 417
 	runnerBytes  = 8 * 80 << 30
@@ -20,13 +20,13 @@
 	replicas := []int{200, 400, 800, 1_200, 1_600}
 	return []probe{
 		{RoleZone, "zone state, rows", "row", unitBytes, methodHeap, rows, func(size int) float64 {
-			return heapOf(func() any { return newZone(size, 0, 0).state })
+			return retainedHeap(func() any { return newZone(size, 0, 0).state })
 		}},
 		{RoleZone, "zone state, runners", "runner", unitBytes, methodHeap, runners, func(size int) float64 {
-			return heapOf(func() any { return newZone(10, size, 0).state })
+			return retainedHeap(func() any { return newZone(10, size, 0).state })
 		}},
 		{RoleZone, "zone state, replicas on 100 runners", "replica", unitBytes, methodHeap, replicas, func(size int) float64 {
-			return heapOf(func() any { return newZone(2_000, 100, size).state })
+			return retainedHeap(func() any { return newZone(2_000, 100, size).state })
 		}},
 		{RoleZone, "log bytes of an adopted delta", "row", unitBytes, methodMsgpack, rows, func(size int) float64 {
 			return float64(len(must(zone.EncodeCommand(zone.Command{Adopt: fullDelta(size)}))))
@@ -37,7 +37,7 @@
 		}},
 		{RoleZone, "snapshot restored", "row", unitMicros, methodCPU, rows, func(size int) float64 {
 			data := must(newZone(size, zoneRunners, 0).state.Snapshot())
-			return cpuOf(func() {
+			return cpuTime(func() {
 				if err := zone.New(zoneName(0)).Restore(data); err != nil {
 					panic(err)
 				}
@@ -47,7 +47,8 @@
 	}
 }
 
-// zoneMachine applies commands to a zone's state as they come out of its log.
+// zoneMachine applies commands to the state of a zone. Commands pass through the codec,
+// as those read from a log do.
 type zoneMachine struct {
 	state *zone.State
 	index uint64
@@ -74,8 +75,8 @@
 	}
 }
 
-// fullDelta is the whole table as the global group sends it to a zone that holds
-// every row, together with one other.
+// fullDelta returns the full table as sent to a zone in which every row is held. Each
+// row is listed in one other zone too.
 func fullDelta(rows int) *structs.TableDelta {
 	delta := &structs.TableDelta{Revision: 1, Full: true}
 	for _, row := range makeRows(rows, adapterReplicas) {
@@ -87,7 +88,7 @@
 	return delta
 }
 
-// newZone makes a zone's state with ready replicas spread over its runners.
+// newZone returns a zone with ready replicas distributed evenly over its runners.
 func newZone(rows, runners, replicas int) *zoneMachine {
 	m := &zoneMachine{state: zone.New(zoneName(0))}
 	m.apply(zone.Command{Adopt: fullDelta(rows)})
@@ -106,7 +107,7 @@
 	}
 }
 
-// loadCommands are the commands of one load; order is the index of the first.
+// loadCommands returns the log entries of one load; order is the index of the first.
 func loadCommands(row structs.RowName, runner structs.RunnerID, order uint64) []zone.Command {
 	return []zone.Command{
 		{Reserve: &zone.ReserveCommand{Row: row, Runner: runner, Incarnation: 1, At: probeTime}},
@@ -128,7 +129,7 @@
 
 func adoptCPU(rows int) float64 {
 	encoded := must(zone.EncodeCommand(zone.Command{Adopt: fullDelta(rows)}))
-	return cpuOf(func() {
+	return cpuTime(func() {
 		command := must(zone.DecodeCommand(encoded))
 		zone.New(zoneName(0)).Apply(1, command)
 	})
