--- a/kit/labcommand/capacity.go
+++ b/kit/labcommand/capacity.go
@@ -8,8 +8,8 @@
 	"github.com/lotusferry/lotusferry/kit/capacity"
 )
 
-// capacityLimit bounds all measurements together.
-const capacityLimit = 5 * time.Minute
+// capacityTimeout is the time limit for all measurements.
+const capacityTimeout = 5 * time.Minute
 
 type capacityCommand struct {
 	session *session
@@ -19,7 +19,7 @@
 
 // Execute implements go-flags.Commander.
 func (c *capacityCommand) Execute([]string) error {
-	ctx, cancel := context.WithTimeout(c.session.ctx, capacityLimit)
+	ctx, cancel := context.WithTimeout(c.session.ctx, capacityTimeout)
 	defer cancel()
 	progress := c.session.Output
 	if c.JSON {
@@ -27,7 +27,7 @@
 	}
 	slopes, measureErr := capacity.Measure(ctx, c.Role, progress)
 	if c.JSON && len(slopes) > 0 {
-		// A run out of time has slopes to show as well.
+		// A run that timed out has partial results.
 		if err := c.session.printJSON(slopes); err != nil {
 			return err
 		}
--- a/kit/labcommand/capacity_test.go
+++ b/kit/labcommand/capacity_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestCapacityNamesTheRolesItKnows(t *testing.T) {
+func TestCapacityListsRolesOnUnknownRole(t *testing.T) {
 	c := qt.New(t)
 	code, _, failures := runLab("capacity", "--role", "janitor")
 	c.Assert(code, qt.Equals, ExitFailed)
--- a/kit/labcommand/compare.go
+++ b/kit/labcommand/compare.go
@@ -24,7 +24,7 @@
 // comparison is what the command prints as JSON.
 type comparison struct {
 	Differences []lab.Difference `json:"differences"`
-	// Verdict says why B does not pass, or is empty.
+	// Verdict is the reason why B fails, or empty.
 	Verdict string `json:"verdict"`
 }
 
@@ -69,12 +69,12 @@
 	}
 }
 
-// readReport reads a report of a fleet run or of the load tool.
+// readReport reads a report of the command fleet or load.
 func readReport(path string) (lab.Comparable, error) {
 	var report lab.Comparable
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return report, errors.Wrap(err, "read a report")
+		return report, errors.Wrap(err, "read the report")
 	}
 	if err := json.Unmarshal(content, &report); err != nil {
 		return report, structs.NewError(structs.ErrorInvalid, path+" is not a report: "+err.Error(),
--- a/kit/labcommand/demo.go
+++ b/kit/labcommand/demo.go
@@ -10,8 +10,8 @@
 	"github.com/lotusferry/lotusferry/kit/lab"
 )
 
-// demoLimit bounds the whole demonstration.
-const demoLimit = 55 * time.Second
+// demoTimeout is the time limit of the demonstration.
+const demoTimeout = 55 * time.Second
 
 type demoCommand struct {
 	session *session
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(c.session.ctx, demoLimit)
+	ctx, cancel := context.WithTimeout(c.session.ctx, demoTimeout)
 	defer cancel()
 	progress := c.session.Output
 	if c.JSON {
@@ -49,6 +49,6 @@
 		fmt.Fprintln(c.session.Errors, report.Violations, "folders kept in", folder)
 		return errViolation
 	}
-	fmt.Fprintln(progress, "Nothing that must always hold was broken.")
+	fmt.Fprintln(progress, "No invariant was violated.")
 	return os.RemoveAll(folder)
 }
--- a/kit/labcommand/experiment.go
+++ b/kit/labcommand/experiment.go
@@ -21,7 +21,7 @@
 	Days     int      `long:"days" default:"7" description:"days of virtual time"`
 	Seed     uint64   `long:"seed" default:"1" description:"first seed; decides calls and faults"`
 	Seeds    int      `long:"seeds" default:"1" description:"number of seeds, from the first one on"`
-	Policies string   `long:"policy" default:"lotusferry,lru,keep-alive,static,oracle" description:"list of policies; lotusferry@120 sets what a cold start is worth"`
+	Policies string   `long:"policy" default:"lotusferry,lru,keep-alive,static,oracle" description:"comma-separated policies; lotusferry@120 sets the cost of a cold start"`
 	Faults   string   `long:"faults" default:"off" choice:"on" choice:"off" choice:"both" description:"crashes, reclaimed machines, a slow store and cut-off zones"`
 	Offers   string   `long:"offers" default:"on" choice:"on" choice:"off" description:"whether a call goes to another zone with a ready replica when its own has none"`
 	Trace    string   `long:"trace" description:"CSV file of recorded calls, instead of the generated workload"`
@@ -65,14 +65,14 @@
 	return nil
 }
 
-// execute makes the runs, and writes the waits if asked to.
+// execute executes the runs and writes the waits if --waits is set.
 func (c *experimentCommand) execute(options experiment.Options) ([]experiment.Run, error) {
 	if c.Waits == "" {
 		return experiment.Execute(c.session.ctx, options)
 	}
 	file, err := os.Create(c.Waits)
 	if err != nil {
-		return nil, errors.Wrap(err, "create the file of waits")
+		return nil, errors.Wrap(err, "create the waits file")
 	}
 	defer file.Close()
 	writer, err := experiment.NewWaitWriter(file)
@@ -90,7 +90,7 @@
 	return runs, errors.Wrap(file.Close(), "write the waits")
 }
 
-// command is the command line that repeats the experiment.
+// command returns the command line that reproduces the experiment.
 func (c *experimentCommand) command() string {
 	parts := []string{"lotusferrylab experiment"}
 	for _, site := range c.Sites {
@@ -156,7 +156,7 @@
 	return workload.ReadTrace(file, shape)
 }
 
-// record writes the generated calls as a trace.
+// record writes the calls generated with the first seed as a trace.
 func (c *experimentCommand) record(site lab.Site) error {
 	arrivals, err := workload.Generate(site.Name, experiment.ShapeOf(site), c.Days, c.Seed)
 	if err != nil {
--- a/kit/labcommand/fleet.go
+++ b/kit/labcommand/fleet.go
@@ -11,10 +11,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// fleetMargin is what a run may take beyond its load: start, table and stop.
-const fleetMargin = 2 * time.Minute
+// fleetOverhead is the time limit for startup, table setup and shutdown of a run.
+const fleetOverhead = 2 * time.Minute
 
-// What --faults takes besides names: every kind of fault, no fault, and the list of kinds.
+// Special values of --faults: every kind of fault, no fault, and a list of the kinds.
 const (
 	allFaults  = "all"
 	noFaults   = "none"
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(c.session.ctx, c.For+fleetMargin)
+	ctx, cancel := context.WithTimeout(c.session.ctx, c.For+fleetOverhead)
 	defer cancel()
 	view := c.session.progress(c.JSON)
 	report, err := lab.RunRehearsal(ctx, c.session.logger, lab.RehearsalOptions{
@@ -62,29 +62,29 @@
 	})
 	view.end()
 	if err != nil {
-		c.kept(folder)
+		c.printKeptFolder(folder)
 		return err
 	}
 	report.Command = c.command()
 	return c.finish(folder, report)
 }
 
-// command is the command line that repeats the run.
+// command returns the command line that reproduces the run.
 func (c *fleetCommand) command() string {
 	return fmt.Sprintf("lotusferrylab fleet --site %s --for %v --rate %g --seed %d --faults %s", c.Site, c.For, c.Rate, c.Seed, c.Faults)
 }
 
-func (c *fleetCommand) kept(folder string) {
+func (c *fleetCommand) printKeptFolder(folder string) {
 	fmt.Fprintln(c.session.Errors, "The daemons' folders are kept in", folder)
 }
 
 func (c *fleetCommand) finish(folder string, report lab.Report) error {
 	if c.Keep || len(report.Violations) > 0 {
-		c.kept(folder)
+		c.printKeptFolder(folder)
 	}
 	if c.Report != "" {
 		if err := report.WriteFolder(c.Report); err != nil {
-			c.kept(folder)
+			c.printKeptFolder(folder)
 			return err
 		}
 	}
@@ -123,7 +123,8 @@
 	return nil
 }
 
-// faultNames checks a list of kinds of fault.
+// faultNames parses the value of --faults. It returns an error of kind ErrorInvalid for
+// an unknown kind.
 func faultNames(list string) ([]string, error) {
 	known := map[string]bool{}
 	var all []string
--- a/kit/labcommand/load.go
+++ b/kit/labcommand/load.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/kit/lab"
 )
 
-// traceSuffix tells a file of recorded calls from the name of a site.
+// traceSuffix distinguishes a trace file from the name of a site in --workload.
 const traceSuffix = ".csv"
 
 type loadCommand struct {
@@ -21,7 +21,7 @@
 	For         time.Duration `long:"for" default:"60s" description:"how long calls are made"`
 	Workload    string        `long:"workload" default:"padano" description:"padano, meknes, demo, or a CSV file of recorded calls" value-name:"SITE|FILE.csv"`
 	Site        string        `long:"site" default:"padano" description:"site of the recorded calls"`
-	From        time.Duration `long:"from" description:"where in the recorded calls to begin"`
+	From        time.Duration `long:"from" description:"offset into the recorded calls at which to start"`
 	Speed       float64       `long:"speed" default:"1" description:"how many times as fast the recorded calls are made"`
 	Seed        uint64        `long:"seed" default:"1" description:"decides calls and prompts"`
 	Check       bool          `long:"check-answers" description:"compare each answer with that of the stand-in engines"`
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// command is the command line that repeats the run; it leaves out the key.
+// command returns the command line that reproduces the run, without the API key.
 func (c *loadCommand) command() string {
 	parts := []string{"lotusferrylab load"}
 	for _, target := range c.Targets {
--- a/kit/labcommand/overload.go
+++ b/kit/labcommand/overload.go
@@ -12,7 +12,7 @@
 	"github.com/lotusferry/lotusferry/kit/overload"
 )
 
-// The files that a report folder gets.
+// The files in a report folder.
 const (
 	overloadJSON  = "overload.json"
 	overloadTable = "overload.md"
@@ -22,10 +22,10 @@
 	session  *session
 	Seed     uint64        `long:"seed" default:"1" description:"the first seed"`
 	Seeds    int           `long:"seeds" default:"1" description:"the number of seeds"`
-	Workers  int           `long:"workers" description:"runs that go side by side; one a processor if 0"`
+	Workers  int           `long:"workers" description:"number of parallel runs; one per processor if 0"`
 	Length   time.Duration `long:"for" default:"30s" description:"virtual time during which calls arrive"`
-	Scenario string        `long:"scenario" description:"only the scenarios whose name begins so"`
-	Policy   string        `long:"policy" description:"only this policy"`
+	Scenario string        `long:"scenario" description:"run only scenarios with this name prefix"`
+	Policy   string        `long:"policy" description:"run only this policy"`
 	Report   string        `long:"report" description:"write the result as JSON and as a table to this folder"`
 	JSON     bool          `long:"json" description:"print the result as JSON"`
 }
@@ -57,13 +57,13 @@
 	return errors.Wrap(report.WriteTable(c.session.Output), "write the report")
 }
 
-// write fills the report folder, if one was asked for.
+// write writes the report folder if --report is set.
 func (c *overloadCommand) write(report overload.Report) error {
 	if c.Report == "" {
 		return nil
 	}
 	if err := os.MkdirAll(c.Report, 0o755); err != nil {
-		return errors.Wrap(err, "make the report's folder")
+		return errors.Wrap(err, "create the report folder")
 	}
 	encoded, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	var table bytes.Buffer
 	if err := report.WriteTable(&table); err != nil {
-		return errors.Wrap(err, "write the report's table")
+		return errors.Wrap(err, "write the report table")
 	}
 	if err := writeReport(c.Report, overloadJSON, append(encoded, '\n')); err != nil {
 		return err
--- a/kit/labcommand/overload_test.go
+++ b/kit/labcommand/overload_test.go
@@ -31,7 +31,7 @@
 	qt.Assert(t, string(table), qt.Contains, "| goodput_per_second |")
 }
 
-func TestOverloadOfAnUnknownPolicyFails(t *testing.T) {
+func TestOverloadRejectsUnknownPolicy(t *testing.T) {
 	var output, failures bytes.Buffer
 	code := Run(context.Background(), []string{"overload", "--policy", "absent"}, Environment{Output: &output, Errors: &failures})
 	qt.Assert(t, code, qt.Equals, ExitFailed)
--- a/kit/labcommand/platform.go
+++ b/kit/labcommand/platform.go
@@ -16,10 +16,10 @@
 	Runners   int    `long:"runners" default:"2" description:"runners of each zone"`
 	Role      string `long:"role" default:"answers" description:"role of the runners, as the table's rows name it"`
 	MemoryGiB int64  `long:"memory-gib" default:"48" description:"accelerator memory of a runner"`
-	Seed      uint64 `long:"seed" default:"1" description:"decides the chance in the stand-ins"`
+	Seed      uint64 `long:"seed" default:"1" description:"random seed of the stand-ins"`
 }
 
-// Execute implements go-flags.Commander. It runs until the program is interrupted.
+// Execute implements go-flags.Commander. It runs until interrupted.
 func (c *platformCommand) Execute([]string) error {
 	site, err := config.ReadSite(c.Config)
 	if err != nil {
--- a/kit/labcommand/progress.go
+++ b/kit/labcommand/progress.go
@@ -11,19 +11,20 @@
 	"github.com/lotusferry/lotusferry/kit/lab"
 )
 
-// progressEvery separates the lines of progress where they cannot be redrawn.
-const progressEvery = 5 * time.Second
+// progressInterval is the interval between progress lines if the output is not a
+// terminal.
+const progressInterval = 5 * time.Second
 
-// redraw goes back to the line's beginning and clears it.
-const redraw = "\r\033[K"
+// clearLine is the terminal sequence that returns to the start of the line and erases it.
+const clearLine = "\r\033[K"
 
-// progressView shows a run's progress: one line that is redrawn on a terminal, and
-// a line every few seconds elsewhere.
+// progressView displays the progress of a run: as one updated line on a terminal, or
+// as a line per progressInterval.
 type progressView struct {
 	out      io.Writer
 	terminal bool
-	// shown is the time of the run at the last line.
-	shown time.Duration
+	// lastElapsed is the time of the run at the last line.
+	lastElapsed time.Duration
 }
 
 func newProgressView(out io.Writer) *progressView {
@@ -41,17 +42,18 @@
 
 func (v *progressView) show(progress lab.Progress) {
 	if v.terminal {
-		fmt.Fprint(v.out, redraw, v.fit(progress.String()))
+		fmt.Fprint(v.out, clearLine, v.fit(progress.String()))
 		return
 	}
-	if progress.Elapsed-v.shown < progressEvery {
+	if progress.Elapsed-v.lastElapsed < progressInterval {
 		return
 	}
-	v.shown = progress.Elapsed
+	v.lastElapsed = progress.Elapsed
 	fmt.Fprintln(v.out, progress)
 }
 
-// fit cuts a line to the width of the terminal, as a longer one cannot be redrawn.
+// fit truncates a line to the terminal width, since a wrapped line cannot be updated in
+// place.
 func (v *progressView) fit(line string) string {
 	file, ok := v.out.(*os.File)
 	if !ok {
@@ -64,14 +66,15 @@
 	return line[:min(len(line), int(size.Col)-1)]
 }
 
-// end leaves the line that was redrawn.
+// end terminates the updated line.
 func (v *progressView) end() {
 	if v.terminal {
 		fmt.Fprintln(v.out)
 	}
 }
 
-// progress returns the view of a run; beside a JSON report it is on the errors' stream.
+// progress returns the progress view of a run. It writes to the error stream if the
+// output is a JSON report.
 func (s *session) progress(isJSON bool) *progressView {
 	if isJSON {
 		return newProgressView(s.Errors)
--- a/kit/labcommand/report_test.go
+++ b/kit/labcommand/report_test.go
@@ -14,7 +14,7 @@
 	"github.com/lotusferry/lotusferry/kit/lab"
 )
 
-func TestFleetListsItsFaultsAndTakesNone(t *testing.T) {
+func TestFleetFaultNames(t *testing.T) {
 	exit, output, _ := run("fleet", "--faults", "list")
 	qt.Assert(t, exit, qt.Equals, ExitOK)
 	all, err := faultNames(allFaults)
@@ -44,7 +44,7 @@
 	return path
 }
 
-func TestCompareTellsByItsExitCode(t *testing.T) {
+func TestCompareExitCodes(t *testing.T) {
 	base := reportFile(t, func(*lab.LoadReport) {})
 	slower := reportFile(t, func(r *lab.LoadReport) { r.FirstToken.P99 = 1.5 })
 	violating := reportFile(t, func(r *lab.LoadReport) { r.Violations = []lab.Violation{{Invariant: "answered"}} })
@@ -68,7 +68,7 @@
 	qt.Assert(t, output, qt.Matches, `(?s).*first token p99 \(s\) +1 +1.5 +\+50.0% worse.*`)
 }
 
-func TestLoadRefusesRemoteTargetsAndRunsThatAreTooLarge(t *testing.T) {
+func TestLoadRejectsInvalidOptions(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"--target", "http://192.0.2.1:1"},
 		{"--target", "http://127.0.0.1:1", "--rate", "1000000"},
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestProgressIsALineEveryFewSecondsOffATerminal(t *testing.T) {
+func TestProgressViewOnTerminalAndFile(t *testing.T) {
 	var out bytes.Buffer
 	view := newProgressView(&out)
 	for second := range 12 {
@@ -88,8 +88,8 @@
 	}
 	view.end()
 	qt.Assert(t, strings.Count(out.String(), "\n"), qt.Equals, 2)
-	qt.Assert(t, out.String(), qt.Not(qt.Contains), redraw)
+	qt.Assert(t, out.String(), qt.Not(qt.Contains), clearLine)
 	view.terminal = true
 	view.show(lab.Progress{})
-	qt.Assert(t, out.String(), qt.Contains, redraw)
+	qt.Assert(t, out.String(), qt.Contains, clearLine)
 }
--- a/kit/labcommand/run.go
+++ b/kit/labcommand/run.go
@@ -21,21 +21,21 @@
 	ExitWorse     = 4
 )
 
-// Environment is what the command line needs of its process.
+// Environment holds the streams and the daemon command of a command line.
 type Environment struct {
 	Output io.Writer
 	Errors io.Writer
-	// DaemonCommand starts a daemon; "--config FILE" is appended.
+	// DaemonCommand is the command that starts a daemon, without "--config FILE".
 	DaemonCommand []string
 }
 
-// errViolation ends a run that found a violation, after its report was printed.
-var errViolation = errors.New("what must always hold did not hold")
+// errViolation is returned by a run that found violations, after printing its report.
+var errViolation = errors.New("an invariant was violated")
 
-// errWorse ends a comparison whose second report is worse than the first.
+// errWorse is returned by a comparison in which the second report is worse.
 var errWorse = errors.New("the second report is worse")
 
-// session is shared by all commands of one call.
+// session holds the state shared by the commands.
 type session struct {
 	Environment
 	ctx    context.Context
@@ -43,20 +43,20 @@
 }
 
 type commandLine struct {
-	Demo       demoCommand       `command:"demo" description:"Bring up a small site, send requests, edit the table, and report"`
+	Demo       demoCommand       `command:"demo" description:"Start a small site, send requests, edit the table, and print a report"`
 	Fleet      fleetCommand      `command:"fleet" description:"Run a whole site as processes under load and faults, and check it"`
-	Platform   platformCommand   `command:"platform" description:"Run stand-ins for engines, weight store and machine list for a site of your own settings"`
-	Load       loadCommand       `command:"load" description:"Put load on routers that run, and measure what callers see"`
+	Platform   platformCommand   `command:"platform" description:"Run stand-ins for the engines, weight store and machine list of a configured site"`
+	Load       loadCommand       `command:"load" description:"Generate load on running routers, and measure it at the callers"`
 	Compare    compareCommand    `command:"compare" description:"Compare two reports of the commands fleet or load"`
-	Experiment experimentCommand `command:"experiment" description:"Replay days of a site's calls in virtual time, and compare ways to place replicas"`
-	Overload   overloadCommand   `command:"overload" description:"Measure goodput, waits, refusals and fairness beyond capacity, beside baselines"`
+	Experiment experimentCommand `command:"experiment" description:"Replay days of a site's calls in virtual time, and compare placement policies"`
+	Overload   overloadCommand   `command:"overload" description:"Measure goodput, waits, refusals and fairness under overload, compared with baselines"`
 	Simulate   simulateCommand   `command:"simulate" description:"Run whole sites in one process and in virtual time, from seeds, with faults"`
-	Scenarios  scenariosCommand  `command:"scenarios" description:"List what fails, and which command brings it about"`
-	Capacity   capacityCommand   `command:"capacity" description:"Measure what each role costs, as slopes over several sizes"`
-	Soak       soakCommand       `command:"soak" description:"Run the roles of the users' platform as processes on loopback addresses under faults from outside, and check them"`
+	Scenarios  scenariosCommand  `command:"scenarios" description:"List failures, and the commands that reproduce them"`
+	Capacity   capacityCommand   `command:"capacity" description:"Measure the resource costs of each role, as slopes over several sizes"`
+	Soak       soakCommand       `command:"soak" description:"Run the roles of the users' platform as processes on loopback addresses under injected faults, and check them"`
 }
 
-// Run runs the command line and returns the exit code.
+// Run executes a command line and returns the exit code.
 func Run(ctx context.Context, arguments []string, environment Environment) int {
 	shared := &session{Environment: environment, ctx: ctx, logger: log.NewNopLogger()}
 	line := commandLine{
@@ -108,15 +108,15 @@
 	return ExitFailed
 }
 
-// printJSON writes a report, indented.
+// printJSON writes a report as indented JSON.
 func (s *session) printJSON(report any) error {
 	encoder := json.NewEncoder(s.Output)
 	encoder.SetIndent("", "  ")
 	return errors.Wrap(encoder.Encode(report), "write the report")
 }
 
-// newFolder makes the folder of a run below the system's temporary folder.
+// newFolder creates a temporary folder for a run.
 func newFolder(name string) (string, error) {
 	folder, err := os.MkdirTemp("", "lotusferrylab-"+name+"-")
-	return folder, errors.Wrap(err, "make the run's folder")
+	return folder, errors.Wrap(err, "create the run folder")
 }
--- a/kit/labcommand/run_test.go
+++ b/kit/labcommand/run_test.go
@@ -13,7 +13,8 @@
 	"github.com/lotusferry/lotusferry/kit/labcommand"
 )
 
-// run runs the command line; what would go on until an interruption ends at once.
+// run executes a command line with a cancelled context, so that commands that run until
+// interrupted return immediately.
 func run(arguments ...string) (code int, output, failures string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -22,7 +23,7 @@
 	return code, out.String(), errs.String()
 }
 
-func TestWrongCommandLinesRunNothing(t *testing.T) {
+func TestInvalidCommandLinesFailWithUsage(t *testing.T) {
 	c := qt.New(t)
 	for _, arguments := range [][]string{{"fleet", "padano"}, {"scenarios", "all"}, {"demon"}, {}, {"demo", "--colour"}, {"platform"}} {
 		code, output, failures := run(arguments...)
@@ -36,7 +37,7 @@
 	c.Check(failures, qt.Equals, "")
 }
 
-func TestPlatformServesTheZonesOfSettings(t *testing.T) {
+func TestPlatformServesConfiguredZones(t *testing.T) {
 	c := qt.New(t)
 	content, err := os.ReadFile(filepath.Join("..", "..", "examples", "loopback.yaml"))
 	c.Assert(err, qt.IsNil)
--- a/kit/labcommand/scenarios.go
+++ b/kit/labcommand/scenarios.go
@@ -7,12 +7,12 @@
 	"github.com/lotusferry/lotusferry/kit/simulate"
 )
 
-// failure is one thing that fails at a site, and which command brings it about.
+// failure is a kind of failure of a site, with the commands that reproduce it.
 type failure struct {
 	Name     string `json:"name"`
 	Sentence string `json:"sentence"`
-	// Simulate names scenarios of the command simulate, Fleet kinds of fault of the
-	// command fleet. An empty list means that the command cannot do it yet.
+	// Simulate lists scenarios of the command simulate, and Fleet kinds of fault of the
+	// command fleet. An empty list means that the command does not support the failure.
 	Simulate []string `json:"simulate"`
 	Fleet    []string `json:"fleet"`
 }
@@ -78,7 +78,7 @@
 		return c.session.printJSON(list)
 	}
 	out := c.session.Output
-	fmt.Fprintln(out, "What fails, and how to bring it about:")
+	fmt.Fprintln(out, "Failures, and how to reproduce them:")
 	for _, entry := range list.Failures {
 		fmt.Fprintf(out, "%-18s %s\n", entry.Name, entry.Sentence)
 		fmt.Fprintf(out, "%-18s simulate: %s; fleet: %s\n", "", namesOrNone(entry.Simulate), namesOrNone(entry.Fleet))
@@ -90,7 +90,7 @@
 			fmt.Fprintf(out, "  %s/%s: %s\n", known.Name, plan.Name, plan.Sentence)
 		}
 	}
-	fmt.Fprintln(out, "Two plans strike together as in table/slow-store+reclaimed, and one twice in a row as in table/second-loss+second-loss.")
+	fmt.Fprintln(out, "Plans can be combined, as in table/slow-store+reclaimed, and repeated, as in table/second-loss+second-loss.")
 	return nil
 }
 
--- a/kit/labcommand/scenarios_test.go
+++ b/kit/labcommand/scenarios_test.go
@@ -18,7 +18,7 @@
 	return exit, out.String(), errs.String()
 }
 
-func TestEachListedFailureCanBeBroughtAbout(t *testing.T) {
+func TestListedFailuresAreReproducible(t *testing.T) {
 	kinds := map[string]bool{}
 	for _, kind := range lab.FaultKinds() {
 		kinds[kind.Name] = true
@@ -46,7 +46,7 @@
 	qt.Assert(t, output, qt.Contains, "fleet: not yet")
 }
 
-func TestSimulateReportsViolationsAndReplaysThem(t *testing.T) {
+func TestSimulateReportsAndReplaysViolations(t *testing.T) {
 	exit, output, _ := run("simulate", "--scenario", "table/calm", "--json")
 	qt.Assert(t, exit, qt.Equals, ExitOK)
 	qt.Assert(t, output, qt.Contains, `"violations": []`)
@@ -65,7 +65,7 @@
 	qt.Assert(t, output, qt.Contains, report.Violations[0].Message)
 }
 
-func TestSimulateHelpsAndRefuses(t *testing.T) {
+func TestSimulateListsMutationsAndRejectsUnknownNames(t *testing.T) {
 	exit, output, _ := run("simulate", "--mutate", "help")
 	qt.Assert(t, exit, qt.Equals, ExitOK)
 	qt.Assert(t, output, qt.Contains, "no-fence")
--- a/kit/labcommand/simulate.go
+++ b/kit/labcommand/simulate.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// mutationHelp asks for the list of mutations.
+	// mutationHelp is the value of --mutate that lists the mutations.
 	mutationHelp = "help"
-	// shrinkAttempts is how many runs a shrink may take.
+	// shrinkAttempts is the maximum number of runs for shrinking a violation.
 	shrinkAttempts = 60
-	// shownLines is how much of a violation's trace is printed.
-	shownLines = 20
-	// shownViolations is how many violations are printed.
-	shownViolations = 3
+	// maxTraceLines is the number of trailing trace lines printed per violation.
+	maxTraceLines = 20
+	// maxViolations is the maximum number of violations printed.
+	maxViolations = 3
 )
 
 type simulateCommand struct {
@@ -26,8 +26,8 @@
 	Scenario    string `long:"scenario" default:"all" description:"a name that the command scenarios lists, or all"`
 	Seed        uint64 `long:"seed" default:"1" description:"the first seed"`
 	Seeds       int    `long:"seeds" default:"1" description:"the number of seeds"`
-	Workers     int    `long:"workers" description:"seeds that run at once; one a processor if 0"`
-	StopAfter   int    `long:"stop-after" description:"end the run after so many violations; never if 0"`
+	Workers     int    `long:"workers" description:"number of seeds run in parallel; one per processor if 0"`
+	StopAfter   int    `long:"stop-after" description:"stop after this number of violations; never if 0"`
 	Mutate      string `long:"mutate" description:"disable the safeguard of this name; help lists them"`
 	Replay      string `long:"replay" description:"run this replay file again"`
 	WriteReplay string `long:"write-replay" description:"write a replay file of the first violation"`
@@ -84,8 +84,8 @@
 	return simulate.Replay(file)
 }
 
-// shrink drops faults that the first violation does not need, and writes its
-// replay file when one is asked for.
+// shrink removes faults that are not needed to reproduce the first violation, and
+// writes its replay file if --write-replay is set.
 func (c *simulateCommand) shrink(result *simulate.Result) error {
 	if len(result.Violations) == 0 || c.Replay != "" {
 		return nil
@@ -100,7 +100,7 @@
 	}
 	file, err := os.Create(c.WriteReplay)
 	if err != nil {
-		return errors.Wrap(err, "make the replay file")
+		return errors.Wrap(err, "create the replay file")
 	}
 	if err := simulate.WriteReplay(file, smallest); err != nil {
 		_ = file.Close()
@@ -119,8 +119,8 @@
 	fmt.Fprintf(out, "%.2f simulated hours in %.1f s: %.3f simulated hours a second\n",
 		result.SimulatedHours, result.RealSeconds, result.HoursPerSecond)
 	for i, violation := range result.Violations {
-		if i == shownViolations {
-			fmt.Fprintf(out, "and %d more violations\n", len(result.Violations)-shownViolations)
+		if i == maxViolations {
+			fmt.Fprintf(out, "and %d more violations\n", len(result.Violations)-maxViolations)
 			break
 		}
 		c.printViolation(violation)
@@ -135,7 +135,7 @@
 	for _, fault := range violation.Faults {
 		fmt.Fprintf(out, "  fault %s at %v for %v %s %s\n", fault.Kind, fault.At, fault.For, fault.Target, fault.Peer)
 	}
-	first := max(len(violation.Trace)-shownLines, 0)
+	first := max(len(violation.Trace)-maxTraceLines, 0)
 	fmt.Fprintln(out, "  "+strings.Join(violation.Trace[first:], "\n  "))
 }
 
@@ -145,7 +145,7 @@
 		return c.session.printJSON(mutations)
 	}
 	for _, mutation := range mutations {
-		fmt.Fprintf(c.session.Output, "%-20s %-10s %s Seen by: %s.\n",
+		fmt.Fprintf(c.session.Output, "%-20s %-10s %s Detected by: %s.\n",
 			mutation.Name, mutation.Scenario, mutation.Sentence, strings.Join(mutation.Checkers, ", "))
 	}
 	return nil
--- a/kit/labcommand/soak.go
+++ b/kit/labcommand/soak.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/platform/soak"
 )
 
-// soakCommand runs the roles of the users' platform as processes under faults.
+// soakCommand runs the roles of the user platform as processes under injected faults.
 type soakCommand struct {
 	session *session
 
@@ -19,17 +19,17 @@
 	Seed    uint64        `long:"seed" default:"1" description:"seed of the faults"`
 	Seeds   int           `long:"seeds" default:"1" description:"how many seeds to run, one after the other"`
 	For     time.Duration `long:"for" default:"60s" description:"how long faults are injected with each seed"`
-	Again   bool          `long:"regressions" description:"run the seeds that ever failed instead"`
+	Again   bool          `long:"regressions" description:"run the seeds of earlier failures instead"`
 	Lane    int           `long:"lane" default:"0" description:"second byte of the loopback addresses; soaks at the same time need different ones"`
 	Routers int           `long:"routers" default:"3" description:"how many routers to run"`
 	Folder  string        `long:"folder" value-name:"DIR" description:"where settings, data and logs go; a new one by default"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements go-flags.Commander.
 func (c *soakCommand) Execute([]string) error {
 	violated := false
 	for _, seed := range c.seeds() {
-		folder, err := c.folderOf()
+		folder, err := c.makeFolder()
 		if err != nil {
 			return err
 		}
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// seeds lists the seeds to run.
+// seeds returns the seeds to run.
 func (c *soakCommand) seeds() []uint64 {
 	var seeds []uint64
 	if c.Again {
@@ -71,10 +71,10 @@
 	return seeds
 }
 
-func (c *soakCommand) folderOf() (string, error) {
+func (c *soakCommand) makeFolder() (string, error) {
 	if c.Folder != "" {
-		return c.Folder, errors.Wrap(os.MkdirAll(c.Folder, 0o700), "make folder")
+		return c.Folder, errors.Wrap(os.MkdirAll(c.Folder, 0o700), "create folder")
 	}
 	folder, err := os.MkdirTemp("", "lotusferry-soak-")
-	return folder, errors.Wrap(err, "make folder")
+	return folder, errors.Wrap(err, "create folder")
 }
