--- a/kit/labcommand/experiment.go
+++ b/kit/labcommand/experiment.go
@@ -17,10 +17,10 @@
 
 type experimentCommand struct {
 	session  *session
-	Sites    []string `long:"site" default:"padano" default:"meknes" description:"site of the workload; may be given more than once"`
+	Sites    []string `long:"site" default:"padano" default:"meknes" description:"site of the workload; may be repeated"`
 	Days     int      `long:"days" default:"7" description:"days of virtual time"`
-	Seed     uint64   `long:"seed" default:"1" description:"first seed; decides calls and faults"`
-	Seeds    int      `long:"seeds" default:"1" description:"number of seeds, from the first one on"`
+	Seed     uint64   `long:"seed" default:"1" description:"first random seed of calls and faults"`
+	Seeds    int      `long:"seeds" default:"1" description:"number of consecutive seeds"`
 	Policies string   `long:"policy" default:"lotusferry,lru,keep-alive,static,oracle" description:"comma-separated policies; lotusferry@120 sets the cost of a cold start"`
 	Faults   string   `long:"faults" default:"off" choice:"on" choice:"off" choice:"both" description:"crashes, reclaimed machines, a slow store and cut-off zones"`
 	Offers   string   `long:"offers" default:"on" choice:"on" choice:"off" description:"whether a call goes to another zone with a ready replica when its own has none"`
@@ -28,7 +28,7 @@
 	Record   string   `long:"record" description:"CSV file to write the first seed's generated calls to"`
 	Waits    string   `long:"waits" description:"CSV file to write what each cold call waited for to"`
 	Report   string   `long:"report" description:"folder for report.html and report.json"`
-	Workers  int      `long:"workers" default:"4" description:"runs side by side"`
+	Workers  int      `long:"workers" default:"4" description:"number of parallel runs"`
 	JSON     bool     `long:"json" description:"print the report as JSON"`
 }
 
--- a/kit/labcommand/fleet.go
+++ b/kit/labcommand/fleet.go
@@ -24,9 +24,9 @@
 type fleetCommand struct {
 	session *session
 	Site    string        `long:"site" default:"padano" description:"padano, meknes or demo"`
-	For     time.Duration `long:"for" default:"60s" description:"how long the load lasts"`
-	Rate    float64       `long:"rate" default:"10" description:"calls a second"`
-	Seed    uint64        `long:"seed" default:"1" description:"decides calls and faults"`
+	For     time.Duration `long:"for" default:"60s" description:"duration of the load"`
+	Rate    float64       `long:"rate" default:"10" description:"calls per second"`
+	Seed    uint64        `long:"seed" default:"1" description:"random seed of calls and faults"`
 	Faults  string        `long:"faults" default:"none" description:"kinds of fault, separated by commas; all; none; list prints them"`
 	Keep    bool          `long:"keep" description:"keep the daemons' folders"`
 	Report  string        `long:"report" description:"folder for report.html and report.json" value-name:"DIR"`
--- a/kit/labcommand/load.go
+++ b/kit/labcommand/load.go
@@ -17,13 +17,13 @@
 	Targets     []string      `long:"target" required:"yes" description:"base URL of a router; may be repeated, calls go to each in turn" value-name:"URL"`
 	AllowRemote bool          `long:"allow-remote" description:"permit targets that are not loopback addresses"`
 	Key         string        `long:"key" env:"LOTUSFERRY_API_KEY" description:"caller's API key" value-name:"KEY"`
-	Rate        float64       `long:"rate" default:"10" description:"calls a second of a site's workload"`
-	For         time.Duration `long:"for" default:"60s" description:"how long calls are made"`
+	Rate        float64       `long:"rate" default:"10" description:"calls per second of a site workload"`
+	For         time.Duration `long:"for" default:"60s" description:"duration of the load"`
 	Workload    string        `long:"workload" default:"padano" description:"padano, meknes, demo, or a CSV file of recorded calls" value-name:"SITE|FILE.csv"`
 	Site        string        `long:"site" default:"padano" description:"site of the recorded calls"`
 	From        time.Duration `long:"from" description:"offset into the recorded calls at which to start"`
-	Speed       float64       `long:"speed" default:"1" description:"how many times as fast the recorded calls are made"`
-	Seed        uint64        `long:"seed" default:"1" description:"decides calls and prompts"`
+	Speed       float64       `long:"speed" default:"1" description:"speed factor of the recorded calls"`
+	Seed        uint64        `long:"seed" default:"1" description:"random seed of calls and prompts"`
 	Check       bool          `long:"check-answers" description:"compare each answer with that of the stand-in engines"`
 	Report      string        `long:"report" description:"folder for report.html and report.json" value-name:"DIR"`
 	JSON        bool          `long:"json" description:"print the report as JSON"`
--- a/kit/labcommand/platform.go
+++ b/kit/labcommand/platform.go
@@ -12,10 +12,10 @@
 
 type platformCommand struct {
 	session   *session
-	Config    string `long:"config" required:"true" value-name:"FILE" description:"settings of a daemon of the site: its zones and its machine list's address are used"`
-	Runners   int    `long:"runners" default:"2" description:"runners of each zone"`
-	Role      string `long:"role" default:"answers" description:"role of the runners, as the table's rows name it"`
-	MemoryGiB int64  `long:"memory-gib" default:"48" description:"accelerator memory of a runner"`
+	Config    string `long:"config" required:"true" value-name:"FILE" description:"settings file of a daemon of the site, for the zones and the machine list address"`
+	Runners   int    `long:"runners" default:"2" description:"number of runners per zone"`
+	Role      string `long:"role" default:"answers" description:"role of the runners, as named in the rows of the table"`
+	MemoryGiB int64  `long:"memory-gib" default:"48" description:"accelerator memory per runner in GiB"`
 	Seed      uint64 `long:"seed" default:"1" description:"random seed of the stand-ins"`
 }
 
--- a/kit/labcommand/simulate.go
+++ b/kit/labcommand/simulate.go
@@ -23,7 +23,7 @@
 
 type simulateCommand struct {
 	session     *session
-	Scenario    string `long:"scenario" default:"all" description:"a name that the command scenarios lists, or all"`
+	Scenario    string `long:"scenario" default:"all" description:"name of a scenario listed by the command scenarios, or all"`
 	Seed        uint64 `long:"seed" default:"1" description:"the first seed"`
 	Seeds       int    `long:"seeds" default:"1" description:"the number of seeds"`
 	Workers     int    `long:"workers" description:"number of seeds run in parallel; one per processor if 0"`
--- a/kit/labcommand/soak.go
+++ b/kit/labcommand/soak.go
@@ -17,12 +17,12 @@
 
 	Binary  string        `long:"binary" value-name:"FILE" default:"bin/lotusferry" description:"the program under test"`
 	Seed    uint64        `long:"seed" default:"1" description:"seed of the faults"`
-	Seeds   int           `long:"seeds" default:"1" description:"how many seeds to run, one after the other"`
-	For     time.Duration `long:"for" default:"60s" description:"how long faults are injected with each seed"`
+	Seeds   int           `long:"seeds" default:"1" description:"number of consecutive seeds"`
+	For     time.Duration `long:"for" default:"60s" description:"duration of fault injection for each seed"`
 	Again   bool          `long:"regressions" description:"run the seeds of earlier failures instead"`
-	Lane    int           `long:"lane" default:"0" description:"second byte of the loopback addresses; soaks at the same time need different ones"`
-	Routers int           `long:"routers" default:"3" description:"how many routers to run"`
-	Folder  string        `long:"folder" value-name:"DIR" description:"where settings, data and logs go; a new one by default"`
+	Lane    int           `long:"lane" default:"0" description:"second byte of the loopback addresses; must differ between concurrent soaks"`
+	Routers int           `long:"routers" default:"3" description:"number of routers"`
+	Folder  string        `long:"folder" value-name:"DIR" description:"folder for settings, data and logs; a new temporary folder by default"`
 }
 
 // Execute implements go-flags.Commander.
