--- a/kit/experiment/checker.go
+++ b/kit/experiment/checker.go
@@ -7,21 +7,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// maxViolations bounds the list of a run.
+// maxViolations limits the violations recorded for a run.
 const maxViolations = 20
 
-// Violation is something that must never happen and did.
+// Violation is a breach of an invariant.
 type Violation struct {
 	// Invariant is "memory", "replicas", "store", "requests", "table" or "engine".
 	Invariant string `json:"invariant"`
 	Detail    string `json:"detail"`
 }
 
-// checker watches the engines, the store and the requests themselves, not what
-// the planner believes of them.
+// checker verifies invariants on the engines, the store and the requests themselves,
+// independently of the planner's view.
 type checker struct {
-	world *world
-	// storeLimit is how many reads may be asked of the store at once.
+	sim *simulation
+	// storeLimit is the maximum number of concurrent reads of the store, including
+	// waiting ones.
 	storeLimit int
 	storePeak  int
 	memoryPeak float64
@@ -34,17 +35,18 @@
 	}
 }
 
-// loadBegins checks the engine's memory and the number of the row's replicas.
-func (c *checker) loadBegins(e *engine, row structs.Row) {
+// checkLoad checks the engine's memory use and role and the number of replicas of the
+// row.
+func (c *checker) checkLoad(e *engine, row structs.Row) {
 	c.memoryPeak = max(c.memoryPeak, float64(e.used)/float64(e.info.MemoryBytes))
 	if e.used > e.info.MemoryBytes {
-		c.fail("memory", "%s holds %d bytes of %d after %s began to load", e.info.ID, e.used, e.info.MemoryBytes, row.Name)
+		c.fail("memory", "%s uses %d of %d bytes of memory after starting to load %s", e.info.ID, e.used, e.info.MemoryBytes, row.Name)
 	}
 	if e.info.Role != row.Role {
-		c.fail("engine", "%s has role %s and was told to load %s of role %s", e.info.ID, e.info.Role, row.Name, row.Role)
+		c.fail("engine", "%s with role %s was ordered to load %s with role %s", e.info.ID, e.info.Role, row.Name, row.Role)
 	}
 	count := 0
-	for _, z := range c.world.zones {
+	for _, z := range c.sim.zones {
 		for _, other := range z.engines {
 			if other.replicas[row.Name] != nil {
 				count++
@@ -52,31 +54,31 @@
 		}
 	}
 	if count > row.MaxReplicas {
-		c.fail("replicas", "%s has %d replicas, %d are allowed", row.Name, count, row.MaxReplicas)
+		c.fail("replicas", "%s has %d replicas; the maximum is %d", row.Name, count, row.MaxReplicas)
 	}
 }
 
-// storeAsked checks the reads under way and waiting at the store.
-func (c *checker) storeAsked(state engineapi.StoreState) {
+// checkStoreReads checks the number of active and waiting reads of the store.
+func (c *checker) checkStoreReads(state engineapi.StoreState) {
 	asked := state.Active + state.Waiting
 	c.storePeak = max(c.storePeak, asked)
 	if asked > c.storeLimit {
-		c.fail("store", "%d reads were asked of the store at once, %d are allowed", asked, c.storeLimit)
+		c.fail("store", "%d concurrent store reads; the maximum is %d", asked, c.storeLimit)
 	}
 }
 
-// zoneStates checks the invariants of the zones' state machines.
-func (c *checker) zoneStates() {
-	for _, z := range c.world.zones {
+// checkZoneStates checks the invariants of the zones' state machines.
+func (c *checker) checkZoneStates() {
+	for _, z := range c.sim.zones {
 		if err := z.state.CheckInvariants(); err != nil {
 			c.fail("table", "zone %s: %v", z.id, err)
 		}
 	}
 }
 
-// ends checks that every request has one end.
-func (c *checker) ends(arrived, ended int) {
+// checkRequestCount checks that every request that arrived has ended.
+func (c *checker) checkRequestCount(arrived, ended int) {
 	if arrived != ended {
-		c.fail("requests", "%d requests arrived and %d ended", arrived, ended)
+		c.fail("requests", "%d requests arrived, but %d ended", arrived, ended)
 	}
 }
--- a/kit/experiment/clock.go
+++ b/kit/experiment/clock.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// clock is virtual time with the events that are to come. Events at the same
-// time happen in the order in which they were set.
+// clock is a virtual clock with a queue of future events. Events at equal times run in
+// the order in which they were scheduled.
 type clock struct {
-	now    time.Time
-	events eventHeap
-	count  uint64
+	now          time.Time
+	events       eventHeap
+	lastSequence uint64
 }
 
 type event struct {
-	at     time.Time
-	number uint64
-	action func()
+	at       time.Time
+	sequence uint64
+	action   func()
 }
 
-// after sets an event that cannot be called off.
+// after schedules an action, which cannot be cancelled, after the delay. A negative
+// delay counts as 0.
 func (c *clock) after(delay time.Duration, action func()) {
 	c.at(c.now.Add(max(delay, 0)), action)
 }
 
 func (c *clock) at(at time.Time, action func()) {
-	c.count++
-	heap.Push(&c.events, event{at, c.count, action})
+	c.lastSequence++
+	heap.Push(&c.events, event{at, c.lastSequence, action})
 }
 
-// next returns the time of the next event, and false when there is none.
+// next returns the time of the next event and whether there is one.
 func (c *clock) next() (time.Time, bool) {
 	if len(c.events) == 0 {
 		return time.Time{}, false
@@ -37,7 +38,7 @@
 	return c.events[0].at, true
 }
 
-// step lets the next event happen.
+// step advances the clock to the next event and runs it.
 func (c *clock) step() {
 	due := heap.Pop(&c.events).(event)
 	c.now = due.at
@@ -52,7 +53,7 @@
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
 	}
-	return h[i].number < h[j].number
+	return h[i].sequence < h[j].sequence
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
--- a/kit/experiment/demand.go
+++ b/kit/experiment/demand.go
@@ -8,8 +8,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// demand sums the zone's queues, and adds the rows that are loaded.
-func (z *zoneWorld) demand() []scheduler.Demand {
+// demand returns the demand for each row that has requests in the zone or a replica
+// there, sorted by row.
+func (z *simulatedZone) demand() []scheduler.Demand {
 	rows := map[structs.RowName]bool{}
 	for _, replica := range z.state.Replicas() {
 		rows[replica.Row] = true
@@ -21,16 +22,16 @@
 	}
 	list := make([]scheduler.Demand, 0, len(rows))
 	for _, row := range slices.Sorted(maps.Keys(rows)) {
-		demand := scheduler.Demand{Row: row, LastUsed: z.learned.lastUsed(row)}
+		demand := scheduler.Demand{Row: row, LastUsed: z.usage.lastUsed(row)}
 		if queue := z.queues[row]; queue != nil {
 			demand.Waiting = len(queue.waiting)
 			demand.Running = queue.running
 			for _, waiting := range queue.waiting {
 				demand.Highest = max(demand.Highest, waiting.Priority)
-				demand.OldestWait = max(demand.OldestWait, z.world.clock.now.Sub(waiting.arrivedAt))
+				demand.OldestWait = max(demand.OldestWait, z.sim.clock.now.Sub(waiting.arrivedAt))
 			}
 			if demand.Waiting+demand.Running > 0 {
-				demand.LastUsed = z.world.clock.now
+				demand.LastUsed = z.sim.clock.now
 			}
 		}
 		list = append(list, demand)
--- a/kit/experiment/doc.go
+++ b/kit/experiment/doc.go
@@ -1,12 +1,12 @@
-// Package experiment replays days of a site's calls in virtual time and measures
-// how well replicas are placed: cold starts, live calls in time, idle accelerator
-// hours and loads, for the scheduler and for baselines in the same harness.
+// Package experiment replays days of requests to a site in virtual time and measures
+// replica placement: cold starts, live requests answered in time, idle accelerator
+// hours and loads. It compares the scheduler with baseline policies.
 //
-// What decides is the real code: scheduler.Plan on the state machines of package
-// zone, with the grants of package table. What is slow is modelled: engines load
-// from the tiers that package emulator has, and share its weight store. Consensus
-// is not run; its delays, and those of reports and demand, are constants.
+// Decisions are made by production code: scheduler.Plan on the state machines of
+// package zone, with grants from package table. Slow operations are modelled: engines
+// load from the cache tiers of package emulator and share its weight store. Consensus
+// is not run; the delays of consensus, reports and demand are constants.
 //
-// A run is a function of its options and of the seed; it uses one goroutine, and
-// runs with other seeds or policies go side by side.
+// A run is a function of its options and seed, and uses a single goroutine. Runs that
+// differ in seed or policy may execute concurrently.
 package experiment
--- a/kit/experiment/faults.go
+++ b/kit/experiment/faults.go
@@ -7,89 +7,91 @@
 	"github.com/lotusferry/lotusferry/placement/zone"
 )
 
-// The faults of a day, as means over the whole site, and their shapes.
+// Fault rates per day over the whole site, or per load, and fault durations.
 const (
-	crashesPerDay   = 3.0
-	reclaimsPerDay  = 1.0
-	slowStorePerDay = 1.0
-	cutOffsPerDay   = 0.5
-	loadDeathRate   = 0.005
+	crashesPerDay    = 3.0
+	reclaimsPerDay   = 1.0
+	slowStorePerDay  = 1.0
+	partitionsPerDay = 0.5
+	loadCrashRate    = 0.005
 
-	restartTime   = 45 * time.Second
-	reclaimNotice = 2 * time.Minute
-	reclaimTime   = time.Hour
-	slowStoreTime = 15 * time.Minute
-	slowStoreBy   = 4.0
-	cutOffTime    = time.Hour
+	restartTime       = 45 * time.Second
+	reclaimNotice     = 2 * time.Minute
+	reclaimTime       = time.Hour
+	slowStoreTime     = 15 * time.Minute
+	slowStoreFactor   = 4.0
+	partitionDuration = time.Hour
 )
 
-// faultPlan is the source of the faults of one run.
-type faultPlan struct {
-	world  *world
-	random *rand.Rand
-	on     bool
+// faultInjector generates the faults of a run.
+type faultInjector struct {
+	sim     *simulation
+	random  *rand.Rand
+	enabled bool
 }
 
-// loadDies draws whether an engine dies at the end of a load.
-func (f *faultPlan) loadDies() bool { return f.on && f.random.Float64() < loadDeathRate }
+// crashesOnLoad randomly decides whether an engine crashes at the end of a load.
+func (f *faultInjector) crashesOnLoad() bool { return f.enabled && f.random.Float64() < loadCrashRate }
 
-// schedule sets all faults of the run.
-func (f *faultPlan) schedule(length time.Duration) {
-	if !f.on {
+// schedule schedules all faults of a run of the given length.
+func (f *faultInjector) schedule(length time.Duration) {
+	if !f.enabled {
 		return
 	}
-	f.each(length, crashesPerDay, func() {
-		e := f.engine()
+	f.schedulePoisson(length, crashesPerDay, func() {
+		e := f.randomEngine()
 		if e.alive && !e.info.Leaving {
-			e.die()
-			f.world.clock.after(restartTime, e.restart)
+			e.terminate()
+			f.sim.clock.after(restartTime, e.restart)
 		}
 	})
-	f.each(length, reclaimsPerDay, func() { f.reclaim(f.engine()) })
-	f.each(length, slowStorePerDay, func() {
-		f.world.store.slow(slowStoreBy)
-		f.world.clock.after(slowStoreTime, func() { f.world.store.slow(1) })
+	f.schedulePoisson(length, reclaimsPerDay, func() { f.reclaim(f.randomEngine()) })
+	f.schedulePoisson(length, slowStorePerDay, func() {
+		f.sim.store.slow(slowStoreFactor)
+		f.sim.clock.after(slowStoreTime, func() { f.sim.store.slow(1) })
 	})
-	f.each(length, cutOffsPerDay, func() {
-		z := f.world.zones[f.random.IntN(len(f.world.zones))]
-		if !z.cutOff {
-			z.cutOff = true
-			f.world.clock.after(cutOffTime, z.rejoin)
+	f.schedulePoisson(length, partitionsPerDay, func() {
+		z := f.sim.zones[f.random.IntN(len(f.sim.zones))]
+		if !z.partitioned {
+			z.partitioned = true
+			f.sim.clock.after(partitionDuration, z.rejoin)
 		}
 	})
 }
 
-// each sets the fault at Poisson times.
-func (f *faultPlan) each(length time.Duration, perDay float64, fault func()) {
+// schedulePoisson schedules the fault as a Poisson process with a mean of perDay
+// events.
+func (f *faultInjector) schedulePoisson(length time.Duration, perDay float64, fault func()) {
 	mean := float64(24*time.Hour) / perDay
 	for at := f.random.ExpFloat64() * mean; at < float64(length); at += f.random.ExpFloat64() * mean {
-		f.world.clock.after(time.Duration(at), func() {
-			f.world.measure.faults++
+		f.sim.clock.after(time.Duration(at), func() {
+			f.sim.recorder.faults++
 			fault()
 		})
 	}
 }
 
-func (f *faultPlan) engine() *engine {
-	z := f.world.zones[f.random.IntN(len(f.world.zones))]
+func (f *faultInjector) randomEngine() *engine {
+	z := f.sim.zones[f.random.IntN(len(f.sim.zones))]
 	return z.engines[f.random.IntN(len(z.engines))]
 }
 
-// reclaim takes a machine away after its notice, and gives an empty one back.
-func (f *faultPlan) reclaim(e *engine) {
+// reclaim removes a machine after its notice period and later returns it with empty
+// memory and disk.
+func (f *faultInjector) reclaim(e *engine) {
 	if !e.alive || e.info.Leaving {
 		return
 	}
 	e.info.Leaving = true
-	life := e.incarnation
+	incarnation := e.incarnation
 	e.zone.apply(zone.Command{Runner: &zone.RunnerCommand{Info: e.info}})
-	e.zone.wake(demandDelay)
-	f.world.clock.after(reclaimNotice, func() {
-		if !e.lives(life) {
+	e.zone.schedulePlan(demandDelay)
+	f.sim.clock.after(reclaimNotice, func() {
+		if !e.isCurrent(incarnation) {
 			return
 		}
-		e.die()
+		e.terminate()
 		e.checkpoints.ClearDisk()
-		f.world.clock.after(reclaimTime, e.restart)
+		f.sim.clock.after(reclaimTime, e.restart)
 	})
 }
--- a/kit/experiment/grants.go
+++ b/kit/experiment/grants.go
@@ -11,15 +11,16 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// wish is what a zone last told the global group of a row.
-type wish struct {
+// sentWish is the number of replicas of a row that a zone last requested from the
+// global group.
+type sentWish struct {
 	wanted int
 	at     time.Time
 }
 
-// wish sends the wishes that changed or are due again.
-func (z *zoneWorld) wish(wanted []scheduler.RowWanted) {
-	now := z.world.clock.now
+// sendWishes sends the wishes that have changed or are due to be repeated.
+func (z *simulatedZone) sendWishes(wanted []scheduler.RowWanted) {
+	now := z.sim.clock.now
 	var changed []structs.GrantWish
 	tell := func(row structs.RowName, count int) {
 		changed = append(changed, structs.GrantWish{Row: row, Zone: z.id, Wanted: count})
@@ -31,7 +32,7 @@
 		if known && last.wanted == row.Replicas && now.Sub(last.at) < wishInterval {
 			continue
 		}
-		z.wishes[row.Row] = wish{row.Replicas, now}
+		z.wishes[row.Row] = sentWish{row.Replicas, now}
 		tell(row.Row, row.Replicas)
 	}
 	for _, row := range slices.Sorted(maps.Keys(z.wishes)) {
@@ -43,25 +44,25 @@
 	if len(changed) == 0 {
 		return
 	}
-	z.tellTable(table.Command{Wish: &table.WishCommand{Zone: z.id, Wishes: changed}})
+	z.applyToTable(table.Command{Wish: &table.WishCommand{Zone: z.id, Wishes: changed}})
 }
 
-// tellTable sends a command to the global group, unless the zone is cut off.
-func (z *zoneWorld) tellTable(command table.Command) {
-	if z.cutOff {
+// applyToTable applies a command to the global table, unless the zone is partitioned.
+func (z *simulatedZone) applyToTable(command table.Command) {
+	if z.partitioned {
 		return
 	}
-	before := z.world.table.Revision()
-	z.world.table.Apply(command)
-	if z.world.table.Revision() != before {
-		z.world.spreadGrants()
+	before := z.sim.table.Revision()
+	z.sim.table.Apply(command)
+	if z.sim.table.Revision() != before {
+		z.sim.propagateGrants()
 	}
 }
 
-// spreadGrants lets all zones adopt the table's changes a moment later.
-func (w *world) spreadGrants() {
+// propagateGrants schedules all zones to adopt the table's changes after grantDelay.
+func (w *simulation) propagateGrants() {
 	for _, z := range w.zones {
-		if z.adopting || z.cutOff {
+		if z.adopting || z.partitioned {
 			continue
 		}
 		z.adopting = true
@@ -69,33 +70,34 @@
 	}
 }
 
-func (z *zoneWorld) adopt() {
+func (z *simulatedZone) adopt() {
 	z.adopting = false
-	if z.cutOff {
+	if z.partitioned {
 		return
 	}
-	delta := z.world.table.Delta(z.id, z.state.TableRevision())
+	delta := z.sim.table.Delta(z.id, z.state.TableRevision())
 	result := z.apply(zone.Command{Adopt: &delta})
 	if result.Error != nil {
-		z.world.checker.fail("table", "zone %s cannot adopt: %v", z.id, result.Error)
+		z.sim.checker.fail("table", "zone %s cannot adopt the table's changes: %v", z.id, result.Error)
 	}
-	z.wake(demandDelay)
+	z.schedulePlan(demandDelay)
 }
 
-// release gives back lowered grants that the zone is down to.
-func (z *zoneWorld) release() {
+// release confirms lowered grants once the zone has no more replicas than the new
+// limit.
+func (z *simulatedZone) release() {
 	for _, grant := range z.state.LoweredGrants() {
 		if z.state.CountOf(grant.Row) <= grant.Limit {
-			z.tellTable(table.Command{Release: &structs.GrantRelease{
+			z.applyToTable(table.Command{Release: &structs.GrantRelease{
 				Row: grant.Row, Zone: z.id, Sequence: grant.Sequence, Limit: grant.Limit,
 			}})
 		}
 	}
 }
 
-// rejoin ends a zone's time without the global group.
-func (z *zoneWorld) rejoin() {
-	z.cutOff = false
+// rejoin ends the zone's partition from the global group.
+func (z *simulatedZone) rejoin() {
+	z.partitioned = false
 	clear(z.wishes)
 	z.adopt()
 }
--- a/kit/experiment/oracle.go
+++ b/kit/experiment/oracle.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// oracleLead is how long before an arrival the oracle begins to make room and
-	// to load: as long as an unload and the slowest load take, and reports.
+	// oracleLead is how long before an arrival the oracle starts to free memory and
+	// load. It covers an unload, the slowest load and the report delays.
 	oracleLead = 8 * time.Second
-	// oracleKeep is the gap through which the oracle keeps a replica; through a
-	// longer one it unloads and loads again in time.
-	oracleKeep = 15 * time.Second
-	// oracleNever stands for a row without further calls.
-	oracleNever = 365 * 24 * time.Hour
+	// oracleKeepAlive is the longest gap between requests during which the oracle keeps
+	// a replica loaded.
+	oracleKeepAlive = 15 * time.Second
+	// noFurtherCall is the time until the next request of a row that has none left.
+	noFurtherCall = 365 * 24 * time.Hour
 )
 
-// future holds the arrivals of each row in each zone, in order.
-type future struct {
-	world *world
+// arrivalIndex holds the arrivals of each row by zone, in time order.
+type arrivalIndex struct {
+	sim   *simulation
 	rows  []structs.Row
 	times map[structs.RowName][]*arrivalTimes
 }
 
-// arrivalTimes are the calls of one row in one zone; those before next are past.
+// arrivalTimes holds the arrivals of one row in one zone; those before next have
+// passed.
 type arrivalTimes struct {
 	home  structs.ZoneID
 	times []time.Time
 	next  int
 }
 
-func newFuture(w *world) *future {
-	f := &future{world: w, rows: slices.Clone(w.site.Rows), times: map[structs.RowName][]*arrivalTimes{}}
+func newArrivalIndex(w *simulation) *arrivalIndex {
+	f := &arrivalIndex{sim: w, rows: slices.Clone(w.site.Rows), times: map[structs.RowName][]*arrivalTimes{}}
 	slices.SortFunc(f.rows, func(a, b structs.Row) int { return cmp.Compare(a.Name, b.Name) })
 	for _, row := range f.rows {
 		for _, z := range w.zones {
@@ -52,10 +53,10 @@
 	return f
 }
 
-// next returns how long it is until the next call of the row that the zone will serve.
-func (f *future) next(z *zoneWorld, row structs.RowName) time.Duration {
-	now := f.world.clock.now
-	soonest := oracleNever
+// next returns the time until the next request of the row that the zone will serve.
+func (f *arrivalIndex) next(z *simulatedZone, row structs.RowName) time.Duration {
+	now := f.sim.clock.now
+	soonest := noFurtherCall
 	for _, list := range f.times[row] {
 		for list.next < len(list.times) && !list.times[list.next].After(now) {
 			list.next++
@@ -63,31 +64,31 @@
 		if list.next == len(list.times) {
 			continue
 		}
-		if wait := list.times[list.next].Sub(now); wait < soonest && f.world.target(list.home, row) == z {
+		if wait := list.times[list.next].Sub(now); wait < soonest && f.sim.target(list.home, row) == z {
 			soonest = wait
 		}
 	}
 	return soonest
 }
 
-// oracle loads each row in time for its next call and unloads it when that is
-// far; to make room it unloads what is called last. It bounds what any planner
-// can reach in the same harness, but for its greedy choice of runners.
+// oracle loads each row before its next request, unloads it when the next request is
+// far off, and evicts the replica whose next use is latest. Apart from its greedy
+// choice of runners, it bounds the results of any planner.
 type oracle struct {
-	zone   *zoneWorld
-	future *future
+	zone  *simulatedZone
+	index *arrivalIndex
 }
 
-// Plan implements Planner, on the simple baseline's plan.
+// Plan implements Planner by passing a modified snapshot to the onDemand planner.
 func (o *oracle) Plan(snapshot scheduler.Snapshot) scheduler.PlanResult {
 	demands := map[structs.RowName]scheduler.Demand{}
 	for _, demand := range snapshot.Demand {
 		demands[demand.Row] = demand
 	}
 	snapshot.Demand = nil
-	soonest := oracleNever
+	soonest := noFurtherCall
 	calls := o.nextCalls()
-	for _, row := range o.future.rows {
+	for _, row := range o.index.rows {
 		demand, known := demands[row.Name]
 		next := calls[row.Name]
 		if next > oracleLead {
@@ -100,7 +101,8 @@
 			continue
 		}
 		demand.Row = row.Name
-		// The order of eviction is that of next use, of which this is the mirror image.
+		// Reflecting the next use into the past makes least recently used eviction
+		// evict the replica with the latest next use.
 		demand.LastUsed = snapshot.Now.Add(-next)
 		if next <= oracleLead && demand.Running == 0 {
 			demand.Waiting = max(demand.Waiting, 1)
@@ -108,21 +110,21 @@
 		snapshot.Demand = append(snapshot.Demand, demand)
 	}
 	for i := range snapshot.Replicas {
-		snapshot.Replicas[i].Since = time.Time{} // Only the next use counts.
+		snapshot.Replicas[i].Since = time.Time{} // rank by next use alone
 	}
 	if soonest < idlePlanInterval {
-		o.zone.world.clock.after(soonest, func() { o.zone.wake(0) })
+		o.zone.sim.clock.after(soonest, func() { o.zone.schedulePlan(0) })
 	}
-	planner := onDemand{keepAlive: oracleKeep}
+	planner := onDemand{keepAlive: oracleKeepAlive}
 	return planner.Plan(snapshot)
 }
 
-// nextCalls returns how long it is until each row is needed; a base is needed as
-// soon as its adapters are.
+// nextCalls returns the time until each row is needed. A base is needed as soon as one
+// of its adapters is.
 func (o *oracle) nextCalls() map[structs.RowName]time.Duration {
-	calls := make(map[structs.RowName]time.Duration, len(o.future.rows))
-	for _, row := range o.future.rows {
-		next := o.future.next(o.zone, row.Name)
+	calls := make(map[structs.RowName]time.Duration, len(o.index.rows))
+	for _, row := range o.index.rows {
+		next := o.index.next(o.zone, row.Name)
 		if known, ok := calls[row.Name]; !ok || next < known {
 			calls[row.Name] = next
 		}
--- a/kit/experiment/platform.go
+++ b/kit/experiment/platform.go
@@ -4,15 +4,16 @@
 
 const gibibyte = int64(1) << 30
 
-// The platform: sizes and speeds of engines and store. The largest model of the
-// rehearsed sites loads in about 4 s from the store, and in less from disk.
+// Sizes in bytes, speeds in bytes per second and timings of the modelled engines and
+// store. The largest model of the sites loads from the store in about 4 s.
 const (
 	hostMemoryBytes = 64 * gibibyte
 	diskBytes       = 512 * gibibyte
 	memorySpeed     = 20 * gibibyte
 	diskSpeed       = 8 * gibibyte
 	storeSpeed      = 12 * gibibyte
-	// storeThenMemorySpeed is that of a load from the store: into memory, and from there.
+	// storeThenMemorySpeed is the effective speed of a load from the store, which
+	// copies the checkpoint into memory and loads it from there.
 	storeThenMemorySpeed = storeSpeed / gibibyte * memorySpeed / ((storeSpeed + memorySpeed) / gibibyte)
 	loadBase             = 200 * time.Millisecond
 	unloadTime           = 50 * time.Millisecond
@@ -23,29 +24,29 @@
 	prefillPerToken   = 60 * time.Microsecond
 )
 
-// The delays of the system, from the defaults of packages config and controller.
+// Delays of the control plane, from the defaults of packages config and controller.
 const (
-	// demandDelay passes before a router's new demand is planned for.
+	// demandDelay is the delay from new demand at a router to the plan.
 	demandDelay = 25 * time.Millisecond
-	// planInterval passes between two plans while something is under way, and
-	// between a reservation and its order.
+	// planInterval is the interval between plans while work is in progress, and the
+	// delay between a reservation and its order.
 	planInterval = 250 * time.Millisecond
-	// reportDelay passes before the leader knows what an engine did.
+	// reportDelay is the delay until the leader learns of a change at an engine.
 	reportDelay = 350 * time.Millisecond
-	// unloadDelay passes before an engine is told to unload.
+	// unloadDelay is the delay until an engine is ordered to unload.
 	unloadDelay = time.Second
-	// grantDelay passes before a change of grants is adopted.
+	// grantDelay is the delay until a zone adopts a change of grants.
 	grantDelay = 100 * time.Millisecond
-	// forwardDelay is the way to another zone and back.
+	// forwardDelay is the round-trip time to another zone.
 	forwardDelay = 4 * time.Millisecond
-	// idlePlanInterval passes between two plans when nothing is under way;
-	// evictionInterval does for planners that unload only to make room.
+	// idlePlanInterval is the interval between plans while no work is in progress;
+	// evictionInterval is that of planners that unload only to free memory.
 	idlePlanInterval = 10 * time.Second
 	evictionInterval = 10 * time.Minute
-	// shortPlanInterval passes between them while replicas are there, where idle
-	// hours count most.
+	// shortPlanInterval replaces idlePlanInterval at sites that minimize idle time,
+	// while replicas are loaded.
 	shortPlanInterval = 2 * time.Second
-	// wishInterval passes before an unchanged wish is repeated.
+	// wishInterval is the interval at which an unchanged wish is repeated.
 	wishInterval = time.Minute
 )
 
--- a/kit/experiment/policy.go
+++ b/kit/experiment/policy.go
@@ -11,98 +11,102 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Policy names a way to place replicas.
+// Policy names a replica placement policy.
 type Policy string
 
-// The policies.
+// The placement policies.
 const (
-	// PolicyLotusferry is scheduler.Plan with the site's settings; as
-	// "lotusferry@120", a second of cold start is worth 120 seconds of an idle runner.
+	// PolicyLotusferry is scheduler.Plan with the settings of the site. A suffix sets
+	// the cost of a cold start: with "lotusferry@120", a second of cold start costs as
+	// much as 120 idle runner seconds.
 	PolicyLotusferry Policy = "lotusferry"
-	// PolicyLRU loads on demand and unloads only to make room.
+	// PolicyLRU loads on demand and evicts least recently used replicas to free memory.
 	PolicyLRU Policy = "lru"
 	// PolicyKeepAlive loads on demand and unloads after fixedKeepAlive without use.
 	PolicyKeepAlive Policy = "keep-alive"
-	// PolicyStatic keeps the most popular rows loaded, and leaves one runner of each
-	// role and zone, or room for the largest row, to load others on demand.
+	// PolicyStatic keeps the most popular rows loaded. It loads others on demand, in
+	// one runner of each role and zone, or in memory reserved for the largest row if
+	// there is only one runner.
 	PolicyStatic Policy = "static"
-	// PolicyOracle knows all arrivals.
+	// PolicyOracle plans with knowledge of all future arrivals.
 	PolicyOracle Policy = "oracle"
 )
 
-// Policies lists all policies.
+// Policies returns all policies.
 func Policies() []Policy {
 	return []Policy{PolicyLotusferry, PolicyLRU, PolicyKeepAlive, PolicyStatic, PolicyOracle}
 }
 
-// fixedKeepAlive is what operators commonly set.
+// fixedKeepAlive is a common setting for keep-alive policies.
 const fixedKeepAlive = 10 * time.Minute
 
-// planFunction makes a Planner of scheduler.Plan.
+// planFunction adapts a function such as scheduler.Plan to Planner.
 type planFunction func(scheduler.Snapshot) scheduler.PlanResult
 
 // Plan implements Planner.
 func (f planFunction) Plan(snapshot scheduler.Snapshot) scheduler.PlanResult { return f(snapshot) }
 
-// setPlanners gives each zone its planner.
-func (w *world) setPlanners(policy Policy) error {
-	var newPlanner func(z *zoneWorld) Planner
+// setPlanners creates the planner of each zone and schedules its first plan. It returns
+// an error of kind structs.ErrorInvalid for an unknown policy.
+func (w *simulation) setPlanners(policy Policy) error {
+	var newPlanner func(z *simulatedZone) Planner
 	interval, short := idlePlanInterval, w.site.Objective == structs.ObjectiveIdle
-	policy, err := w.setWorth(policy)
+	policy, err := w.setColdStartCost(policy)
 	if err != nil {
 		return err
 	}
 	switch policy {
 	case PolicyLotusferry:
-		newPlanner = func(*zoneWorld) Planner { return planFunction(scheduler.Plan) }
+		newPlanner = func(*simulatedZone) Planner { return planFunction(scheduler.Plan) }
 	case PolicyLRU:
 		interval, short = evictionInterval, false
-		newPlanner = func(*zoneWorld) Planner { return &onDemand{} }
+		newPlanner = func(*simulatedZone) Planner { return &onDemand{} }
 	case PolicyKeepAlive:
-		newPlanner = func(*zoneWorld) Planner { return &onDemand{keepAlive: fixedKeepAlive} }
+		newPlanner = func(*simulatedZone) Planner { return &onDemand{keepAlive: fixedKeepAlive} }
 	case PolicyStatic:
 		interval, short = evictionInterval, false
-		pinned := w.staticSpread()
-		newPlanner = func(*zoneWorld) Planner { return &onDemand{pinned: pinned} }
+		pinned := w.staticPlacement()
+		newPlanner = func(*simulatedZone) Planner { return &onDemand{pinned: pinned} }
 	case PolicyOracle:
-		short = false // It wakes itself for what is to come.
-		future := newFuture(w)
-		newPlanner = func(z *zoneWorld) Planner { return &oracle{zone: z, future: future} }
+		short = false // The oracle schedules plans for future arrivals.
+		index := newArrivalIndex(w)
+		newPlanner = func(z *simulatedZone) Planner { return &oracle{zone: z, index: index} }
 	default:
-		return structs.NewError(structs.ErrorInvalid, "there is no policy "+string(policy),
+		return structs.NewError(structs.ErrorInvalid, "unknown policy "+string(policy),
 			"Choose lotusferry, lru, keep-alive, static or oracle.")
 	}
 	for _, z := range w.zones {
 		z.planner = newPlanner(z)
 		z.idleInterval, z.shortInterval = interval, short
-		z.wake(demandDelay)
+		z.schedulePlan(demandDelay)
 	}
 	return nil
 }
 
-// worthSeparator stands between PolicyLotusferry and a worth.
-const worthSeparator = "@"
+// costSeparator separates PolicyLotusferry from the cold start cost.
+const costSeparator = "@"
 
-// setWorth takes the worth of a cold start from the policy's name, if it has one,
+// setColdStartCost parses and applies the cold start cost in the policy's name, if any,
 // and returns the policy without it.
-func (w *world) setWorth(policy Policy) (Policy, error) {
-	name, text, found := strings.Cut(string(policy), worthSeparator)
+func (w *simulation) setColdStartCost(policy Policy) (Policy, error) {
+	name, text, found := strings.Cut(string(policy), costSeparator)
 	if !found {
 		return policy, nil
 	}
-	worth, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(worth > 0) || Policy(name) != PolicyLotusferry {
-		return "", structs.NewError(structs.ErrorInvalid, "there is no policy "+string(policy),
-			"Write lotusferry@ and the seconds of an idle runner that a second of cold start is worth.")
+	cost, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(cost > 0) || Policy(name) != PolicyLotusferry {
+		return "", structs.NewError(structs.ErrorInvalid, "unknown policy "+string(policy),
+			"Use lotusferry@ followed by the idle runner seconds that a second of cold start costs, a positive number.")
 	}
-	w.settings.LatencyColdStartWorth = worth
-	w.settings.IdleColdStartWorth = worth
+	w.settings.LatencyColdStartWorth = cost
+	w.settings.IdleColdStartWorth = cost
 	return PolicyLotusferry, nil
 }
 
-// staticSpread pins rows to runners, the most called rows of the whole run first,
-// each in the zone that calls it most, where its memory still fits.
-func (w *world) staticSpread() map[structs.RunnerID][]structs.RowName {
+// staticPlacement pins rows to runners in descending order of requests over the whole
+// run. Each row is pinned in the zone with the most requests for it that has enough
+// memory left.
+func (w *simulation) staticPlacement() map[structs.RunnerID][]structs.RowName {
 	calls := map[structs.RowName]map[structs.ZoneID]int{}
 	totals := map[structs.RowName]int{}
 	for _, arrival := range w.arrivals {
@@ -114,26 +118,26 @@
 	}
 	rows := slices.Clone(w.site.Rows)
 	slices.SortStableFunc(rows, func(a, b structs.Row) int { return cmp.Compare(totals[b.Name], totals[a.Name]) })
-	spread := &staticSpread{world: w, pinned: map[structs.RunnerID][]structs.RowName{}, left: map[structs.RunnerID]int64{}}
+	placer := &staticPlacer{sim: w, pinned: map[structs.RunnerID][]structs.RowName{}, freeBytes: map[structs.RunnerID]int64{}}
 	for _, z := range w.zones {
 		for i, e := range z.engines {
-			spread.left[e.info.ID] = w.pinnable(z, i)
+			placer.freeBytes[e.info.ID] = w.pinnable(z, i)
 		}
 	}
 	for _, row := range rows {
 		zones := slices.Clone(w.zones)
-		slices.SortStableFunc(zones, func(a, b *zoneWorld) int {
+		slices.SortStableFunc(zones, func(a, b *simulatedZone) int {
 			return cmp.Compare(calls[row.Name][b.id], calls[row.Name][a.id])
 		})
 		if totals[row.Name] > 0 {
-			spread.pin(row, zones)
+			placer.pin(row, zones)
 		}
 	}
-	return spread.pinned
+	return placer.pinned
 }
 
-// pinnable is how much of an engine's memory the static spread may fill.
-func (w *world) pinnable(z *zoneWorld, number int) int64 {
+// pinnable returns how many bytes of an engine's memory staticPlacement may fill.
+func (w *simulation) pinnable(z *simulatedZone, number int) int64 {
 	e := z.engines[number]
 	others, last := false, true
 	for i, other := range z.engines {
@@ -157,19 +161,20 @@
 	return e.info.MemoryBytes - largest
 }
 
-type staticSpread struct {
-	world  *world
-	pinned map[structs.RunnerID][]structs.RowName
-	left   map[structs.RunnerID]int64
+type staticPlacer struct {
+	sim       *simulation
+	pinned    map[structs.RunnerID][]structs.RowName
+	freeBytes map[structs.RunnerID]int64
 }
 
-// pin puts the row on the runner with the most room in the first zone with any.
-func (s *staticSpread) pin(row structs.Row, zones []*zoneWorld) {
+// pin pins the row to the runner with the most free memory in the first zone where it
+// fits.
+func (s *staticPlacer) pin(row structs.Row, zones []*simulatedZone) {
 	for _, z := range zones {
 		var best *engine
 		for _, e := range z.engines {
-			fits := e.info.Role == row.Role && s.need(row, e.info.ID) <= s.left[e.info.ID]
-			if fits && (best == nil || s.left[e.info.ID] > s.left[best.info.ID]) {
+			fits := e.info.Role == row.Role && s.requiredBytes(row, e.info.ID) <= s.freeBytes[e.info.ID]
+			if fits && (best == nil || s.freeBytes[e.info.ID] > s.freeBytes[best.info.ID]) {
 				best = e
 			}
 		}
@@ -177,7 +182,7 @@
 			continue
 		}
 		id := best.info.ID
-		s.left[id] -= s.need(row, id)
+		s.freeBytes[id] -= s.requiredBytes(row, id)
 		if row.NeedsBase() && !slices.Contains(s.pinned[id], row.Base) {
 			s.pinned[id] = append(s.pinned[id], row.Base)
 		}
@@ -188,10 +193,10 @@
 	}
 }
 
-func (s *staticSpread) need(row structs.Row, runner structs.RunnerID) int64 {
+func (s *staticPlacer) requiredBytes(row structs.Row, runner structs.RunnerID) int64 {
 	need := row.MemoryBytes
 	if row.NeedsBase() && !slices.Contains(s.pinned[runner], row.Base) {
-		base, _ := s.world.table.Row(row.Base)
+		base, _ := s.sim.table.Row(row.Base)
 		need += base.MemoryBytes
 	}
 	return need
--- a/kit/experiment/policy_baseline.go
+++ b/kit/experiment/policy_baseline.go
@@ -9,30 +9,30 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// onDemand is what operators set up by hand: a row is loaded when a request waits
-// for it, on the runner of its role with the most room, and the least recently
-// used idle replicas make room. It serves as all three simple baselines.
+// onDemand loads a row when a request waits for it, on the runner of its role with the
+// most free memory, and evicts the least recently used idle replicas. It implements the
+// lru, keep-alive and static policies.
 type onDemand struct {
-	// keepAlive is how long an idle replica stays; 0 means until it is evicted.
+	// keepAlive is how long an idle replica stays loaded; 0 means until it is evicted.
 	keepAlive time.Duration
-	// pinned replicas are loaded at the start and never unloaded.
+	// pinned lists the rows that are loaded at the start and never unloaded.
 	pinned map[structs.RunnerID][]structs.RowName
 }
 
-// onDemandPlan is one plan of an onDemand planner.
+// onDemandPlan is the state of one call of onDemand.Plan.
 type onDemandPlan struct {
-	snapshot scheduler.Snapshot
-	policy   *onDemand
-	free     map[structs.RunnerID]int64
-	lastUsed map[structs.RowName]time.Time
-	// waiting holds the rows with waiting requests.
-	waiting map[structs.RowName]bool
-	going   map[placed]bool
-	result  scheduler.PlanResult
-	reads   int
+	snapshot  scheduler.Snapshot
+	policy    *onDemand
+	freeBytes map[structs.RunnerID]int64
+	lastUsed  map[structs.RowName]time.Time
+	// waiting is the set of rows with waiting requests.
+	waiting    map[structs.RowName]bool
+	unloading  map[replicaKey]bool
+	result     scheduler.PlanResult
+	storeReads int
 }
 
-type placed struct {
+type replicaKey struct {
 	runner structs.RunnerID
 	row    structs.RowName
 }
@@ -40,11 +40,11 @@
 // Plan implements Planner.
 func (o *onDemand) Plan(snapshot scheduler.Snapshot) scheduler.PlanResult {
 	p := &onDemandPlan{
-		snapshot: snapshot, policy: o, free: map[structs.RunnerID]int64{},
-		lastUsed: map[structs.RowName]time.Time{}, waiting: map[structs.RowName]bool{}, going: map[placed]bool{}, reads: snapshot.StoreLoadsInFlight,
+		snapshot: snapshot, policy: o, freeBytes: map[structs.RunnerID]int64{},
+		lastUsed: map[structs.RowName]time.Time{}, waiting: map[structs.RowName]bool{}, unloading: map[replicaKey]bool{}, storeReads: snapshot.StoreLoadsInFlight,
 	}
 	for _, runner := range snapshot.Runners {
-		p.free[runner.ID] = runner.MemoryBytes - runner.MemoryReserved
+		p.freeBytes[runner.ID] = runner.MemoryBytes - runner.MemoryReserved
 	}
 	for _, demand := range snapshot.Demand {
 		p.lastUsed[demand.Row] = demand.LastUsed
@@ -59,7 +59,7 @@
 	p.unloadIdle()
 	for _, runner := range snapshot.Runners {
 		for _, row := range o.pinned[runner.ID] {
-			p.want(row, runner.ID)
+			p.ensureLoaded(row, runner.ID)
 		}
 	}
 	waiting := slices.DeleteFunc(slices.Clone(snapshot.Demand), func(demand scheduler.Demand) bool { return demand.Waiting == 0 })
@@ -67,13 +67,13 @@
 		return cmp.Or(cmp.Compare(b.Highest, a.Highest), cmp.Compare(b.OldestWait, a.OldestWait))
 	})
 	for _, demand := range waiting {
-		p.want(demand.Row, "")
+		p.ensureLoaded(demand.Row, "")
 	}
-	p.tellWanted()
+	p.addWanted()
 	return p.result
 }
 
-// unloadSurplus gives way to lowered grants and leaving runners.
+// unloadSurplus unloads replicas above the grant limits and on leaving runners.
 func (p *onDemandPlan) unloadSurplus() {
 	counts := map[structs.RowName]int{}
 	leaving := map[structs.RunnerID]bool{}
@@ -103,9 +103,10 @@
 	}
 }
 
-// evictable reports whether nothing runs on the replica, waits for it or needs it.
+// evictable reports whether the replica is ready and not in use: not pinned, without
+// running or waiting requests, and without active adapters.
 func (p *onDemandPlan) evictable(replica scheduler.Replica) bool {
-	if replica.State != structs.ReplicaReady || replica.Busy > 0 || p.going[placed{replica.Runner, replica.Row}] {
+	if replica.State != structs.ReplicaReady || replica.Busy > 0 || p.unloading[replicaKey{replica.Runner, replica.Row}] {
 		return false
 	}
 	if slices.Contains(p.policy.pinned[replica.Runner], replica.Row) {
@@ -123,10 +124,10 @@
 	return true
 }
 
-// unload plans to unload the replica, its adapters first.
+// unload plans to unload the replica, or first its adapters if it has any.
 func (p *onDemandPlan) unload(replica scheduler.Replica, reason scheduler.Reason) {
-	key := placed{replica.Runner, replica.Row}
-	if replica.State == structs.ReplicaUnloading || p.going[key] {
+	key := replicaKey{replica.Runner, replica.Row}
+	if replica.State == structs.ReplicaUnloading || p.unloading[key] {
 		return
 	}
 	hasAdapters := false
@@ -139,22 +140,23 @@
 	if hasAdapters {
 		return
 	}
-	p.going[key] = true
+	p.unloading[key] = true
 	p.result.Unloads = append(p.result.Unloads, scheduler.UnloadDecision{Row: replica.Row, Runner: replica.Runner, Reason: reason})
 }
 
-// want loads a row of which the zone has no replica, on the runner if one is
-// named, or else where there is most room, or makes room.
-func (p *onDemandPlan) want(name structs.RowName, only structs.RunnerID) {
+// ensureLoaded loads a row that has no replica in the zone, on the given runner or else
+// on the one with the most free memory. If none has enough and no runner is given, it
+// evicts replicas.
+func (p *onDemandPlan) ensureLoaded(name structs.RowName, only structs.RunnerID) {
 	row, ok := p.snapshot.Table.Row(name)
-	if !ok || p.has(name) || p.snapshot.Table.Grant(name).Limit == 0 {
+	if !ok || p.hasReplica(name) || p.snapshot.Table.Grant(name).Limit == 0 {
 		return
 	}
 	var best *scheduler.Runner
 	var bestRoom int64
 	for i := range p.snapshot.Runners {
 		runner := &p.snapshot.Runners[i]
-		if !p.usable(row, runner) || (only != "" && runner.ID != only) {
+		if !p.canLoad(row, runner) || (only != "" && runner.ID != only) {
 			continue
 		}
 		if room := p.room(row, runner); best == nil || room > bestRoom {
@@ -170,13 +172,13 @@
 	}
 }
 
-// usable reports whether the row may be loaded on the runner: a base is not loaded
-// a second time when the grants allow no more of it.
-func (p *onDemandPlan) usable(row structs.Row, runner *scheduler.Runner) bool {
+// canLoad reports whether the row may be loaded on the runner. An adapter needs its
+// base there, or a grant for another replica of the base.
+func (p *onDemandPlan) canLoad(row structs.Row, runner *scheduler.Runner) bool {
 	if runner.Role != row.Role || runner.Leaving || runner.Lagging {
 		return false
 	}
-	if !row.NeedsBase() || p.on(row.Base, runner.ID) {
+	if !row.NeedsBase() || p.isLoadedOn(row.Base, runner.ID) {
 		return true
 	}
 	count := 0
@@ -188,30 +190,31 @@
 	return count < p.snapshot.Table.Grant(row.Base).Limit
 }
 
-func (p *onDemandPlan) has(row structs.RowName) bool {
+func (p *onDemandPlan) hasReplica(row structs.RowName) bool {
 	return slices.ContainsFunc(p.snapshot.Replicas, func(replica scheduler.Replica) bool {
 		return replica.Row == row && replica.State != structs.ReplicaUnloading
 	})
 }
 
-// room is what is left on the runner after loading the row, with its base if needed.
+// room returns the bytes left on the runner after loading the row, and its base if
+// needed. It is negative if the row does not fit.
 func (p *onDemandPlan) room(row structs.Row, runner *scheduler.Runner) int64 {
-	room := p.free[runner.ID] - row.MemoryBytes
-	if row.NeedsBase() && !p.on(row.Base, runner.ID) {
+	room := p.freeBytes[runner.ID] - row.MemoryBytes
+	if row.NeedsBase() && !p.isLoadedOn(row.Base, runner.ID) {
 		base, _ := p.snapshot.Table.Row(row.Base)
 		room -= base.MemoryBytes
 	}
 	return room
 }
 
-func (p *onDemandPlan) on(row structs.RowName, runner structs.RunnerID) bool {
+func (p *onDemandPlan) isLoadedOn(row structs.RowName, runner structs.RunnerID) bool {
 	return slices.ContainsFunc(p.snapshot.Replicas, func(replica scheduler.Replica) bool {
 		return replica.Row == row && replica.Runner == runner && replica.State != structs.ReplicaUnloading
 	})
 }
 
 func (p *onDemandPlan) load(row structs.Row, runner *scheduler.Runner) {
-	if row.NeedsBase() && !p.on(row.Base, runner.ID) {
+	if row.NeedsBase() && !p.isLoadedOn(row.Base, runner.ID) {
 		base, ok := p.snapshot.Table.Row(row.Base)
 		if !ok || !p.addLoad(base, runner) {
 			return
@@ -222,13 +225,13 @@
 
 func (p *onDemandPlan) addLoad(row structs.Row, runner *scheduler.Runner) bool {
 	cached := slices.ContainsFunc(runner.Cached, func(entry structs.CachedRow) bool { return entry.Row == row.Name })
-	if !cached && p.reads >= p.snapshot.StoreLoadBudget {
+	if !cached && p.storeReads >= p.snapshot.StoreLoadBudget {
 		return false
 	}
 	if !cached {
-		p.reads++
+		p.storeReads++
 	}
-	p.free[runner.ID] -= row.MemoryBytes
+	p.freeBytes[runner.ID] -= row.MemoryBytes
 	p.result.Loads = append(p.result.Loads, scheduler.LoadDecision{Row: row.Name, Runner: runner.ID, Reason: scheduler.ReasonDemand})
 	return true
 }
--- a/kit/experiment/policy_evict.go
+++ b/kit/experiment/policy_evict.go
@@ -8,22 +8,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// makeRoom unloads the least recently used idle replicas of the runner on which
-// the most recently used of those needed was used longest ago. It does nothing
-// while memory that is being freed will be enough.
+// makeRoom evicts the least recently used idle replicas of one runner to fit the row.
+// It picks the runner whose most recently used victim was used least recently. It
+// evicts nothing if memory that is already being freed suffices.
 func (p *onDemandPlan) makeRoom(row structs.Row) {
 	var best []scheduler.Replica
 	for i := range p.snapshot.Runners {
 		runner := &p.snapshot.Runners[i]
-		if !p.usable(row, runner) {
+		if !p.canLoad(row, runner) {
 			continue
 		}
 		missing := -p.room(row, runner) - p.freeing(runner.ID)
 		if missing <= 0 {
-			p.free[runner.ID] = -runner.MemoryBytes // promised to this row
+			p.freeBytes[runner.ID] = -runner.MemoryBytes // keep the freed memory for this row
 			return
 		}
-		if victims := p.oldest(row, runner.ID, missing); victims != nil && (best == nil || p.older(victims, best)) {
+		if victims := p.leastRecentlyUsed(row, runner.ID, missing); victims != nil && (best == nil || p.usedBefore(victims, best)) {
 			best = victims
 		}
 	}
@@ -32,11 +32,11 @@
 	}
 }
 
-// freeing is the memory of replicas that are unloading or are planned to.
+// freeing returns the bytes of replicas that are unloading or planned to unload.
 func (p *onDemandPlan) freeing(runner structs.RunnerID) int64 {
 	var bytes int64
 	for _, replica := range p.snapshot.Replicas {
-		going := replica.State == structs.ReplicaUnloading || p.going[placed{runner, replica.Row}]
+		going := replica.State == structs.ReplicaUnloading || p.unloading[replicaKey{runner, replica.Row}]
 		if replica.Runner == runner && going {
 			bytes += replica.MemoryBytes
 		}
@@ -44,8 +44,9 @@
 	return bytes
 }
 
-// oldest returns the least recently used replicas that free enough, or nil.
-func (p *onDemandPlan) oldest(row structs.Row, runner structs.RunnerID, missing int64) []scheduler.Replica {
+// leastRecentlyUsed returns the least recently used evictable replicas that together
+// free the missing bytes, or nil if there are not enough.
+func (p *onDemandPlan) leastRecentlyUsed(row structs.Row, runner structs.RunnerID, missing int64) []scheduler.Replica {
 	var candidates []scheduler.Replica
 	for _, replica := range p.snapshot.Replicas {
 		if replica.Runner == runner && replica.Row != row.Base && p.evictable(replica) {
@@ -64,14 +65,15 @@
 	return nil
 }
 
-// older reports whether all of a were used before the last used one of b.
-func (p *onDemandPlan) older(a, b []scheduler.Replica) bool {
+// usedBefore reports whether the most recently used replica of a was used before that
+// of b.
+func (p *onDemandPlan) usedBefore(a, b []scheduler.Replica) bool {
 	return p.lastUsed[a[len(a)-1].Row].Before(p.lastUsed[b[len(b)-1].Row])
 }
 
-// tellWanted wishes one replica of each row that is loaded or waited for, and of
-// the bases.
-func (p *onDemandPlan) tellWanted() {
+// addWanted requests one replica of each row that is loaded, pinned or in demand, and
+// of their bases.
+func (p *onDemandPlan) addWanted() {
 	wanted := map[structs.RowName]bool{}
 	add := func(name structs.RowName) {
 		wanted[name] = true
--- a/kit/experiment/measure.go
+++ b/kit/experiment/recorder.go
@@ -9,15 +9,16 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// measure gathers the figures of one run.
-type measure struct {
+// recorder collects the measurements of a run.
+type recorder struct {
 	ended   int
 	faults  int
 	classes map[workload.Class]*classCount
-	// coldWaits are, of each live request, the seconds from arrival to first token
-	// if no replica was ready, and 0 if one was. A refused one counts its deadline.
+	// coldWaits holds, for each live request, the seconds from arrival to first token
+	// if no replica was ready, or 0 if one was. A refused request counts as its
+	// deadline.
 	coldWaits []float64
-	// coldStarts are those of cold requests of any class alone.
+	// coldStarts holds the waits of the cold requests of all classes.
 	coldStarts          []float64
 	loads               map[structs.CacheTier]int
 	unloads             map[scheduler.Reason]int
@@ -32,22 +33,22 @@
 	arrived, refused, late, cold int
 }
 
-func newMeasure() *measure {
-	return &measure{
+func newRecorder() *recorder {
+	return &recorder{
 		classes: map[workload.Class]*classCount{}, loads: map[structs.CacheTier]int{},
 		unloads: map[scheduler.Reason]int{}, loadReasons: map[scheduler.Reason]int{},
 	}
 }
 
-func (m *measure) loadBegins(tier structs.CacheTier) { m.loads[tier]++ }
+func (m *recorder) loadStarted(tier structs.CacheTier) { m.loads[tier]++ }
 
-func (m *measure) planned(took time.Duration) {
+func (m *recorder) planned(took time.Duration) {
 	m.plans++
 	m.planTime += took
 }
 
-// ends takes in a request that got its final answer now.
-func (m *measure) ends(now time.Time, r *request) {
+// requestEnded records a request that ended at the given time.
+func (m *recorder) requestEnded(now time.Time, r *request) {
 	m.ended++
 	class := m.classes[r.Class]
 	if class == nil {
@@ -66,7 +67,7 @@
 	if r.cold {
 		class.cold++
 		if r.outcome == outcomeAnswered {
-			wait = r.firstAt.Sub(r.arrivedAt).Seconds()
+			wait = r.firstTokenAt.Sub(r.arrivedAt).Seconds()
 		}
 		m.coldStarts = append(m.coldStarts, wait)
 	}
@@ -75,7 +76,7 @@
 	}
 }
 
-// Quantiles are of a list of seconds.
+// Quantiles summarizes a sample of durations in seconds.
 type Quantiles struct {
 	Count int     `json:"count"`
 	Mean  float64 `json:"mean_seconds"`
--- a/kit/experiment/request.go
+++ b/kit/experiment/request.go
@@ -6,7 +6,7 @@
 	"github.com/lotusferry/lotusferry/kit/experiment/workload"
 )
 
-// outcome is how a request ended.
+// outcome is the result of a request.
 type outcome int
 
 const (
@@ -15,15 +15,15 @@
 	outcomeRefused
 )
 
-// request is an arrival on its way.
+// request is an arrival in progress.
 type request struct {
 	workload.Arrival
 	arrivedAt  time.Time
 	deadlineAt time.Time
-	// cold is set when no replica was ready as it arrived.
-	cold    bool
-	zone    *zoneWorld
-	engine  *engine
-	firstAt time.Time
-	outcome outcome
+	// cold is set if no replica was ready when the request arrived or was requeued.
+	cold         bool
+	zone         *simulatedZone
+	engine       *engine
+	firstTokenAt time.Time
+	outcome      outcome
 }
--- a/kit/experiment/result.go
+++ b/kit/experiment/result.go
@@ -8,37 +8,39 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Run is the result of one run.
+// Run is the result of a run.
 type Run struct {
 	Site   string `json:"site"`
 	Policy Policy `json:"policy"`
 	Seed   uint64 `json:"seed"`
 	Faults bool   `json:"faults"`
-	// Requests counts all calls, Live those of which someone waits.
+	// Requests counts all requests, Live those with live priority.
 	Requests int `json:"requests"`
 	Live     int `json:"live"`
-	// ColdWait is over all live calls: from arrival to first token when no replica
-	// was ready, 0 when one was. ColdStart is over the cold calls of all classes alone.
+	// ColdWait is over all live requests: the time from arrival to first token if no
+	// replica was ready, or 0 if one was. ColdStart is over the cold requests of all
+	// classes.
 	ColdWait  Quantiles `json:"cold_wait"`
 	ColdStart Quantiles `json:"cold_start"`
-	// ColdShare is the share of cold calls among the live ones.
+	// ColdShare is the fraction of live requests that were cold.
 	ColdShare float64 `json:"cold_share"`
-	// LiveInTime and GateInTime are shares of calls with the whole answer in time.
+	// LiveInTime and GateInTime are the fractions of requests fully answered before
+	// their deadline.
 	LiveInTime float64                         `json:"live_in_time"`
 	GateInTime float64                         `json:"gate_in_time"`
 	Classes    map[workload.Class]ClassFigures `json:"classes"`
-	// IdleHours is accelerator hours with weights loaded and no request running.
+	// IdleHours is in accelerator hours with weights loaded and no request running.
 	IdleHours    float64                   `json:"idle_accelerator_hours"`
 	LoadsPerHour float64                   `json:"loads_per_hour"`
 	Loads        map[structs.CacheTier]int `json:"loads"`
 	LoadReasons  map[scheduler.Reason]int  `json:"load_reasons"`
 	Unloads      map[scheduler.Reason]int  `json:"unloads"`
 	Prefetches   int                       `json:"prefetches"`
-	// RefusedReservations counts loads that the zone's state machine refused.
+	// RefusedReservations counts loads that the zone's state machine rejected.
 	RefusedReservations int `json:"refused_reservations"`
 	FaultCount          int `json:"fault_count"`
-	// StorePeak is the most reads asked of the store at once; MemoryPeak is the
-	// largest share of a runner's memory in use.
+	// StorePeak is the maximum number of concurrent store reads, including waiting
+	// ones; MemoryPeak is the largest fraction of a runner's memory in use.
 	StorePeak       int         `json:"store_peak"`
 	MemoryPeak      float64     `json:"memory_peak"`
 	Plans           int         `json:"plans"`
@@ -47,7 +49,8 @@
 	Violations      []Violation `json:"violations"`
 }
 
-// ClassFigures are of the calls of one class.
+// ClassFigures holds the results of one class. InTime and Cold are fractions of its
+// requests.
 type ClassFigures struct {
 	Requests int     `json:"requests"`
 	InTime   float64 `json:"in_time"`
@@ -56,9 +59,9 @@
 	Late     int     `json:"late"`
 }
 
-// result sums up a run of the length.
-func (w *world) result(length time.Duration) Run {
-	m := w.measure
+// result returns the result of a run of the given length.
+func (w *simulation) result(length time.Duration) Run {
+	m := w.recorder
 	r := Run{
 		Requests: m.ended, Live: len(m.coldWaits),
 		ColdWait: quantilesOf(m.coldWaits), ColdStart: quantilesOf(m.coldStarts),
@@ -84,10 +87,10 @@
 	return r
 }
 
-// addClasses adds the shares of each class and of live and gate calls.
-func (w *world) addClasses(r *Run) {
+// addClasses sets the results of each class, and those of live and gate requests.
+func (w *simulation) addClasses(r *Run) {
 	live, missed, cold := 0, 0, 0
-	for class, count := range w.measure.classes {
+	for class, count := range w.recorder.classes {
 		failed := count.refused + count.late
 		r.Classes[class] = ClassFigures{
 			Requests: count.arrived, Refused: count.refused, Late: count.late,
--- a/kit/experiment/run.go
+++ b/kit/experiment/run.go
@@ -11,26 +11,26 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Options say what to run. Each combination of site, seed, faults and policy is
-// one run.
+// Options selects the runs of an experiment: one for each combination of site, faults,
+// seed and policy.
 type Options struct {
 	Sites    []string
 	Days     int
 	Seeds    []uint64
 	Policies []Policy
-	// Faults says for which settings of faults to run: false, true or both.
+	// Faults lists the fault settings to run: false, true or both.
 	Faults []bool
-	// NoOffers keeps a call that finds no ready replica waiting in its own zone, also
-	// when another zone has one.
+	// NoOffers keeps a request without a ready replica in its own zone, even if another
+	// zone has one.
 	NoOffers bool
-	// Trace, when not nil, replaces the generated workload; it needs one site.
+	// Trace, if not nil, replaces the generated workload; it requires exactly one site.
 	Trace []workload.Arrival
-	// Waits, when not nil, is told of each cold call that had to wait; runs that go side
-	// by side tell it at once.
+	// Waits, if not nil, is called for each cold request that had to wait. Concurrent
+	// runs call it concurrently.
 	Waits func(Wait)
-	// Workers is how many runs go side by side; 4 if not positive.
+	// Workers is the number of concurrent runs; 4 if not positive.
 	Workers int
-	// Progress, when not nil, is called as each run ends.
+	// Progress, if not nil, is called at the end of each run, never concurrently.
 	Progress func(Run)
 }
 
@@ -47,9 +47,9 @@
 	policy Policy
 }
 
-// Execute makes all runs and returns them in the order of sites, faults, seeds
-// and policies. Options that name no site, seed or policy, or an unknown one, are
-// refused with structs.ErrorInvalid.
+// Execute performs all runs and returns them in the order of sites, faults, seeds and
+// policies. It returns an error of kind structs.ErrorInvalid if a site, seed, policy or
+// fault setting is missing or the options are otherwise invalid.
 func Execute(ctx context.Context, options Options) ([]Run, error) {
 	jobs, err := options.jobs()
 	if err != nil {
@@ -95,11 +95,11 @@
 func (o Options) jobs() ([]job, error) {
 	if o.Days < 1 || o.Days > maxDays || len(o.Sites) == 0 || len(o.Seeds) == 0 || len(o.Policies) == 0 || len(o.Faults) == 0 {
 		return nil, structs.NewError(structs.ErrorInvalid,
-			fmt.Sprintf("an experiment needs 1 to %d days, and a site, seed, policy and setting of faults", maxDays),
-			"Name at least one of each, and a number of days in that range.")
+			fmt.Sprintf("an experiment needs 1 to %d days and at least one site, seed, policy and fault setting", maxDays),
+			"Specify at least one of each, and a number of days in that range.")
 	}
 	if o.Trace != nil && len(o.Sites) != 1 {
-		return nil, structs.NewError(structs.ErrorInvalid, "a trace is of one site", "Name the site of the trace and no other.")
+		return nil, structs.NewError(structs.ErrorInvalid, "a trace requires exactly one site", "Specify only the site of the trace.")
 	}
 	var jobs []job
 	for _, name := range o.Sites {
@@ -118,7 +118,7 @@
 	return jobs, nil
 }
 
-// ShapeOf returns what a workload generator and a trace need to know of the site.
+// ShapeOf returns the description of the site for workload generators and traces.
 func ShapeOf(site lab.Site) workload.Shape {
 	shape := workload.Shape{Rows: site.Rows}
 	for _, zone := range site.Zones {
@@ -136,13 +136,13 @@
 			return Run{}, err
 		}
 	}
-	w := newWorld(j.site, arrivals, j.seed, j.faults)
+	w := newSimulation(j.site, arrivals, j.seed, j.faults)
 	if err := w.setPlanners(j.policy); err != nil {
 		return Run{}, err
 	}
 	w.offers = !o.NoOffers
 	if o.Waits != nil {
-		w.waits = &waitTracer{world: w, note: o.Waits, open: map[*request]map[WaitCause]time.Duration{}}
+		w.waits = &waitTracer{sim: w, report: o.Waits, pending: map[*request]map[WaitCause]time.Duration{}}
 	}
 	began := time.Now()
 	length := time.Duration(o.Days) * day
--- a/kit/experiment/run_test.go
+++ b/kit/experiment/run_test.go
@@ -13,9 +13,9 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// morning returns the calls of a site's first Monday from 9 to 10, as if they
-// came in its first hour.
-func morning(t testing.TB, site lab.Site) []workload.Arrival {
+// mondayMorningArrivals returns the requests of a site's first Monday between 9 and 10,
+// shifted to start at time 0.
+func mondayMorningArrivals(t testing.TB, site lab.Site) []workload.Arrival {
 	all, err := workload.Generate(site.Name, ShapeOf(site), 1, 1)
 	qt.Assert(t, err, qt.IsNil)
 	var arrivals []workload.Arrival
@@ -34,52 +34,53 @@
 	return site
 }
 
-// runMorning runs a morning, and the hour after it, under the policy.
-func runMorning(t testing.TB, name string, policy Policy, faults bool) Run {
+// runMondayMorning runs the requests of mondayMorningArrivals and one further hour
+// under the policy.
+func runMondayMorning(t testing.TB, name string, policy Policy, faults bool) Run {
 	site := siteOf(t, name)
-	w := newWorld(site, morning(t, site), 1, faults)
+	w := newSimulation(site, mondayMorningArrivals(t, site), 1, faults)
 	qt.Assert(t, w.setPlanners(policy), qt.IsNil)
 	w.run(2 * time.Hour)
 	return w.result(2 * time.Hour)
 }
 
-func TestEveryPolicyKeepsWhatMustHold(t *testing.T) {
+func TestPoliciesKeepInvariants(t *testing.T) {
 	for _, site := range []string{"padano", "meknes"} {
 		for _, policy := range Policies() {
 			for _, faults := range []bool{false, true} {
-				run := runMorning(t, site, policy, faults)
+				run := runMondayMorning(t, site, policy, faults)
 				comment := qt.Commentf("%s %s, faults %v", site, policy, faults)
 				qt.Check(t, run.Violations, qt.HasLen, 0, comment)
-				qt.Check(t, run.Requests, qt.Equals, len(morning(t, siteOf(t, site))), comment)
+				qt.Check(t, run.Requests, qt.Equals, len(mondayMorningArrivals(t, siteOf(t, site))), comment)
 				qt.Check(t, run.Requests > 100 && run.LoadsPerHour > 0, qt.IsTrue, comment)
 			}
 		}
 	}
 }
 
-func TestEqualRunsAreEqual(t *testing.T) {
-	first := runMorning(t, "padano", PolicyLotusferry, true)
-	second := runMorning(t, "padano", PolicyLotusferry, true)
-	first.PlanMicrosecond, second.PlanMicrosecond = 0, 0 // real time
+func TestRunsAreDeterministic(t *testing.T) {
+	first := runMondayMorning(t, "padano", PolicyLotusferry, true)
+	second := runMondayMorning(t, "padano", PolicyLotusferry, true)
+	first.PlanMicrosecond, second.PlanMicrosecond = 0, 0 // wall-clock time
 	qt.Assert(t, second, qt.DeepEquals, first)
 }
 
-func TestPoliciesDifferAsTheirNamesSay(t *testing.T) {
+func TestPoliciesDifferInUnloadsIdleTimeAndColdStarts(t *testing.T) {
 	runs := map[Policy]Run{}
 	for _, policy := range Policies() {
-		runs[policy] = runMorning(t, "padano", policy, false)
+		runs[policy] = runMondayMorning(t, "padano", policy, false)
 	}
 	qt.Check(t, runs[PolicyLRU].Unloads[scheduler.ReasonIdle], qt.Equals, 0)
 	qt.Check(t, runs[PolicyKeepAlive].Unloads[scheduler.ReasonIdle] > 0, qt.IsTrue)
 	qt.Check(t, runs[PolicyKeepAlive].IdleHours < runs[PolicyLRU].IdleHours, qt.IsTrue)
 	qt.Check(t, runs[PolicyOracle].ColdShare < 0.2*runs[PolicyLRU].ColdShare, qt.IsTrue)
-	thrifty := runMorning(t, "padano", "lotusferry@1", false)
-	qt.Check(t, thrifty.IdleHours < runs[PolicyLotusferry].IdleHours, qt.IsTrue)
-	qt.Check(t, thrifty.ColdShare > runs[PolicyLotusferry].ColdShare, qt.IsTrue)
+	lowCost := runMondayMorning(t, "padano", "lotusferry@1", false)
+	qt.Check(t, lowCost.IdleHours < runs[PolicyLotusferry].IdleHours, qt.IsTrue)
+	qt.Check(t, lowCost.ColdShare > runs[PolicyLotusferry].ColdShare, qt.IsTrue)
 	qt.Check(t, runs[PolicyLotusferry].IdleHours < runs[PolicyLRU].IdleHours, qt.IsTrue)
 }
 
-func TestASharedBurstIsOneLoad(t *testing.T) {
+func TestBurstCausesOneLoadOnDemand(t *testing.T) {
 	site := siteOf(t, "padano")
 	var burst []workload.Arrival
 	for i := range 30 {
@@ -88,58 +89,59 @@
 			Class: workload.ClassEditor, Priority: structs.PriorityLive, PromptTokens: 100, OutputTokens: 10, Deadline: 12 * time.Second,
 		})
 	}
-	w := newWorld(site, burst, 1, false)
+	w := newSimulation(site, burst, 1, false)
 	qt.Assert(t, w.setPlanners(PolicyLotusferry), qt.IsNil)
 	w.run(8 * time.Minute)
 	run := w.result(8 * time.Minute)
-	// One load for the burst, and ahead of need each adapter of the row once, a minute apart.
+	// One load on demand for the burst, then one prewarming load for each adapter of
+	// the row, a minute apart.
 	const adapters = 6
 	qt.Assert(t, run.LoadReasons, qt.DeepEquals, map[scheduler.Reason]int{scheduler.ReasonDemand: 1, scheduler.ReasonPrewarm: adapters})
 	qt.Assert(t, run.Loads, qt.DeepEquals, map[structs.CacheTier]int{structs.TierStore: 1 + adapters})
 	qt.Assert(t, run.LiveInTime, qt.Equals, 1.0)
 }
 
-func TestTheCheckerFindsWhatMustNotHappen(t *testing.T) {
+func TestCheckerReportsViolations(t *testing.T) {
 	row := structs.Row{Name: "answers-00", Role: "answers", MemoryBytes: gibibyte, MaxReplicas: 1}
 	for _, test := range []struct {
 		invariant string
-		harm      func(w *world)
+		violate   func(w *simulation)
 	}{
-		{"memory", func(w *world) {
+		{"memory", func(w *simulation) {
 			large := row
 			large.MemoryBytes = w.zones[0].engines[0].info.MemoryBytes + 1
 			w.zones[0].engines[0].load(large, func() {})
 		}},
-		{"replicas", func(w *world) {
+		{"replicas", func(w *simulation) {
 			w.zones[0].engines[0].load(row, func() {})
 			w.zones[1].engines[0].load(row, func() {})
 		}},
-		{"engine", func(w *world) {
+		{"engine", func(w *simulation) {
 			wrong := row
 			wrong.Role = "search"
 			w.zones[0].engines[0].load(wrong, func() {})
 		}},
-		{"store", func(w *world) {
+		{"store", func(w *simulation) {
 			for i := range w.site.StoreConcurrent + 1 {
 				w.store.fetch("r", structs.Row{Name: structs.RowName(rune('a' + i)), MemoryBytes: gibibyte}, func() {})
 			}
 		}},
-		{"requests", func(w *world) { w.checker.ends(2, 1) }},
-		{"requests", func(w *world) {
+		{"requests", func(w *simulation) { w.checker.checkRequestCount(2, 1) }},
+		{"requests", func(w *simulation) {
 			r := &request{}
 			w.finish(r, outcomeAnswered)
 			w.finish(r, outcomeAnswered)
 		}},
 	} {
-		w := newWorld(siteOf(t, "padano"), nil, 1, false)
-		test.harm(w)
+		w := newSimulation(siteOf(t, "padano"), nil, 1, false)
+		test.violate(w)
 		qt.Assert(t, w.checker.violations, qt.HasLen, 1, qt.Commentf("%s", test.invariant))
 		qt.Assert(t, w.checker.violations[0].Invariant, qt.Equals, test.invariant)
 	}
 }
 
-// A planner with more than its share of the store must be caught in a whole run.
-func TestARunBeyondTheStoreLimitIsCaught(t *testing.T) {
+// Guards against a checker that misses excess store reads in a full run.
+func TestRunReportsStoreLimitViolation(t *testing.T) {
 	site := siteOf(t, "padano")
 	var arrivals []workload.Arrival
 	for i, row := range site.Rows {
@@ -151,7 +153,7 @@
 		}
 	}
 	for _, extra := range []int{0, 8} {
-		w := newWorld(site, arrivals, 1, false)
+		w := newSimulation(site, arrivals, 1, false)
 		for _, z := range w.zones {
 			z.storeBudget += extra
 		}
@@ -171,17 +173,17 @@
 	qt.Assert(t, quantilesOf(nil), qt.Equals, Quantiles{})
 }
 
-func TestWrongOptionsAreRefused(t *testing.T) {
+func TestExecuteRejectsInvalidOptions(t *testing.T) {
 	good := Options{Sites: []string{"padano"}, Days: 1, Seeds: []uint64{1}, Policies: []Policy{PolicyLRU}, Faults: []bool{false}}
 	for name, change := range map[string]func(*Options){
-		"no days":                 func(o *Options) { o.Days = 0 },
-		"no seed":                 func(o *Options) { o.Seeds = nil },
-		"unknown site":            func(o *Options) { o.Sites = []string{"x"} },
-		"unknown policy":          func(o *Options) { o.Policies = []Policy{"x"} },
-		"site without a workload": func(o *Options) { o.Sites = []string{"demo"} },
-		"no worth":                func(o *Options) { o.Policies = []Policy{"lotusferry@0"} },
-		"worth of a baseline":     func(o *Options) { o.Policies = []Policy{"lru@3"} },
-		"trace of two sites":      func(o *Options) { o.Trace, o.Sites = []workload.Arrival{{}}, []string{"padano", "meknes"} },
+		"no days":                       func(o *Options) { o.Days = 0 },
+		"no seed":                       func(o *Options) { o.Seeds = nil },
+		"unknown site":                  func(o *Options) { o.Sites = []string{"x"} },
+		"unknown policy":                func(o *Options) { o.Policies = []Policy{"x"} },
+		"site without a workload":       func(o *Options) { o.Sites = []string{"demo"} },
+		"zero cold start cost":          func(o *Options) { o.Policies = []Policy{"lotusferry@0"} },
+		"cold start cost of a baseline": func(o *Options) { o.Policies = []Policy{"lru@3"} },
+		"trace with two sites":          func(o *Options) { o.Trace, o.Sites = []workload.Arrival{{}}, []string{"padano", "meknes"} },
 	} {
 		options := good
 		change(&options)
--- a/kit/experiment/world.go
+++ b/kit/experiment/simulation.go
@@ -14,40 +14,40 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// startTime is the Monday on which each run begins.
+// startTime is the start of each run, a Monday at midnight.
 var startTime = time.Date(2026, 9, 7, 0, 0, 0, 0, time.UTC)
 
 const faultStream = 23
 
-// world is one site in virtual time.
-type world struct {
+// simulation simulates one site in virtual time.
+type simulation struct {
 	clock    clock
 	site     lab.Site
 	settings scheduler.Settings
 	table    *table.State
-	zones    []*zoneWorld
-	byZone   map[structs.ZoneID]*zoneWorld
+	zones    []*simulatedZone
+	byZone   map[structs.ZoneID]*simulatedZone
 	store    *weightStore
-	faults   *faultPlan
+	faults   *faultInjector
 	checker  *checker
-	measure  *measure
+	recorder *recorder
 	arrivals []workload.Arrival
-	// offers says that a call which finds no ready replica in its zone goes to another
-	// zone that has one.
+	// offers enables forwarding of requests without a ready replica in their zone to
+	// another zone that can start them.
 	offers bool
 	waits  *waitTracer
 }
 
-func newWorld(site lab.Site, arrivals []workload.Arrival, seed uint64, faultsOn bool) *world {
-	w := &world{
+func newSimulation(site lab.Site, arrivals []workload.Arrival, seed uint64, faultsOn bool) *simulation {
+	w := &simulation{
 		clock: clock{now: startTime}, site: site, settings: plannerSettings(site), table: table.New(),
-		byZone: map[structs.ZoneID]*zoneWorld{}, measure: newMeasure(), arrivals: arrivals,
+		byZone: map[structs.ZoneID]*simulatedZone{}, recorder: newRecorder(), arrivals: arrivals,
 	}
-	w.checker = &checker{world: w, storeLimit: site.StoreConcurrent}
-	w.store = &weightStore{world: w, calls: map[emulator.CallID]func(){}, store: emulator.NewStore(emulator.StoreOptions{
+	w.checker = &checker{sim: w, storeLimit: site.StoreConcurrent}
+	w.store = &weightStore{sim: w, calls: map[emulator.CallID]func(){}, store: emulator.NewStore(emulator.StoreOptions{
 		LoadsPerSecond: site.StoreLoadsPerSecond, FullSpeed: site.StoreConcurrent, BytesPerSecond: float64(storeSpeed),
 	})}
-	w.faults = &faultPlan{world: w, random: rand.New(rand.NewPCG(seed, faultStream)), on: faultsOn}
+	w.faults = &faultInjector{sim: w, random: rand.New(rand.NewPCG(seed, faultStream)), enabled: faultsOn}
 	for number, set := range site.Zones {
 		w.addZone(set, share(site.StoreConcurrent, len(site.Zones), number))
 	}
@@ -55,18 +55,19 @@
 	return w
 }
 
-// plannerSettings are the settings of a site as an operator sets them.
+// plannerSettings returns the scheduler settings for the site.
 func plannerSettings(site lab.Site) scheduler.Settings {
 	settings := scheduler.DefaultSettings()
 	settings.Objective = site.Objective
 	settings.MemoryBytesPerSecond = memorySpeed
 	settings.DiskBytesPerSecond = diskSpeed
-	// A checkpoint of the store is read into memory and loaded from there.
+	// A checkpoint from the store is read into memory and loaded from there.
 	settings.StoreBytesPerSecond = storeThenMemorySpeed
 	return settings
 }
 
-// share splits a total into equal parts, the first ones larger by one.
+// share returns the size of part number of a total split into equal parts, of which the
+// first ones are larger by one if there is a remainder.
 func share(total, parts, number int) int {
 	part := total / parts
 	if number < total%parts {
@@ -75,11 +76,11 @@
 	return part
 }
 
-func (w *world) addZone(set lab.SiteZone, storeBudget int) {
-	z := &zoneWorld{
-		world: w, id: set.ID, state: zone.New(set.ID), byID: map[structs.RunnerID]*engine{},
-		queues: map[structs.RowName]*rowQueue{}, learned: newLearned(), storeBudget: storeBudget,
-		wishes: map[structs.RowName]wish{},
+func (w *simulation) addZone(set lab.SiteZone, storeBudget int) {
+	z := &simulatedZone{
+		sim: w, id: set.ID, state: zone.New(set.ID), byID: map[structs.RunnerID]*engine{},
+		queues: map[structs.RowName]*rowQueue{}, usage: newUsageHistory(), storeBudget: storeBudget,
+		wishes: map[structs.RowName]sentWish{},
 	}
 	for _, runners := range set.Runners {
 		for i := range runners.Count {
@@ -90,10 +91,10 @@
 	w.byZone[z.id] = z
 }
 
-func (z *zoneWorld) addEngine(set lab.RunnerSet, number int) {
+func (z *simulatedZone) addEngine(set lab.RunnerSet, number int) {
 	e := &engine{
-		world: z.world, zone: z, alive: true, incarnation: 1, idleSince: startTime,
-		replicas:    map[structs.RowName]*loaded{},
+		sim: z.sim, zone: z, alive: true, incarnation: 1, idleSince: startTime,
+		replicas:    map[structs.RowName]*engineReplica{},
 		checkpoints: emulator.NewCheckpointCache(hostMemoryBytes, diskBytes),
 		info: structs.RunnerInfo{
 			ID: structs.RunnerID(fmt.Sprintf("%s-%s-%d", z.id, set.Role, number)), Zone: z.id, Role: set.Role,
@@ -105,8 +106,8 @@
 	z.apply(zone.Command{Runner: &zone.RunnerCommand{Info: e.info}})
 }
 
-// fillTable adds the zones and rows; all zones adopt them.
-func (w *world) fillTable() {
+// fillTable adds the zones and rows to the table, and lets all zones adopt them.
+func (w *simulation) fillTable() {
 	const zoneWeight = 100
 	for _, z := range w.zones {
 		w.table.Apply(table.Command{Zone: &table.ZoneCommand{Zone: z.id, Weight: zoneWeight}})
@@ -117,19 +118,20 @@
 	}
 	result := w.table.Apply(table.Command{Edit: &table.EditCommand{Edit: edit, At: w.clock.now}})
 	if result.Edit == nil || !result.Edit.Accepted {
-		w.checker.fail("table", "the site's rows were refused: %+v", result)
+		w.checker.fail("table", "the table rejected the site's rows: %+v", result)
 	}
 	for _, z := range w.zones {
 		z.adopt()
 	}
 }
 
-// run lets all arrivals and events happen, and then the requests end.
-func (w *world) run(length time.Duration) {
+// run processes all arrivals and events up to the given length, and then until all
+// requests have ended.
+func (w *simulation) run(length time.Duration) {
 	w.faults.schedule(length)
 	end := startTime.Add(length)
 	for day := startTime; day.Before(end); day = day.Add(24 * time.Hour) {
-		w.clock.at(day, w.checker.zoneStates)
+		w.clock.at(day, w.checker.checkZoneStates)
 	}
 	next := 0
 	for next < len(w.arrivals) {
@@ -142,7 +144,7 @@
 		w.arrive(w.arrivals[next])
 		next++
 	}
-	for w.measure.ended < len(w.arrivals) || w.clock.now.Before(end) {
+	for w.recorder.ended < len(w.arrivals) || w.clock.now.Before(end) {
 		if _, ok := w.clock.next(); !ok {
 			break
 		}
@@ -150,15 +152,15 @@
 	}
 	for _, z := range w.zones {
 		for _, e := range z.engines {
-			e.settle()
+			e.accrueIdleTime()
 		}
 	}
-	w.checker.zoneStates()
-	w.checker.ends(len(w.arrivals), w.measure.ended)
+	w.checker.checkZoneStates()
+	w.checker.checkRequestCount(len(w.arrivals), w.recorder.ended)
 }
 
-// arrive gives a call to a router of its zone, or of the zone that may serve it.
-func (w *world) arrive(arrival workload.Arrival) {
+// arrive delivers a request to the zone that serves it.
+func (w *simulation) arrive(arrival workload.Arrival) {
 	now := w.clock.now
 	r := &request{Arrival: arrival, arrivedAt: now, deadlineAt: now.Add(arrival.Deadline)}
 	target := w.target(arrival.Zone, arrival.Row)
@@ -169,44 +171,46 @@
 	w.clock.after(forwardDelay, func() { target.arrive(r) })
 }
 
-// target is the zone that serves a call: its own, if it may load the row or can
-// reach nobody else, or else the first that may.
-func (w *world) target(home structs.ZoneID, row structs.RowName) *zoneWorld {
+// target returns the zone that serves a request: another zone that can start it at
+// once, if the home zone has no ready replica; or else the home zone, if it may load
+// the row or cannot reach another zone; or else the first zone that may load the row.
+func (w *simulation) target(home structs.ZoneID, row structs.RowName) *simulatedZone {
 	z := w.byZone[home]
-	if other := w.warm(z, row); other != nil {
+	if other := w.idleZone(z, row); other != nil {
 		return other
 	}
-	if z.state.Grant(row).Limit > 0 || z.ready(row) || z.cutOff {
+	if z.state.Grant(row).Limit > 0 || z.ready(row) || z.partitioned {
 		return z
 	}
 	for _, id := range z.state.Elsewhere(row) {
-		if other := w.byZone[id]; !other.cutOff {
+		if other := w.byZone[id]; !other.partitioned {
 			return other
 		}
 	}
 	return z
 }
 
-// warm is another zone that can start a call at once which the zone itself cannot, or nil.
-func (w *world) warm(home *zoneWorld, row structs.RowName) *zoneWorld {
-	if !w.offers || home.cutOff || home.ready(row) {
+// idleZone returns another zone that can start a request at once, or nil if there is
+// none or the home zone has a ready replica.
+func (w *simulation) idleZone(home *simulatedZone, row structs.RowName) *simulatedZone {
+	if !w.offers || home.partitioned || home.ready(row) {
 		return nil
 	}
 	for _, id := range home.state.Elsewhere(row) {
 		other := w.byZone[id]
-		if id != home.id && !other.cutOff && len(other.queue(row).waiting) == 0 && other.free(row) {
+		if id != home.id && !other.partitioned && len(other.queue(row).waiting) == 0 && other.free(row) {
 			return other
 		}
 	}
 	return nil
 }
 
-func (w *world) finish(r *request, end outcome) {
+func (w *simulation) finish(r *request, end outcome) {
 	if r.outcome != outcomeNone {
 		w.checker.fail("requests", "a request for %s ended twice", r.Row)
 		return
 	}
 	r.outcome = end
-	w.waits.ends(r)
-	w.measure.ends(w.clock.now, r)
+	w.waits.finish(r)
+	w.recorder.requestEnded(w.clock.now, r)
 }
--- a/kit/experiment/store.go
+++ b/kit/experiment/store.go
@@ -8,27 +8,27 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// weightStore drives the emulated weight store of a site.
+// weightStore runs the emulated weight store of a site on the virtual clock.
 type weightStore struct {
-	world  *world
+	sim    *simulation
 	store  *emulator.Store
 	calls  map[emulator.CallID]func()
 	last   emulator.CallID
 	wakeAt time.Time
 }
 
-// fetch reads a checkpoint and calls done at the end.
+// fetch reads a checkpoint and then calls done.
 func (s *weightStore) fetch(runner structs.RunnerID, row structs.Row, done func()) {
 	s.last++
 	s.calls[s.last] = done
 	request := engineapi.FetchRequest{Row: row.Name, SizeBytes: row.MemoryBytes, Runner: runner}
-	s.finish(s.store.Fetch(s.world.clock.now, s.last, request))
-	s.world.checker.storeAsked(s.store.State())
+	s.finish(s.store.Fetch(s.sim.clock.now, s.last, request))
+	s.sim.checker.checkStoreReads(s.store.State())
 }
 
-// slow sets the factor by which reads are slower.
+// slow sets the factor by which reads are slowed down.
 func (s *weightStore) slow(factor float64) {
-	s.finish(s.store.SetFaults(s.world.clock.now, emulator.StoreFaults{SlowFactor: factor}))
+	s.finish(s.store.SetFaults(s.sim.clock.now, emulator.StoreFaults{SlowFactor: factor}))
 }
 
 func (s *weightStore) finish(ended []emulator.StoreOutput) {
@@ -37,20 +37,20 @@
 		delete(s.calls, output.Call)
 		done()
 	}
-	s.wake()
+	s.scheduleAdvance()
 }
 
-// wake sets the event at which the store has to be looked at again.
-func (s *weightStore) wake() {
+// scheduleAdvance schedules an event at the store's next state change.
+func (s *weightStore) scheduleAdvance() {
 	at, busy := s.store.NextEvent()
-	if !busy || (s.wakeAt.After(s.world.clock.now) && !at.Before(s.wakeAt)) {
+	if !busy || (s.wakeAt.After(s.sim.clock.now) && !at.Before(s.wakeAt)) {
 		return
 	}
 	s.wakeAt = at
-	s.world.clock.at(at, func() {
+	s.sim.clock.at(at, func() {
 		if s.wakeAt.Equal(at) {
 			s.wakeAt = time.Time{}
 		}
-		s.finish(s.store.Advance(s.world.clock.now))
+		s.finish(s.store.Advance(s.sim.clock.now))
 	})
 }
--- a/kit/experiment/waits.go
+++ b/kit/experiment/waits.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// WaitCause is what a waiting call waits for.
+// WaitCause is the reason why a request waits.
 type WaitCause string
 
 // The causes of a wait, in the order in which a load passes through them.
@@ -17,84 +17,86 @@
 	WaitRole WaitCause = "role"
 	// WaitGrant: the zone's grant allows no further replica.
 	WaitGrant WaitCause = "grant"
-	// WaitStore: the zone's share of the weight store is in use.
+	// WaitStore: the zone's share of store reads is in use.
 	WaitStore WaitCause = "store"
-	// WaitRoom: nothing is reserved yet, for want of memory or of the next plan.
+	// WaitRoom: no replica is reserved, for lack of memory or pending the next plan.
 	WaitRoom WaitCause = "room"
-	// WaitBase: the adapter's replica is reserved, and its base is not ready.
+	// WaitBase: the replica of the adapter is reserved, but its base is not ready.
 	WaitBase WaitCause = "base"
-	// WaitOrder: the replica is reserved, and its order is not sent.
+	// WaitOrder: the replica is reserved, but its load order has not been sent.
 	WaitOrder WaitCause = "order"
-	// WaitLoad: the engine loads the replica.
+	// WaitLoad: the engine is loading the replica.
 	WaitLoad WaitCause = "load"
-	// WaitReport: the engine has loaded it, and the zone does not know yet.
+	// WaitReport: the engine has loaded the replica, but the zone has not received the
+	// report.
 	WaitReport WaitCause = "report"
-	// WaitSlot: replicas are ready and full.
+	// WaitSlot: all ready replicas are at their batch limit.
 	WaitSlot WaitCause = "slot"
 )
 
-// WaitCauses lists the causes.
+// WaitCauses returns all causes in order.
 func WaitCauses() []WaitCause {
 	return []WaitCause{WaitRole, WaitGrant, WaitStore, WaitRoom, WaitBase, WaitOrder, WaitLoad, WaitReport, WaitSlot}
 }
 
-// Wait says what one cold call waited for.
+// Wait breaks down the wait of one cold request.
 type Wait struct {
 	Arrival workload.Arrival
-	// Served is the zone in which the call waited.
+	// Served is the zone in which the request waited.
 	Served structs.ZoneID
-	// Refused is set when the call was not started before its deadline.
+	// Refused is set if the request was not started before its deadline.
 	Refused bool
-	// Total is the time from arrival to first token, or to the refusal; the causes
-	// explain it but for the time of the first token itself.
+	// Total is the time from arrival to first token, or to the refusal. The causes add
+	// up to it, except for the time to first token once the request has started.
 	Total  time.Duration
 	Causes map[WaitCause]time.Duration
 }
 
-// waitSampleInterval passes between two looks at what a call waits for.
+// waitSampleInterval is the interval at which the cause of a wait is sampled.
 const waitSampleInterval = 50 * time.Millisecond
 
-// waitTracer notes the waits of cold calls; a nil one notes nothing.
+// waitTracer records the waits of cold requests. The methods track and finish of a nil
+// waitTracer do nothing.
 type waitTracer struct {
-	world *world
-	note  func(Wait)
-	open  map[*request]map[WaitCause]time.Duration
+	sim     *simulation
+	report  func(Wait)
+	pending map[*request]map[WaitCause]time.Duration
 }
 
-// watch begins to follow a call that has to wait.
-func (t *waitTracer) watch(r *request) {
-	if t == nil || !r.cold || t.open[r] != nil {
+// track starts to sample a cold request that has to wait.
+func (t *waitTracer) track(r *request) {
+	if t == nil || !r.cold || t.pending[r] != nil {
 		return
 	}
-	t.open[r] = map[WaitCause]time.Duration{}
+	t.pending[r] = map[WaitCause]time.Duration{}
 	t.sample(r)
 }
 
-// sample adds the next interval of the call's wait to its present cause.
+// sample attributes the next interval of the request's wait to its current cause.
 func (t *waitTracer) sample(r *request) {
 	if r.outcome != outcomeNone || r.engine != nil {
 		return
 	}
-	t.open[r][r.zone.waitCause(r.Row)] += waitSampleInterval
-	t.world.clock.after(waitSampleInterval, func() { t.sample(r) })
+	t.pending[r][r.zone.waitCause(r.Row)] += waitSampleInterval
+	t.sim.clock.after(waitSampleInterval, func() { t.sample(r) })
 }
 
-// ends reports the call's wait.
-func (t *waitTracer) ends(r *request) {
-	if t == nil || t.open[r] == nil {
+// finish reports the wait of a tracked request.
+func (t *waitTracer) finish(r *request) {
+	if t == nil || t.pending[r] == nil {
 		return
 	}
-	wait := Wait{Arrival: r.Arrival, Served: r.zone.id, Refused: r.outcome == outcomeRefused, Causes: t.open[r]}
-	wait.Total = r.firstAt.Sub(r.arrivedAt)
+	wait := Wait{Arrival: r.Arrival, Served: r.zone.id, Refused: r.outcome == outcomeRefused, Causes: t.pending[r]}
+	wait.Total = r.firstTokenAt.Sub(r.arrivedAt)
 	if wait.Refused {
-		wait.Total = t.world.clock.now.Sub(r.arrivedAt)
+		wait.Total = t.sim.clock.now.Sub(r.arrivedAt)
 	}
-	delete(t.open, r)
-	t.note(wait)
+	delete(t.pending, r)
+	t.report(wait)
 }
 
-// waitCause is what calls of the row wait for in the zone now.
-func (z *zoneWorld) waitCause(row structs.RowName) WaitCause {
+// waitCause returns why requests of the row are waiting in the zone.
+func (z *simulatedZone) waitCause(row structs.RowName) WaitCause {
 	replicas := z.state.ReplicasOf(row)
 	for _, replica := range replicas {
 		if z.serving(replica) != nil {
@@ -102,15 +104,15 @@
 		}
 	}
 	for _, replica := range replicas {
-		if e := z.byID[replica.Runner]; replica.State == structs.ReplicaLoading && e.lives(replica.Incarnation) {
+		if e := z.byID[replica.Runner]; replica.State == structs.ReplicaLoading && e.isCurrent(replica.Incarnation) {
 			return z.loadingCause(replica, e)
 		}
 	}
 	return z.missingCause(row, len(replicas))
 }
 
-// loadingCause is what a reserved replica waits for.
-func (z *zoneWorld) loadingCause(replica zone.Replica, e *engine) WaitCause {
+// loadingCause returns why a reserved replica is not ready.
+func (z *simulatedZone) loadingCause(replica zone.Replica, e *engine) WaitCause {
 	if held := e.replicas[replica.Row]; held != nil {
 		if held.state == structs.ReplicaLoading {
 			return WaitLoad
@@ -126,12 +128,12 @@
 	return WaitBase
 }
 
-// missingCause is why the zone has reserved no further replica of the row.
-func (z *zoneWorld) missingCause(name structs.RowName, records int) WaitCause {
+// missingCause returns why the zone has not reserved another replica of the row.
+func (z *simulatedZone) missingCause(name structs.RowName, records int) WaitCause {
 	row, _ := z.state.Row(name)
 	reading, hasRole := 0, false
 	for _, e := range z.engines {
-		reading += e.reading + e.ordered
+		reading += e.storeReads + e.pendingStoreReads
 		hasRole = hasRole || z.accepting(e, row.Role)
 	}
 	grant := z.state.Grant(name)
@@ -147,7 +149,7 @@
 }
 
 // accepting reports whether the zone may load rows of the role on the engine.
-func (z *zoneWorld) accepting(e *engine, role structs.RunnerRole) bool {
+func (z *simulatedZone) accepting(e *engine, role structs.RunnerRole) bool {
 	runner, known := z.state.Runner(e.info.ID)
 	return known && runner.Role == role && runner.Accepting() && !e.vanished()
 }
--- a/kit/experiment/waits_test.go
+++ b/kit/experiment/waits_test.go
@@ -9,16 +9,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestWaitsAreExplainedByTheirCauses(t *testing.T) {
+func TestWaitCausesAddUpToTotal(t *testing.T) {
 	site := siteOf(t, "padano")
-	w := newWorld(site, morning(t, site), 1, false)
+	w := newSimulation(site, mondayMorningArrivals(t, site), 1, false)
 	var waits []Wait
 	note := func(wait Wait) { waits = append(waits, wait) }
-	w.waits = &waitTracer{world: w, note: note, open: map[*request]map[WaitCause]time.Duration{}}
+	w.waits = &waitTracer{sim: w, report: note, pending: map[*request]map[WaitCause]time.Duration{}}
 	qt.Assert(t, w.setPlanners(PolicyLRU), qt.IsNil)
 	w.run(2 * time.Hour)
 	cold := 0
-	for _, count := range w.measure.classes {
+	for _, count := range w.recorder.classes {
 		cold += count.cold
 	}
 	qt.Assert(t, waits, qt.HasLen, cold)
@@ -27,14 +27,14 @@
 		for _, part := range wait.Causes {
 			explained += part
 		}
-		// What is left is the first token itself.
+		// The remainder is the time to first token after the request starts.
 		left := wait.Total - explained
 		qt.Check(t, left > -waitSampleInterval && left < time.Second, qt.IsTrue, qt.Commentf("%+v", wait))
 		qt.Check(t, wait.Causes[WaitLoad] > 0 || wait.Causes[WaitBase] > 0 || wait.Total < 2*time.Second, qt.IsTrue, qt.Commentf("%+v", wait))
 	}
 }
 
-func TestWaitsAreWrittenAsCSV(t *testing.T) {
+func TestWaitWriterWritesCSV(t *testing.T) {
 	var out bytes.Buffer
 	writer, err := NewWaitWriter(&out)
 	qt.Assert(t, err, qt.IsNil)
--- a/kit/experiment/waitwriter.go
+++ b/kit/experiment/waitwriter.go
@@ -10,14 +10,14 @@
 	"github.com/pkg/errors"
 )
 
-// WaitWriter writes waits as CSV, one line a wait and one column a cause, in
-// seconds. It may be used by runs that go side by side.
+// WaitWriter writes waits as CSV with one row per wait and one column per cause, in
+// seconds. It is safe for concurrent use.
 type WaitWriter struct {
 	mutex  sync.Mutex
 	writer *csv.Writer
 }
 
-// NewWaitWriter writes the header.
+// NewWaitWriter returns a WaitWriter that writes to w, and writes the header.
 func NewWaitWriter(w io.Writer) (*WaitWriter, error) {
 	writer := &WaitWriter{writer: csv.NewWriter(w)}
 	header := []string{"at_seconds", "zone", "served", "row", "class", "refused", "total_seconds"}
@@ -27,7 +27,7 @@
 	return writer, errors.Wrap(writer.writer.Write(header), "write the waits")
 }
 
-// Write writes one wait; errors are kept for Flush.
+// Write writes one wait. Flush returns its error, if any.
 func (w *WaitWriter) Write(wait Wait) {
 	record := []string{
 		seconds(wait.Arrival.At), string(wait.Arrival.Zone), string(wait.Served), string(wait.Arrival.Row),
@@ -41,7 +41,7 @@
 	_ = w.writer.Write(record) // csv.Writer keeps the error
 }
 
-// Flush writes what is buffered and returns the first error of all writes.
+// Flush writes any buffered data and returns the first error of all writes.
 func (w *WaitWriter) Flush() error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/kit/experiment/zone.go
+++ b/kit/experiment/zone.go
@@ -8,45 +8,46 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// zoneWorld is one zone: its state machine, engines, routers and leader.
-type zoneWorld struct {
-	world   *world
+// simulatedZone simulates a zone: its state machine, engines, routers and leader.
+type simulatedZone struct {
+	sim     *simulation
 	id      structs.ZoneID
 	state   *zone.State
 	index   uint64
 	engines []*engine
 	byID    map[structs.RunnerID]*engine
 	queues  map[structs.RowName]*rowQueue
-	learned *learned
+	usage   *usageHistory
 	planner Planner
-	// idleInterval passes between two plans when nothing is under way.
+	// idleInterval is the interval between plans while no work is in progress.
 	idleInterval time.Duration
-	// shortInterval shortens it to shortPlanInterval while replicas are there.
+	// shortInterval replaces idleInterval by shortPlanInterval while replicas are
+	// loaded.
 	shortInterval bool
-	// storeBudget is the zone's share of the store's reads at once.
+	// storeBudget is the zone's share of concurrent store reads.
 	storeBudget int
-	// cutOff is set while the zone and the global group cannot reach each other.
-	cutOff    bool
-	adopting  bool
-	planAt    time.Time
-	plannedAt time.Time
-	wishes    map[structs.RowName]wish
+	// partitioned is set while the zone and the global group cannot reach each other.
+	partitioned bool
+	adopting    bool
+	planAt      time.Time
+	plannedAt   time.Time
+	wishes      map[structs.RowName]sentWish
 }
 
-// rowQueue holds the requests of one row in a zone. All routers of the zone share
-// it, for their demand reaches the same leader.
+// rowQueue holds the requests of one row in a zone. The routers of a zone share it
+// because they report demand to the same leader.
 type rowQueue struct {
 	waiting []*request
 	running int
 }
 
 // apply applies a command to the zone's state as if the log had committed it.
-func (z *zoneWorld) apply(command zone.Command) zone.Result {
+func (z *simulatedZone) apply(command zone.Command) zone.Result {
 	z.index++
 	return z.state.Apply(z.index, command)
 }
 
-func (z *zoneWorld) queue(row structs.RowName) *rowQueue {
+func (z *simulatedZone) queue(row structs.RowName) *rowQueue {
 	queue := z.queues[row]
 	if queue == nil {
 		queue = &rowQueue{}
@@ -55,41 +56,41 @@
 	return queue
 }
 
-// ready reports whether the zone has a replica that may get a request of the row.
-func (z *zoneWorld) ready(row structs.RowName) bool {
+// ready reports whether the zone has a replica that can receive requests of the row.
+func (z *simulatedZone) ready(row structs.RowName) bool {
 	return slices.ContainsFunc(z.state.ReplicasOf(row), func(replica zone.Replica) bool {
 		return z.serving(replica) != nil
 	})
 }
 
 // free reports whether a replica of the row can start a request now.
-func (z *zoneWorld) free(row structs.RowName) bool {
+func (z *simulatedZone) free(row structs.RowName) bool {
 	return slices.ContainsFunc(z.state.ReplicasOf(row), func(replica zone.Replica) bool {
 		e := z.serving(replica)
 		return e != nil && e.running < maxBatch
 	})
 }
 
-// serving returns the engine of the replica when requests may be sent to it.
-func (z *zoneWorld) serving(replica zone.Replica) *engine {
+// serving returns the engine of the replica, or nil if requests may not be sent to it.
+func (z *simulatedZone) serving(replica zone.Replica) *engine {
 	e := z.byID[replica.Runner]
-	if replica.State != structs.ReplicaReady || !e.lives(replica.Incarnation) || e.replicas[replica.Row] == nil {
+	if replica.State != structs.ReplicaReady || !e.isCurrent(replica.Incarnation) || e.replicas[replica.Row] == nil {
 		return nil
 	}
 	return e
 }
 
-// arrive takes a request at one of the zone's routers.
-func (z *zoneWorld) arrive(r *request) {
+// arrive accepts a request at one of the zone's routers.
+func (z *simulatedZone) arrive(r *request) {
 	r.zone = z
 	r.cold = !z.ready(r.Row)
-	z.learned.observe(z.world.clock.now, r.Row)
+	z.usage.observe(z.sim.clock.now, r.Row)
 	z.enqueue(r)
-	z.world.clock.at(r.deadlineAt, func() { z.expire(r) })
+	z.sim.clock.at(r.deadlineAt, func() { z.expire(r) })
 }
 
-// enqueue puts a request behind those of its priority and above.
-func (z *zoneWorld) enqueue(r *request) {
+// enqueue inserts a request behind those of equal or higher priority.
+func (z *simulatedZone) enqueue(r *request) {
 	queue := z.queue(r.Row)
 	position := len(queue.waiting)
 	for position > 0 && queue.waiting[position-1].Priority < r.Priority {
@@ -98,24 +99,24 @@
 	queue.waiting = slices.Insert(queue.waiting, position, r)
 	z.dispatch(r.Row)
 	if len(queue.waiting) > 0 {
-		z.world.waits.watch(r)
-		z.wake(demandDelay)
+		z.sim.waits.track(r)
+		z.schedulePlan(demandDelay)
 	}
 }
 
-// expire refuses a request that still waits at its deadline.
-func (z *zoneWorld) expire(r *request) {
+// expire refuses a request that is still waiting at its deadline.
+func (z *simulatedZone) expire(r *request) {
 	queue := z.queue(r.Row)
 	position := slices.Index(queue.waiting, r)
 	if position < 0 {
 		return
 	}
 	queue.waiting = slices.Delete(queue.waiting, position, position+1)
-	z.world.finish(r, outcomeRefused)
+	z.sim.finish(r, outcomeRefused)
 }
 
-// dispatch sends waiting requests of the row to its least busy replicas.
-func (z *zoneWorld) dispatch(row structs.RowName) {
+// dispatch sends waiting requests of the row to its least busy engines.
+func (z *simulatedZone) dispatch(row structs.RowName) {
 	queue := z.queue(row)
 	for len(queue.waiting) > 0 {
 		var best *engine
@@ -134,37 +135,37 @@
 	}
 }
 
-// start runs a request; its speed is that of the engine's batch as it begins.
-func (z *zoneWorld) start(r *request, e *engine) {
+// start runs a request at the speed of the engine's batch size at its start.
+func (z *simulatedZone) start(r *request, e *engine) {
 	queue := z.queue(r.Row)
 	replica := e.replicas[r.Row]
 	queue.running++
-	e.occupy(replica, 1)
+	e.changeRunning(replica, 1)
 	r.engine = e
 	step := decodeBase + decodePerSequence*time.Duration(e.running)
 	first := prefillPerToken*time.Duration(r.PromptTokens) + step
-	r.firstAt = z.world.clock.now.Add(first)
-	life := e.incarnation
-	z.world.clock.after(first+step*time.Duration(r.OutputTokens-1), func() {
-		if r.engine != e || !e.lives(life) {
+	r.firstTokenAt = z.sim.clock.now.Add(first)
+	incarnation := e.incarnation
+	z.sim.clock.after(first+step*time.Duration(r.OutputTokens-1), func() {
+		if r.engine != e || !e.isCurrent(incarnation) {
 			return
 		}
 		queue.running--
-		e.occupy(replica, -1)
+		e.changeRunning(replica, -1)
 		e.requests = slices.DeleteFunc(e.requests, func(other *request) bool { return other == r })
-		z.learned.use(z.world.clock.now, r.Row)
-		z.world.finish(r, outcomeAnswered)
+		z.usage.markUsed(z.sim.clock.now, r.Row)
+		z.sim.finish(r, outcomeAnswered)
 		for row := range e.replicas {
 			if len(z.queue(row).waiting) > 0 {
-				z.world.clock.after(0, func() { z.dispatch(row) })
+				z.sim.clock.after(0, func() { z.dispatch(row) })
 			}
 		}
 	})
 	e.requests = append(e.requests, r)
 }
 
-// requeue puts the requests of an engine that died back into the queues.
-func (z *zoneWorld) requeue(e *engine) {
+// requeue returns the requests of a terminated engine to the queues.
+func (z *simulatedZone) requeue(e *engine) {
 	lost := e.requests
 	e.requests = nil
 	for _, r := range lost {
@@ -178,10 +179,10 @@
 	}
 }
 
-// registerLater tells the zone of a runner's state once its report is seen.
-func (z *zoneWorld) registerLater(e *engine) {
-	z.world.clock.after(reportDelay, func() {
+// registerLater registers the engine's runner with the zone after reportDelay.
+func (z *simulatedZone) registerLater(e *engine) {
+	z.sim.clock.after(reportDelay, func() {
 		z.apply(zone.Command{Runner: &zone.RunnerCommand{Info: e.info}})
-		z.wake(0)
+		z.schedulePlan(0)
 	})
 }
