--- a/kit/doc.go
+++ b/kit/doc.go
@@ -1,24 +1,25 @@
-// Package kit holds the rehearsal kit: all that tries the product out and is no part of it.
-// The command lotusferrylab runs most of it. Nothing of the product imports a package of
-// this folder; a test holds that.
+// Package kit groups the packages that test and evaluate the product and are not
+// part of it. The command lotusferrylab runs most of them. A test ensures that no
+// package of the product imports them.
 //
-// What is where, and when to use it:
+// The packages and their uses:
 //
-//   - emulator: stand-ins for engines and the weight store that speak the engines'
-//     protocol. Use them in tests of whatever talks to an engine.
-//   - lab: a whole site as processes on loopback addresses, under load and faults, checked
-//     from what callers see (lotusferrylab demo, fleet, load). Use it to see a change work.
+//   - emulator: emulators of engines and the weight store that implement the engine
+//     protocol, for tests of engine clients.
+//   - lab: a whole site as processes on loopback addresses, under load and faults,
+//     checked by what clients observe (lotusferrylab demo, fleet, load). Use it for
+//     end-to-end trials of a change.
 //   - simulate: the decision code of whole sites in virtual time, from seeds, with faults
-//     and mutations (lotusferrylab simulate). Use it for what must always hold.
-//   - experiment: days of calls replayed in virtual time against several ways to place
-//     replicas (lotusferrylab experiment). Use it to compare policies.
+//     and mutations (lotusferrylab simulate). Use it to check invariants.
+//   - experiment: days of requests replayed in virtual time under several placement
+//     policies (lotusferrylab experiment). Use it to compare policies.
 //   - overload: goodput, waits and fairness beyond capacity (lotusferrylab overload). Use
-//     it for changes of admission and retries.
-//   - capacity: what each role costs, as slopes over several sizes (lotusferrylab
-//     capacity). Use it after changes of what a role keeps or sends.
-//   - report: tables and plots of the others.
+//     it for changes to admission and retries.
+//   - capacity: the resource cost of each role, as slopes over several sizes
+//     (lotusferrylab capacity). Use it after changes to what a role stores or sends.
+//   - report: tables and plots for the other packages.
 //   - labcommand: the command line of lotusferrylab.
 //
-// The soak of the users' platform speaks that platform's names, and so stands in
-// platform/soak. Days of our own for the users' bench are in examples/days.
+// The soak test of the users' platform uses that platform's names and is therefore in
+// platform/soak. Example days for the users' bench are in examples/days.
 package kit
--- a/kit/layers_test.go
+++ b/kit/layers_test.go
@@ -14,20 +14,20 @@
 
 const modulePath = "github.com/lotusferry/lotusferry/"
 
-// buildFolder is where builds put what they make, copies of other versions of the sources among it; it is no part
-// of the repository.
+// buildFolder holds build output, which may include copies of other versions of the
+// sources. It is not part of the repository.
 const buildFolder = "target"
 
-// layers are the folders at the root, from the lowest to the highest. A package imports
-// packages of its own layer and of lower ones only.
+// layers lists the top-level folders, from the lowest layer to the highest. A package
+// may only import packages of its own layer or of lower ones.
 var layers = []string{"structs", "internal", "agreement", "placement", "config", "operatorapi", "request", "ctl", "daemon", "platform", "kit", "cmd"}
 
-// layerOf is the layer of the package in a folder.
+// layerOf returns the index in layers for the package in the folder.
 func layerOf(c *qt.C, folder string) int {
 	c.Helper()
 	first, _, _ := strings.Cut(folder, "/")
 	if folder == "platform/soak" {
-		// It tries the product out in the platform's own words.
+		// The soak test belongs to the kit but uses the platform's names.
 		first = "kit"
 	}
 	layer := slices.Index(layers, first)
@@ -35,7 +35,7 @@
 	return layer
 }
 
-func TestNoImportRunsFromALowerLayerToAHigherOne(t *testing.T) {
+func TestPackagesImportOnlySameOrLowerLayers(t *testing.T) {
 	c := qt.New(t)
 	read := 0
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
