--- a/config/planner.go
+++ b/config/planner.go
@@ -37,8 +37,8 @@
 	setNonZero(&settings.ReserveBytes, s.Planner.ReserveBytes)
 	setNonZero(&settings.LatencyColdStartWorth, s.Planner.LatencyColdStartWorth)
 	setNonZero(&settings.IdleColdStartWorth, s.Planner.IdleColdStartWorth)
-	setNonZero(&settings.MinimumKeepAlive, s.Planner.MinimumKeepAlive)
-	setNonZero(&settings.MaximumKeepAlive, s.Planner.MaximumKeepAlive)
+	setNonZero(&settings.MinKeepAlive, s.Planner.MinimumKeepAlive)
+	setNonZero(&settings.MaxKeepAlive, s.Planner.MaximumKeepAlive)
 	return settings
 }
 
@@ -61,10 +61,10 @@
 			"is less than idle_cold_start_worth, so rows with objective idle are kept longer than those with latency",
 			"Set the larger value for latency.")
 	}
-	k.durationRange(key+"minimum_keep_alive", settings.MinimumKeepAlive, time.Millisecond, minimumKeepAliveLimit)
-	k.durationRange(key+"maximum_keep_alive", settings.MaximumKeepAlive, time.Second, maximumKeepAliveLimit)
-	if settings.MinimumKeepAlive > settings.MaximumKeepAlive {
-		k.add(key+"minimum_keep_alive", settings.MinimumKeepAlive, "is longer than maximum_keep_alive",
+	k.durationRange(key+"minimum_keep_alive", settings.MinKeepAlive, time.Millisecond, minimumKeepAliveLimit)
+	k.durationRange(key+"maximum_keep_alive", settings.MaxKeepAlive, time.Second, maximumKeepAliveLimit)
+	if settings.MinKeepAlive > settings.MaxKeepAlive {
+		k.add(key+"minimum_keep_alive", settings.MinKeepAlive, "is longer than maximum_keep_alive",
 			"Shorten it, or raise maximum_keep_alive.")
 	}
 }
--- a/daemon/claimanswers.go
+++ b/daemon/claimanswers.go
@@ -149,7 +149,7 @@
 			fetched.Answer = reply.Answer
 			return fetched
 		}
-		if !pause.For(ctx, leadercall.RetryPause) {
+		if !pause.For(ctx, leadercall.RetryDelay) {
 			level.Debug(m.logger).Log("msg", "An answer could not be fetched from another router.", "router", effect.Claim.Holder, "err", err)
 			fetched.Unreachable = true
 			return fetched
--- a/daemon/daemondrain.go
+++ b/daemon/daemondrain.go
@@ -81,11 +81,11 @@
 }
 
 // drainedRefusal is the refusal of new requests while an operator drains the daemon.
-func drainedRefusal() structs.Refusal {
+func drainedRefusal() structs.Rejection {
 	problem := structs.NewError(structs.ErrorUnavailable, "this router is being drained by an operator",
 		"Send the request to another router.")
-	problem.RetryAfter = router.MinimumRetryAfter
-	return structs.Refusal{Error: *problem, Execution: structs.ExecutionNotRun}
+	problem.RetryAfter = router.MinRetryAfter
+	return structs.Rejection{Error: *problem, Execution: structs.ExecutionNotRun}
 }
 
 // drainDaemon starts or ends a drain of this daemon or of one listed by the site.
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -130,13 +130,13 @@
 
 // abortRefusal returns the refusal of a request aborted at shutdown. Only a request
 // that was never sent is known not to have run.
-func abortRefusal(open *call) *structs.Refusal {
-	refusal := &structs.Refusal{
+func abortRefusal(open *call) *structs.Rejection {
+	refusal := &structs.Rejection{
 		Error: *structs.NewError(structs.ErrorUnavailable, "this router stops before the answer is complete",
 			"Send the request to another router, with the same key if there is one."),
 		Execution: structs.ExecutionNotRun,
 	}
-	refusal.Error.RetryAfter = router.MinimumRetryAfter
+	refusal.Error.RetryAfter = router.MinRetryAfter
 	switch {
 	case open.sent && open.request.Repeatable():
 		refusal.Execution = structs.ExecutionPartial
--- a/daemon/engines.go
+++ b/daemon/engines.go
@@ -55,10 +55,10 @@
 		engines:     engines,
 		timing:      timing,
 		reports:     map[structs.RunnerID]controller.ReportSeen{},
-		shares:      controller.NewReportShares(0, timing.ReportInterval, controller.MinimumSharedRunners),
+		shares:      controller.NewReportShares(0, timing.ReportInterval, controller.MinSharedRunners),
 		schedule:    controller.NewReportSchedule(),
 		digests:     map[structs.RunnerID]uint64{},
-		minimum:     controller.MinimumSharedRunners,
+		minimum:     controller.MinSharedRunners,
 	}
 }
 
@@ -138,10 +138,10 @@
 func (o *engineObserver) handleRelay(epoch structs.Epoch, message structs.ReportRelay) (*structs.ReportShare, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if !o.shares.LedIn(epoch) {
+	if !o.shares.IsForEpoch(epoch) {
 		return nil, false
 	}
-	share := o.shares.Take(clock.Now(), message, o.machines)
+	share := o.shares.HandleMessage(clock.Now(), message, o.machines)
 	for _, changed := range message.Changed {
 		// The outcome of an order is judged only by the leader's own readings.
 		if seen, read := o.reports[changed.Runner]; read && o.digests[changed.Runner] == changed.Digest && !o.awaited[changed.Runner] {
--- a/daemon/forward.go
+++ b/daemon/forward.go
@@ -136,7 +136,7 @@
 		}
 	}
 	if last == nil {
-		last = &api.RefusedError{Refusal: structs.Refusal{
+		last = &api.RefusedError{Refusal: structs.Rejection{
 			Error: *structs.NewError(structs.ErrorUnavailable, "no router of the zones that serve this row is known",
 				"Ask the operators to list routers for every zone in the settings."),
 			Execution: structs.ExecutionNotRun,
@@ -167,7 +167,7 @@
 
 // refusalByRouter returns the refusal by the called router, or nil if the request did
 // not reach one or its answer was interrupted.
-func refusalByRouter(err error) *structs.Refusal {
+func refusalByRouter(err error) *structs.Rejection {
 	var refused *api.RefusedError
 	if !errors.As(err, &refused) || errors.Is(err, api.ErrNotSent) || errors.Is(err, api.ErrBroken) {
 		return nil
@@ -195,7 +195,7 @@
 	})
 }
 
-func (r *requestRouter) endForward(id structs.RequestID, refusal *structs.Refusal) {
+func (r *requestRouter) endForward(id structs.RequestID, refusal *structs.Rejection) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.end(id, refusal)
--- a/daemon/offer.go
+++ b/daemon/offer.go
@@ -50,10 +50,10 @@
 			// The caller has disconnected, or the daemon is stopping.
 			return
 		case isNotRun(err):
-			failed.Refused = append(failed.Refused, settings.ID)
+			failed.Rejected = append(failed.Rejected, settings.ID)
 		default:
 			closeAnswer(answer)
-			failed.Silent = append(failed.Silent, settings.ID)
+			failed.TimedOut = append(failed.TimedOut, settings.ID)
 			failed.MayHaveRun = failed.MayHaveRun || try.reached()
 		}
 		if failed.MayHaveRun {
--- a/daemon/reportrelay.go
+++ b/daemon/reportrelay.go
@@ -76,7 +76,7 @@
 			level.Debug(r.logger).Log("msg", "Engine reports could not be sent to the leader.", "err", err)
 			return
 		}
-		if !r.relay.Told(message, share) || len(share.Runners) == 0 {
+		if !r.relay.Acknowledge(message, share) || len(share.Runners) == 0 {
 			return
 		}
 	}
--- a/daemon/reportrelay_test.go
+++ b/daemon/reportrelay_test.go
@@ -15,7 +15,7 @@
 func TestRouterReadsTheReportsOfAZoneWithManyRunners(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newStreamSite(t, streamSiteOptions{zones: 1, absent: controller.MinimumSharedRunners})
+		s := newStreamSite(t, streamSiteOptions{zones: 1, absent: controller.MinSharedRunners})
 		s.applyRows(1)
 		observer := s.daemons[0].leader.observer
 		relayed := func() bool {
@@ -25,7 +25,7 @@
 			return found
 		}
 		for s.ctx.Err() == nil && !relayed() {
-			pause.For(s.ctx, leadercall.RetryPause)
+			pause.For(s.ctx, leadercall.RetryDelay)
 		}
 		s.Assert(relayed(), qt.IsTrue)
 		// Rows loaded afterwards are read by the leader itself.
--- a/daemon/requestrouter.go
+++ b/daemon/requestrouter.go
@@ -104,8 +104,8 @@
 
 // refusalOfNew returns the refusal of every new request, or nil if requests are
 // accepted. The caller must hold r.mutex.
-func (r *requestRouter) refusalOfNew() *structs.Refusal {
-	var refusal structs.Refusal
+func (r *requestRouter) refusalOfNew() *structs.Rejection {
+	var refusal structs.Rejection
 	switch {
 	case !r.viewReady:
 		refusal = viewMissingRefusal()
@@ -152,8 +152,8 @@
 		r.deliver(effect.ID, effect.Token)
 	case router.Finish:
 		r.end(effect.ID, nil)
-	case router.Refuse:
-		r.end(effect.ID, &effect.Refusal)
+	case router.Reject:
+		r.end(effect.ID, &effect.Rejection)
 	case router.Replay:
 		r.replay(effect)
 	case router.SendAttempt:
@@ -194,7 +194,7 @@
 
 // end removes a call from the table. Its handler may still read tokens already
 // delivered.
-func (r *requestRouter) end(id structs.RequestID, refusal *structs.Refusal) {
+func (r *requestRouter) end(id structs.RequestID, refusal *structs.Rejection) {
 	target, waiting := r.calls[id]
 	if !waiting {
 		return
@@ -215,7 +215,7 @@
 	}
 	answer, err := router.DecodeAnswer(effect.Answer)
 	if err != nil {
-		r.end(effect.ID, &structs.Refusal{Error: *structs.AsTyped(err), Execution: structs.ExecutionUnknown})
+		r.end(effect.ID, &structs.Rejection{Error: *structs.AsTyped(err), Execution: structs.ExecutionUnknown})
 		return
 	}
 	target.deliver(structs.Token{ID: effect.ID, Text: answer.Text, Finish: answer.Finish})
--- a/daemon/standby_test.go
+++ b/daemon/standby_test.go
@@ -25,7 +25,7 @@
 				return index
 			}
 		}
-		pause.For(s.ctx, leadercall.RetryPause)
+		pause.For(s.ctx, leadercall.RetryDelay)
 	}
 	s.c.Fatalf("none of the daemons %v leads", indexes)
 	return 0
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -31,12 +31,12 @@
 		if err != nil {
 			level.Debug(r.logger).Log("msg", "The zone's view could not be read.", "address", address, "err", err)
 			source.Failed()
-			pause.For(ctx, leadercall.RetryPause)
+			pause.For(ctx, leadercall.RetryDelay)
 			continue
 		}
 		adopted, helps := source.Take(view)
 		if !helps {
-			pause.For(ctx, leadercall.RetryPause)
+			pause.For(ctx, leadercall.RetryDelay)
 			continue
 		}
 		r.saveChange(adopted)
@@ -178,12 +178,12 @@
 }
 
 // viewMissingRefusal is the refusal of requests before the table has been read.
-func viewMissingRefusal() structs.Refusal {
-	refusal := structs.Refusal{
+func viewMissingRefusal() structs.Rejection {
+	refusal := structs.Rejection{
 		Error: *structs.NewError(structs.ErrorUnavailable, "this router has not read its zone's table yet",
 			"Send the request to another router, or come back after the time given."),
 		Execution: structs.ExecutionNotRun,
 	}
-	refusal.Error.RetryAfter = router.MinimumRetryAfter
+	refusal.Error.RetryAfter = router.MinRetryAfter
 	return refusal
 }
--- a/daemon/zoneservice.go
+++ b/daemon/zoneservice.go
@@ -66,7 +66,7 @@
 		}
 		s.node.group.View(func() { reply.View = viewFor(s.node.machine.state, arguments) })
 		reply.View.Epoch = structs.Epoch(s.node.group.Status().Term)
-		if reply.View.IsNews(arguments.SinceTable) || ctx.Err() != nil {
+		if reply.View.HasChanges(arguments.SinceTable) || ctx.Err() != nil {
 			return nil
 		}
 		select {
@@ -91,7 +91,7 @@
 }
 
 func takesPart(state *zone.State, arguments ViewArguments) bool {
-	return arguments.Parts && state.AnswersPart(arguments.request())
+	return arguments.Parts && state.AnswersWithPart(arguments.request())
 }
 
 func viewFor(state *zone.State, arguments ViewArguments) structs.ZoneView {
--- a/kit/emulator/requests.go
+++ b/kit/emulator/requests.go
@@ -122,7 +122,7 @@
 
 // checkAdmission checks a new request against the register. It returns nil if the
 // request may run.
-func (e *Engine) checkAdmission(id structs.RequestID, incarnation structs.Incarnation, resume bool) *structs.Refusal {
+func (e *Engine) checkAdmission(id structs.RequestID, incarnation structs.Incarnation, resume bool) *structs.Rejection {
 	if incarnation != 0 && incarnation != e.incarnation {
 		return notRun(structs.NewError(structs.ErrorUnavailable,
 			"the engine has another incarnation", "Refresh the placement and choose another replica."))
@@ -148,14 +148,14 @@
 	return nil
 }
 
-func notRun(err *structs.Error) *structs.Refusal {
-	return &structs.Refusal{Error: *err, Execution: structs.ExecutionNotRun}
+func notRun(err *structs.Error) *structs.Rejection {
+	return &structs.Rejection{Error: *err, Execution: structs.ExecutionNotRun}
 }
 
 // refuse responds to a call with an error. An empty execution means that the request ran
 // or may have run.
 func (e *Engine) refuse(call CallID, execution structs.Execution, err *structs.Error) {
-	e.emit(EngineOutput{Kind: OutputRefused, Call: call, Refusal: &structs.Refusal{Error: *err, Execution: execution}})
+	e.emit(EngineOutput{Kind: OutputRefused, Call: call, Refusal: &structs.Rejection{Error: *err, Execution: execution}})
 }
 
 // register adds the record of an accepted request. A live request with the same ID is
--- a/kit/experiment/simulation.go
+++ b/kit/experiment/simulation.go
@@ -182,7 +182,7 @@
 	if z.state.Grant(row).Limit > 0 || z.ready(row) || z.partitioned {
 		return z
 	}
-	for _, id := range z.state.Elsewhere(row) {
+	for _, id := range z.state.ServingZones(row) {
 		if other := w.byZone[id]; !other.partitioned {
 			return other
 		}
@@ -196,7 +196,7 @@
 	if !w.offers || home.partitioned || home.ready(row) {
 		return nil
 	}
-	for _, id := range home.state.Elsewhere(row) {
+	for _, id := range home.state.ServingZones(row) {
 		other := w.byZone[id]
 		if id != home.id && !other.partitioned && len(other.queue(row).waiting) == 0 && other.free(row) {
 			return other
--- a/kit/experiment/usage.go
+++ b/kit/experiment/usage.go
@@ -10,7 +10,7 @@
 // usageHistory is the leader's record of row usage in a zone, as in package controller.
 type usageHistory struct {
 	uses    map[structs.RowName]*rowUsage
-	rhythms *scheduler.Rhythms
+	rhythms *scheduler.UsageHistory
 }
 
 type rowUsage struct {
@@ -20,7 +20,7 @@
 }
 
 func newUsageHistory() *usageHistory {
-	return &usageHistory{uses: map[structs.RowName]*rowUsage{}, rhythms: scheduler.NewRhythms()}
+	return &usageHistory{uses: map[structs.RowName]*rowUsage{}, rhythms: scheduler.NewUsageHistory()}
 }
 
 func (h *usageHistory) get(row structs.RowName) *rowUsage {
@@ -55,8 +55,8 @@
 
 // addTo adds the expected arrivals and the interarrival times to the snapshot.
 func (h *usageHistory) addTo(s *scheduler.Snapshot) {
-	h.rhythms.Watch(s.Now)
-	s.Expected = h.rhythms.Soon(s.Now)
+	h.rhythms.MarkObserved(s.Now)
+	s.Expected = h.rhythms.ExpectedSoon(s.Now)
 	for _, demand := range s.Demand {
 		if use := h.uses[demand.Row]; use != nil {
 			s.Interarrivals[demand.Row] = &use.gaps
--- a/kit/lab/caller.go
+++ b/kit/lab/caller.go
@@ -27,7 +27,7 @@
 	LongestGap time.Duration
 	Finish     structs.FinishReason
 	// Refusal is set if the call was not completely answered.
-	Refusal *structs.Refusal
+	Refusal *structs.Rejection
 	// NotSent and Broken tell that the transfer itself failed.
 	NotSent bool
 	Broken  bool
@@ -105,7 +105,7 @@
 		o.Refusal = &refused.Refusal
 		return o
 	}
-	o.Refusal = &structs.Refusal{
+	o.Refusal = &structs.Rejection{
 		Error:     *structs.NewError(structs.ErrorInternal, err.Error(), "Check the report of the run for the actions of the router and the engines."),
 		Execution: structs.ExecutionUnknown,
 	}
--- a/kit/overload/overload_test.go
+++ b/kit/overload/overload_test.go
@@ -105,9 +105,9 @@
 func unchanged(effect router.Effect) []router.Effect { return []router.Effect{effect} }
 
 // changeRefusals returns a function that applies change to refusals only.
-func changeRefusals(change func(*router.Refuse) []router.Effect) func(router.Effect) []router.Effect {
+func changeRefusals(change func(*router.Reject) []router.Effect) func(router.Effect) []router.Effect {
 	return func(effect router.Effect) []router.Effect {
-		if refuse, ok := effect.(router.Refuse); ok {
+		if refuse, ok := effect.(router.Reject); ok {
 			return change(&refuse)
 		}
 		return unchanged(effect)
@@ -121,14 +121,14 @@
 		broken faultyCore
 	}{
 		{"", PolicyLotusferry, faultyCore{change: unchanged}},
-		{ruleTerminal, PolicyLotusferry, faultyCore{change: changeRefusals(func(*router.Refuse) []router.Effect { return nil })}},
-		{ruleTerminal, PolicyLotusferry, faultyCore{change: changeRefusals(func(refuse *router.Refuse) []router.Effect { return []router.Effect{*refuse, *refuse} })}},
-		{ruleRetryAfter, PolicyLotusferry, faultyCore{change: changeRefusals(func(refuse *router.Refuse) []router.Effect {
-			refuse.Refusal.Error.RetryAfter = 0
+		{ruleTerminal, PolicyLotusferry, faultyCore{change: changeRefusals(func(*router.Reject) []router.Effect { return nil })}},
+		{ruleTerminal, PolicyLotusferry, faultyCore{change: changeRefusals(func(refuse *router.Reject) []router.Effect { return []router.Effect{*refuse, *refuse} })}},
+		{ruleRetryAfter, PolicyLotusferry, faultyCore{change: changeRefusals(func(refuse *router.Reject) []router.Effect {
+			refuse.Rejection.Error.RetryAfter = 0
 			return unchanged(*refuse)
 		})}},
-		{ruleNotRun, PolicyFIFO, faultyCore{change: changeRefusals(func(refuse *router.Refuse) []router.Effect {
-			refuse.Refusal.Execution = structs.ExecutionNotRun
+		{ruleNotRun, PolicyFIFO, faultyCore{change: changeRefusals(func(refuse *router.Reject) []router.Effect {
+			refuse.Rejection.Execution = structs.ExecutionNotRun
 			return unchanged(*refuse)
 		})}},
 		{ruleWhole, PolicyLotusferry, faultyCore{change: func(effect router.Effect) []router.Effect {
--- a/kit/overload/routerhost.go
+++ b/kit/overload/routerhost.go
@@ -104,8 +104,8 @@
 		h.sim.recordToken(effect.ID, effect.Token)
 	case router.Finish:
 		h.sim.recordEnd(effect.ID, nil)
-	case router.Refuse:
-		h.sim.recordEnd(effect.ID, &effect.Refusal)
+	case router.Reject:
+		h.sim.recordEnd(effect.ID, &effect.Rejection)
 	}
 }
 
--- a/kit/overload/simulation.go
+++ b/kit/overload/simulation.go
@@ -131,7 +131,7 @@
 }
 
 // recordEnd records a terminal answer; refusal is nil for a complete answer.
-func (s *simulation) recordEnd(id structs.RequestID, refusal *structs.Refusal) {
+func (s *simulation) recordEnd(id structs.RequestID, refusal *structs.Rejection) {
 	target := s.byRequest[id]
 	target.terminals++
 	target.endedAt = s.scheduler.Now()
--- a/placement/fleet/registry.go
+++ b/placement/fleet/registry.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Hear records a heartbeat. It reports false if a newer one is known or the runner has ended.
-func (r *Registry) Hear(now time.Time, heartbeat Heartbeat) bool {
+// ObserveHeartbeat records a heartbeat. It reports false if a newer one is known or the runner has ended.
+func (r *Registry) ObserveHeartbeat(now time.Time, heartbeat Heartbeat) bool {
 	known := r.runners[heartbeat.Instance]
 	if known == nil {
 		if known = r.addIncarnation(now, heartbeat); known == nil {
@@ -227,9 +227,9 @@
 	Recalled bool
 	// Lost runners could not be reached by several routers since their last heartbeat. Complaints
 	// is the number of these routers, Silent the time since the heartbeat.
-	Lost       bool
-	Complaints int
-	Silent     time.Duration
+	Lost               bool
+	UnreachableReports int
+	Silent             time.Duration
 }
 
 // MayServe reports whether the runner may get new requests and commands.
@@ -242,7 +242,7 @@
 	r.listed = r.listed[:0]
 	silentZones := r.silentZones(now)
 	for _, known := range r.sorted {
-		if known.hasEnded() || known.displaced || known.heartbeat.Address == "" || now.Sub(known.heardAt) > r.timing.Silence() {
+		if known.hasEnded() || known.displaced || known.heartbeat.Address == "" || now.Sub(known.heardAt) > r.timing.SilenceLimit() {
 			continue
 		}
 		if !known.endsAt.IsZero() && now.After(known.endsAt.Add(time.Second)) {
@@ -252,7 +252,7 @@
 		r.listed = append(r.listed, Status{
 			Heartbeat: known.heartbeat, Leaving: known.leaving, EndsAt: known.endsAt, Cold: now.Before(known.coldUntil),
 			Recalled: known.recalled, Lost: known.suspicion.isLost(silent, silentZones[known.heartbeat.Zone]),
-			Complaints: len(known.suspicion.reporters), Silent: silent,
+			UnreachableReports: len(known.suspicion.reporters), Silent: silent,
 		})
 	}
 	return r.listed
@@ -275,4 +275,6 @@
 }
 
 // Complete reports whether every live runner has had the time to send a heartbeat to this leader.
-func (r *Registry) Complete(now time.Time) bool { return now.Sub(r.startedAt) > r.timing.Learning() }
+func (r *Registry) Complete(now time.Time) bool {
+	return now.Sub(r.startedAt) > r.timing.LearningPeriod()
+}
--- a/request/api/embeddings.go
+++ b/request/api/embeddings.go
@@ -153,7 +153,7 @@
 	if inputs == 1 || executionOf(err) != structs.ExecutionNotRun {
 		return err
 	}
-	return &RefusedError{Refusal: structs.Refusal{Error: *typedError(err), Execution: structs.ExecutionPartial}}
+	return &RefusedError{Refusal: structs.Rejection{Error: *typedError(err), Execution: structs.ExecutionPartial}}
 }
 
 type embeddingItem struct {
@@ -196,7 +196,7 @@
 func encodeVector(vector string, asBase64 bool) (json.RawMessage, error) {
 	var values []float32
 	if err := json.Unmarshal([]byte(vector), &values); err != nil || len(values) == 0 {
-		return nil, &RefusedError{Refusal: structs.Refusal{
+		return nil, &RefusedError{Refusal: structs.Rejection{
 			Error: *structs.NewError(structs.ErrorInternal, "the engine's answer is not a vector",
 				"Choose an embedding model."),
 			Execution: structs.ExecutionPartial,
--- a/request/api/service.go
+++ b/request/api/service.go
@@ -26,7 +26,7 @@
 
 // RefusedError is the error of a request without a complete answer.
 type RefusedError struct {
-	Refusal structs.Refusal
+	Refusal structs.Rejection
 	// transfer is ErrNotSent, ErrBroken, or nil if the router refused the request.
 	transfer error
 }
--- a/request/relay/acquire.go
+++ b/request/relay/acquire.go
@@ -64,7 +64,7 @@
 	if x.route.Kind != site.KindStream || x.isStarted {
 		return limit
 	}
-	patience := x.request.Arrived.Add(x.router.options.Patience.of(x.route) * 9 / 10)
+	patience := x.request.Arrived.Add(x.router.options.MaxWait.of(x.route) * 9 / 10)
 	if patience.Before(limit) {
 		return patience
 	}
@@ -89,7 +89,7 @@
 // work returns what the request needs from a runner and which runners to avoid.
 func (x *exchange) work() routing.Work {
 	work := routing.Work{
-		Prefixes: x.prefixes, Prompt: x.request.Size.Uncached(0), Avoid: x.avoid, Barred: x.barred,
+		Prefixes: x.prefixes, Prompt: x.request.Size.Uncached(0), Avoid: x.avoid, Excluded: x.barred,
 	}
 	if x.regions != nil {
 		work.Zones = x.regions.zones
--- a/request/relay/tenancy_test.go
+++ b/request/relay/tenancy_test.go
@@ -39,7 +39,7 @@
 
 func newTenantRouter(answer func(ctx context.Context, attempt *Attempt) (*Answer, error)) (*Router, *scriptedBackend) {
 	router, backend := newTestRouter(answer)
-	router.options.ConfirmationLife = testConfirmationLife
+	router.options.ConfirmationTTL = testConfirmationLife
 	router.adoptDocument(tenantDocument(2))
 	router.confirm(time.Now())
 	return router, backend
@@ -238,7 +238,7 @@
 		synctest.Wait()
 		leave()
 		c.Assert((<-answered).outcome, qt.Equals, "caller_left")
-		now, _ := router.limits.limiter.IsAsking(time.Now())
+		now, _ := router.limits.limiter.NeedsLeader(time.Now())
 		c.Assert(now, qt.IsFalse)
 	})
 }
--- a/request/router/arrive.go
+++ b/request/router/arrive.go
@@ -61,11 +61,11 @@
 	switch {
 	case c.draining:
 		problem := structs.NewError(structs.ErrorUnavailable, "this router is shutting down", "Send the request to another router.")
-		problem.RetryAfter = MinimumRetryAfter
+		problem.RetryAfter = MinRetryAfter
 		return problem
 	case !incoming.DeadlineAt.After(c.now):
 		problem := structs.NewError(structs.ErrorDeadline, "the deadline has passed already", "Send the request with a later deadline.")
-		problem.RetryAfter = MinimumRetryAfter
+		problem.RetryAfter = MinRetryAfter
 		return problem
 	case len(c.requests) >= c.options.TotalLimit && !c.shedBatch(incoming.Priority):
 		problem := structs.NewError(structs.ErrorOverloaded, "this router has reached its request limit", "Retry after the given delay, or use another router.")
@@ -142,7 +142,7 @@
 
 // forwardFailed refuses a forwarded request that no zone answered completely.
 func (c *Core) forwardFailed(event ForwardFailed) {
-	refusal := structs.Refusal{
+	refusal := structs.Rejection{
 		Error: structs.Error{
 			Kind:       structs.ErrorUnavailable,
 			Message:    "the zone that serves this request cannot be reached",
@@ -152,7 +152,7 @@
 		Execution: structs.ExecutionNotRun,
 	}
 	if event.Error != nil && event.Error.RetryAfter > 0 {
-		refusal.Error.RetryAfter = max(event.Error.RetryAfter, MinimumRetryAfter)
+		refusal.Error.RetryAfter = max(event.Error.RetryAfter, MinRetryAfter)
 	}
 	if event.Stage == Broken && event.Repeatable {
 		refusal.Execution = structs.ExecutionPartial
@@ -160,8 +160,8 @@
 	if event.Stage == Broken && !event.Repeatable {
 		refusal.Execution = structs.ExecutionUnknown
 	}
-	c.emit(Refuse{ID: event.ID, Refusal: refusal})
-	c.stats.Refused++
+	c.emit(Reject{ID: event.ID, Rejection: refusal})
+	c.stats.Rejected++
 }
 
 // track adds the request to those held.
@@ -194,7 +194,7 @@
 	req.estimatedWait = req.row.estimator.Start(state)
 	patience := req.DeadlineAt.Sub(c.now)
 	if finish := req.row.estimator.Finish(state); finish >= patience {
-		c.stats.RefusedEarly++
+		c.stats.RejectedEarly++
 		c.refuse(req, structs.ErrorDeadline, "the request would be answered after its deadline",
 			"Retry after the given delay, or allow a later deadline.", max(req.estimatedWait, finish-patience))
 		return
--- a/request/router/claim.go
+++ b/request/router/claim.go
@@ -23,7 +23,7 @@
 		Session:       c.options.Session,
 		HolderAddress: c.options.Address,
 		State:         structs.ClaimHeld,
-		ExpiresAt:     c.now.Add(c.options.AnswerLife),
+		ExpiresAt:     c.now.Add(c.options.AnswerTTL),
 	}
 	switch req.phase {
 	case phaseBinding:
@@ -99,7 +99,7 @@
 func (c *Core) claimNotAsked(req *request, problem *structs.Error) {
 	req.phase = c.releaseReservation(req)
 	home := HomeZone(c.options.Zones, req.IdempotencyKey)
-	estimate := MinimumRetryAfter
+	estimate := MinRetryAfter
 	if problem != nil {
 		estimate = max(estimate, problem.RetryAfter)
 	}
--- a/request/router/offer.go
+++ b/request/router/offer.go
@@ -82,12 +82,12 @@
 
 // offerFailed queues a request that no other zone accepted, as of its arrival.
 func (c *Core) offerFailed(event OfferFailed) {
-	c.recordUnresponsive(event.Silent)
+	c.recordUnresponsive(event.TimedOut)
 	req := c.requests[event.ID]
 	if req == nil || req.phase != phaseOffered {
 		return
 	}
-	c.recordRefusals(req.row, event.Refused)
+	c.recordRefusals(req.row, event.Rejected)
 	req.row.offered--
 	req.phase = phaseQueued
 	req.mayHaveRun = event.MayHaveRun
@@ -143,6 +143,6 @@
 func noCapacity(name structs.RowName) structs.Error {
 	problem := structs.NewError(structs.ErrorUnavailable,
 		"no ready replica with free capacity for row "+string(name)+" in this zone", "Queue the request in its own zone.")
-	problem.RetryAfter = MinimumRetryAfter
+	problem.RetryAfter = MinRetryAfter
 	return *problem
 }
--- a/request/routing/breaker.go
+++ b/request/routing/breaker.go
@@ -12,11 +12,11 @@
 	// OutcomeNeutral means that the attempt was abandoned for a reason unrelated to
 	// the replica.
 	OutcomeNeutral
-	// OutcomeTurnedAway means that the runner rejected the request without running it,
+	// OutcomeRejected means that the runner rejected the request without running it,
 	// because it is full or about to unload the model.
-	OutcomeTurnedAway
-	// OutcomeRefused means that the runner responds but does not run the replica's requests.
-	OutcomeRefused
+	OutcomeRejected
+	// OutcomeUnavailable means that the runner responds but does not run the replica's requests.
+	OutcomeUnavailable
 	// OutcomeBroken means that the runner was unreachable or the stream broke.
 	OutcomeBroken
 )
--- a/request/zonewatch/watch.go
+++ b/request/zonewatch/watch.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// Heard records that a runner sent data for a request.
-func (w *Watch) Heard(now time.Time, id structs.RunnerID) {
+// ObserveData records that a runner sent data for a request.
+func (w *Watch) ObserveData(now time.Time, id structs.RunnerID) {
 	known := w.runners[id]
 	if known == nil {
 		return
@@ -145,8 +145,8 @@
 	return known != nil && known.isLost
 }
 
-// IsQuiet reports whether no request is open and no zone is unreachable or suspected.
-func (w *Watch) IsQuiet() bool {
+// IsIdle reports whether no request is open and no zone is unreachable or suspected.
+func (w *Watch) IsIdle() bool {
 	for _, each := range w.zones {
 		if each.open > 0 || each.isLost || each.suspicion != nil {
 			return false
--- a/structs/request.go
+++ b/structs/request.go
@@ -47,8 +47,8 @@
 // Repeatable reports whether the request may run more than once.
 func (r Request) Repeatable() bool { return r.IdempotencyKey == "" }
 
-// Refusal is the terminal answer to a request that got no full answer.
-type Refusal struct {
+// Rejection is the terminal answer to a request that got no full answer.
+type Rejection struct {
 	Error     Error
 	Execution Execution
 }
--- a/structs/view.go
+++ b/structs/view.go
@@ -47,11 +47,11 @@
 	return v.Epoch > 0 && epoch >= v.Epoch+restoredEpochs
 }
 
-// IsNews reports whether a router that has the table at the revision sinceTable learns
+// HasChanges reports whether a router that has the table at the revision sinceTable learns
 // something from the view. A controller that has applied nothing, as after a start
 // without a quorum, has no news: answering at once would have its routers ask without
 // a pause.
-func (v *ZoneView) IsNews(sinceTable uint64) bool {
+func (v *ZoneView) HasChanges(sinceTable uint64) bool {
 	if v.Index == 0 {
 		return false
 	}
