--- a/agreement/group/backup.go
+++ b/agreement/group/backup.go
@@ -57,10 +57,10 @@
 	b.answer <- outcome{result: snapshot, err: err}
 }
 
-// Refound returns the snapshot and hard state with which member, as the only voter,
+// RestoreBackup returns the snapshot and hard state with which member, as the only voter,
 // restores a group from a backup. No other member of the old group belongs to the new
 // one, and its terms start above those of the old one.
-func Refound(backup raft.Snapshot, member Member) (raft.Snapshot, raft.HardState, error) {
+func RestoreBackup(backup raft.Snapshot, member Member) (raft.Snapshot, raft.HardState, error) {
 	decoded, err := decodeGroupSnapshot(backup.Data)
 	if err != nil {
 		return raft.Snapshot{}, raft.HardState{}, err
--- a/agreement/group/cluster_test.go
+++ b/agreement/group/cluster_test.go
@@ -186,7 +186,7 @@
 // waitFor returns once condition holds; it is evaluated after every change of m.
 func (m *member) waitFor(what string, condition func(Status) bool) {
 	for {
-		changed := m.Applied()
+		changed := m.Changed()
 		if condition(m.Status()) {
 			return
 		}
@@ -206,7 +206,7 @@
 	for _, each := range among {
 		go func() {
 			for ctx.Err() == nil {
-				changed := each.Applied()
+				changed := each.Changed()
 				if _, valid := each.LeaderLease(); valid {
 					found <- each
 					return
--- a/agreement/group/lease_test.go
+++ b/agreement/group/lease_test.go
@@ -63,7 +63,7 @@
 		c.Assert(valid, qt.IsTrue)
 
 		clock += single.leaseDuration()
-		changed := single.Applied()
+		changed := single.Changed()
 		_, valid = single.LeaderLease()
 		c.Assert(valid, qt.IsFalse)
 		c.Assert(single.process(cl.ctx, &senders), qt.IsNil)
--- a/agreement/group/membership.go
+++ b/agreement/group/membership.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	for {
-		changed := g.Applied()
+		changed := g.Changed()
 		if !g.Status().IsLeader {
 			return nil
 		}
--- a/agreement/group/status.go
+++ b/agreement/group/status.go
@@ -76,11 +76,11 @@
 	return status
 }
 
-// Applied returns a channel that is closed at the next change of the applied index, the
+// Changed returns a channel that is closed at the next change of the applied index, the
 // term, the leader, the membership, the lease, or a member's Active or CaughtUp state, and
 // when Run returns. The expiry of a lease by the clock is not signaled; its renewal is.
-// To miss no change, call Applied before Status.
-func (g *Group) Applied() <-chan struct{} {
+// To miss no change, call Changed before Status.
+func (g *Group) Changed() <-chan struct{} {
 	g.statusMutex.Lock()
 	defer g.statusMutex.Unlock()
 	return g.changed
--- a/agreement/leadercall/caller.go
+++ b/agreement/leadercall/caller.go
@@ -13,8 +13,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// RetryPause is the delay between two rounds of attempts at all members.
-const RetryPause = 50 * time.Millisecond
+// RetryDelay is the delay between two rounds of attempts at all members.
+const RetryDelay = 50 * time.Millisecond
 
 // Caller calls the leader of a group: it remembers the last known leader, follows
 // redirects, and tries the other members in order. It retries calls, which must therefore
@@ -80,7 +80,7 @@
 			}
 			last = err
 		}
-		if !pause.For(ctx, RetryPause) {
+		if !pause.For(ctx, RetryDelay) {
 			return newReply(), unavailableError(last)
 		}
 	}
--- a/ctl/snapshot.go
+++ b/ctl/snapshot.go
@@ -149,7 +149,7 @@
 	}
 	identity.Daemon = structs.DaemonID(c.Daemon)
 	identity.Node = group.NewNodeID()
-	snapshot, state, err := group.Refound(snapshot, group.Member{Node: identity.Node, Name: c.Daemon})
+	snapshot, state, err := group.RestoreBackup(snapshot, group.Member{Node: identity.Node, Name: c.Daemon})
 	if err != nil {
 		return err
 	}
--- a/daemon/claimanswers.go
+++ b/daemon/claimanswers.go
@@ -146,7 +146,7 @@
 			fetched.Answer = reply.Answer
 			return fetched
 		}
-		if !pause.For(ctx, leadercall.RetryPause) {
+		if !pause.For(ctx, leadercall.RetryDelay) {
 			level.Debug(k.logger).Log("msg", "A router did not say whether it keeps an answer.", "router", effect.Claim.Holder, "err", err)
 			fetched.Unreachable = true
 			return fetched
--- a/daemon/claims_benchmark_test.go
+++ b/daemon/claims_benchmark_test.go
@@ -79,7 +79,7 @@
 				return node
 			}
 		}
-		pause.For(ctx, leadercall.RetryPause)
+		pause.For(ctx, leadercall.RetryDelay)
 	}
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -256,7 +256,7 @@
 			CallerTokens:    tokensPerMinute(d.config.Limits.CallerTokensPerMinute),
 			RowTokens:       tokensPerMinute(d.config.Limits.RowTokensPerMinute),
 			DefaultDeadline: d.config.Limits.DefaultDeadline,
-			AnswerLife:      d.config.Limits.ClaimRetention,
+			AnswerTTL:       d.config.Limits.ClaimRetention,
 		}),
 	}
 	d.router.relay = controller.NewReportRelay(d.config.Daemon, d.config.Timing.ReportInterval)
--- a/daemon/engines.go
+++ b/daemon/engines.go
@@ -138,10 +138,10 @@
 func (o *engineObserver) takeRelay(epoch structs.Epoch, message structs.ReportRelay) (*structs.ReportShare, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if !o.shares.LedIn(epoch) {
+	if !o.shares.IsForEpoch(epoch) {
 		return nil, false
 	}
-	share := o.shares.Take(clock.Now(), message, o.machines)
+	share := o.shares.HandleMessage(clock.Now(), message, o.machines)
 	for _, said := range message.Changed {
 		// What follows an order is decided on the leader's own readings.
 		if seen, read := o.reports[said.Runner]; read && o.digests[said.Runner] == said.Digest && !o.awaited[said.Runner] {
--- a/daemon/member_benchmark_test.go
+++ b/daemon/member_benchmark_test.go
@@ -90,7 +90,7 @@
 		s.start(behind)
 		started := s.running[s.settings[behind].Daemon]
 		for {
-			changed := started.global.group.Applied()
+			changed := started.global.group.Changed()
 			var reached uint64
 			started.global.group.View(func() { reached = started.global.machine.state.Revision() })
 			if reached >= revision {
@@ -156,7 +156,7 @@
 		s.start(restarted)
 		started := s.running[s.settings[restarted].Daemon]
 		for {
-			globalChanged, zoneChanged := started.global.group.Applied(), started.zone.group.Applied()
+			globalChanged, zoneChanged := started.global.group.Changed(), started.zone.group.Changed()
 			var reached uint64
 			started.global.group.View(func() { reached = started.global.machine.state.Revision() })
 			if reached >= revision && started.zone.tableRevision() >= revision {
@@ -231,7 +231,7 @@
 	for _, settings := range s.settings {
 		node := s.running[settings.Daemon].zone
 		for {
-			changed := node.group.Applied()
+			changed := node.group.Changed()
 			if node.tableRevision() >= revision {
 				break
 			}
--- a/daemon/memberbackup_test.go
+++ b/daemon/memberbackup_test.go
@@ -41,7 +41,7 @@
 		if err == nil && status.Zones[0].TableRevision >= revision {
 			return status.Zones[0]
 		}
-		pause.For(s.ctx, leadercall.RetryPause)
+		pause.For(s.ctx, leadercall.RetryDelay)
 	}
 	s.c.Fatalf("revision %d did not come into force", revision)
 	return structs.ZoneStatus{}
--- a/daemon/memberchange_test.go
+++ b/daemon/memberchange_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for {
-		changed := node.group.Applied()
+		changed := node.group.Changed()
 		if shows(node.group.Status().Membership) {
 			return end, true
 		}
@@ -90,7 +90,7 @@
 	added := s.running[daemon].members[globalGroupName].own.Node
 	joined := leader.members[globalGroupName].group
 	for {
-		changed := joined.Applied()
+		changed := joined.Changed()
 		status := joined.Status()
 		if !status.IsLeader || status.Membership.HasVoter(added) || status.Progress[added].CaughtUp {
 			return added
--- a/daemon/offer.go
+++ b/daemon/offer.go
@@ -53,7 +53,7 @@
 			failed.Refused = append(failed.Refused, settings.ID)
 		default:
 			closeAnswer(answer)
-			failed.Silent = append(failed.Silent, settings.ID)
+			failed.TimedOut = append(failed.TimedOut, settings.ID)
 			failed.MayHaveRun = failed.MayHaveRun || try.reached()
 		}
 		if failed.MayHaveRun {
--- a/daemon/reportrelay.go
+++ b/daemon/reportrelay.go
@@ -75,7 +75,7 @@
 			level.Debug(r.logger).Log("msg", "The leader could not be told of engine reports.", "err", err)
 			return
 		}
-		if !r.relay.Told(message, share) || len(share.Runners) == 0 {
+		if !r.relay.Acknowledge(message, share) || len(share.Runners) == 0 {
 			return
 		}
 	}
--- a/daemon/reportrelay_test.go
+++ b/daemon/reportrelay_test.go
@@ -25,7 +25,7 @@
 			return found
 		}
 		for s.ctx.Err() == nil && !relayed() {
-			pause.For(s.ctx, leadercall.RetryPause)
+			pause.For(s.ctx, leadercall.RetryDelay)
 		}
 		s.Assert(relayed(), qt.IsTrue)
 		// What is loaded then is seen by the leader itself.
--- a/daemon/site_test.go
+++ b/daemon/site_test.go
@@ -176,7 +176,7 @@
 		if done(last) {
 			return last
 		}
-		pause.For(s.ctx, leadercall.RetryPause)
+		pause.For(s.ctx, leadercall.RetryDelay)
 	}
 	for id, running := range s.running {
 		s.c.Logf("%s: %+v", id, running.global.group.Status())
--- a/daemon/standby_test.go
+++ b/daemon/standby_test.go
@@ -25,7 +25,7 @@
 				return index
 			}
 		}
-		pause.For(s.ctx, leadercall.RetryPause)
+		pause.For(s.ctx, leadercall.RetryDelay)
 	}
 	s.c.Fatalf("none of the daemons %v leads", indexes)
 	return 0
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -31,12 +31,12 @@
 		if err != nil {
 			level.Debug(r.logger).Log("msg", "The zone's view could not be read.", "address", address, "err", err)
 			source.Failed()
-			pause.For(ctx, leadercall.RetryPause)
+			pause.For(ctx, leadercall.RetryDelay)
 			continue
 		}
 		adopted, helps := source.Take(view)
 		if !helps {
-			pause.For(ctx, leadercall.RetryPause)
+			pause.For(ctx, leadercall.RetryDelay)
 			continue
 		}
 		r.keepView(adopted)
--- a/daemon/zoneleader.go
+++ b/daemon/zoneleader.go
@@ -41,7 +41,7 @@
 // run leads whenever the zone group says so, until ctx ends.
 func (l *zoneLeader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed := l.node.group.Applied()
+		changed := l.node.group.Changed()
 		if _, valid := l.node.group.LeaderLease(); valid {
 			l.lead(ctx)
 			continue
@@ -232,7 +232,7 @@
 		}
 		if err != nil {
 			next++
-			pause.For(ctx, leadercall.RetryPause)
+			pause.For(ctx, leadercall.RetryDelay)
 			continue
 		}
 		if reply.Delta.Revision <= since {
@@ -241,7 +241,7 @@
 			continue
 		}
 		if err := l.adopt(ctx, reply.Delta); err != nil {
-			pause.For(ctx, leadercall.RetryPause)
+			pause.For(ctx, leadercall.RetryDelay)
 		}
 	}
 }
--- a/daemon/zoneservice.go
+++ b/daemon/zoneservice.go
@@ -91,7 +91,7 @@
 }
 
 func takesPart(state *zone.State, arguments ViewArguments) bool {
-	return arguments.Parts && state.AnswersPart(arguments.request())
+	return arguments.Parts && state.AnswersWithPart(arguments.request())
 }
 
 func viewFor(state *zone.State, arguments ViewArguments) structs.ZoneView {
--- a/kit/experiment/learned.go
+++ b/kit/experiment/learned.go
@@ -11,7 +11,7 @@
 // controller does.
 type learned struct {
 	uses    map[structs.RowName]*rowUse
-	rhythms *scheduler.Rhythms
+	rhythms *scheduler.UsageHistory
 }
 
 type rowUse struct {
@@ -21,7 +21,7 @@
 }
 
 func newLearned() *learned {
-	return &learned{uses: map[structs.RowName]*rowUse{}, rhythms: scheduler.NewRhythms()}
+	return &learned{uses: map[structs.RowName]*rowUse{}, rhythms: scheduler.NewUsageHistory()}
 }
 
 func (l *learned) get(row structs.RowName) *rowUse {
@@ -56,8 +56,8 @@
 
 // fill adds what was learned of the snapshot's rows.
 func (l *learned) fill(s *scheduler.Snapshot) {
-	l.rhythms.Watch(s.Now)
-	s.Expected = l.rhythms.Soon(s.Now)
+	l.rhythms.MarkObserved(s.Now)
+	s.Expected = l.rhythms.ExpectedSoon(s.Now)
 	for _, demand := range s.Demand {
 		if use := l.uses[demand.Row]; use != nil {
 			s.Interarrivals[demand.Row] = &use.gaps
--- a/kit/experiment/world.go
+++ b/kit/experiment/world.go
@@ -179,7 +179,7 @@
 	if z.state.Grant(row).Limit > 0 || z.ready(row) || z.cutOff {
 		return z
 	}
-	for _, id := range z.state.Elsewhere(row) {
+	for _, id := range z.state.ServingZones(row) {
 		if other := w.byZone[id]; !other.cutOff {
 			return other
 		}
@@ -192,7 +192,7 @@
 	if !w.offers || home.cutOff || home.ready(row) {
 		return nil
 	}
-	for _, id := range home.state.Elsewhere(row) {
+	for _, id := range home.state.ServingZones(row) {
 		other := w.byZone[id]
 		if id != home.id && !other.cutOff && len(other.queue(row).waiting) == 0 && other.free(row) {
 			return other
--- a/kit/labcommand/soak.go
+++ b/kit/labcommand/soak.go
@@ -34,7 +34,7 @@
 			return err
 		}
 		report, err := soak.Run(c.session.ctx, soak.Options{
-			Binary: c.Binary, Folder: folder, Seed: seed, For: c.For, Lane: c.Lane, Routers: c.Routers,
+			Binary: c.Binary, Folder: folder, Seed: seed, Duration: c.For, Lane: c.Lane, Routers: c.Routers,
 			Log: func(format string, arguments ...any) {
 				fmt.Fprintf(c.session.Errors, format+"\n", arguments...)
 			},
@@ -48,7 +48,7 @@
 			return errors.Wrap(err, "print report")
 		}
 		fmt.Fprintln(c.session.Errors, "logs:", folder)
-		violated = violated || report.Count > 0
+		violated = violated || report.ViolationCount > 0
 	}
 	if violated {
 		return errViolation
--- a/placement/controller/decider.go
+++ b/placement/controller/decider.go
@@ -124,8 +124,8 @@
 		}
 	}
 	d.core.buffers = snapshotBuffers{snapshot.Runners, snapshot.Replicas}
-	d.core.demand.usageHistory.Watch(d.input.Now)
-	snapshot.Expected = d.core.demand.usageHistory.Soon(d.input.Now)
+	d.core.demand.usageHistory.MarkObserved(d.input.Now)
+	snapshot.Expected = d.core.demand.usageHistory.ExpectedSoon(d.input.Now)
 	snapshot.Demand = d.core.demand.collect(d.input.Now, d.core.options.DemandAfter, rows)
 	for _, demand := range snapshot.Demand {
 		if use := d.core.demand.uses[demand.Row]; use != nil {
--- a/placement/controller/demand.go
+++ b/placement/controller/demand.go
@@ -22,7 +22,7 @@
 	reports map[structs.DaemonID]routerDemand
 	uses    map[structs.RowName]*rowUse
 	// usageHistory records the arrivals at all routers.
-	usageHistory *scheduler.Rhythms
+	usageHistory *scheduler.UsageHistory
 }
 
 // routerDemand is a router's demand, merged from its partial reports. It is dropped when
@@ -51,7 +51,7 @@
 	return demandTable{
 		reports:      map[structs.DaemonID]routerDemand{},
 		uses:         map[structs.RowName]*rowUse{},
-		usageHistory: scheduler.NewRhythms(),
+		usageHistory: scheduler.NewUsageHistory(),
 	}
 }
 
--- a/placement/controller/reportrelay.go
+++ b/placement/controller/reportrelay.go
@@ -85,10 +85,10 @@
 	return message
 }
 
-// Told records that the leader has received the message, and adopts the share in its reply,
+// Acknowledge records that the leader has received the message, and adopts the share in its reply,
 // which is nil if unchanged. It reports whether the share is new; the leader then expects
 // another message at once.
-func (r *ReportRelay) Told(message structs.ReportRelay, share *structs.ReportShare) bool {
+func (r *ReportRelay) Acknowledge(message structs.ReportRelay, share *structs.ReportShare) bool {
 	if share != nil {
 		r.setShare(*share)
 		return true
--- a/placement/controller/reportshares.go
+++ b/placement/controller/reportshares.go
@@ -58,12 +58,12 @@
 	return &ReportShares{epoch: epoch, interval: interval, minimum: minimum, routers: map[structs.DaemonID]*routerShare{}}
 }
 
-// LedIn reports whether the shares belong to the epoch.
-func (s *ReportShares) LedIn(epoch structs.Epoch) bool { return s.epoch == epoch }
+// IsForEpoch reports whether the shares belong to the epoch.
+func (s *ReportShares) IsForEpoch(epoch structs.Epoch) bool { return s.epoch == epoch }
 
-// Take records a router's message, and returns the share that the router is to read from
+// HandleMessage records a router's message, and returns the share that the router is to read from
 // now on, or nil if it has that share already.
-func (s *ReportShares) Take(now time.Time, message structs.ReportRelay, machines []structs.Machine) *structs.ReportShare {
+func (s *ReportShares) HandleMessage(now time.Time, message structs.ReportRelay, machines []structs.Machine) *structs.ReportShare {
 	router := s.routers[message.Daemon]
 	if router == nil {
 		router = &routerShare{}
--- a/placement/controller/reportshares_test.go
+++ b/placement/controller/reportshares_test.go
@@ -86,10 +86,10 @@
 			return
 		}
 		message := router.Message(w.now)
-		share := w.shares.Take(w.now, message, w.machines)
+		share := w.shares.HandleMessage(w.now, message, w.machines)
 		w.schedule.Suspect(w.shares.Suspects(w.digests))
 		w.readReports(w.schedule.New(w.machines))
-		if w.random.IntN(100) < w.lossPercent || !router.Told(message, share) {
+		if w.random.IntN(100) < w.lossPercent || !router.Acknowledge(message, share) {
 			return
 		}
 	}
@@ -214,7 +214,7 @@
 			router.Read(w.now, stale)
 		}
 		message := router.Message(w.now)
-		router.Told(message, w.shares.Take(w.now, message, w.machines))
+		router.Acknowledge(message, w.shares.HandleMessage(w.now, message, w.machines))
 		w.advance(1)
 	}
 	w.Assert(w.reports["e007"].Report.Incarnation, qt.Equals, structs.Incarnation(2))
--- a/placement/domainapi/messages.go
+++ b/placement/domainapi/messages.go
@@ -127,10 +127,10 @@
 }
 
 const (
-	// LeastHold and MostHold bound the time that a leader holds a watch without changes.
+	// MinHold and MostHold bound the time that a leader holds a watch without changes.
 	// Routers detect the loss of a leader only after the hold time.
-	LeastHold = 500 * time.Millisecond
-	MostHold  = time.Second
+	MinHold = 500 * time.Millisecond
+	MaxHold = time.Second
 )
 
 // WatchReply is sent when something has changed, or after the hold time.
@@ -153,7 +153,7 @@
 	// Suspects lists the requests that may crash runners; nil if the router's list is current.
 	Suspects *poison.List
 	// Shares lists the tenants above their shares, over all routers.
-	Shares shares.Word
+	Shares shares.Overuse
 	// Routers is the number of routers that share the leader's grants.
 	Routers int
 	// Controllers are the addresses of the group's members.
--- a/placement/domainnode/announcer_test.go
+++ b/placement/domainnode/announcer_test.go
@@ -56,7 +56,7 @@
 		m, err := leading.current()
 		d.c.Assert(err, qt.IsNil)
 		for i := range 300 {
-			m.currentLeadership().recordContact(fmt.Sprint("router-", i), 1, domainapi.MostHold)
+			m.currentLeadership().recordContact(fmt.Sprint("router-", i), 1, domainapi.MaxHold)
 		}
 		for adapter := range 8 {
 			took := d.adapterLatency(leading, fmt.Sprint("a", adapter))
--- a/placement/domainnode/benchmark_test.go
+++ b/placement/domainnode/benchmark_test.go
@@ -16,7 +16,7 @@
 	l := &leadership{
 		node: &Node{options: options, metrics: newMetrics(nil)}, options: options,
 		registry: fleet.NewRegistry(at, options.timing()), planner: residency.NewPlanner(residency.Options{}, at),
-		views: fleet.NewPublisher(), failing: fleet.NewFailing(), tokens: ratelimit.New(at), cold: make(map[string]bool),
+		views: fleet.NewPublisher(), failing: fleet.NewOutlierDetector(), tokens: ratelimit.New(at), cold: make(map[string]bool),
 		runnerLimits: ratelimit.NewLimits(), lost: make(map[string]bool),
 	}
 	heartbeats := make([]fleet.Heartbeat, runners)
@@ -25,7 +25,7 @@
 			Instance: fmt.Sprintf("i-%08x", i), Service: "s", Address: fmt.Sprintf("10.%d.%d.%d:80", i>>16, i>>8&255, i&255), Zone: fmt.Sprint("z", i%5),
 			Slots: 12, Sequence: 1, Models: []fleet.LoadedModel{{Name: fmt.Sprint("m", i%574)}},
 		}
-		l.registry.Hear(at, heartbeats[i])
+		l.registry.ObserveHeartbeat(at, heartbeats[i])
 	}
 	return l, heartbeats
 }
@@ -41,7 +41,7 @@
 			for round := 0; b.Loop(); round++ {
 				heard := &heartbeats[round%runners]
 				heard.Sequence++
-				l.registry.Hear(at, *heard)
+				l.registry.ObserveHeartbeat(at, *heard)
 				l.refresh(at)
 			}
 		})
--- a/placement/domainnode/contact.go
+++ b/placement/domainnode/contact.go
@@ -31,8 +31,8 @@
 // holdDuration returns how long to hold a watch of a router that waits at most the given
 // time.
 func holdDuration(routers int, most time.Duration) time.Duration {
-	hold := max(domainapi.LeastHold, time.Duration(routers)*holdPerRouter)
-	return min(hold, domainapi.MostHold, max(domainapi.LeastHold, most))
+	hold := max(domainapi.MinHold, time.Duration(routers)*holdPerRouter)
+	return min(hold, domainapi.MaxHold, max(domainapi.MinHold, most))
 }
 
 // applyDeparture applies a committed departure and waits until the active routers have
--- a/placement/domainnode/hold_test.go
+++ b/placement/domainnode/hold_test.go
@@ -16,10 +16,10 @@
 		routers    int
 		most, want time.Duration
 	}{
-		"a small site":                     {3, domainapi.MostHold, domainapi.LeastHold},
-		"some hundred routers":             {700, domainapi.MostHold, 700 * time.Millisecond},
-		"thousands":                        {5000, domainapi.MostHold, domainapi.MostHold},
-		"a router of the previous release": {5000, 0, domainapi.LeastHold},
+		"a small site":                     {3, domainapi.MaxHold, domainapi.MinHold},
+		"some hundred routers":             {700, domainapi.MaxHold, 700 * time.Millisecond},
+		"thousands":                        {5000, domainapi.MaxHold, domainapi.MaxHold},
+		"a router of the previous release": {5000, 0, domainapi.MinHold},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, holdDuration(test.routers, test.most), qt.Equals, test.want)
--- a/placement/domainnode/leadership.go
+++ b/placement/domainnode/leadership.go
@@ -75,14 +75,14 @@
 	limits      *quota.Divider
 	reservation *reservationSignal
 	// shares sums the work of each tenant over all routers.
-	shares *shares.Book
+	shares *shares.Ledger
 	// document is the version of the planner's document.
 	document  uint64
 	announcer *announcer
 	// poison tracks requests that may crash runners.
 	poison *poison.Tracker
 	// failing tracks runners that fail requests.
-	failing *fleet.Failing
+	failing *fleet.OutlierDetector
 	// lost is the set of unreachable runners.
 	lost map[string]bool
 	// loads are the loads of the last step.
@@ -115,7 +115,7 @@
 // leadershipLoop starts and ends the leadership as the group's lease is gained and lost.
 func (n *Node) leadershipLoop(ctx context.Context, m *member) {
 	for ctx.Err() == nil {
-		changed := m.group.Applied()
+		changed := m.group.Changed()
 		term, isValid := m.group.LeaderLease()
 		current := m.currentLeadership()
 		switch {
@@ -149,7 +149,7 @@
 		shares:      shares.New(at),
 		announcer:   newAnnouncer(),
 		poison:      poison.New(),
-		failing:     fleet.NewFailing(),
+		failing:     fleet.NewOutlierDetector(),
 		tokens:      ratelimit.New(at),
 		cold:        make(map[string]bool),
 
@@ -262,7 +262,7 @@
 	l.poison.Expire(at)
 	l.updateDrains()
 	l.refresh(at)
-	questions := l.planner.Questions(at)
+	questions := l.planner.RunnersToPoll(at)
 	orders := l.planner.Plan(at)
 	close(l.planned)
 	l.planned = make(chan struct{})
@@ -278,7 +278,7 @@
 	for _, found := range judged {
 		level.Info(l.logger).Log("msg", "A runner's speed was judged.", "runner", found.Instance,
 			"slow", found.IsSlow, "pauses", found.Pauses, "slowness", fmt.Sprintf("%.2f", found.Slowness),
-			"tokens_per_s", found.Pace.PromptRate, "event", found.Pace.Event, "bears", fmt.Sprintf("%.1f", found.Borne))
+			"tokens_per_s", found.Pace.PromptRate, "event", found.Pace.Event, "bears", fmt.Sprintf("%.1f", found.Capacity))
 	}
 	for _, status := range questions {
 		go l.requestReport(ctx, status)
@@ -370,7 +370,7 @@
 	l.mutex.Lock()
 	heartbeat = l.registry.Resolve(heartbeat)
 	isTaken := l.applyHeartbeat(l.now(), heartbeat)
-	isSlow := l.planner.IsSlowPlace(heartbeat.Instance)
+	isSlow := l.planner.IsSlowMachine(heartbeat.Instance)
 	l.mutex.Unlock()
 	if !isTaken {
 		return
--- a/placement/domainnode/notices.go
+++ b/placement/domainnode/notices.go
@@ -21,7 +21,7 @@
 		if l.registry.Service(report.Instance) == "" {
 			continue
 		}
-		l.planner.ObserveRest(at, report.Instance, report.RestsFor)
+		l.planner.ObserveCooldown(at, report.Instance, report.RestsFor)
 		if report.IsLeaving {
 			l.markLeaving(at, report.Instance, arguments.Router)
 		}
@@ -44,7 +44,7 @@
 
 // observeNotice applies the notice in a runner's response to an order or report request.
 func (l *leadership) observeNotice(instance string, received notice.Notice) {
-	if received.Rest <= 0 && !received.IsLeaving && len(received.Problems) == 0 {
+	if received.Cooldown <= 0 && !received.IsLeaving && len(received.Problems) == 0 {
 		return
 	}
 	l.mutex.Lock()
@@ -55,7 +55,7 @@
 			level.Info(l.logger).Log("msg", "What a runner says of itself cannot be read.", "runner", instance, "err", problem, "not_logged", suppressed)
 		}
 	}
-	l.planner.PauseOrders(at, instance, received.Rest)
+	l.planner.PauseOrders(at, instance, received.Cooldown)
 	if received.IsLeaving {
 		l.markLeaving(at, instance, l.options.Name)
 	}
--- a/placement/domainnode/poison.go
+++ b/placement/domainnode/poison.go
@@ -16,7 +16,7 @@
 func (l *leadership) applyHeartbeat(at time.Time, heartbeat fleet.Heartbeat) bool {
 	before := l.registry.Sequence(heartbeat.Instance)
 	former := l.registry.Latest(fleet.IDOf(heartbeat.Instance))
-	if !l.registry.Hear(at, heartbeat) {
+	if !l.registry.ObserveHeartbeat(at, heartbeat) {
 		return false
 	}
 	if former != heartbeat.Instance && former != fleet.IDOf(heartbeat.Instance) {
@@ -25,7 +25,7 @@
 	if heartbeat.Sequence <= before {
 		return true
 	}
-	if l.poison.Heard(at, heartbeat.Instance) {
+	if l.poison.ObserveHeartbeat(at, heartbeat.Instance) {
 		level.Info(l.logger).Log("msg", "A runner whose connections broke is still running; its requests are not suspected.",
 			"runner", heartbeat.Instance)
 	}
@@ -40,7 +40,7 @@
 	}
 	for _, report := range arguments.Losses {
 		if l.registry.IsLeaving(report.Instance) {
-			l.poison.Excuse(report)
+			l.poison.CancelTrials(report)
 			continue
 		}
 		isNew := l.poison.Observe(at, report)
--- a/placement/domainnode/reserving.go
+++ b/placement/domainnode/reserving.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	command, err := domain.Command{Reserve: &domain.Reservation{
-		Since: decided.Sub(last), Keep: l.options.Limits.KeepReservations(), Parts: parts,
+		Since: decided.Sub(last), Keep: l.options.Limits.ReservationRetention(), Parts: parts,
 	}}.Encode()
 	if err == nil {
 		_, err = l.member.group.Propose(ctx, command)
@@ -101,8 +101,8 @@
 	}
 	current.applyDocument()
 	current.mutex.Lock()
-	asker := quota.Asker{Router: arguments.Router, Session: arguments.Session}
-	current.limits.TakeBack(s.node.now(), asker, arguments.Question, arguments.Wants)
+	asker := quota.RouterProcess{Router: arguments.Router, Session: arguments.Session}
+	current.limits.ApplyReturns(s.node.now(), asker, arguments.Question, arguments.Wants)
 	current.mutex.Unlock()
 	current.awaitReservation(arguments.Router, arguments.Wants)
 	current.mutex.Lock()
@@ -127,7 +127,7 @@
 	defer timeout.Stop()
 	for {
 		l.mutex.Lock()
-		lacks, done := l.limits.Lacks(l.now(), router, wants), l.reservation.done
+		lacks, done := l.limits.RecordShortfalls(l.now(), router, wants), l.reservation.done
 		l.mutex.Unlock()
 		if !lacks {
 			return
--- a/placement/domainnode/service.go
+++ b/placement/domainnode/service.go
@@ -315,7 +315,7 @@
 	defer l.mutex.Unlock()
 	reply.Revision = known
 	reply.Loads = l.loads
-	reply.Shares = l.shares.Word(l.now())
+	reply.Shares = l.shares.Overuse(l.now())
 	if arguments.Term != uint64(l.term) || l.poison.Revision() != knownSuspects {
 		listed := l.poison.List(l.now())
 		reply.Suspects = &listed
@@ -352,9 +352,9 @@
 		// Requests wait for a model that is already loaded: the router's view is outdated.
 		current.notify(arguments.Router)
 	}
-	current.planner.Doubt(s.node.now(), arguments.Doubted)
+	current.planner.RequestPolls(s.node.now(), arguments.Doubted)
 	for _, instance := range arguments.Unreachable {
-		current.registry.Complain(instance, arguments.Router)
+		current.registry.ReportUnreachable(instance, arguments.Router)
 	}
 	current.observeAttempts(s.node.now(), arguments)
 	current.observeLimits(s.node.now(), arguments)
--- a/placement/domainnode/summary.go
+++ b/placement/domainnode/summary.go
@@ -62,10 +62,10 @@
 	var listed []string
 	for _, state := range l.planner.PaceStates() {
 		listed = append(listed, fmt.Sprintf("%s:%.0f tokens/s,%v,%.1f/s borne,scale %.2f,%d slow,%d unknown,error %.2f", state.Service,
-			state.Usual.PromptRate, state.Usual.Event, state.Borne, state.Scale, state.Slow, state.Unknown, state.Error))
-		l.node.metrics.promptRate.WithLabelValues(state.Service).Set(state.Usual.PromptRate)
-		l.node.metrics.eventTime.WithLabelValues(state.Service).Set(state.Usual.Event.Seconds())
-		l.node.metrics.borne.WithLabelValues(state.Service).Set(state.Borne)
+			state.Typical.PromptRate, state.Typical.Event, state.Capacity, state.Scale, state.Slow, state.Unknown, state.Error))
+		l.node.metrics.promptRate.WithLabelValues(state.Service).Set(state.Typical.PromptRate)
+		l.node.metrics.eventTime.WithLabelValues(state.Service).Set(state.Typical.Event.Seconds())
+		l.node.metrics.borne.WithLabelValues(state.Service).Set(state.Capacity)
 		l.node.metrics.paceError.WithLabelValues(state.Service).Set(state.Error)
 		l.node.metrics.speeds.WithLabelValues(state.Service, "slow").Set(float64(state.Slow))
 		l.node.metrics.speeds.WithLabelValues(state.Service, "unknown").Set(float64(state.Unknown))
@@ -135,7 +135,7 @@
 // turnStates reports how many models wait to be loaded and the longest wait. The caller
 // holds the mutex.
 func (l *leadership) turnStates() string {
-	turns := l.planner.Turns()
+	turns := l.planner.WaitingModels()
 	for turn, count := range map[string]int{
 		"gathering": turns.Gathering, "due": turns.Due, "unreachable": turns.Unreachable,
 	} {
@@ -205,7 +205,7 @@
 func (l *leadership) proposeLearned(at time.Time) {
 	var command domain.Command
 	stores := l.planner.Stores()
-	silent := l.registry.Silent(at, l.options.timing().Unrecorded())
+	silent := l.registry.Silent(at, l.options.timing().DeregistrationDelay())
 	l.member.group.View(func() {
 		for _, instance := range silent {
 			if _, isRegistered := l.member.machine.Registered(instance); isRegistered {
--- a/placement/domainnode/tokens.go
+++ b/placement/domainnode/tokens.go
@@ -114,10 +114,10 @@
 		if rate <= 0 {
 			// The runner is gone, no longer limited, or its limit is not reported yet; the router
 			// learns of it with the next view.
-			grants = append(grants, ratelimit.Grant{Instance: want.Instance, MoreIn: ratelimit.TokenLife})
+			grants = append(grants, ratelimit.Grant{Instance: want.Instance, MoreIn: ratelimit.TokenTTL})
 			continue
 		}
-		grant := l.tokens.Lend(at, want, rate)
+		grant := l.tokens.GrantTokens(at, want, rate)
 		l.node.metrics.warmups.WithLabelValues("granted").Add(float64(grant.Requests))
 		l.node.metrics.warmups.WithLabelValues("later").Add(float64(max(0, want.Requests-grant.Requests)))
 		grants = append(grants, grant)
--- a/placement/domainnode/views.go
+++ b/placement/domainnode/views.go
@@ -135,7 +135,7 @@
 func (l *leadership) viewFor(router string, known uint64) (view fleet.EncodedView, revision uint64, err error) {
 	switch {
 	case l.routers[router].lacksFullView:
-		view, err = l.views.EncodedNewsSince(known)
+		view, err = l.views.EncodedTakeoverChangesSince(known)
 	case known == 0:
 		return l.views.Whole(l.now(), l.routers[router].revision)
 	default:
--- a/placement/domainnode/views_test.go
+++ b/placement/domainnode/views_test.go
@@ -21,7 +21,7 @@
 	watching = &sync.WaitGroup{}
 	for index := range routers {
 		watching.Go(func() {
-			arguments := domainapi.WatchArguments{Router: fmt.Sprint("router-", index), MaxHold: domainapi.MostHold}
+			arguments := domainapi.WatchArguments{Router: fmt.Sprint("router-", index), MaxHold: domainapi.MaxHold}
 			for d.ctx.Err() == nil {
 				var reply domainapi.WatchReply
 				_ = (&service{node: leading.Node}).Watch(&arguments, &reply)
@@ -117,7 +117,7 @@
 }
 
 func (d *testDomain) newTestRouter(name string) *testRouter {
-	return &testRouter{d: d, known: fleet.NewDirectory(), arguments: domainapi.WatchArguments{Router: name, MaxHold: domainapi.MostHold, Version: 1}}
+	return &testRouter{d: d, known: fleet.NewDirectory(), arguments: domainapi.WatchArguments{Router: name, MaxHold: domainapi.MaxHold, Version: 1}}
 }
 
 // watch sends one watch to the leader.
@@ -133,7 +133,7 @@
 		view, err := reply.View.Decode()
 		f.d.c.Assert(err, qt.IsNil)
 		f.bytes, f.isFull = len(reply.View.Bytes), !view.Partial
-		f.known.Learn(view)
+		f.known.ApplyView(view)
 	}
 	f.arguments.Term, f.arguments.Revision = reply.Term, reply.Revision
 }
--- a/placement/fleet/benchmark_test.go
+++ b/placement/fleet/benchmark_test.go
@@ -49,10 +49,10 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			whole := newView(size)
 			directory := NewDirectory()
-			directory.Learn(whole)
+			directory.ApplyView(whole)
 			b.ReportAllocs()
 			for round := 0; b.Loop(); round++ {
-				directory.Learn(partialViewOf(whole, 3, round))
+				directory.ApplyView(partialViewOf(whole, 3, round))
 			}
 		})
 	}
@@ -63,11 +63,11 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			whole := newView(size)
 			directory := NewDirectory()
-			directory.Learn(whole)
+			directory.ApplyView(whole)
 			first := View{Runners: whole.Runners[:size/2]}
 			b.ReportAllocs()
 			for b.Loop() {
-				directory.Learn(first)
+				directory.ApplyView(first)
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 	for range 3 {
 		view, err := encoded.Decode()
 		qt.Assert(t, err, qt.IsNil)
-		directory.Learn(view)
+		directory.ApplyView(view)
 	}
 	bytesPerRunner := float64(heapBytes()-before) / count
 	t.Logf("%.0f bytes per runner", bytesPerRunner)
@@ -131,7 +131,7 @@
 			Instance: runner.Instance, Service: runner.Service, Address: runner.Address, Zone: runner.Zone, Slots: runner.Slots,
 			Sequence: 1, Models: runner.Models,
 		}
-		registry.Hear(start.Add(time.Duration(i)*time.Microsecond), heartbeat)
+		registry.ObserveHeartbeat(start.Add(time.Duration(i)*time.Microsecond), heartbeat)
 		heartbeats = append(heartbeats, heartbeat)
 	}
 	return registry, heartbeats
--- a/placement/fleet/directory.go
+++ b/placement/fleet/directory.go
@@ -50,10 +50,10 @@
 	Removed []string
 }
 
-// Learn applies a newer view. An incomplete view adds runners and removes only those that have
+// ApplyView applies a newer view. An incomplete view adds runners and removes only those that have
 // certainly ended, so that a new leader which has not received all heartbeats doesn't empty the
 // routers' directories. A complete view also removes every runner that its leader never listed.
-func (d *Directory) Learn(view View) Changes {
+func (d *Directory) ApplyView(view View) Changes {
 	var changes Changes
 	if !view.Partial {
 		d.markUnconfirmed(&view, &changes)
--- a/placement/fleet/failing.go
+++ b/placement/fleet/failing.go
@@ -33,10 +33,10 @@
 	Failed int
 }
 
-// Failing detects runners that fail many requests although their heartbeats arrive. It combines the
+// OutlierDetector detects runners that fail many requests although their heartbeats arrive. It combines the
 // reports of all routers, since each router sees only a few attempts. Create one with NewFailing
 // when leadership begins. Its methods are not safe for concurrent use.
-type Failing struct{ runners map[string]*attemptStats }
+type OutlierDetector struct{ runners map[string]*attemptStats }
 
 // attemptStats holds the recent results of attempts at a runner.
 type attemptStats struct {
@@ -48,11 +48,13 @@
 	ejection     time.Duration
 }
 
-// NewFailing returns a Failing without any reports.
-func NewFailing() *Failing { return &Failing{runners: make(map[string]*attemptStats)} }
+// NewOutlierDetector returns a Failing without any reports.
+func NewOutlierDetector() *OutlierDetector {
+	return &OutlierDetector{runners: make(map[string]*attemptStats)}
+}
 
 // Observe records a router's report. It reports whether the report caused the runner to be ejected.
-func (f *Failing) Observe(now time.Time, router string, ended Attempts) bool {
+func (f *OutlierDetector) Observe(now time.Time, router string, ended Attempts) bool {
 	known := f.runners[ended.Instance]
 	if known == nil {
 		if ended.Failed == 0 {
@@ -72,16 +74,16 @@
 
 // IsFailing reports whether the runner is ejected, and should get requests only if no other runner
 // can take them.
-func (f *Failing) IsFailing(now time.Time, instance string) bool {
+func (f *OutlierDetector) IsFailing(now time.Time, instance string) bool {
 	known := f.runners[instance]
 	return known != nil && now.Before(known.ejectedUntil)
 }
 
 // IsEmpty reports whether no recent failures are recorded.
-func (f *Failing) IsEmpty() bool { return len(f.runners) == 0 }
+func (f *OutlierDetector) IsEmpty() bool { return len(f.runners) == 0 }
 
 // Forget deletes the records of runners that are no longer listed, and expired records.
-func (f *Failing) Forget(now time.Time, isListed func(instance string) bool) {
+func (f *OutlierDetector) Forget(now time.Time, isListed func(instance string) bool) {
 	for instance, known := range f.runners {
 		isOld := now.Sub(known.at) > ejectionResetAfter && now.Sub(known.ejectedUntil) > ejectionResetAfter
 		if isOld || !isListed(instance) {
--- a/placement/fleet/failing_test.go
+++ b/placement/fleet/failing_test.go
@@ -10,14 +10,14 @@
 
 // failingLoad simulates routers that send requests to one runner and report each result.
 type failingLoad struct {
-	failing *Failing
+	failing *OutlierDetector
 	now     time.Time
 	// lost counts the failed requests.
 	lost int
 }
 
 func newFailingLoad() *failingLoad {
-	return &failingLoad{failing: NewFailing(), now: time.Unix(1000, 0)}
+	return &failingLoad{failing: NewOutlierDetector(), now: time.Unix(1000, 0)}
 }
 
 // run sends one request a second from each router, of which one in every fails; none if every is 0.
@@ -80,7 +80,7 @@
 }
 
 func BenchmarkFailingObserve(b *testing.B) {
-	failing := NewFailing()
+	failing := NewOutlierDetector()
 	now := time.Unix(1000, 0)
 	b.ReportAllocs()
 	for i := range b.N {
--- a/placement/fleet/fleet_test.go
+++ b/placement/fleet/fleet_test.go
@@ -27,13 +27,13 @@
 func TestLateHeartbeatDoesNotRestoreDepartedRunner(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
-	c.Assert(r.Hear(start, beat("a", 5)), qt.IsTrue)
-	c.Assert(r.Hear(start, beat("a", 4)), qt.IsFalse)
+	c.Assert(r.ObserveHeartbeat(start, beat("a", 5)), qt.IsTrue)
+	c.Assert(r.ObserveHeartbeat(start, beat("a", 4)), qt.IsFalse)
 	r.Depart(start, "a", false)
-	c.Assert(r.Hear(start, beat("a", 6)), qt.IsTrue)
+	c.Assert(r.ObserveHeartbeat(start, beat("a", 6)), qt.IsTrue)
 	c.Assert(r.Runners(start)[0].Leaving, qt.IsTrue)
 	r.Depart(start, "a", true)
-	c.Assert(r.Hear(start, beat("a", 7)), qt.IsFalse)
+	c.Assert(r.ObserveHeartbeat(start, beat("a", 7)), qt.IsFalse)
 	c.Assert(r.Runners(start), qt.HasLen, 0)
 	c.Assert(r.Gone(), qt.DeepEquals, []string{"a"})
 }
@@ -42,17 +42,17 @@
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	r.Depart(start, "a", true)
-	c.Assert(r.Hear(start, beat("a", 1)), qt.IsFalse)
+	c.Assert(r.ObserveHeartbeat(start, beat("a", 1)), qt.IsFalse)
 }
 
 func TestSilentRunnerIsDroppedUntilNextHeartbeat(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
-	r.Hear(start, beat("a", 1))
-	c.Assert(instances(r.Runners(start.Add(testTiming.Silence()))), qt.DeepEquals, []string{"a"})
-	late := start.Add(testTiming.Silence() + time.Millisecond)
+	r.ObserveHeartbeat(start, beat("a", 1))
+	c.Assert(instances(r.Runners(start.Add(testTiming.SilenceLimit()))), qt.DeepEquals, []string{"a"})
+	late := start.Add(testTiming.SilenceLimit() + time.Millisecond)
 	c.Assert(r.Runners(late), qt.HasLen, 0)
-	r.Hear(late, beat("a", 2))
+	r.ObserveHeartbeat(late, beat("a", 2))
 	c.Assert(r.Runners(late), qt.HasLen, 1)
 }
 
@@ -61,7 +61,7 @@
 	r := NewRegistry(start, testTiming)
 	notice := beat("a", 1)
 	notice.Leaving, notice.EndsIn = true, 2*time.Second
-	r.Hear(start, notice)
+	r.ObserveHeartbeat(start, notice)
 	c.Assert(r.Runners(start.Add(2 * time.Second))[0].EndsAt, qt.Equals, start.Add(2*time.Second))
 	c.Assert(r.Runners(start.Add(4*time.Second)), qt.HasLen, 0)
 }
@@ -78,13 +78,13 @@
 func TestAddressHasOneInstance(t *testing.T) {
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
-	r.Hear(start, beat("old", 9))
-	r.Hear(start, beat("new", 1))
+	r.ObserveHeartbeat(start, beat("old", 9))
+	r.ObserveHeartbeat(start, beat("new", 1))
 	c.Assert(instances(r.Runners(start)), qt.DeepEquals, []string{"new"})
 	// A late heartbeat of the old instance takes the address only until the new instance's next
 	// heartbeat.
-	r.Hear(start, beat("old", 10))
-	r.Hear(start, beat("new", 2))
+	r.ObserveHeartbeat(start, beat("old", 10))
+	r.ObserveHeartbeat(start, beat("new", 2))
 	c.Assert(instances(r.Runners(start)), qt.DeepEquals, []string{"new"})
 }
 
@@ -96,7 +96,7 @@
 	r.Recall(start, beat("a", 0))
 	c.Assert(instances(r.Runners(start)), qt.DeepEquals, []string{"a"})
 	c.Assert(r.Runners(start)[0].Recalled, qt.IsTrue)
-	c.Assert(r.Hear(start, beat("a", 3)), qt.IsTrue)
+	c.Assert(r.ObserveHeartbeat(start, beat("a", 3)), qt.IsTrue)
 	c.Assert(r.Runners(start)[0].Recalled, qt.IsFalse)
 	c.Assert(r.Silent(start.Add(time.Minute), 20*time.Second), qt.DeepEquals, []string{"a", "gone"})
 }
@@ -105,11 +105,11 @@
 	c := qt.New(t)
 	r := NewRegistry(start, testTiming)
 	r.Recall(start, beat("a", 0))
-	r.Hear(start, beat("b", 1))
+	r.ObserveHeartbeat(start, beat("b", 1))
 	moved := beat("b", 2)
 	moved.Address = "10.0.0.2:80"
-	r.Hear(start, moved)
-	r.Hear(start, beat("a", 1))
+	r.ObserveHeartbeat(start, moved)
+	r.ObserveHeartbeat(start, beat("a", 1))
 	c.Assert(instances(r.Runners(start)), qt.DeepEquals, []string{"a", "b"})
 	r.Expire(start.Add(tombstoneTTL + time.Second))
 	c.Assert(r.addresses, qt.HasLen, 0)
@@ -125,7 +125,7 @@
 	for i := 0; b.Loop(); i++ {
 		beat := &beats[i%len(beats)]
 		beat.Sequence++
-		r.Hear(start, *beat)
+		r.ObserveHeartbeat(start, *beat)
 	}
 }
 
@@ -134,10 +134,10 @@
 	r := NewRegistry(start, testTiming)
 	cold := beat("a", 1)
 	cold.ColdFor = 3 * time.Second
-	r.Hear(start, cold)
+	r.ObserveHeartbeat(start, cold)
 	c.Assert(r.Runners(start.Add(2 * time.Second))[0].Cold, qt.IsTrue)
 	c.Assert(r.Runners(start.Add(3 * time.Second))[0].Cold, qt.IsFalse)
-	r.Hear(start.Add(time.Second), beat("a", 2))
+	r.ObserveHeartbeat(start.Add(time.Second), beat("a", 2))
 	c.Assert(r.Runners(start.Add(time.Second))[0].Cold, qt.IsFalse)
 }
 
--- a/placement/fleet/incarnation_test.go
+++ b/placement/fleet/incarnation_test.go
@@ -23,7 +23,9 @@
 // eventsOf returns the events of an incarnation in the order in which the runner sends them.
 func eventsOf(born int64, departs bool) []event {
 	hear := func(sequence uint64, leaving bool) func(*Registry, time.Time) {
-		return func(r *Registry, now time.Time) { r.Hear(now, r.Resolve(heartbeatOf(born, sequence, leaving))) }
+		return func(r *Registry, now time.Time) {
+			r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(born, sequence, leaving)))
+		}
 	}
 	events := []event{
 		{fmt.Sprint("first of ", born), born, hear(1, false)},
@@ -119,10 +121,10 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRegistry(now, testTiming)
-	c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 4, false))), qt.IsTrue)
+	c.Assert(r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(200, 4, false))), qt.IsTrue)
 	forwarded := heartbeatOf(0, 5, false)
 	c.Assert(r.Resolve(forwarded).Instance, qt.Equals, "i#200")
-	c.Assert(r.Hear(now, r.Resolve(forwarded)), qt.IsTrue)
+	c.Assert(r.ObserveHeartbeat(now, r.Resolve(forwarded)), qt.IsTrue)
 	for name, change := range map[string]func(*Heartbeat){
 		"another address":   func(h *Heartbeat) { h.Address = "10.0.0.2:1" },
 		"another service":   func(h *Heartbeat) { h.Service = "t" },
@@ -130,7 +132,7 @@
 	} {
 		foreign := heartbeatOf(0, 9, true)
 		change(&foreign)
-		c.Assert(r.Hear(now, r.Resolve(foreign)), qt.IsFalse, qt.Commentf("%s", name))
+		c.Assert(r.ObserveHeartbeat(now, r.Resolve(foreign)), qt.IsFalse, qt.Commentf("%s", name))
 	}
 	listed := r.Runners(now)
 	c.Assert(listed, qt.HasLen, 1)
@@ -142,7 +144,7 @@
 	for name, prepare := range map[string]func(r *Registry, now time.Time){
 		"departure without heartbeat": func(r *Registry, now time.Time) { r.Depart(now, "i", true) },
 		"departure after heartbeat": func(r *Registry, now time.Time) {
-			r.Hear(now, heartbeatOf(0, 4, false))
+			r.ObserveHeartbeat(now, heartbeatOf(0, 4, false))
 			r.Depart(now, "i", true)
 		},
 	} {
@@ -151,9 +153,9 @@
 			now := time.Unix(1000, 0)
 			r := NewRegistry(now, testTiming)
 			prepare(r, now)
-			c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 5, false))), qt.IsFalse)
+			c.Assert(r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(200, 5, false))), qt.IsFalse)
 			c.Assert(r.Runners(now), qt.HasLen, 0)
-			c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 6, false))), qt.IsFalse)
+			c.Assert(r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(200, 6, false))), qt.IsFalse)
 		})
 	}
 }
@@ -165,10 +167,10 @@
 	r := NewRegistry(now, testTiming)
 	former := Heartbeat{Instance: "former", Born: 100, Address: "10.0.0.1:1", Sequence: 3}
 	present := Heartbeat{Instance: "present", Born: 200, Address: "10.0.0.1:1", Sequence: 1}
-	r.Hear(now, r.Resolve(former))
-	r.Hear(now, r.Resolve(present))
+	r.ObserveHeartbeat(now, r.Resolve(former))
+	r.ObserveHeartbeat(now, r.Resolve(present))
 	former.Sequence++
-	r.Hear(now, r.Resolve(former))
+	r.ObserveHeartbeat(now, r.Resolve(former))
 	listed := r.Runners(now)
 	c.Assert(listed, qt.HasLen, 1)
 	c.Assert(listed[0].Heartbeat.Instance, qt.Equals, "present#200")
@@ -200,10 +202,10 @@
 	c.Assert(p.Since(1).Removed, qt.ContentEquals, []string{"a#1", "b#1", "b"})
 	now := time.Unix(1000, 0)
 	r := NewRegistry(now, testTiming)
-	r.Hear(now, r.Resolve(heartbeatOf(100, 1, false)))
+	r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(100, 1, false)))
 	r.Depart(now, "i#100", true)
 	c.Assert(r.Gone(), qt.DeepEquals, []string{"i", "i#100"})
-	r.Hear(now, r.Resolve(heartbeatOf(200, 1, false)))
+	r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(200, 1, false)))
 	c.Assert(r.Gone(), qt.DeepEquals, []string{"i#100"})
 }
 
--- a/placement/fleet/merge_test.go
+++ b/placement/fleet/merge_test.go
@@ -157,7 +157,7 @@
 			before := directory.view()
 			next := randomView(random)
 			want = Merge(want, next)
-			changes := directory.Learn(next)
+			changes := directory.ApplyView(next)
 			known := directory.view()
 			slices.SortFunc(want.Runners, func(a, b Runner) int { return cmp.Compare(a.Instance, b.Instance) })
 			c.Assert(known.Runners, qt.CmpEquals(cmpopts.EquateEmpty()), want.Runners)
@@ -216,7 +216,7 @@
 	c := qt.New(t)
 	directory := NewDirectory()
 	view := View{Complete: true, Runners: []Runner{{Instance: "a", Service: "s", Models: []LoadedModel{{Name: "m"}}}}}
-	directory.Learn(view)
+	directory.ApplyView(view)
 	directory.Update("a", func(runner *Runner) bool {
 		runner.Models = nil
 		return true
@@ -229,7 +229,7 @@
 		return count
 	}
 	c.Assert(count(), qt.Equals, 0)
-	c.Assert(directory.Learn(view).Changed, qt.DeepEquals, []string{"a"})
+	c.Assert(directory.ApplyView(view).Changed, qt.DeepEquals, []string{"a"})
 	c.Assert(count(), qt.Equals, 1)
 	directory.Update("a", func(*Runner) bool { return false })
 	c.Assert(directory.Len(), qt.Equals, 0)
--- a/placement/fleet/news.go
+++ b/placement/fleet/news.go
@@ -19,10 +19,10 @@
 	return changed != p.firstHeardAt[runner.Instance] && !isUnchanged
 }
 
-// NewsSince is like Since, for a router that knows the previous leader's view: it omits what that
+// TakeoverChangesSince is like Since, for a router that knows the previous leader's view: it omits what that
 // leader has most likely sent. The result is small for any fleet size; the router fetches the full
 // view later.
-func (p *Publisher) NewsSince(known uint64) View {
+func (p *Publisher) TakeoverChangesSince(known uint64) View {
 	news := View{Partial: true, Gone: p.goneSince(known)}
 	for i := range p.view.Runners {
 		if p.isNews(&p.view.Runners[i], known) {
@@ -33,10 +33,10 @@
 	return news
 }
 
-// EncodedNewsSince returns the encoded result of NewsSince. It encodes only once per known
+// EncodedTakeoverChangesSince returns the encoded result of NewsSince. It encodes only once per known
 // revision.
-func (p *Publisher) EncodedNewsSince(known uint64) (EncodedView, error) {
-	return p.encodeOnce(p.encodedNews, known, p.NewsSince)
+func (p *Publisher) EncodedTakeoverChangesSince(known uint64) (EncodedView, error) {
+	return p.encodeOnce(p.encodedNews, known, p.TakeoverChangesSince)
 }
 
 // encodeOnce returns the encoded view for a known revision, from the cache if possible.
--- a/placement/fleet/registry.go
+++ b/placement/fleet/registry.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Hear records a heartbeat. It reports false if a newer one is known or the runner has ended.
-func (r *Registry) Hear(now time.Time, heartbeat Heartbeat) bool {
+// ObserveHeartbeat records a heartbeat. It reports false if a newer one is known or the runner has ended.
+func (r *Registry) ObserveHeartbeat(now time.Time, heartbeat Heartbeat) bool {
 	known := r.runners[heartbeat.Instance]
 	if known == nil {
 		if known = r.addIncarnation(now, heartbeat); known == nil {
@@ -242,7 +242,7 @@
 	r.listed = r.listed[:0]
 	silentZones := r.silentZones(now)
 	for _, known := range r.sorted {
-		if known.hasEnded() || known.displaced || known.heartbeat.Address == "" || now.Sub(known.heardAt) > r.timing.Silence() {
+		if known.hasEnded() || known.displaced || known.heartbeat.Address == "" || now.Sub(known.heardAt) > r.timing.SilenceLimit() {
 			continue
 		}
 		if !known.endsAt.IsZero() && now.After(known.endsAt.Add(time.Second)) {
@@ -275,4 +275,6 @@
 }
 
 // Complete reports whether every live runner has had the time to send a heartbeat to this leader.
-func (r *Registry) Complete(now time.Time) bool { return now.Sub(r.startedAt) > r.timing.Learning() }
+func (r *Registry) Complete(now time.Time) bool {
+	return now.Sub(r.startedAt) > r.timing.LearningPeriod()
+}
--- a/placement/fleet/suspicion.go
+++ b/placement/fleet/suspicion.go
@@ -53,8 +53,8 @@
 	return isOverdue && len(s.reporters) >= minUnreachableReports
 }
 
-// Complain records that a router failed to reach a runner. The next heartbeat clears it.
-func (r *Registry) Complain(instance, router string) {
+// ReportUnreachable records that a router failed to reach a runner. The next heartbeat clears it.
+func (r *Registry) ReportUnreachable(instance, router string) {
 	if known := r.runners[instance]; known != nil {
 		known.suspicion.addReport(router)
 	}
--- a/placement/fleet/suspicion_test.go
+++ b/placement/fleet/suspicion_test.go
@@ -14,12 +14,12 @@
 	r := NewRegistry(start, testTiming)
 	at := start
 	for sequence := range uint64(20) {
-		r.Hear(at, beat("a", 2*sequence+1))
-		r.Hear(at.Add(100*time.Millisecond), beat("a", 2*sequence+2))
+		r.ObserveHeartbeat(at, beat("a", 2*sequence+1))
+		r.ObserveHeartbeat(at.Add(100*time.Millisecond), beat("a", 2*sequence+2))
 		at = at.Add(time.Second)
 	}
-	r.Complain("a", "one")
-	r.Complain("a", "other")
+	r.ReportUnreachable("a", "one")
+	r.ReportUnreachable("a", "other")
 	c.Assert(r.Runners(at)[0].Lost, qt.IsFalse)
 }
 
@@ -43,15 +43,15 @@
 			at := start
 			for sequence := range uint64(5) {
 				at = start.Add(time.Duration(sequence) * pause)
-				r.Hear(at, beat("a", sequence+1))
+				r.ObserveHeartbeat(at, beat("a", sequence+1))
 			}
 			for i := range test.routers {
-				r.Complain("a", fmt.Sprint("router-", i))
-				r.Complain("a", fmt.Sprint("router-", i))
+				r.ReportUnreachable("a", fmt.Sprint("router-", i))
+				r.ReportUnreachable("a", fmt.Sprint("router-", i))
 			}
 			status := r.Runners(at.Add(test.after))[0]
 			c.Assert(status.Lost, qt.Equals, test.isLost)
-			r.Hear(at.Add(test.after), beat("a", 6))
+			r.ObserveHeartbeat(at.Add(test.after), beat("a", 6))
 			c.Assert(r.Runners(at.Add(test.after))[0].Lost, qt.IsFalse, qt.Commentf("not cleared by a heartbeat"))
 		})
 	}
--- a/placement/fleet/timing.go
+++ b/placement/fleet/timing.go
@@ -24,15 +24,15 @@
 	Heartbeat time.Duration
 }
 
-// Silence returns how long after its last heartbeat a runner counts as lost. It tolerates one lost
+// SilenceLimit returns how long after its last heartbeat a runner counts as lost. It tolerates one lost
 // heartbeat followed by a late one.
-func (t Timing) Silence() time.Duration { return 2*t.Heartbeat + heartbeatGrace }
+func (t Timing) SilenceLimit() time.Duration { return 2*t.Heartbeat + heartbeatGrace }
 
-// Learning returns how long a new leader waits for heartbeats before unlisted runners count as
+// LearningPeriod returns how long a new leader waits for heartbeats before unlisted runners count as
 // gone.
-func (t Timing) Learning() time.Duration { return t.Heartbeat + firstHeartbeatGrace }
+func (t Timing) LearningPeriod() time.Duration { return t.Heartbeat + firstHeartbeatGrace }
 
-// Unrecorded returns how long a runner must be silent before later leaders no longer recall it.
-func (t Timing) Unrecorded() time.Duration {
-	return time.Duration(unrecordedFactor * float64(t.Silence()))
+// DeregistrationDelay returns how long a runner must be silent before later leaders no longer recall it.
+func (t Timing) DeregistrationDelay() time.Duration {
+	return time.Duration(unrecordedFactor * float64(t.SilenceLimit()))
 }
--- a/placement/fleet/timing_test.go
+++ b/placement/fleet/timing_test.go
@@ -14,17 +14,17 @@
 		t.Run(pause.String(), func(t *testing.T) {
 			c := qt.New(t)
 			r := NewRegistry(start, Timing{Heartbeat: pause})
-			r.Hear(start, beat("a", 1))
+			r.ObserveHeartbeat(start, beat("a", 1))
 			oneLostOneLate := start.Add(2*pause + 3*time.Second)
 			c.Assert(r.Runners(oneLostOneLate), qt.HasLen, 1)
 			c.Assert(r.Complete(start.Add(pause+3*time.Second)), qt.IsFalse)
 			c.Assert(r.Complete(start.Add(pause+6*time.Second)), qt.IsTrue)
 			c.Assert(r.Runners(start.Add(3*pause+6*time.Second)), qt.HasLen, 0)
-			c.Assert(r.timing.Unrecorded() > r.timing.Silence(), qt.IsTrue)
+			c.Assert(r.timing.DeregistrationDelay() > r.timing.SilenceLimit(), qt.IsTrue)
 		})
 	}
 	c := qt.New(t)
-	c.Assert(Timing{Heartbeat: DefaultHeartbeat}.Silence(), qt.Equals, 8*time.Second)
-	c.Assert(Timing{Heartbeat: DefaultHeartbeat}.Learning(), qt.Equals, 6*time.Second)
-	c.Assert(Timing{Heartbeat: DefaultHeartbeat}.Unrecorded(), qt.Equals, 20*time.Second)
+	c.Assert(Timing{Heartbeat: DefaultHeartbeat}.SilenceLimit(), qt.Equals, 8*time.Second)
+	c.Assert(Timing{Heartbeat: DefaultHeartbeat}.LearningPeriod(), qt.Equals, 6*time.Second)
+	c.Assert(Timing{Heartbeat: DefaultHeartbeat}.DeregistrationDelay(), qt.Equals, 20*time.Second)
 }
--- a/placement/fleet/zonesilence.go
+++ b/placement/fleet/zonesilence.go
@@ -34,7 +34,7 @@
 	zones := make(map[string]*zoneActivity)
 	for _, known := range r.runners {
 		zone := known.heartbeat.Zone
-		if zone == "" || known.hasEnded() || known.displaced || known.suspicion.meanInterval == 0 || now.Sub(known.heardAt) > r.timing.Silence() {
+		if zone == "" || known.hasEnded() || known.displaced || known.suspicion.meanInterval == 0 || now.Sub(known.heardAt) > r.timing.SilenceLimit() {
 			continue
 		}
 		if zones[zone] == nil {
--- a/placement/fleet/zonesilence_test.go
+++ b/placement/fleet/zonesilence_test.go
@@ -51,7 +51,7 @@
 							sequences[name]++
 							heartbeat := beat(name, sequences[name])
 							heartbeat.Zone, heartbeat.Address = zone, name
-							r.Hear(now, heartbeat)
+							r.ObserveHeartbeat(now, heartbeat)
 						}
 					}
 				}
@@ -59,7 +59,7 @@
 			run(6*time.Second, nil)
 			for router := range test.routers {
 				for number := range test.runners {
-					r.Complain(fmt.Sprint("b", number), fmt.Sprint("router-", router))
+					r.ReportUnreachable(fmt.Sprint("b", number), fmt.Sprint("router-", router))
 				}
 			}
 			run(test.silent, test.cut)
--- a/placement/notice/book.go
+++ b/placement/notice/book.go
@@ -18,9 +18,9 @@
 	maxUnlisted = 4096
 )
 
-// Book is a router's record of the backoffs and departures that runners announced. Create one with
+// Tracker is a router's record of the backoffs and departures that runners announced. Create one with
 // NewBook. Its methods are not safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	runners map[string]*entry
 	// leaderEpoch counts changes of the leader.
 	leaderEpoch uint64
@@ -40,22 +40,22 @@
 	reported uint64
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book { return &Book{runners: make(map[string]*entry)} }
+// NewTracker returns an empty Book.
+func NewTracker() *Tracker { return &Tracker{runners: make(map[string]*entry)} }
 
 // Change describes what an answer changed.
 type Change struct {
-	// IsResting is set if the backoff ends later than was known.
-	IsResting bool
+	// IsCoolingDown is set if the backoff ends later than was known.
+	IsCoolingDown bool
 	// IsLeaving is set if the runner was not known to be leaving.
 	IsLeaving bool
 }
 
-// Hear records the notice of a runner's answer. A backoff ends only when its time has passed, not by a
+// Observe records the notice of a runner's answer. A backoff ends only when its time has passed, not by a
 // shorter one or by answers to earlier requests.
-func (b *Book) Hear(now time.Time, instance string, notice Notice) Change {
+func (b *Tracker) Observe(now time.Time, instance string, notice Notice) Change {
 	var change Change
-	if notice.Rest <= 0 && !notice.IsLeaving {
+	if notice.Cooldown <= 0 && !notice.IsLeaving {
 		return change
 	}
 	known := b.runners[instance]
@@ -64,12 +64,12 @@
 		b.runners[instance] = known
 	}
 	known.heardAt = now
-	if until := now.Add(notice.Rest); notice.Rest > 0 && until.After(known.backoffUntil) {
+	if until := now.Add(notice.Cooldown); notice.Cooldown > 0 && until.After(known.backoffUntil) {
 		if known.backoffUntil.IsZero() || now.Sub(known.backoffUntil) > backoffContinuation {
 			known.backoffSince = now
 		}
 		known.backoffUntil = until
-		change.IsResting = true
+		change.IsCoolingDown = true
 	}
 	change.IsLeaving = notice.IsLeaving && !known.isLeaving
 	known.isLeaving = known.isLeaving || notice.IsLeaving
@@ -79,9 +79,9 @@
 	return change
 }
 
-// Took records that a runner accepted a request sent at the given time, which ends its backoff if that
+// RecordAccepted records that a runner accepted a request sent at the given time, which ends its backoff if that
 // is over. Requests sent before the end are ignored.
-func (b *Book) Took(sent time.Time, instance string) {
+func (b *Tracker) RecordAccepted(sent time.Time, instance string) {
 	known := b.runners[instance]
 	if known == nil || known.backoffUntil.IsZero() || sent.Before(known.backoffUntil) {
 		return
@@ -93,10 +93,10 @@
 }
 
 // IsEmpty reports whether the book has no entries.
-func (b *Book) IsEmpty() bool { return len(b.runners) == 0 }
+func (b *Tracker) IsEmpty() bool { return len(b.runners) == 0 }
 
-// RestsUntil returns the end of a runner's backoff; zero or in the past if it takes requests.
-func (b *Book) RestsUntil(instance string) time.Time {
+// CooldownEnd returns the end of a runner's backoff; zero or in the past if it takes requests.
+func (b *Tracker) CooldownEnd(instance string) time.Time {
 	if known := b.runners[instance]; known != nil {
 		return known.backoffUntil
 	}
@@ -104,13 +104,13 @@
 }
 
 // IsLeaving reports whether a runner has announced that it is leaving.
-func (b *Book) IsLeaving(instance string) bool {
+func (b *Tracker) IsLeaving(instance string) bool {
 	known := b.runners[instance]
 	return known != nil && known.isLeaving
 }
 
-// Resting returns the number of runners that want no requests now.
-func (b *Book) Resting(now time.Time) int {
+// CountCoolingDown returns the number of runners that want no requests now.
+func (b *Tracker) CountCoolingDown(now time.Time) int {
 	count := 0
 	for _, known := range b.runners {
 		if now.Before(known.backoffUntil) {
@@ -121,7 +121,7 @@
 }
 
 // NextEnd returns the earliest end of a current backoff, and false if there is none.
-func (b *Book) NextEnd(now time.Time) (time.Time, bool) {
+func (b *Tracker) NextEnd(now time.Time) (time.Time, bool) {
 	var next time.Time
 	for _, known := range b.runners {
 		if now.Before(known.backoffUntil) && (next.IsZero() || known.backoffUntil.Before(next)) {
@@ -132,7 +132,7 @@
 }
 
 // Sweep deletes expired entries, and the oldest unlisted ones beyond maxUnlisted.
-func (b *Book) Sweep(now time.Time, isListed func(instance string) bool) {
+func (b *Tracker) Sweep(now time.Time, isListed func(instance string) bool) {
 	var unlisted []*entry
 	for instance, known := range b.runners {
 		isBackoffOver := now.Sub(known.backoffUntil) > backoffContinuation
@@ -157,25 +157,25 @@
 	}
 }
 
-// TellAnew queues reports of all entries for a new leader.
-func (b *Book) TellAnew() {
+// ResendAll queues reports of all entries for a new leader.
+func (b *Tracker) ResendAll() {
 	b.leaderEpoch++
 	for _, known := range b.runners {
 		known.reported = 0
 	}
 }
 
-// News holds the reports that the leader has not acknowledged.
-type News struct {
+// PendingReports holds the reports that the leader has not acknowledged.
+type PendingReports struct {
 	Reports []Report
 	// changes holds the entry's count of changes for each report.
 	changes     []uint64
 	leaderEpoch uint64
 }
 
-// News returns the pending reports. They stay pending until Told is called.
-func (b *Book) News(now time.Time) News {
-	news := News{leaderEpoch: b.leaderEpoch}
+// Pending returns the pending reports. They stay pending until Told is called.
+func (b *Tracker) Pending(now time.Time) PendingReports {
+	news := PendingReports{leaderEpoch: b.leaderEpoch}
 	for instance, known := range b.runners {
 		if known.reported < known.changes {
 			news.Reports = append(news.Reports, Report{Instance: instance, RestsFor: known.remainingBackoff(now), IsLeaving: known.isLeaving})
@@ -194,8 +194,8 @@
 	return max(e.backoffUntil.Sub(now), now.Sub(e.backoffSince))
 }
 
-// Told marks the reports as acknowledged, unless the leader has changed since.
-func (b *Book) Told(news News) {
+// Acknowledge marks the reports as acknowledged, unless the leader has changed since.
+func (b *Tracker) Acknowledge(news PendingReports) {
 	if news.leaderEpoch != b.leaderEpoch {
 		return
 	}
--- a/placement/notice/book_test.go
+++ b/placement/notice/book_test.go
@@ -16,35 +16,35 @@
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 func backoff(seconds float64) Notice {
-	return Notice{Rest: time.Duration(seconds * float64(time.Second))}
+	return Notice{Cooldown: time.Duration(seconds * float64(time.Second))}
 }
 
 func TestBackoffEndsOnlyWhenItsTimeHasPassed(t *testing.T) {
 	c := qt.New(t)
-	b := NewBook()
-	c.Assert(b.Hear(at(0), testRunner, backoff(3)), qt.Equals, Change{IsResting: true})
-	c.Assert(b.RestsUntil(testRunner), qt.Equals, at(3))
+	b := NewTracker()
+	c.Assert(b.Observe(at(0), testRunner, backoff(3)), qt.Equals, Change{IsCoolingDown: true})
+	c.Assert(b.CooldownEnd(testRunner), qt.Equals, at(3))
 	// A shorter backoff has no effect, a longer one extends it.
-	c.Assert(b.Hear(at(1), testRunner, backoff(1)), qt.Equals, Change{})
-	c.Assert(b.RestsUntil(testRunner), qt.Equals, at(3))
-	c.Assert(b.Hear(at(2), testRunner, backoff(4)), qt.Equals, Change{IsResting: true})
-	c.Assert(b.RestsUntil(testRunner), qt.Equals, at(6))
+	c.Assert(b.Observe(at(1), testRunner, backoff(1)), qt.Equals, Change{})
+	c.Assert(b.CooldownEnd(testRunner), qt.Equals, at(3))
+	c.Assert(b.Observe(at(2), testRunner, backoff(4)), qt.Equals, Change{IsCoolingDown: true})
+	c.Assert(b.CooldownEnd(testRunner), qt.Equals, at(6))
 	// Answers to earlier requests don't end it.
-	b.Hear(at(2.5), testRunner, Notice{})
-	b.Took(at(2.5), testRunner)
-	c.Assert(b.RestsUntil(testRunner), qt.Equals, at(6))
-	c.Assert(b.Resting(at(5.9)), qt.Equals, 1)
-	c.Assert(b.Resting(at(6)), qt.Equals, 0)
-	b.Took(at(6.1), testRunner)
+	b.Observe(at(2.5), testRunner, Notice{})
+	b.RecordAccepted(at(2.5), testRunner)
+	c.Assert(b.CooldownEnd(testRunner), qt.Equals, at(6))
+	c.Assert(b.CountCoolingDown(at(5.9)), qt.Equals, 1)
+	c.Assert(b.CountCoolingDown(at(6)), qt.Equals, 0)
+	b.RecordAccepted(at(6.1), testRunner)
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
 
 func TestLeavingRunnerStaysLeaving(t *testing.T) {
 	c := qt.New(t)
-	b := NewBook()
-	c.Assert(b.Hear(at(0), testRunner, Notice{IsLeaving: true}), qt.Equals, Change{IsLeaving: true})
-	c.Assert(b.Hear(at(1), testRunner, Notice{}), qt.Equals, Change{})
-	b.Took(at(2), testRunner)
+	b := NewTracker()
+	c.Assert(b.Observe(at(0), testRunner, Notice{IsLeaving: true}), qt.Equals, Change{IsLeaving: true})
+	c.Assert(b.Observe(at(1), testRunner, Notice{}), qt.Equals, Change{})
+	b.RecordAccepted(at(2), testRunner)
 	c.Assert(b.IsLeaving(testRunner), qt.IsTrue)
 	// The next incarnation of the runner is not leaving.
 	c.Assert(b.IsLeaving("r#2"), qt.IsFalse)
@@ -59,27 +59,27 @@
 
 func TestLongBackoffIsKeptAndMemoryIsBounded(t *testing.T) {
 	c := qt.New(t)
-	b := NewBook()
-	b.Hear(at(0), testRunner, backoff(1e9))
+	b := NewTracker()
+	b.Observe(at(0), testRunner, backoff(1e9))
 	b.Sweep(at(1e6), func(string) bool { return true })
-	c.Assert(b.Resting(at(1e6)), qt.Equals, 1)
+	c.Assert(b.CountCoolingDown(at(1e6)), qt.Equals, 1)
 	for i := range maxUnlisted + 100 {
-		b.Hear(at(1e6+float64(i)), fmt.Sprint("other", i), backoff(1e9))
+		b.Observe(at(1e6+float64(i)), fmt.Sprint("other", i), backoff(1e9))
 	}
 	b.Sweep(at(1e6), func(instance string) bool { return instance == testRunner })
 	c.Assert(b.runners, qt.HasLen, maxUnlisted+1)
-	c.Assert(b.RestsUntil("other0").IsZero(), qt.IsTrue)
-	c.Assert(b.Resting(at(1e6)), qt.Equals, maxUnlisted+1)
+	c.Assert(b.CooldownEnd("other0").IsZero(), qt.IsTrue)
+	c.Assert(b.CountCoolingDown(at(1e6)), qt.Equals, maxUnlisted+1)
 }
 
 func TestNextEndReturnsEarliestEnd(t *testing.T) {
 	c := qt.New(t)
-	b := NewBook()
+	b := NewTracker()
 	_, isAny := b.NextEnd(at(0))
 	c.Assert(isAny, qt.IsFalse)
-	b.Hear(at(0), "a", backoff(5))
-	b.Hear(at(0), "b", backoff(2))
-	b.Hear(at(0), "c", Notice{IsLeaving: true})
+	b.Observe(at(0), "a", backoff(5))
+	b.Observe(at(0), "b", backoff(2))
+	b.Observe(at(0), "c", Notice{IsLeaving: true})
 	next, _ := b.NextEnd(at(0))
 	c.Assert(next, qt.Equals, at(2))
 	next, _ = b.NextEnd(at(2))
@@ -91,36 +91,36 @@
 // Guards against expecting a short backoff from a runner that has been backing off for longer.
 func TestReportsExpectedRemainingBackoff(t *testing.T) {
 	c := qt.New(t)
-	b := NewBook()
-	restsFor := func(now time.Time) time.Duration { return b.News(now).Reports[0].RestsFor }
-	b.Hear(at(0), testRunner, backoff(3))
+	b := NewTracker()
+	restsFor := func(now time.Time) time.Duration { return b.Pending(now).Reports[0].RestsFor }
+	b.Observe(at(0), testRunner, backoff(3))
 	c.Assert(restsFor(at(0)), qt.Equals, 3*time.Second)
 	c.Assert(restsFor(at(1)), qt.Equals, 2*time.Second)
-	b.Hear(at(3.5), testRunner, backoff(3))
+	b.Observe(at(3.5), testRunner, backoff(3))
 	c.Assert(restsFor(at(3.5)), qt.Equals, 3500*time.Millisecond)
-	b.Took(at(7), testRunner)
-	b.Hear(at(8), testRunner, backoff(3))
+	b.RecordAccepted(at(7), testRunner)
+	b.Observe(at(8), testRunner, backoff(3))
 	c.Assert(restsFor(at(8)), qt.Equals, 3*time.Second)
 }
 
 func TestNewsStayPendingUntilTold(t *testing.T) {
 	c := qt.New(t)
-	b := NewBook()
-	b.Hear(at(0), testRunner, backoff(3))
-	news := b.News(at(0))
+	b := NewTracker()
+	b.Observe(at(0), testRunner, backoff(3))
+	news := b.Pending(at(0))
 	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, RestsFor: 3 * time.Second}})
 	// Changes after News are not acknowledged by Told.
-	b.Hear(at(1), testRunner, Notice{IsLeaving: true, Rest: 10 * time.Second})
-	b.Told(news)
-	news = b.News(at(1))
+	b.Observe(at(1), testRunner, Notice{IsLeaving: true, Cooldown: 10 * time.Second})
+	b.Acknowledge(news)
+	news = b.Pending(at(1))
 	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, RestsFor: 10 * time.Second, IsLeaving: true}})
-	b.TellAnew()
-	b.Told(news)
-	c.Assert(b.News(at(1)).Reports, qt.HasLen, 1)
-	b.Told(b.News(at(1)))
-	c.Assert(b.News(at(1)).Reports, qt.HasLen, 0)
-	b.TellAnew()
-	c.Assert(b.News(at(1)).Reports, qt.HasLen, 1)
+	b.ResendAll()
+	b.Acknowledge(news)
+	c.Assert(b.Pending(at(1)).Reports, qt.HasLen, 1)
+	b.Acknowledge(b.Pending(at(1)))
+	c.Assert(b.Pending(at(1)).Reports, qt.HasLen, 0)
+	b.ResendAll()
+	c.Assert(b.Pending(at(1)).Reports, qt.HasLen, 1)
 }
 
 // Guards against a backoff that ends early, or a leaving runner that is forgotten, for random
@@ -129,7 +129,7 @@
 	for seed := range uint64(300) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 5))
-		b := NewBook()
+		b := NewTracker()
 		now := start
 		var backoffUntil time.Time
 		isLeaving := false
@@ -138,27 +138,27 @@
 			switch random.IntN(6) {
 			case 0:
 				duration := time.Duration(random.IntN(5000)) * time.Millisecond
-				b.Hear(now, testRunner, Notice{Rest: duration})
+				b.Observe(now, testRunner, Notice{Cooldown: duration})
 				if duration > 0 && now.Add(duration).After(backoffUntil) {
 					backoffUntil = now.Add(duration)
 				}
 			case 1:
-				b.Took(now.Add(-time.Duration(random.IntN(4000))*time.Millisecond), testRunner)
+				b.RecordAccepted(now.Add(-time.Duration(random.IntN(4000))*time.Millisecond), testRunner)
 			case 2:
 				isListed := random.IntN(2) == 0
 				b.Sweep(now, func(string) bool { return isListed })
 			case 3:
-				b.Told(b.News(now))
+				b.Acknowledge(b.Pending(now))
 			case 4:
-				b.TellAnew()
+				b.ResendAll()
 			case 5:
 				if random.IntN(20) == 0 {
-					b.Hear(now, testRunner, Notice{IsLeaving: true})
+					b.Observe(now, testRunner, Notice{IsLeaving: true})
 					isLeaving = true
 				}
 			}
 			if now.Before(backoffUntil) {
-				c.Assert(b.RestsUntil(testRunner), qt.Equals, backoffUntil, qt.Commentf("seed %d", seed))
+				c.Assert(b.CooldownEnd(testRunner), qt.Equals, backoffUntil, qt.Commentf("seed %d", seed))
 			}
 			c.Assert(b.IsLeaving(testRunner), qt.Equals, isLeaving, qt.Commentf("seed %d", seed))
 		}
--- a/placement/notice/notice.go
+++ b/placement/notice/notice.go
@@ -10,8 +10,8 @@
 type Notice struct {
 	// Limit is the announced rate limit.
 	Limit ratelimit.Notice
-	// Rest is how long the runner wants no requests from this router; 0 if not announced.
-	Rest time.Duration
+	// Cooldown is how long the runner wants no requests from this router; 0 if not announced.
+	Cooldown time.Duration
 	// IsLeaving is set if the runner takes no new requests until it ends.
 	IsLeaving bool
 	// Problems describes invalid values of Rest and IsLeaving.
--- a/placement/poison/tracker.go
+++ b/placement/poison/tracker.go
@@ -190,8 +190,8 @@
 	return min(length, maxRefusal)
 }
 
-// Heard records a new heartbeat of a runner. It reports whether the heartbeat refutes its loss.
-func (t *Tracker) Heard(now time.Time, instance string) bool {
+// ObserveHeartbeat records a new heartbeat of a runner. It reports whether the heartbeat refutes its loss.
+func (t *Tracker) ObserveHeartbeat(now time.Time, instance string) bool {
 	known := t.losses[instance]
 	if known == nil || now.Sub(known.at) < refuteAfter {
 		return false
@@ -231,11 +231,11 @@
 // Ended records the outcome of an execution that did not lose its runner.
 func (t *Tracker) Ended(now time.Time, ending Ending) {
 	switch ending.How {
-	case EndedWell:
+	case Succeeded:
 		t.clearRequest(ending.Digest)
-	case EndedOpen:
+	case Inconclusive:
 		t.endInconclusive(now, ending.Digest, 1)
-	case TurnedAway:
+	case Rejected:
 		t.endInconclusive(now, ending.Digest, 0)
 	case NotSent:
 		delete(t.trials, ending.Digest)
@@ -261,8 +261,8 @@
 	t.records = append(t.records, Record{Digest: digest, IsCleared: true})
 }
 
-// Excuse cancels the reported trials at a runner that had announced that it leaves.
-func (t *Tracker) Excuse(report Report) {
+// CancelTrials cancels the reported trials at a runner that had announced that it leaves.
+func (t *Tracker) CancelTrials(report Report) {
 	for _, digest := range report.Digests {
 		if t.trials[digest].instance == report.Instance {
 			delete(t.trials, digest)
--- a/placement/poison/tracker_test.go
+++ b/placement/poison/tracker_test.go
@@ -70,18 +70,21 @@
 		end  func(tracker *Tracker)
 		then Permission
 	}{
-		"succeeded":                     {func(t *Tracker) { t.Ended(start, Ending{crashing, EndedWell}) }, Free},
-		"runner lost":                   {func(t *Tracker) { reportLoss(t, start, "a", crashing) }, Refused},
-		"another runner lost":           {func(t *Tracker) { reportLoss(t, start, "b", crashing) }, Later},
-		"inconclusive":                  {func(t *Tracker) { t.Ended(start, Ending{crashing, EndedOpen}) }, Refused},
-		"timed out":                     {func(t *Tracker) { t.Expire(start.Add(trialTimeout + time.Second)) }, Refused},
-		"not sent":                      {func(t *Tracker) { t.Ended(start, Ending{crashing, NotSent}) }, Trial},
-		"loss refuted by heartbeat":     {func(t *Tracker) { reportLoss(t, start, "a", crashing); t.Heard(start.Add(refuteAfter), "a") }, Trial},
-		"heartbeat too soon to refute":  {func(t *Tracker) { reportLoss(t, start, "a", crashing); t.Heard(start.Add(refuteAfter-1), "a") }, Refused},
+		"succeeded":                 {func(t *Tracker) { t.Ended(start, Ending{crashing, Succeeded}) }, Free},
+		"runner lost":               {func(t *Tracker) { reportLoss(t, start, "a", crashing) }, Refused},
+		"another runner lost":       {func(t *Tracker) { reportLoss(t, start, "b", crashing) }, Later},
+		"inconclusive":              {func(t *Tracker) { t.Ended(start, Ending{crashing, Inconclusive}) }, Refused},
+		"timed out":                 {func(t *Tracker) { t.Expire(start.Add(trialTimeout + time.Second)) }, Refused},
+		"not sent":                  {func(t *Tracker) { t.Ended(start, Ending{crashing, NotSent}) }, Trial},
+		"loss refuted by heartbeat": {func(t *Tracker) { reportLoss(t, start, "a", crashing); t.ObserveHeartbeat(start.Add(refuteAfter), "a") }, Trial},
+		"heartbeat too soon to refute": {func(t *Tracker) {
+			reportLoss(t, start, "a", crashing)
+			t.ObserveHeartbeat(start.Add(refuteAfter-1), "a")
+		}, Refused},
 		"loss refuted by departure":     {func(t *Tracker) { reportLoss(t, start, "a", crashing); t.Refute(start, "a") }, Trial},
 		"still running":                 {func(*Tracker) {}, Later},
-		"runner had announced leaving":  {func(t *Tracker) { t.Excuse(Report{Instance: "a", Digests: []Digest{crashing}}) }, Trial},
-		"another had announced leaving": {func(t *Tracker) { t.Excuse(Report{Instance: "b", Digests: []Digest{crashing}}) }, Later},
+		"runner had announced leaving":  {func(t *Tracker) { t.CancelTrials(Report{Instance: "a", Digests: []Digest{crashing}}) }, Trial},
+		"another had announced leaving": {func(t *Tracker) { t.CancelTrials(Report{Instance: "b", Digests: []Digest{crashing}}) }, Later},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -98,9 +101,9 @@
 	c := qt.New(t)
 	tracker := newTrackerWithSuspect(crashing)
 	tracker.Ask(start, crashing, "asker", "a")
-	tracker.Ended(start, Ending{crashing, TurnedAway})
+	tracker.Ended(start, Ending{crashing, Rejected})
 	c.Assert(askOnce(tracker, start.Add(retryDelay), crashing, "a"), qt.Equals, Trial)
-	tracker.Ended(start.Add(retryDelay), Ending{crashing, TurnedAway})
+	tracker.Ended(start.Add(retryDelay), Ending{crashing, Rejected})
 	c.Assert(askOnce(tracker, start.Add(2*retryDelay), crashing, "a"), qt.Equals, Refused)
 	tracker = newTrackerWithSuspect(crashing)
 	var trials []time.Duration
@@ -108,7 +111,7 @@
 		tracker.Expire(at)
 		if askOnce(tracker, at, crashing, "a") == Trial {
 			trials = append(trials, at.Sub(start))
-			tracker.Ended(at, Ending{crashing, EndedOpen})
+			tracker.Ended(at, Ending{crashing, Inconclusive})
 		}
 	}
 	c.Assert(trials, qt.DeepEquals, []time.Duration{0, 30 * time.Second, 90 * time.Second, 210 * time.Second})
--- a/placement/poison/types.go
+++ b/placement/poison/types.go
@@ -49,12 +49,12 @@
 
 // Outcomes of an execution.
 const (
-	// EndedWell: the answer is complete, so the request is harmless.
-	EndedWell Outcome = iota + 1
-	// EndedOpen: the request was sent, and ended inconclusively.
-	EndedOpen
-	// TurnedAway: the runner rejected the request.
-	TurnedAway
+	// Succeeded: the answer is complete, so the request is harmless.
+	Succeeded Outcome = iota + 1
+	// Inconclusive: the request was sent, and ended inconclusively.
+	Inconclusive
+	// Rejected: the runner rejected the request.
+	Rejected
 	// NotSent: the request reached no runner.
 	NotSent
 )
--- a/placement/quota/benchmark_test.go
+++ b/placement/quota/benchmark_test.go
@@ -20,7 +20,7 @@
 				for i := 0; b.Loop(); i++ {
 					at = at.Add(time.Millisecond)
 					want[0].Tenant = fmt.Sprint("t", i%tenants)
-					if divider.Lacks(at, names[i%routers], want) {
+					if divider.RecordShortfalls(at, names[i%routers], want) {
 						divider.Reserved(at, divider.Reserve(at))
 					}
 					divider.Draw(at, names[i%routers], want)
--- a/placement/quota/decision_test.go
+++ b/placement/quota/decision_test.go
@@ -101,7 +101,7 @@
 	c := qt.New(t)
 	d := New(origin, Bound{Window: 10 * time.Second}, nil)
 	d.SetTenants(origin, []site.Tenant{{Name: "t", Limit: site.RateLimit{Unit: site.UnitRequests, Rate: 10}}})
-	at := origin.Add(LeaseLife)
+	at := origin.Add(LeaseTTL)
 	c.Assert(drawAt(d, at, "a", waiting(1, 1, 1, 1, 1, 1, 1, 1)).Amount, qt.Equals, 8.0)
 	granted := 8.0
 	for step := range 1000 {
--- a/placement/quota/divider.go
+++ b/placement/quota/divider.go
@@ -21,9 +21,9 @@
 // defaultWindow is the default length of a window.
 const defaultWindow = 8 * time.Second
 
-// LeaseLife is how long a router may spend what it holds after its last query. It covers the loss
+// LeaseTTL is how long a router may spend what it holds after its last query. It covers the loss
 // of a leader, an election and the discovery of the new leader.
-const LeaseLife = 6 * time.Second
+const LeaseTTL = 6 * time.Second
 
 // grantedExcessShare is the part of the allowed excess that the leader grants itself, so that a
 // tenant gets its whole limit although some grants are lost. Routers may hold the rest.
@@ -73,8 +73,8 @@
 	Parts []Part
 }
 
-// KeepReservations returns how long reservations must be kept for later leaders.
-func (b Bound) KeepReservations() time.Duration { return b.withDefaults().Window + reservationTTL }
+// ReservationRetention returns how long reservations must be kept for later leaders.
+func (b Bound) ReservationRetention() time.Duration { return b.withDefaults().Window + reservationTTL }
 
 func (b Bound) withDefaults() Bound {
 	if b.Window <= 0 {
@@ -92,14 +92,14 @@
 	// former holds the reservations of former leaders.
 	former []Reservation
 	// lastQueries holds the number of the last query with returns, by router process.
-	lastQueries map[Asker]uint64
+	lastQueries map[RouterProcess]uint64
 }
 
 // New returns a divider for a leadership that begins at the given time, with the reservations of
 // former leaders.
 func New(at time.Time, bound Bound, former []Reservation) *Divider {
 	return &Divider{bound: bound.withDefaults(), startedAt: at, windows: make(map[string]*window), former: former,
-		lastQueries: make(map[Asker]uint64)}
+		lastQueries: make(map[RouterProcess]uint64)}
 }
 
 // SetTenants sets the tenants' limits and returns the tenants whose limits are new or have changed.
@@ -155,9 +155,9 @@
 	return known
 }
 
-// Lacks records what must be reserved before the waiting requests of a router can be granted. It
+// RecordShortfalls records what must be reserved before the waiting requests of a router can be granted. It
 // reports whether any reservation is missing.
-func (d *Divider) Lacks(at time.Time, router string, wants []Want) bool {
+func (d *Divider) RecordShortfalls(at time.Time, router string, wants []Want) bool {
 	isLacking := false
 	for _, want := range wants {
 		known := d.limited(want.Tenant)
@@ -170,9 +170,9 @@
 	return isLacking
 }
 
-// TakeBack credits the returns in a router's query. Queries are numbered, and a repeated one is not
+// ApplyReturns credits the returns in a router's query. Queries are numbered, and a repeated one is not
 // credited again.
-func (d *Divider) TakeBack(at time.Time, asker Asker, query uint64, wants []Want) {
+func (d *Divider) ApplyReturns(at time.Time, asker RouterProcess, query uint64, wants []Want) {
 	isReturn := func(want Want) bool { return len(want.Returned) > 0 }
 	if !slices.ContainsFunc(wants, isReturn) || !d.isNewQuery(asker, query) {
 		return
@@ -190,7 +190,7 @@
 	grants := make([]Grant, 0, len(wants))
 	for _, want := range wants {
 		if known := d.limited(want.Tenant); known != nil {
-			grants = append(grants, known.draw(at, router, want, at.Sub(d.startedAt) < LeaseLife))
+			grants = append(grants, known.draw(at, router, want, at.Sub(d.startedAt) < LeaseTTL))
 		}
 	}
 	return grants
--- a/placement/quota/divider_test.go
+++ b/placement/quota/divider_test.go
@@ -28,7 +28,7 @@
 // drawAt reserves what the router lacks, as if the log committed at once, and draws.
 func drawAt(d *Divider, at time.Time, router string, want Want) Grant {
 	want.Tenant = "t"
-	d.Lacks(at, router, []Want{want})
+	d.RecordShortfalls(at, router, []Want{want})
 	if parts := d.Reserve(at); parts != nil {
 		d.Reserved(at, parts)
 	}
@@ -90,14 +90,14 @@
 	grant := d.Draw(origin, "a", []Want{want})[0]
 	c.Assert(grant.Amount, qt.Equals, 0.0)
 	c.Assert(grant.RoomIn, qt.Equals, time.Duration(0))
-	c.Assert(d.Lacks(origin, "a", []Want{want}), qt.IsTrue)
+	c.Assert(d.RecordShortfalls(origin, "a", []Want{want}), qt.IsTrue)
 	parts := d.Reserve(origin)
 	c.Assert(parts, qt.DeepEquals, []Part{{Tenant: "t", Amount: 10}})
 	// A proposed amount is not requested again.
-	c.Assert(d.Lacks(origin, "a", []Want{want}), qt.IsTrue)
+	c.Assert(d.RecordShortfalls(origin, "a", []Want{want}), qt.IsTrue)
 	c.Assert(d.Reserve(origin), qt.IsNil)
 	d.Reserved(origin, parts)
-	c.Assert(d.Lacks(origin, "a", []Want{want}), qt.IsFalse)
+	c.Assert(d.RecordShortfalls(origin, "a", []Want{want}), qt.IsFalse)
 	// An expired reservation is not granted, since the next leader counts it at an earlier time.
 	c.Assert(d.Draw(origin.Add(reservationTTL), "a", []Want{want})[0].Amount, qt.Equals, 0.0)
 }
@@ -120,7 +120,7 @@
 func TestLeasedAmountIsBounded(t *testing.T) {
 	c := qt.New(t)
 	d := newDivider()
-	at := origin.Add(LeaseLife)
+	at := origin.Add(LeaseTTL)
 	lent := 0.0
 	for range 10 {
 		for _, router := range []string{"a", "b", "c", "d"} {
@@ -148,7 +148,7 @@
 	c.Assert(kept > 0, qt.IsTrue)
 	lent := d.TakeUsages(origin)[0].Lent
 	c.Assert(lent <= 30, qt.IsTrue, qt.Commentf("%g", lent))
-	later := origin.Add(LeaseLife)
+	later := origin.Add(LeaseTTL)
 	for range 5 {
 		kept = drawAt(d, later, "a", Want{Waiting: []float64{10}, Reserve: 40}).Keep
 	}
@@ -173,7 +173,7 @@
 	d := New(origin, testBound, nil)
 	d.SetTenants(origin, []site.Tenant{{Name: "t"}})
 	want := []Want{{Tenant: "t", Waiting: []float64{10}}, {Tenant: "unknown", Waiting: []float64{10}}}
-	c.Assert(d.Lacks(origin, "a", want), qt.IsFalse)
+	c.Assert(d.RecordShortfalls(origin, "a", want), qt.IsFalse)
 	c.Assert(d.Draw(origin, "a", want), qt.HasLen, 0)
 	c.Assert(d.Reserve(origin), qt.IsNil)
 }
--- a/placement/quota/returned.go
+++ b/placement/quota/returned.go
@@ -38,8 +38,8 @@
 	return amount
 }
 
-// Asker identifies a router process.
-type Asker struct {
+// RouterProcess identifies a router process.
+type RouterProcess struct {
 	Router  string
 	Session uint64
 }
@@ -48,7 +48,7 @@
 const maxAskers = 1 << 16
 
 // isNewQuery reports whether a query is not a repetition, whose returns must not count again.
-func (d *Divider) isNewQuery(asker Asker, query uint64) bool {
+func (d *Divider) isNewQuery(asker RouterProcess, query uint64) bool {
 	last, isKnown := d.lastQueries[asker]
 	if query <= last || !isKnown && len(d.lastQueries) >= maxAskers {
 		return false
--- a/placement/quota/window.go
+++ b/placement/quota/window.go
@@ -252,7 +252,7 @@
 		grant.Amount += lent
 	}
 	grant.Keep = held
-	w.leases[router] = lease{amount: held, reserve: reserve, until: at.Add(LeaseLife)}
+	w.leases[router] = lease{amount: held, reserve: reserve, until: at.Add(LeaseTTL)}
 	return grant
 }
 
--- a/placement/ratelimit/belief.go
+++ b/placement/ratelimit/belief.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Belief is a router's cache of the rate limits that runners announce, from the answers it receives
+// LimitCache is a router's cache of the rate limits that runners announce, from the answers it receives
 // and from the leader's views. Create one with NewBelief. Its methods are not safe for concurrent
 // use.
-type Belief struct {
+type LimitCache struct {
 	runners map[string]*cachedLimit
 	// pending holds the reports that the leader has not acknowledged. leaderEpoch counts changes of
 	// the leader.
@@ -23,15 +23,15 @@
 	leaderRate float64
 }
 
-// NewBelief returns an empty Belief.
-func NewBelief() *Belief {
-	return &Belief{runners: make(map[string]*cachedLimit), pending: make(map[string]Report)}
+// NewLimitCache returns an empty Belief.
+func NewLimitCache() *LimitCache {
+	return &LimitCache{runners: make(map[string]*cachedLimit), pending: make(map[string]Report)}
 }
 
-// Hear processes the answer to a request sent at the given time. It reports whether the limit
+// ObserveAnswer processes the answer to a request sent at the given time. It reports whether the limit
 // changed. An answer without a limit removes the cached one only if its request was sent after the
 // limit became known, since answers may arrive out of order.
-func (b *Belief) Hear(now, sent time.Time, instance string, notice Notice) bool {
+func (b *LimitCache) ObserveAnswer(now, sent time.Time, instance string, notice Notice) bool {
 	known := b.runners[instance]
 	switch {
 	case notice.Problem != "":
@@ -56,10 +56,10 @@
 	return true
 }
 
-// Learn applies the limit in a leader's view, in requests per second; 0 for none. Unacknowledged
+// ApplyView applies the limit in a leader's view, in requests per second; 0 for none. Unacknowledged
 // reports of this router take precedence. A view without a limit removes the cached one only if an
 // earlier view of this leader had one, since the leader may not know the limit yet.
-func (b *Belief) Learn(now time.Time, instance string, perSecond float64) {
+func (b *LimitCache) ApplyView(now time.Time, instance string, perSecond float64) {
 	known := b.runners[instance]
 	if known == nil {
 		if perSecond <= 0 {
@@ -78,14 +78,14 @@
 }
 
 // deleteIfUnlimited deletes the entry of a runner without any limit.
-func (b *Belief) deleteIfUnlimited(instance string) {
+func (b *LimitCache) deleteIfUnlimited(instance string) {
 	if known := b.runners[instance]; !known.isLimited && known.leaderRate <= 0 {
 		delete(b.runners, instance)
 	}
 }
 
 // Of returns the limit of a runner in requests per second. isNamed is false if it has none.
-func (b *Belief) Of(instance string) (perSecond float64, isNamed bool) {
+func (b *LimitCache) Of(instance string) (perSecond float64, isNamed bool) {
 	if known := b.runners[instance]; known != nil && known.isLimited {
 		return known.perSecond, true
 	}
@@ -93,10 +93,10 @@
 }
 
 // IsEmpty reports whether the cache has no entries.
-func (b *Belief) IsEmpty() bool { return len(b.runners) == 0 }
+func (b *LimitCache) IsEmpty() bool { return len(b.runners) == 0 }
 
 // Len returns the number of runners with a limit.
-func (b *Belief) Len() int {
+func (b *LimitCache) Len() int {
 	count := 0
 	for _, known := range b.runners {
 		if known.isLimited {
@@ -107,13 +107,13 @@
 }
 
 // Forget deletes the entry of a runner that is no longer listed.
-func (b *Belief) Forget(instance string) {
+func (b *LimitCache) Forget(instance string) {
 	delete(b.runners, instance)
 	delete(b.pending, instance)
 }
 
-// TellAnew queues reports of all limits for a new leader.
-func (b *Belief) TellAnew() {
+// ResendAll queues reports of all limits for a new leader.
+func (b *LimitCache) ResendAll() {
 	b.leaderEpoch++
 	for instance, known := range b.runners {
 		known.leaderRate = 0
@@ -123,23 +123,23 @@
 	}
 }
 
-// News holds the reports that the leader has not acknowledged.
-type News struct {
+// PendingReports holds the reports that the leader has not acknowledged.
+type PendingReports struct {
 	Reports     []Report
 	leaderEpoch uint64
 }
 
-// News returns the pending reports. They stay pending until Told is called.
-func (b *Belief) News() News {
-	news := News{leaderEpoch: b.leaderEpoch}
+// Pending returns the pending reports. They stay pending until Told is called.
+func (b *LimitCache) Pending() PendingReports {
+	news := PendingReports{leaderEpoch: b.leaderEpoch}
 	for _, report := range b.pending {
 		news.Reports = append(news.Reports, report)
 	}
 	return news
 }
 
-// Told marks the reports as acknowledged, unless the leader has changed since.
-func (b *Belief) Told(news News) {
+// Acknowledge marks the reports as acknowledged, unless the leader has changed since.
+func (b *LimitCache) Acknowledge(news PendingReports) {
 	if news.leaderEpoch != b.leaderEpoch {
 		return
 	}
--- a/placement/ratelimit/belief_test.go
+++ b/placement/ratelimit/belief_test.go
@@ -13,7 +13,7 @@
 func limitNotice(perSecond float64) Notice { return Notice{IsNamed: true, PerSecond: perSecond} }
 
 // assertLimit checks the cached limit; want is 0 for no limit.
-func assertLimit(c *qt.C, b *Belief, want float64) {
+func assertLimit(c *qt.C, b *LimitCache, want float64) {
 	c.Helper()
 	perSecond, isNamed := b.Of(testRunner)
 	c.Assert(isNamed, qt.Equals, want > 0)
@@ -25,17 +25,17 @@
 func TestLimitIsReportedOnce(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
-	b := NewBelief()
-	c.Assert(b.Hear(at, at, testRunner, Notice{}), qt.IsFalse)
+	b := NewLimitCache()
+	c.Assert(b.ObserveAnswer(at, at, testRunner, Notice{}), qt.IsFalse)
 	c.Assert(b.IsEmpty(), qt.IsTrue)
-	c.Assert(b.Hear(at, at, testRunner, limitNotice(2)), qt.IsTrue)
-	c.Assert(b.Hear(at, at, testRunner, limitNotice(2)), qt.IsFalse)
+	c.Assert(b.ObserveAnswer(at, at, testRunner, limitNotice(2)), qt.IsTrue)
+	c.Assert(b.ObserveAnswer(at, at, testRunner, limitNotice(2)), qt.IsFalse)
 	assertLimit(c, b, 2)
-	news := b.News()
+	news := b.Pending()
 	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, PerSecond: 2}})
-	c.Assert(b.News().Reports, qt.HasLen, 1)
-	b.Told(news)
-	c.Assert(b.News().Reports, qt.HasLen, 0)
+	c.Assert(b.Pending().Reports, qt.HasLen, 1)
+	b.Acknowledge(news)
+	c.Assert(b.Pending().Reports, qt.HasLen, 0)
 	b.Forget(testRunner)
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
@@ -43,30 +43,30 @@
 func TestOvertakenAnswerDoesNotRemoveLimit(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
-	b := NewBelief()
-	b.Hear(at, at, testRunner, limitNotice(2))
-	c.Assert(b.Hear(at.Add(time.Second), at.Add(-time.Millisecond), testRunner, Notice{}), qt.IsFalse)
+	b := NewLimitCache()
+	b.ObserveAnswer(at, at, testRunner, limitNotice(2))
+	c.Assert(b.ObserveAnswer(at.Add(time.Second), at.Add(-time.Millisecond), testRunner, Notice{}), qt.IsFalse)
 	assertLimit(c, b, 2)
-	c.Assert(b.Hear(at.Add(time.Second), at.Add(time.Millisecond), testRunner, Notice{Problem: "unreadable"}), qt.IsFalse)
+	c.Assert(b.ObserveAnswer(at.Add(time.Second), at.Add(time.Millisecond), testRunner, Notice{Problem: "unreadable"}), qt.IsFalse)
 	assertLimit(c, b, 2)
-	c.Assert(b.Hear(at.Add(time.Second), at.Add(time.Millisecond), testRunner, Notice{}), qt.IsTrue)
+	c.Assert(b.ObserveAnswer(at.Add(time.Second), at.Add(time.Millisecond), testRunner, Notice{}), qt.IsTrue)
 	assertLimit(c, b, 0)
-	c.Assert(b.News().Reports, qt.DeepEquals, []Report{{Instance: testRunner, IsEnded: true}})
+	c.Assert(b.Pending().Reports, qt.DeepEquals, []Report{{Instance: testRunner, IsEnded: true}})
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
 
 func TestLeaderViewSetsAndRemovesLimit(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
-	b := NewBelief()
-	b.Learn(at, testRunner, 0)
+	b := NewLimitCache()
+	b.ApplyView(at, testRunner, 0)
 	c.Assert(b.IsEmpty(), qt.IsTrue)
-	b.Learn(at, testRunner, 3)
+	b.ApplyView(at, testRunner, 3)
 	assertLimit(c, b, 3)
-	c.Assert(b.News().Reports, qt.HasLen, 0)
-	b.Learn(at, testRunner, 1)
+	c.Assert(b.Pending().Reports, qt.HasLen, 0)
+	b.ApplyView(at, testRunner, 1)
 	assertLimit(c, b, 1)
-	b.Learn(at, testRunner, 0)
+	b.ApplyView(at, testRunner, 0)
 	assertLimit(c, b, 0)
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
@@ -75,35 +75,35 @@
 func TestPendingReportTakesPrecedenceOverLeaderView(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
-	b := NewBelief()
-	b.Hear(at, at, testRunner, limitNotice(2))
-	b.Learn(at, testRunner, 0)
+	b := NewLimitCache()
+	b.ObserveAnswer(at, at, testRunner, limitNotice(2))
+	b.ApplyView(at, testRunner, 0)
 	assertLimit(c, b, 2)
-	b.Told(b.News())
-	b.Learn(at, testRunner, 0)
+	b.Acknowledge(b.Pending())
+	b.ApplyView(at, testRunner, 0)
 	assertLimit(c, b, 2)
-	b.Learn(at, testRunner, 2)
-	b.Hear(at, at, testRunner, limitNotice(5))
-	b.Learn(at, testRunner, 2)
+	b.ApplyView(at, testRunner, 2)
+	b.ObserveAnswer(at, at, testRunner, limitNotice(5))
+	b.ApplyView(at, testRunner, 2)
 	assertLimit(c, b, 5)
 }
 
 func TestLimitsAreReportedToNewLeader(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
-	b := NewBelief()
-	b.Hear(at, at, testRunner, limitNotice(2))
-	former := b.News()
-	b.Told(former)
-	b.Learn(at, testRunner, 2)
-	b.TellAnew()
+	b := NewLimitCache()
+	b.ObserveAnswer(at, at, testRunner, limitNotice(2))
+	former := b.Pending()
+	b.Acknowledge(former)
+	b.ApplyView(at, testRunner, 2)
+	b.ResendAll()
 	// An acknowledgement by the former leader does not count for the new one.
-	b.Told(former)
-	b.Learn(at, testRunner, 0)
+	b.Acknowledge(former)
+	b.ApplyView(at, testRunner, 0)
 	assertLimit(c, b, 2)
-	c.Assert(b.News().Reports, qt.HasLen, 1)
-	b.Told(b.News())
-	b.Learn(at, testRunner, 0)
+	c.Assert(b.Pending().Reports, qt.HasLen, 1)
+	b.Acknowledge(b.Pending())
+	b.ApplyView(at, testRunner, 0)
 	assertLimit(c, b, 2)
 }
 
@@ -115,23 +115,23 @@
 		random := rand.New(rand.NewPCG(seed, 3))
 		at := time.Unix(1000, 0)
 		leader, views := NewLimits(), []float64{0}
-		routers := []*Belief{NewBelief(), NewBelief(), NewBelief()}
+		routers := []*LimitCache{NewLimitCache(), NewLimitCache(), NewLimitCache()}
 		current := Notice{}
-		exchange := func(router *Belief) {
+		exchange := func(router *LimitCache) {
 			sent := at
 			at = at.Add(time.Millisecond)
-			router.Hear(at, sent, testRunner, current)
+			router.ObserveAnswer(at, sent, testRunner, current)
 			at = at.Add(time.Millisecond)
 		}
-		report := func(router *Belief) {
-			news := router.News()
+		report := func(router *LimitCache) {
+			news := router.Pending()
 			for _, each := range news.Reports {
 				leader.Observe(each)
 			}
 			views = append(views, leader.Of(testRunner))
-			router.Told(news)
+			router.Acknowledge(news)
 		}
-		watch := func(router *Belief, view float64) { router.Learn(at, testRunner, view) }
+		watch := func(router *LimitCache, view float64) { router.ApplyView(at, testRunner, view) }
 		for range 60 {
 			router := routers[random.IntN(len(routers))]
 			switch random.IntN(6) {
@@ -150,7 +150,7 @@
 				if random.IntN(4) == 0 {
 					leader, views = NewLimits(), []float64{0}
 					for _, each := range routers {
-						each.TellAnew()
+						each.ResendAll()
 					}
 				}
 			}
@@ -178,7 +178,7 @@
 	c.Assert(limits.Observe(Report{Instance: "a", PerSecond: 2}), qt.IsFalse)
 	c.Assert(limits.Observe(Report{Instance: "b"}), qt.IsTrue)
 	c.Assert(limits.Of("a"), qt.Equals, 2.0)
-	c.Assert(limits.Of("b"), qt.Equals, LeastRate)
+	c.Assert(limits.Of("b"), qt.Equals, MinRate)
 	c.Assert(limits.Of("c"), qt.Equals, 0.0)
 	c.Assert(limits.Observe(Report{Instance: "c", IsEnded: true}), qt.IsFalse)
 	c.Assert(limits.Observe(Report{Instance: "a", IsEnded: true}), qt.IsTrue)
--- a/placement/ratelimit/limits.go
+++ b/placement/ratelimit/limits.go
@@ -1,8 +1,8 @@
 package ratelimit
 
-// LeastRate is the minimum rate in requests per second at which tokens are granted. It allows a
+// MinRate is the minimum rate in requests per second at which tokens are granted. It allows a
 // probe every ten seconds of a runner whose limit is 0.
-const LeastRate = 0.1
+const MinRate = 0.1
 
 // Report is a router's report of a change of a runner's limit.
 type Report struct {
@@ -29,7 +29,7 @@
 		delete(l.perSecond, report.Instance)
 		return isKnown
 	}
-	perSecond := max(LeastRate, report.PerSecond)
+	perSecond := max(MinRate, report.PerSecond)
 	l.perSecond[report.Instance] = perSecond
 	return !isKnown || known != perSecond
 }
--- a/placement/ratelimit/pacer.go
+++ b/placement/ratelimit/pacer.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// TokenLife is how long a token is valid after its router asked for it: several round trips,
+	// TokenTTL is how long a token is valid after its router asked for it: several round trips,
 	// but short compared to the period over which a runner's requests are counted.
-	TokenLife = 400 * time.Millisecond
+	TokenTTL = 400 * time.Millisecond
 	// Burst is the capacity of a runner's token bucket.
 	Burst = 2
 	// MaxWanted bounds the tokens granted for a runner in one answer.
@@ -50,16 +50,16 @@
 	return &Pacer{startedAt: startedAt, buckets: make(map[string]*bucket)}
 }
 
-// Lend grants tokens of a runner whose limit is perSecond requests per second.
-func (p *Pacer) Lend(now time.Time, want Want, perSecond float64) Grant {
-	if wait := TokenLife - now.Sub(p.startedAt); wait > 0 {
+// GrantTokens grants tokens of a runner whose limit is perSecond requests per second.
+func (p *Pacer) GrantTokens(now time.Time, want Want, perSecond float64) Grant {
+	if wait := TokenTTL - now.Sub(p.startedAt); wait > 0 {
 		// Tokens of the former leader may still be valid.
 		return Grant{Instance: want.Instance, MoreIn: wait}
 	}
 	known := p.buckets[want.Instance]
 	if known == nil {
 		// The bucket starts empty: leaders in quick succession must not each grant a full burst.
-		known = &bucket{at: p.startedAt.Add(TokenLife)}
+		known = &bucket{at: p.startedAt.Add(TokenTTL)}
 		p.buckets[want.Instance] = known
 	}
 	known.fill(now, perSecond)
--- a/placement/ratelimit/pacer_test.go
+++ b/placement/ratelimit/pacer_test.go
@@ -28,8 +28,8 @@
 		router := random.IntN(routers)
 		// The token request was in flight for some time.
 		asked := at.Add(-time.Duration(random.IntN(100)) * time.Millisecond)
-		for range pacer.Lend(at, Want{Instance: "r", Requests: 1 + random.IntN(3)}, perSecond).Requests {
-			held[router] = append(held[router], token{until: asked.Add(TokenLife)})
+		for range pacer.GrantTokens(at, Want{Instance: "r", Requests: 1 + random.IntN(3)}, perSecond).Requests {
+			held[router] = append(held[router], token{until: asked.Add(TokenTTL)})
 		}
 		sender := random.IntN(routers)
 		if random.IntN(3) > 0 {
@@ -77,7 +77,7 @@
 // seconds, also for limits below one request a second.
 func TestAnnouncedLimitIsBounded(t *testing.T) {
 	const span = 4 * time.Second
-	for _, perSecond := range []float64{LeastRate, 0.3, 1, 1.1, 4, 17} {
+	for _, perSecond := range []float64{MinRate, 0.3, 1, 1.1, 4, 17} {
 		for _, routers := range []int{9, 77, 985} {
 			for seed := range uint64(6) {
 				c := qt.New(t)
@@ -97,7 +97,7 @@
 	pacer := New(start.Add(-time.Minute))
 	granted := 0
 	for at := start; at.Before(start.Add(10 * time.Second)); at = at.Add(10 * time.Millisecond) {
-		granted += pacer.Lend(at, Want{Instance: "r", Requests: 1}, 17).Requests
+		granted += pacer.GrantTokens(at, Want{Instance: "r", Requests: 1}, 17).Requests
 	}
 	c.Assert(granted >= 169 && granted <= 172, qt.IsTrue, qt.Commentf("%d", granted))
 }
@@ -106,11 +106,11 @@
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	pacer := New(start)
-	refused := pacer.Lend(start.Add(100*time.Millisecond), Want{Instance: "r", Requests: 1}, 17)
+	refused := pacer.GrantTokens(start.Add(100*time.Millisecond), Want{Instance: "r", Requests: 1}, 17)
 	c.Assert(refused, qt.Equals, Grant{Instance: "r", MoreIn: 300 * time.Millisecond})
 	// The bucket is empty when the wait ends.
-	c.Assert(pacer.Lend(start.Add(TokenLife), Want{Instance: "r", Requests: 1}, 17).Requests, qt.Equals, 0)
-	c.Assert(pacer.Lend(start.Add(TokenLife+60*time.Millisecond), Want{Instance: "r", Requests: 2}, 17).Requests, qt.Equals, 1)
+	c.Assert(pacer.GrantTokens(start.Add(TokenTTL), Want{Instance: "r", Requests: 1}, 17).Requests, qt.Equals, 0)
+	c.Assert(pacer.GrantTokens(start.Add(TokenTTL+60*time.Millisecond), Want{Instance: "r", Requests: 2}, 17).Requests, qt.Equals, 1)
 }
 
 func TestBeginStartsWithEmptyBucket(t *testing.T) {
@@ -118,8 +118,8 @@
 	start := time.Unix(1000, 0)
 	pacer := New(start.Add(-time.Minute))
 	pacer.Begin(start, "r")
-	c.Assert(pacer.Lend(start, Want{Instance: "r", Requests: 2}, 1).Requests, qt.Equals, 0)
-	c.Assert(pacer.Lend(start.Add(time.Second), Want{Instance: "r", Requests: 2}, 1).Requests, qt.Equals, 1)
+	c.Assert(pacer.GrantTokens(start, Want{Instance: "r", Requests: 2}, 1).Requests, qt.Equals, 0)
+	c.Assert(pacer.GrantTokens(start.Add(time.Second), Want{Instance: "r", Requests: 2}, 1).Requests, qt.Equals, 1)
 }
 
 // Guards against a token requested ahead taking the last one from a router whose requests have no
@@ -129,21 +129,21 @@
 	start := time.Unix(1000, 0)
 	pacer := New(start.Add(-time.Minute))
 	ahead := Want{Instance: "r", Requests: 1, IsAhead: true}
-	c.Assert(pacer.Lend(start, ahead, 0.5).Requests, qt.Equals, 1)
-	c.Assert(pacer.Lend(start, ahead, 0.5).Requests, qt.Equals, 0)
-	c.Assert(pacer.Lend(start, Want{Instance: "r", Requests: 1}, 0.5).Requests, qt.Equals, 1)
-	c.Assert(pacer.Lend(start.Add(2*time.Second), ahead, 0.5).Requests, qt.Equals, 0)
-	c.Assert(pacer.Lend(start.Add(4*time.Second), ahead, 0.5).Requests, qt.Equals, 1)
+	c.Assert(pacer.GrantTokens(start, ahead, 0.5).Requests, qt.Equals, 1)
+	c.Assert(pacer.GrantTokens(start, ahead, 0.5).Requests, qt.Equals, 0)
+	c.Assert(pacer.GrantTokens(start, Want{Instance: "r", Requests: 1}, 0.5).Requests, qt.Equals, 1)
+	c.Assert(pacer.GrantTokens(start.Add(2*time.Second), ahead, 0.5).Requests, qt.Equals, 0)
+	c.Assert(pacer.GrantTokens(start.Add(4*time.Second), ahead, 0.5).Requests, qt.Equals, 1)
 }
 
 func TestGrantTellsTimeToNextToken(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	pacer := New(start.Add(-time.Minute))
-	first := pacer.Lend(start, Want{Instance: "r", Requests: 5}, 10)
+	first := pacer.GrantTokens(start, Want{Instance: "r", Requests: 5}, 10)
 	c.Assert(first, qt.Equals, Grant{Instance: "r", Requests: Burst, MoreIn: 100 * time.Millisecond})
-	c.Assert(pacer.Lend(start.Add(first.MoreIn), Want{Instance: "r", Requests: 1}, 10).Requests, qt.Equals, 1)
+	c.Assert(pacer.GrantTokens(start.Add(first.MoreIn), Want{Instance: "r", Requests: 1}, 10).Requests, qt.Equals, 1)
 	pacer.Forget(func(string) bool { return false })
 	c.Assert(pacer.buckets, qt.HasLen, 0)
-	c.Assert(pacer.Lend(start, Want{Instance: "r", Requests: -7}, 10), qt.Equals, Grant{Instance: "r"})
+	c.Assert(pacer.GrantTokens(start, Want{Instance: "r", Requests: -7}, 10), qt.Equals, Grant{Instance: "r"})
 }
--- a/placement/residency/backoff.go
+++ b/placement/residency/backoff.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// ObserveRest records that a runner asked a router to back off and probably refuses requests for
+// ObserveCooldown records that a runner asked a router to back off and probably refuses requests for
 // that time. Only that router is bound by it, but requests waiting there are not served by others.
-func (p *Planner) ObserveRest(now time.Time, instance string, backoff time.Duration) {
+func (p *Planner) ObserveCooldown(now time.Time, instance string, backoff time.Duration) {
 	r := p.runners[instance]
 	if r == nil || backoff <= 0 {
 		return
--- a/placement/residency/backoff_test.go
+++ b/placement/residency/backoff_test.go
@@ -32,9 +32,9 @@
 				}
 			})
 			c.Assert(p.document.Service("s").Engine.ModelByName("m0").LoadTime, qt.Equals, loadTime)
-			p.ObserveRest(start, "r0", test.backoff)
-			p.ObserveRest(start, "r1", test.backoff)
-			p.ObserveRest(start, "nobody", test.backoff)
+			p.ObserveCooldown(start, "r0", test.backoff)
+			p.ObserveCooldown(start, "r1", test.backoff)
+			p.ObserveCooldown(start, "nobody", test.backoff)
 			row := Row{Service: "s", Model: "m0"}
 			demands := []Demand{{Row: row, Waiting: test.waiting}}
 			p.Observe(start, "router", demands)
@@ -66,9 +66,9 @@
 	p.PauseOrders(at, "r0", time.Second)
 	waitForModels(p, at, 0, 1)
 	c.Assert(p.Plan(at), qt.HasLen, 0)
-	c.Assert(p.Questions(at.Add(2999*time.Millisecond)), qt.HasLen, 0)
+	c.Assert(p.RunnersToPoll(at.Add(2999*time.Millisecond)), qt.HasLen, 0)
 	at = at.Add(3 * time.Second)
-	c.Assert(p.Questions(at), qt.HasLen, 1)
+	c.Assert(p.RunnersToPoll(at), qt.HasLen, 1)
 	p.Reported(at, at, "r0", Report{})
 	waitForModels(p, at, 0, 1)
 	c.Assert(p.Plan(at), qt.HasLen, 1)
--- a/placement/residency/burstworld_test.go
+++ b/placement/residency/burstworld_test.go
@@ -219,7 +219,7 @@
 	w.serve()
 	w.report()
 	w.planner.SetRunners(w.now, w.statuses())
-	for _, asked := range w.planner.Questions(w.now) {
+	for _, asked := range w.planner.RunnersToPoll(w.now) {
 		for _, r := range w.runners {
 			if r.heartbeat.Instance == asked.Heartbeat.Instance && !r.isDead {
 				w.planner.Reported(w.now, w.now, asked.Heartbeat.Instance, r.report())
--- a/placement/residency/capacity_test.go
+++ b/placement/residency/capacity_test.go
@@ -151,8 +151,8 @@
 	row := Row{Service: "s", Model: "a"}
 	c.Assert(old.overload(row), qt.Equals, 0.0)
 	c.Assert(next.overload(row), qt.Equals, 0.0)
-	c.Assert(old.IsSlowPlace("r4"), qt.IsTrue)
-	c.Assert(next.IsSlowPlace("r4"), qt.IsFalse)
+	c.Assert(old.IsSlowMachine("r4"), qt.IsTrue)
+	c.Assert(next.IsSlowMachine("r4"), qt.IsFalse)
 	next.RecallSpeed("s", "r:4", true)
 	runWorkload(next, shortAnswers, at, 1, 0, 0)
 	c.Assert(next.Pace("r4").PromptRate, qt.Equals, 0.0, qt.Commentf("the speed is unknown"))
--- a/placement/residency/due.go
+++ b/placement/residency/due.go
@@ -67,8 +67,8 @@
 	return n.gain
 }
 
-// Turns counts the models with waiting requests that no runner loads yet. Each counts once.
-type Turns struct {
+// WaitingModels counts the models with waiting requests that no runner loads yet. Each counts once.
+type WaitingModels struct {
 	// Gathering models can still wait; Due ones become late unless they are loaded next.
 	Gathering int
 	Due       int
@@ -78,9 +78,9 @@
 	Oldest time.Duration
 }
 
-// Turns returns the counts as of the last plan.
-func (p *Planner) Turns() Turns {
-	var turns Turns
+// WaitingModels returns the counts as of the last plan.
+func (p *Planner) WaitingModels() WaitingModels {
+	var turns WaitingModels
 	for _, wanted := range p.unmet {
 		if !wanted.isWaitedFor {
 			continue
--- a/placement/residency/due_test.go
+++ b/placement/residency/due_test.go
@@ -86,7 +86,7 @@
 	at := start.Add(minResidency)
 	p := duePlanner(time.Second)
 	c.Assert(p.Plan(at), qt.HasLen, 0)
-	c.Assert(p.Turns(), qt.Equals, Turns{Gathering: 1, Oldest: time.Second})
+	c.Assert(p.WaitingModels(), qt.Equals, WaitingModels{Gathering: 1, Oldest: time.Second})
 	orders := duePlanner(2500 * time.Millisecond).Plan(at)
 	c.Assert(orders, qt.HasLen, 1)
 	c.Assert(orders[0].Operation, qt.Equals, Unload)
@@ -121,7 +121,7 @@
 	p := duePlanner(10 * time.Second)
 	p.SetDocument(site.NewIndex(&site.Document{Version: 2}))
 	c.Assert(p.Plan(start.Add(minResidency)), qt.HasLen, 0)
-	c.Assert(p.Turns().Due, qt.Equals, 0)
+	c.Assert(p.WaitingModels().Due, qt.Equals, 0)
 }
 
 // The store has two slots. One is reserved for an absent model while memory is freed, and the other
--- a/placement/residency/judge.go
+++ b/placement/residency/judge.go
@@ -20,8 +20,8 @@
 	// Pauses is set if too many recent streams of the runner paused for too long.
 	Pauses bool
 	// Pace is the speed of the runner, and Borne its capacity in requests per second.
-	Pace  pace.Runner
-	Borne float64
+	Pace     pace.Runner
+	Capacity float64
 }
 
 const (
@@ -83,7 +83,7 @@
 		}
 		former := p.judgements[instance]
 		found.IsSlow = found.Slowness >= slowThreshold || former.IsSlow && found.Slowness > slowClearThreshold
-		found.Pace, found.Borne = p.Pace(instance), r.capacity
+		found.Pace, found.Capacity = p.Pace(instance), r.capacity
 		if former.IsSlow != found.IsSlow || former.Pauses != found.Pauses {
 			p.judged = append(p.judged, found)
 		}
@@ -141,8 +141,8 @@
 	return found.IsSlow || found.Pauses
 }
 
-// IsSlowPlace reports whether the runner is slower than others.
-func (p *Planner) IsSlowPlace(instance string) bool { return p.judgements[instance].IsSlow }
+// IsSlowMachine reports whether the runner is slower than others.
+func (p *Planner) IsSlowMachine(instance string) bool { return p.judgements[instance].IsSlow }
 
 // Pace returns the speed of a runner; the zero value if it is unknown.
 func (p *Planner) Pace(instance string) pace.Runner {
@@ -156,14 +156,14 @@
 // PaceState summarizes the speed of the runners of a service.
 type PaceState struct {
 	Service string
-	// Usual is the speed of a typical runner.
-	Usual pace.Runner
+	// Typical is the speed of a typical runner.
+	Typical pace.Runner
 	// Error is the mean relative error of the forecast time between two events.
 	Error float64
-	// Borne is the capacity of a typical runner in requests per second, and Scale the correction by
+	// Capacity is the capacity of a typical runner in requests per second, and Scale the correction by
 	// late streams that it includes.
-	Borne float64
-	Scale float64
+	Capacity float64
+	Scale    float64
 	// Slow is the number of slow runners, and Unknown that of runners without an assessment.
 	Slow    int
 	Unknown int
@@ -180,8 +180,8 @@
 		state := states[name]
 		if state == nil {
 			state = &PaceState{
-				Service: name, Usual: p.paces.Runner(name, ""), Error: p.paces.Error(name),
-				Borne: p.capacityAt(name, 1), Scale: p.capacityModel(name).scale,
+				Service: name, Typical: p.paces.Runner(name, ""), Error: p.paces.Error(name),
+				Capacity: p.capacityAt(name, 1), Scale: p.capacityModel(name).scale,
 			}
 			states[name] = state
 		}
--- a/placement/residency/pace_test.go
+++ b/placement/residency/pace_test.go
@@ -136,7 +136,7 @@
 	at := start.Add(judgeInterval)
 	p.SetRunners(at, next)
 	p.judge(at)
-	c.Assert(p.IsSlowPlace("next"), qt.IsTrue)
+	c.Assert(p.IsSlowMachine("next"), qt.IsTrue)
 	c.Assert(p.IsSlow("r"), qt.IsFalse, qt.Commentf("the runner has been removed"))
 }
 
@@ -155,5 +155,5 @@
 		})
 	}
 	p.Plan(start)
-	c.Assert(p.IsSlowPlace("r1"), qt.IsFalse)
+	c.Assert(p.IsSlowMachine("r1"), qt.IsFalse)
 }
--- a/placement/residency/planner.go
+++ b/placement/residency/planner.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// Questions returns the runners to poll for a report now, those polled the longest ago first.
-func (p *Planner) Questions(now time.Time) []fleet.Status {
+// RunnersToPoll returns the runners to poll for a report now, those polled the longest ago first.
+func (p *Planner) RunnersToPoll(now time.Time) []fleet.Status {
 	p.refillQuestions(now)
 	isEarly := now.Before(p.ordersFrom.Add(-p.options.AskAgain))
 	candidates := slices.Clone(p.sorted())
@@ -362,8 +362,8 @@
 // modelDemand returns the demand for the model of a row.
 func (p *Planner) modelDemand(row Row) modelDemand { return p.snapshot.demands[modelOf(row)] }
 
-// Doubt has runners polled that refused requests for models they were listed with.
-func (p *Planner) Doubt(now time.Time, instances []string) {
+// RequestPolls has runners polled that refused requests for models they were listed with.
+func (p *Planner) RequestPolls(now time.Time, instances []string) {
 	for _, instance := range instances {
 		if r := p.runners[instance]; r != nil && now.Sub(r.askedAt) >= p.options.AskAgain {
 			r.isTakenKnown = false
--- a/placement/residency/planner_test.go
+++ b/placement/residency/planner_test.go
@@ -58,8 +58,8 @@
 	p := newTestPlanner()
 	waitFor(p, start, Row{Model: "a"})
 	c.Assert(p.Plan(start), qt.HasLen, 0, qt.Commentf("the number of taken orders is unknown"))
-	c.Assert(p.Questions(start), qt.HasLen, 1)
-	c.Assert(p.Questions(start), qt.HasLen, 0, qt.Commentf("already polled"))
+	c.Assert(p.RunnersToPoll(start), qt.HasLen, 1)
+	c.Assert(p.RunnersToPoll(start), qt.HasLen, 0, qt.Commentf("already polled"))
 	p.Reported(start, start, "r", Report{Taken: 7})
 	orders := p.Plan(start)
 	c.Assert(orders, qt.DeepEquals, []Order{{Instance: "r", Address: "r:1", Operation: Load, Model: "a", Expected: 7}})
@@ -71,12 +71,12 @@
 	c := qt.New(t)
 	p := newTestPlanner()
 	waitFor(p, start, Row{Model: "a"})
-	p.Questions(start)
+	p.RunnersToPoll(start)
 	p.Reported(start, start, "r", Report{Taken: 7, Busy: true})
 	c.Assert(p.Plan(start), qt.HasLen, 0)
 	again := start.Add(time.Second)
 	waitFor(p, again, Row{Model: "a"})
-	c.Assert(p.Questions(again), qt.HasLen, 1)
+	c.Assert(p.RunnersToPoll(again), qt.HasLen, 1)
 	p.Reported(again, again, "r", Report{Taken: 7, Models: []fleet.LoadedModel{{Name: "b"}}})
 	waitFor(p, again.Add(2*time.Second), Row{Model: "a"})
 	orders := p.Plan(again.Add(2 * time.Second))
@@ -127,7 +127,7 @@
 	waitFor(p, at, Row{Model: "a"})
 	c.Assert(p.Plan(at), qt.HasLen, 0)
 	at = at.Add(time.Second)
-	c.Assert(p.Questions(at), qt.HasLen, 1)
+	c.Assert(p.RunnersToPoll(at), qt.HasLen, 1)
 	// The runner has not taken the order, but may later. The next order expects the same number, so
 	// that only one of the two is executed.
 	p.Reported(at, at, "r", Report{Taken: 1})
@@ -146,9 +146,9 @@
 	p.Answered(start, orders[0], OutcomeGone)
 	at := start.Add(time.Second)
 	waitFor(p, at, Row{Model: "a"})
-	c.Assert(p.Questions(at), qt.HasLen, 0)
+	c.Assert(p.RunnersToPoll(at), qt.HasLen, 0)
 	p.SetRunners(at, status(2))
-	c.Assert(p.Questions(at), qt.HasLen, 1)
+	c.Assert(p.RunnersToPoll(at), qt.HasLen, 1)
 }
 
 func TestAdapterWaitsForEvictionAndLoad(t *testing.T) {
@@ -208,7 +208,7 @@
 	for _, order := range p.Plan(at) {
 		c.Assert(order.Operation, qt.Equals, Unload, qt.Commentf("the memory is in use"))
 	}
-	c.Assert(p.Questions(at), qt.HasLen, 1, qt.Commentf("the runner is polled"))
+	c.Assert(p.RunnersToPoll(at), qt.HasLen, 1, qt.Commentf("the runner is polled"))
 	p.Reported(at, at, "r", Report{Taken: 84})
 	waitFor(p, at, Row{Model: "a"})
 	orders := p.Plan(at)
@@ -230,7 +230,7 @@
 	p.SetRunners(start, statuses)
 	asked := make(map[string]bool)
 	ask := func(at time.Time) int {
-		questions := p.Questions(at)
+		questions := p.RunnersToPoll(at)
 		for _, each := range questions {
 			asked[each.Heartbeat.Instance] = true
 		}
--- a/placement/residency/preload.go
+++ b/placement/residency/preload.go
@@ -34,7 +34,7 @@
 		service := &p.document.Document.Services[i]
 		isWanted := func(each need) bool { return each.row.Service == service.Name }
 		store := p.store(service.Name)
-		if store == nil || store.UnderWay() > 0 || slices.ContainsFunc(wanted, isWanted) {
+		if store == nil || store.InProgress() > 0 || slices.ContainsFunc(wanted, isWanted) {
 			continue
 		}
 		if row, found := p.nextPreload(now, service); found {
--- a/placement/residency/simulated_test.go
+++ b/placement/residency/simulated_test.go
@@ -158,7 +158,7 @@
 	}
 	w.demand()
 	w.planner.SetRunners(w.now, w.statuses())
-	for _, status := range w.planner.Questions(w.now) {
+	for _, status := range w.planner.RunnersToPoll(w.now) {
 		w.answerQuestion(status.Heartbeat.Instance)
 	}
 	orders := w.planner.Plan(w.now)
--- a/placement/residency/store.go
+++ b/placement/residency/store.go
@@ -71,7 +71,7 @@
 	if limiter == nil {
 		limiter = weightstore.New(p.options.StoreWindow, allowed)
 		if recalled, isRecalled := p.recalledStores[service]; isRecalled {
-			limiter.Recall(recalled.at, recalled.limit, recalled.isCrowded)
+			limiter.RestoreLearned(recalled.at, recalled.limit, recalled.isCrowded)
 		}
 		p.stores[service] = limiter
 	}
@@ -106,7 +106,7 @@
 	for i := range p.document.Document.Services {
 		service := p.document.Document.Services[i].Name
 		if store := p.store(service); store != nil {
-			store.Expect(p.firstLoads(service, runners[service]))
+			store.SetInitialLimit(p.firstLoads(service, runners[service]))
 			store.Update(now, underWay[service], p.isLoaded)
 		}
 	}
@@ -288,7 +288,7 @@
 	var states []StoreState
 	for service, store := range p.stores {
 		learned, isCrowded := store.Learned()
-		states = append(states, StoreState{service, store.UnderWay(), store.Limit(), learned, isCrowded})
+		states = append(states, StoreState{service, store.InProgress(), store.Limit(), learned, isCrowded})
 	}
 	slices.SortFunc(states, func(a, b StoreState) int { return strings.Compare(a.Service, b.Service) })
 	return states
--- a/placement/scheduler/benchmark_test.go
+++ b/placement/scheduler/benchmark_test.go
@@ -87,7 +87,7 @@
 }
 
 func BenchmarkExpected(b *testing.B) {
-	history := NewRhythms()
+	history := NewUsageHistory()
 	for i := range 58_000 {
 		history.Observe(monday, structs.RowName(fmt.Sprintf("row-%05d", i)))
 	}
--- a/placement/scheduler/usagehistory.go
+++ b/placement/scheduler/usagehistory.go
@@ -35,10 +35,10 @@
 	dayKinds
 )
 
-// Rhythms records in which hours of recent days each row was used, with working days
+// UsageHistory records in which hours of recent days each row was used, with working days
 // and weekend days apart. Hours are in the location of the given times. It is not safe
 // for concurrent use.
-type Rhythms struct {
+type UsageHistory struct {
 	rows map[structs.RowName]*hourlyBits
 	// observed has the hours during which uses were being observed.
 	observed hourlyBits
@@ -60,8 +60,8 @@
 	Probability float64
 }
 
-// NewRhythms returns an empty history.
-func NewRhythms() *Rhythms { return &Rhythms{rows: map[structs.RowName]*hourlyBits{}} }
+// NewUsageHistory returns an empty history.
+func NewUsageHistory() *UsageHistory { return &UsageHistory{rows: map[structs.RowName]*hourlyBits{}} }
 
 // dayNumber numbers the days in the time's location, from 0 on Monday, 29 December 1969.
 func dayNumber(at time.Time) int {
@@ -81,13 +81,13 @@
 	return weekendDay, weeks*(week-workingDays) + within - workingDays
 }
 
-// Watch records that uses are being observed at the time, even if there are none. Hours
+// MarkObserved records that uses are being observed at the time, even if there are none. Hours
 // that were not observed do not count in the estimates.
-func (r *Rhythms) Watch(now time.Time) { r.observed.mark(now) }
+func (r *UsageHistory) MarkObserved(now time.Time) { r.observed.mark(now) }
 
 // Observe records a use of the row.
-func (r *Rhythms) Observe(now time.Time, row structs.RowName) {
-	r.Watch(now)
+func (r *UsageHistory) Observe(now time.Time, row structs.RowName) {
+	r.MarkObserved(now)
 	known := r.rows[row]
 	if known == nil {
 		if len(r.rows) >= maxHistoryRows {
@@ -128,9 +128,9 @@
 	return used >> 1
 }
 
-// Soon returns the rows expected to be used within an hour of now, computed at most
+// ExpectedSoon returns the rows expected to be used within an hour of now, computed at most
 // once a minute. It also drops the rows without a use in the remembered days.
-func (r *Rhythms) Soon(now time.Time) []Expectation {
+func (r *UsageHistory) ExpectedSoon(now time.Time) []Expectation {
 	if passed := now.Sub(r.soonAt); r.soonAt.IsZero() || passed >= soonInterval || passed < 0 {
 		r.forget(now)
 		r.soon, r.soonAt = r.Expected(now, minSoonProbability, maxSoonRows), now
@@ -139,7 +139,7 @@
 }
 
 // forget drops the rows without a use in the remembered days.
-func (r *Rhythms) forget(now time.Time) {
+func (r *UsageHistory) forget(now time.Time) {
 	kind, number := kindOf(dayNumber(now))
 	for row, known := range r.rows {
 		known.shift(kind, number)
@@ -151,7 +151,7 @@
 
 // Expected returns at most maxRows rows, a positive number, whose probability of a use
 // within an hour of now is at least minProbability, the most likely first.
-func (r *Rhythms) Expected(now time.Time, minProbability float64, maxRows int) []Expectation {
+func (r *UsageHistory) Expected(now time.Time, minProbability float64, maxRows int) []Expectation {
 	part := float64(now.Minute()) / 60
 	present := r.unusedInHour(now, 1-part)
 	next := r.unusedInHour(now.Add(time.Hour), part)
@@ -189,7 +189,7 @@
 // unusedInHour returns the probabilities for a part of the hour of the time. The
 // probability of a use in the whole hour is estimated as the share of the observed
 // earlier days of the same kind on which the row was used in that hour.
-func (r *Rhythms) unusedInHour(at time.Time, part float64) unusedProbabilities {
+func (r *UsageHistory) unusedInHour(at time.Time, part float64) unusedProbabilities {
 	kind, number := kindOf(dayNumber(at))
 	hour := unusedProbabilities{kind: kind, number: number, hour: at.Hour()}
 	observedDays := bits.OnesCount8(r.observed.beforeDay(kind, number, hour.hour))
--- a/placement/scheduler/usagehistory_test.go
+++ b/placement/scheduler/usagehistory_test.go
@@ -37,9 +37,9 @@
 		{"use older than the history", []time.Time{at(0, 9)}, at(28, 9), 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			history := NewRhythms()
+			history := NewUsageHistory()
 			for hour := test.uses[0]; !hour.After(test.now); hour = hour.Add(time.Hour) {
-				history.Watch(hour)
+				history.MarkObserved(hour)
 				if slices.Contains(test.uses, hour) {
 					history.Observe(hour, "a")
 				}
@@ -54,26 +54,26 @@
 }
 
 func TestUnobservedHoursDoNotCount(t *testing.T) {
-	history := NewRhythms()
+	history := NewUsageHistory()
 	history.Observe(at(0, 9), "a")
 	// Another member leads on Tuesday, on Wednesday and until noon on Thursday.
-	history.Watch(at(3, 12))
+	history.MarkObserved(at(3, 12))
 	want := []Expectation{{"a", 1 / (1 + historyPrior)}}
 	qt.Assert(t, history.Expected(at(4, 9), 0.1, 1), qt.DeepEquals, want)
 }
 
 func TestRowsWithoutUseInHistoryAreDropped(t *testing.T) {
-	history := NewRhythms()
+	history := NewUsageHistory()
 	history.Observe(at(0, 9), "a")
 	history.Observe(at(7, 9), "b")
-	qt.Assert(t, history.Soon(at(7, 10)), qt.HasLen, 0)
+	qt.Assert(t, history.ExpectedSoon(at(7, 10)), qt.HasLen, 0)
 	qt.Assert(t, history.rows, qt.HasLen, 2)
-	history.Soon(at(10, 9))
+	history.ExpectedSoon(at(10, 9))
 	qt.Assert(t, history.rows, qt.HasLen, 1)
 }
 
 func TestExpectedIsSortedAndBounded(t *testing.T) {
-	history := NewRhythms()
+	history := NewUsageHistory()
 	for _, row := range []structs.RowName{"c", "a", "b"} {
 		history.Observe(at(0, 9), row)
 	}
@@ -87,7 +87,7 @@
 }
 
 func TestExpectedSelectsMostLikelyOfMany(t *testing.T) {
-	history := NewRhythms()
+	history := NewUsageHistory()
 	for day := range 3 {
 		for i := range 1000 {
 			if day < 2-i%2 || i%10 == 0 {
--- a/placement/shares/book.go
+++ b/placement/shares/book.go
@@ -47,8 +47,8 @@
 	Use    float64
 }
 
-// Word lists the tenants that are above their shares.
-type Word struct {
+// Overuse lists the tenants that are above their shares.
+type Overuse struct {
 	// IsKnown is false while the leader has too little data.
 	IsKnown bool
 	Above   []Share
@@ -82,8 +82,8 @@
 	return weights
 }
 
-// Book sums the work reported by all routers during one leader term.
-type Book struct {
+// Ledger sums the work reported by all routers during one leader term.
+type Ledger struct {
 	startedAt time.Time
 	decayedAt time.Time
 	sweptAt   time.Time
@@ -105,12 +105,12 @@
 }
 
 // New returns an empty Book for a leader term that begins at the time.
-func New(at time.Time) *Book {
-	return &Book{startedAt: at, decayedAt: at, tenants: make(map[string]*account)}
+func New(at time.Time) *Ledger {
+	return &Ledger{startedAt: at, decayedAt: at, tenants: make(map[string]*account)}
 }
 
 // SetTenants adopts the weights of a document's tenants.
-func (b *Book) SetTenants(tenants []site.Tenant) {
+func (b *Ledger) SetTenants(tenants []site.Tenant) {
 	b.weights = Weights(tenants)
 	for name := range b.tenants {
 		if b.weights[name] == 0 {
@@ -120,7 +120,7 @@
 }
 
 // Observe adds a router's report.
-func (b *Book) Observe(at time.Time, router string, reported []Work) {
+func (b *Ledger) Observe(at time.Time, router string, reported []Work) {
 	b.decay(at)
 	for _, known := range b.tenants {
 		delete(known.waiting, router)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (b *Book) decay(at time.Time) {
+func (b *Ledger) decay(at time.Time) {
 	passed := at.Sub(b.decayedAt)
 	if passed <= 0 {
 		return
@@ -160,19 +160,19 @@
 	}
 }
 
-// Word returns the tenants that are above their shares. It is unknown until the leader has
+// Overuse returns the tenants that are above their shares. It is unknown until the leader has
 // received reports for the averaging time.
-func (b *Book) Word(at time.Time) Word {
+func (b *Ledger) Overuse(at time.Time) Overuse {
 	if at.Sub(b.startedAt) < usageTimeConstant {
-		return Word{}
+		return Overuse{}
 	}
 	above := slices.DeleteFunc(b.Shares(at), func(share Share) bool { return share.Use < overuseThreshold })
 	slices.SortStableFunc(above, func(a, c Share) int { return cmp.Compare(c.Use, a.Use) })
-	return Word{IsKnown: true, Above: above[:min(len(above), maxReportedTenants)]}
+	return Overuse{IsKnown: true, Above: above[:min(len(above), maxReportedTenants)]}
 }
 
 // Shares returns the relative use of the active tenants, sorted by name.
-func (b *Book) Shares(at time.Time) []Share {
+func (b *Ledger) Shares(at time.Time) []Share {
 	b.decay(at)
 	work, weights := 0.0, 0.0
 	for name, known := range b.tenants {
@@ -196,7 +196,7 @@
 }
 
 // Waiting returns the number of waiting requests of a tenant at all routers.
-func (b *Book) Waiting(tenant string) int {
+func (b *Ledger) Waiting(tenant string) int {
 	sum := 0
 	if known := b.tenants[tenant]; known != nil {
 		for _, waiting := range known.waiting {
--- a/placement/shares/book_test.go
+++ b/placement/shares/book_test.go
@@ -23,7 +23,7 @@
 
 // observeWork reports, for the seconds, the work per second of each tenant through ten routers,
 // and returns the new time.
-func observeWork(b *Book, at time.Time, seconds int, perSecond ...float64) time.Time {
+func observeWork(b *Ledger, at time.Time, seconds int, perSecond ...float64) time.Time {
 	for range seconds * 2 {
 		at = at.Add(500 * time.Millisecond)
 		for router := range 10 {
@@ -42,13 +42,13 @@
 	b := New(start)
 	b.SetTenants(tenantsOf(1000, 1000, 500, 100))
 	at := observeWork(b, start, 10, 600, 700, 350, 60)
-	c.Assert(b.Word(at), qt.DeepEquals, Word{IsKnown: true, Above: []Share{}})
+	c.Assert(b.Overuse(at), qt.DeepEquals, Overuse{IsKnown: true, Above: []Share{}})
 	at = observeWork(b, at, 3, 600, 4200, 350, 60)
-	word := b.Word(at)
+	word := b.Overuse(at)
 	c.Assert(word.Above, qt.HasLen, 1)
 	c.Assert(word.Above[0].Tenant, qt.Equals, "t1")
 	at = observeWork(b, at, 12, 600, 700, 350, 60)
-	c.Assert(b.Word(at).Above, qt.HasLen, 0)
+	c.Assert(b.Overuse(at).Above, qt.HasLen, 0)
 }
 
 func TestWordIsUnknownForNewLeader(t *testing.T) {
@@ -56,9 +56,9 @@
 	b := New(start)
 	b.SetTenants(tenantsOf(100, 100))
 	at := observeWork(b, start, 1, 10, 900)
-	c.Assert(b.Word(at).IsKnown, qt.IsFalse)
+	c.Assert(b.Overuse(at).IsKnown, qt.IsFalse)
 	at = observeWork(b, at, 3, 10, 900)
-	c.Assert(b.Word(at).IsKnown, qt.IsTrue)
+	c.Assert(b.Overuse(at).IsKnown, qt.IsTrue)
 }
 
 func TestOnlyActiveTenantIsNotAboveItsShare(t *testing.T) {
@@ -66,7 +66,7 @@
 	b := New(start)
 	b.SetTenants(tenantsOf(100, 100))
 	at := observeWork(b, start, 10, 0, 5000)
-	c.Assert(b.Word(at).Above, qt.HasLen, 0)
+	c.Assert(b.Overuse(at).Above, qt.HasLen, 0)
 	c.Assert(b.Shares(at), qt.HasLen, 1)
 }
 
--- a/placement/weightstore/limiter.go
+++ b/placement/weightstore/limiter.go
@@ -111,8 +111,8 @@
 // Limit returns the estimated number of concurrent loads served at full speed.
 func (l *Limiter) Limit() int { return max(1, int(l.limit)) }
 
-// Expect sets the concurrency limit unless it has already been learned from loads.
-func (l *Limiter) Expect(first int) {
+// SetInitialLimit sets the concurrency limit unless it has already been learned from loads.
+func (l *Limiter) SetInitialLimit(first int) {
 	if !l.isLearned {
 		l.limit = float64(max(1, first))
 	}
@@ -127,8 +127,8 @@
 	return l.Limit(), !l.saturatedAt.IsZero()
 }
 
-// Recall restores the result of Learned from another limiter of the same store.
-func (l *Limiter) Recall(now time.Time, limit int, isSaturated bool) {
+// RestoreLearned restores the result of Learned from another limiter of the same store.
+func (l *Limiter) RestoreLearned(now time.Time, limit int, isSaturated bool) {
 	if limit <= 0 {
 		return
 	}
@@ -138,8 +138,8 @@
 	}
 }
 
-// UnderWay returns the number of loads in progress.
-func (l *Limiter) UnderWay() int { return len(l.loads) }
+// InProgress returns the number of loads in progress.
+func (l *Limiter) InProgress() int { return len(l.loads) }
 
 // MayBegin reports whether one more load may start, given the loads in progress and the
 // number of reserved loads.
--- a/placement/weightstore/limiter_test.go
+++ b/placement/weightstore/limiter_test.go
@@ -123,8 +123,8 @@
 	next := New(5*time.Second, 100)
 	limit, isCrowded = l.Learned()
 	c.Assert(isCrowded, qt.IsTrue)
-	next.Recall(store.now, limit, isCrowded)
-	next.Expect(50)
+	next.RestoreLearned(store.now, limit, isCrowded)
+	next.SetInitialLimit(50)
 	c.Assert(next.Limit(), qt.Equals, l.Limit())
 	store.peak = 0
 	store.run(next, probeInterval-time.Second)
@@ -199,7 +199,7 @@
 func TestLoadFromCopyIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
-	l.Expect(24)
+	l.SetInitialLimit(24)
 	var loads []Load
 	for i := range 24 {
 		loads = append(loads, Load{Key: Key{Instance: "r", Model: fmt.Sprint(i)}, Nominal: nominal})
@@ -233,7 +233,7 @@
 			store := newSimulatedStore(10)
 			store.fixesSpeedAtStart = true
 			l := New(5*time.Second, 300)
-			l.Expect(first)
+			l.SetInitialLimit(first)
 			store.run(l, 40*time.Second)
 			c.Assert(store.peak <= 24, qt.IsTrue, qt.Commentf("%d loads at once", store.peak))
 			c.Assert(l.Limit() >= 8 && l.Limit() <= 13, qt.IsTrue, qt.Commentf("limit %d", l.Limit()))
@@ -250,7 +250,7 @@
 			store := newSimulatedStore(10)
 			store.fixesSpeedAtStart = isFixed
 			l := New(5*time.Second, 300)
-			l.Expect(34)
+			l.SetInitialLimit(34)
 			for i := range 34 {
 				load := Load{Key: Key{Instance: "r", Model: fmt.Sprint("begun", i)}, Nominal: nominal}
 				l.Begin(store.now, load)
@@ -270,7 +270,7 @@
 		t.Run(fmt.Sprintf("fixed speed %v", isFixed), func(t *testing.T) {
 			c := qt.New(t)
 			l := New(5*time.Second, 100)
-			l.Expect(7)
+			l.SetInitialLimit(7)
 			var underWay []Load
 			for i := range 7 {
 				load := Load{Key: Key{Instance: fmt.Sprint("r", i)}, Nominal: nominal}
@@ -320,7 +320,7 @@
 	for _, test := range []struct{ limit, urgent int }{{1, 1}, {2, 2}, {3, 3}, {4, 6}, {10, 15}} {
 		t.Run(fmt.Sprint(test.limit), func(t *testing.T) {
 			limiter := New(5*time.Second, 100)
-			limiter.Recall(start, test.limit, true)
+			limiter.RestoreLearned(start, test.limit, true)
 			begun := 0
 			for ; limiter.MayBeginUrgent(start, 0); begun++ {
 				limiter.Begin(start, Load{Key{Model: fmt.Sprint(begun)}, nominal})
@@ -332,7 +332,7 @@
 
 func TestLoadOnTimeRaisesLimitToTwo(t *testing.T) {
 	limiter := New(5*time.Second, 100)
-	limiter.Expect(1)
+	limiter.SetInitialLimit(1)
 	limiter.Update(start, nil, nil)
 	limiter.Begin(start, Load{Key{Model: "m"}, nominal})
 	limiter.Update(start.Add(nominal), nil, func(Key) bool { return true })
@@ -344,7 +344,7 @@
 	for _, test := range []struct{ proved, tried int }{{1, 2}, {2, 3}, {3, 4}} {
 		t.Run(fmt.Sprint(test.proved), func(t *testing.T) {
 			limiter := New(5*time.Second, 100)
-			limiter.Expect(test.proved)
+			limiter.SetInitialLimit(test.proved)
 			limiter.Update(start, nil, nil)
 			for i := range test.proved {
 				limiter.Begin(start, Load{Key{Model: fmt.Sprint(i)}, nominal})
--- a/placement/zone/table.go
+++ b/placement/zone/table.go
@@ -216,7 +216,7 @@
 // Grants returns all grants, ordered by row.
 func (s *State) Grants() []structs.Grant { return s.table.full().Grants }
 
-// Elsewhere returns all zones with a positive limit for the row.
-func (s *State) Elsewhere(row structs.RowName) []structs.ZoneID {
+// ServingZones returns all zones with a positive limit for the row.
+func (s *State) ServingZones(row structs.RowName) []structs.ZoneID {
 	return slices.Clone(s.table.elsewhere[row])
 }
--- a/placement/zone/viewpart.go
+++ b/placement/zone/viewpart.go
@@ -10,16 +10,16 @@
 // bytes each.
 const maxPartRows = 1 << 10
 
-// AnswersPart reports whether the request is answered with a part of the full table:
+// AnswersWithPart reports whether the request is answered with a part of the full table:
 // the reader asks for it, has no table, or is behind the recorded changes.
-func (s *State) AnswersPart(request structs.ViewRequest) bool {
+func (s *State) AnswersWithPart(request structs.ViewRequest) bool {
 	return request.Whole || s.table.needsFullTable(request.SinceTable)
 }
 
 // ViewFor returns the view for a reader that accepts the full table in parts: a part,
 // or the changes.
 func (s *State) ViewFor(request structs.ViewRequest) structs.ZoneView {
-	if s.AnswersPart(request) {
+	if s.AnswersWithPart(request) {
 		return s.ViewPart(request.After, request.SinceIndex)
 	}
 	return s.View(request.SinceTable, request.SinceIndex)
--- a/request/fairqueue/load_test.go
+++ b/request/fairqueue/load_test.go
@@ -117,7 +117,7 @@
 		}
 		if sharesInterval > 0 && now.Sub(start)%sharesInterval == 0 {
 			// Routers get the report before their own work is added, so it is one interval old.
-			report := book.Word(now)
+			report := book.Overuse(now)
 			for i := range routers {
 				routers[i].queue.SetShares(now, report)
 				book.Observe(now, fmt.Sprint(i), routers[i].queue.TakeWork())
@@ -128,7 +128,7 @@
 }
 
 // newLoadBook returns the book of a leader that has led for a minute.
-func newLoadBook() *shares.Book {
+func newLoadBook() *shares.Ledger {
 	book := shares.New(start.Add(-time.Minute))
 	var listed []site.Tenant
 	for tenant := range loadTenants {
--- a/request/fairqueue/shares.go
+++ b/request/fairqueue/shares.go
@@ -15,7 +15,7 @@
 // SetShares adopts a report on the tenants above their share over all routers. Until it
 // expires, tenants within their share go first, ordered by slack alone, as there is enough
 // capacity for all of them.
-func (q *Queue[V]) SetShares(at time.Time, report shares.Word) {
+func (q *Queue[V]) SetShares(at time.Time, report shares.Overuse) {
 	if !report.IsKnown {
 		return
 	}
--- a/request/limiter/bound_test.go
+++ b/request/limiter/bound_test.go
@@ -49,7 +49,7 @@
 	router  *simulatedRouter
 	limiter *Limiter
 	cost    float64
-	fresh   Fresh
+	fresh   LeaderGrant
 }
 
 type admission struct {
@@ -103,7 +103,7 @@
 
 func (s *simulatedSite) commit() {
 	command, err := domain.Command{Reserve: &domain.Reservation{
-		Since: s.decided.Sub(s.last), Keep: s.bound.KeepReservations(), Parts: s.proposal,
+		Since: s.decided.Sub(s.last), Keep: s.bound.ReservationRetention(), Parts: s.proposal,
 	}}.Encode()
 	if err != nil {
 		panic(err)
@@ -144,7 +144,7 @@
 	settle := func(verdict Verdict) {
 		if verdict.IsAdmitted && s.unrunShare > 0 && s.random.Float64() < s.unrunShare {
 			after := time.Duration(s.random.IntN(2500)) * time.Millisecond
-			s.refunds = append(s.refunds, simulatedRefund{s.at.Add(after), r, from, cost, verdict.Fresh})
+			s.refunds = append(s.refunds, simulatedRefund{s.at.Add(after), r, from, cost, verdict.Granted})
 			return
 		}
 		if verdict.IsAdmitted {
@@ -192,8 +192,8 @@
 		return
 	}
 	if r.wants != nil {
-		s.divider.TakeBack(s.at, quota.Asker{Router: r.name}, r.question, r.wants)
-		if s.divider.Lacks(s.at, r.name, r.wants) && s.at.Before(r.waitsUntil) {
+		s.divider.ApplyReturns(s.at, quota.RouterProcess{Router: r.name}, r.question, r.wants)
+		if s.divider.RecordShortfalls(s.at, r.name, r.wants) && s.at.Before(r.waitsUntil) {
 			return
 		}
 		r.grants, r.wants = s.divider.Draw(s.at, r.name, r.wants), nil
@@ -214,7 +214,7 @@
 	if r.isAsking {
 		return
 	}
-	now, soon := r.limiter.IsAsking(s.at)
+	now, soon := r.limiter.NeedsLeader(s.at)
 	if !now && !(soon && s.at.Sub(r.refilled) >= time.Second) {
 		return
 	}
--- a/request/limiter/limiter.go
+++ b/request/limiter/limiter.go
@@ -33,14 +33,14 @@
 type Verdict struct {
 	// IsAdmitted is set if the request was counted; otherwise it exceeds the limit.
 	IsAdmitted bool
-	// ComeBackIn is the delay after which a refused request should be retried.
-	ComeBackIn time.Duration
-	// Fresh is the part of the cost that the leader granted for this request.
-	Fresh Fresh
+	// RetryAfter is the delay after which a refused request should be retried.
+	RetryAfter time.Duration
+	// Granted is the part of the cost that the leader granted for this request.
+	Granted LeaderGrant
 }
 
-// Fresh is an amount granted by the leader in answer to a call made at the time Asked.
-type Fresh struct {
+// LeaderGrant is an amount granted by the leader in answer to a call made at the time Asked.
+type LeaderGrant struct {
 	Amount float64
 	Asked  time.Time
 }
@@ -79,7 +79,7 @@
 	// askedWaiters are those of the call in flight, in its order.
 	askedWaiters []*Waiter
 	// returns are the amounts to give back to the leader.
-	returns []Fresh
+	returns []LeaderGrant
 	use     useRate
 }
 
@@ -113,7 +113,7 @@
 	}
 	for name := range l.accounts {
 		if !listed[name] {
-			l.close(name, Verdict{ComeBackIn: minRetryAfter})
+			l.close(name, Verdict{RetryAfter: minRetryAfter})
 		}
 	}
 }
@@ -170,7 +170,7 @@
 
 // Refund gives back the cost of a request that no runner has run: the part that the leader granted for it
 // to the leader with the next call, and the rest to the held share.
-func (l *Limiter) Refund(at time.Time, tenant string, cost float64, fresh Fresh) {
+func (l *Limiter) Refund(at time.Time, tenant string, cost float64, fresh LeaderGrant) {
 	known := l.accounts[tenant]
 	if known == nil {
 		return
@@ -206,9 +206,9 @@
 	return known.held
 }
 
-// IsAsking reports whether the leader should be called now, for waiters, and whether it
+// NeedsLeader reports whether the leader should be called now, for waiters, and whether it
 // should be called soon, for reserves or returns.
-func (l *Limiter) IsAsking(at time.Time) (now, soon bool) {
+func (l *Limiter) NeedsLeader(at time.Time) (now, soon bool) {
 	for _, known := range l.accounts {
 		now = now || len(known.waiters) > 0
 		soon = soon || known.isLow(at) || len(known.returns) > 0
@@ -260,14 +260,14 @@
 func (a *account) adopt(asked, at time.Time, grant quota.Grant, askInterval time.Duration) {
 	a.expire(at)
 	a.held += grant.Amount
-	a.heldUntil = asked.Add(quota.LeaseLife)
+	a.heldUntil = asked.Add(quota.LeaseTTL)
 	a.exhaustedUntil, a.nextAskAt = time.Time{}, time.Time{}
 	if grant.RoomIn > 0 {
 		a.nextAskAt = at.Add(askInterval)
 		a.exhaustedUntil = at.Add(min(grant.RoomIn, maxExhaustedTime))
 	}
 	if len(grant.Answers) > 0 {
-		a.settle(grant.Answers, Fresh{Amount: grant.Amount, Asked: asked})
+		a.settle(grant.Answers, LeaderGrant{Amount: grant.Amount, Asked: asked})
 	} else {
 		a.settleInOrder(grant.RoomIn)
 	}
@@ -277,7 +277,7 @@
 
 // settle applies the answers to the waiters of the call. Undecided waiters and those that
 // came after the call keep waiting.
-func (a *account) settle(answers []quota.Answer, fresh Fresh) {
+func (a *account) settle(answers []quota.Answer, fresh LeaderGrant) {
 	for i, waiter := range a.askedWaiters[:min(len(a.askedWaiters), len(answers))] {
 		place := slices.Index(a.waiters, waiter)
 		answer := answers[i]
@@ -287,11 +287,11 @@
 			continue
 		case answer.IsAdmitted && a.held >= waiter.Cost:
 			a.held -= waiter.Cost
-			part := Fresh{Amount: min(waiter.Cost, fresh.Amount), Asked: fresh.Asked}
+			part := LeaderGrant{Amount: min(waiter.Cost, fresh.Amount), Asked: fresh.Asked}
 			fresh.Amount -= part.Amount
-			waiter.Settle(Verdict{IsAdmitted: true, Fresh: part})
+			waiter.Settle(Verdict{IsAdmitted: true, Granted: part})
 		case !answer.IsAdmitted && answer.ComeBackIn > 0:
-			waiter.Settle(Verdict{ComeBackIn: answer.ComeBackIn})
+			waiter.Settle(Verdict{RetryAfter: answer.ComeBackIn})
 		default:
 			continue
 		}
@@ -309,7 +309,7 @@
 	}
 	if roomIn > 0 {
 		for _, waiter := range a.waiters {
-			waiter.Settle(Verdict{ComeBackIn: max(minRetryAfter, roomIn)})
+			waiter.Settle(Verdict{RetryAfter: max(minRetryAfter, roomIn)})
 		}
 		a.waiters = nil
 	}
--- a/request/limiter/limiter_test.go
+++ b/request/limiter/limiter_test.go
@@ -42,9 +42,9 @@
 	l.Admit(start, late)
 	answers := []quota.Answer{{ComeBackIn: time.Second}, {IsAdmitted: true}, {IsAdmitted: true}, {}}
 	l.Adopt(start, start, []quota.Grant{{Tenant: "t", Amount: 20, Answers: answers, RoomIn: time.Second}})
-	c.Assert(*verdicts[0], qt.DeepEquals, []Verdict{{ComeBackIn: time.Second}})
+	c.Assert(*verdicts[0], qt.DeepEquals, []Verdict{{RetryAfter: time.Second}})
 	c.Assert(*verdicts[1], qt.HasLen, 0)
-	c.Assert(*verdicts[2], qt.DeepEquals, []Verdict{{IsAdmitted: true, Fresh: Fresh{Amount: 10, Asked: start}}})
+	c.Assert(*verdicts[2], qt.DeepEquals, []Verdict{{IsAdmitted: true, Granted: LeaderGrant{Amount: 10, Asked: start}}})
 	c.Assert(*verdicts[3], qt.HasLen, 0)
 	c.Assert(*lateVerdict, qt.HasLen, 0)
 	// The undecided ones are asked for again after minAskInterval.
@@ -74,7 +74,7 @@
 	l.Wants(start)
 	l.Adopt(start, start, []quota.Grant{{Tenant: "t", Amount: 10, RoomIn: 700 * time.Millisecond}})
 	c.Assert(*admitted, qt.DeepEquals, []Verdict{{IsAdmitted: true}})
-	c.Assert(*refused, qt.DeepEquals, []Verdict{{ComeBackIn: 700 * time.Millisecond}})
+	c.Assert(*refused, qt.DeepEquals, []Verdict{{RetryAfter: 700 * time.Millisecond}})
 }
 
 // The amount granted for a request goes back to the leader once, and the rest to the held share.
@@ -88,8 +88,8 @@
 	c.Assert(*verdicts, qt.HasLen, 0, qt.Commentf("too little is held"))
 	l.Wants(start)
 	l.Adopt(start, start, []quota.Grant{{Tenant: "t", Amount: 6, Keep: 4, Answers: []quota.Answer{{IsAdmitted: true}}}})
-	c.Assert((*verdicts)[0].Fresh, qt.Equals, Fresh{Amount: 6, Asked: start})
-	l.Refund(start.Add(time.Second), "t", 10, (*verdicts)[0].Fresh)
+	c.Assert((*verdicts)[0].Granted, qt.Equals, LeaderGrant{Amount: 6, Asked: start})
+	l.Refund(start.Add(time.Second), "t", 10, (*verdicts)[0].Granted)
 	c.Assert(l.Held(start.Add(time.Second), "t"), qt.Equals, 4.0)
 	returned := l.Wants(start.Add(2 * time.Second))[0].Returned
 	c.Assert(returned, qt.DeepEquals, []quota.Return{{Amount: 6, Age: 2 * time.Second}})
--- a/request/limiter/overload_test.go
+++ b/request/limiter/overload_test.go
@@ -108,12 +108,12 @@
 		if third < 100*time.Millisecond {
 			return
 		}
-		after := min(verdict.ComeBackIn, third)
+		after := min(verdict.RetryAfter, third)
 		if r.isImpatient(digest) {
 			after /= 5
 		}
 		r.retries = append(r.retries, pendingRetry{
-			at: r.at.Add(after), class: class, arrived: arrived, digest: digest, followsRetryAfter: verdict.ComeBackIn <= third,
+			at: r.at.Add(after), class: class, arrived: arrived, digest: digest, followsRetryAfter: verdict.RetryAfter <= third,
 		})
 	}
 	waiter.Settle = settle
--- a/request/pressure/gauge.go
+++ b/request/pressure/gauge.go
@@ -41,7 +41,7 @@
 	if g.count < samples {
 		return false
 	}
-	median := g.Late()
+	median := g.MedianDelay()
 	isContrary := !g.isUnder && median >= enterDelay || g.isUnder && median <= leaveDelay
 	switch {
 	case !isContrary:
@@ -61,8 +61,8 @@
 	return true
 }
 
-// Late returns the median delay of the latest timers.
-func (g *Gauge) Late() time.Duration {
+// MedianDelay returns the median delay of the latest timers.
+func (g *Gauge) MedianDelay() time.Duration {
 	count := min(g.count, samples)
 	if count == 0 {
 		return 0
@@ -73,12 +73,12 @@
 	return listed[count/2]
 }
 
-// IsUnder reports whether the process is under pressure.
-func (g *Gauge) IsUnder() bool { return g.isUnder }
+// IsUnderPressure reports whether the process is under pressure.
+func (g *Gauge) IsUnderPressure() bool { return g.isUnder }
 
-// LetGo reports whether the connection of a response that ends now should be closed, so that its client
+// ShouldClose reports whether the connection of a response that ends now should be closed, so that its client
 // reconnects to another router.
-func (g *Gauge) LetGo(now time.Time) bool {
+func (g *Gauge) ShouldClose(now time.Time) bool {
 	if !g.isUnder || now.Sub(g.closedAt) < closeInterval {
 		return false
 	}
--- a/request/pressure/gauge_test.go
+++ b/request/pressure/gauge_test.go
@@ -20,7 +20,7 @@
 		if g.Observe(*now, late(i)) {
 			changes++
 		}
-		if g.LetGo(*now) {
+		if g.ShouldClose(*now) {
 			closed++
 		}
 	}
@@ -42,7 +42,7 @@
 			c.Assert(changes+closed, qt.Equals, 0)
 			changes, closed = run(&g, &now, 5*time.Second, always(late))
 			c.Assert(changes, qt.Equals, 1)
-			c.Assert(g.IsUnder(), qt.IsTrue)
+			c.Assert(g.IsUnderPressure(), qt.IsTrue)
 			c.Assert(closed >= 10 && closed <= 25, qt.IsTrue, qt.Commentf("%d", closed))
 			changes, _ = run(&g, &now, 6*time.Second, always(time.Millisecond))
 			c.Assert(changes, qt.Equals, 1)
--- a/request/relay/candidates.go
+++ b/request/relay/candidates.go
@@ -132,8 +132,8 @@
 // forgetAddress drops the zone of an address at which no runner is listed any more. The caller must
 // hold r.mutex.
 func (r *Router) forgetAddress(address string) {
-	if r.options.Connects != nil && address != "" && !r.fleet.IsTaken(address) {
-		r.options.Connects.forget(address)
+	if r.options.Dialer != nil && address != "" && !r.fleet.IsTaken(address) {
+		r.options.Dialer.forget(address)
 	}
 }
 
@@ -155,12 +155,12 @@
 		r.balancer.SetPace(id, paceOf(*runner))
 		r.balancer.SetBatch(id, runner.Slots)
 		r.balancer.SetFailing(id, runner.Failing)
-		r.runnerLimits.belief.Learn(r.now(), instance, runner.Limit)
+		r.runnerLimits.belief.ApplyView(r.now(), instance, runner.Limit)
 		r.updatePacing(instance)
 		r.applyNotices(instance)
 		r.zones.watch.Add(update.Runners[i])
-		if r.options.Connects != nil {
-			r.options.Connects.setZone(runner.Address, structs.ZoneID(runner.Zone))
+		if r.options.Dialer != nil {
+			r.options.Dialer.setZone(runner.Address, structs.ZoneID(runner.Zone))
 		}
 	}
 	r.metrics.limitedRunners.Set(float64(r.runnerLimits.belief.Len()))
--- a/request/relay/dialer.go
+++ b/request/relay/dialer.go
@@ -14,10 +14,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Connects dials runners. It learns the connect timeout of each zone, so that a lost connect costs
+// RunnerDialer dials runners. It learns the connect timeout of each zone, so that a lost connect costs
 // tens of milliseconds rather than the default of half a second. Create one with NewConnects. It is
 // safe for concurrent use.
-type Connects struct {
+type RunnerDialer struct {
 	network network.Network
 
 	mutex sync.Mutex
@@ -25,22 +25,22 @@
 	times zonewatch.ConnectTimes
 }
 
-var _ network.Network = (*Connects)(nil)
+var _ network.Network = (*RunnerDialer)(nil)
 
-// NewConnects returns a Connects over the given network that knows the zone of no runner yet.
-func NewConnects(over network.Network) *Connects { return &Connects{network: over} }
+// NewRunnerDialer returns a Connects over the given network that knows the zone of no runner yet.
+func NewRunnerDialer(over network.Network) *RunnerDialer { return &RunnerDialer{network: over} }
 
 // Listen implements network.Network.
-func (c *Connects) Listen(ctx context.Context, address string) (net.Listener, error) {
+func (c *RunnerDialer) Listen(ctx context.Context, address string) (net.Listener, error) {
 	return c.network.Listen(ctx, address)
 }
 
 // DialContext implements network.Network. It applies the timeout of the address's zone.
-func (c *Connects) DialContext(ctx context.Context, protocol, address string) (net.Conn, error) {
+func (c *RunnerDialer) DialContext(ctx context.Context, protocol, address string) (net.Conn, error) {
 	return c.dialWithin(ctx, protocol, address, c.timeout(address))
 }
 
-func (c *Connects) dialWithin(parent context.Context, protocol, address string, timeout time.Duration) (net.Conn, error) {
+func (c *RunnerDialer) dialWithin(parent context.Context, protocol, address string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	defer cancel()
 	began := clock.Now()
@@ -63,7 +63,7 @@
 const lateFactor = 1.5
 
 // probe connects to a runner and closes the connection at once.
-func (c *Connects) probe(ctx context.Context, address string) zonewatch.Outcome {
+func (c *RunnerDialer) probe(ctx context.Context, address string) zonewatch.Outcome {
 	began := clock.Now()
 	timeout := c.timeout(address)
 	conn, err := c.dialWithin(ctx, "tcp", address, timeout)
@@ -80,7 +80,7 @@
 }
 
 // setZone sets the zone of an address.
-func (c *Connects) setZone(address string, zone structs.ZoneID) {
+func (c *RunnerDialer) setZone(address string, zone structs.ZoneID) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.zones == nil {
@@ -90,19 +90,19 @@
 }
 
 // forget drops the zone of an address that no runner uses any more.
-func (c *Connects) forget(address string) {
+func (c *RunnerDialer) forget(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.zones, address)
 }
 
-func (c *Connects) timeout(address string) time.Duration {
+func (c *RunnerDialer) timeout(address string) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.times.Timeout(c.zones[address])
 }
 
-func (c *Connects) observeConnect(address string, took time.Duration) {
+func (c *RunnerDialer) observeConnect(address string, took time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if zone := c.zones[address]; zone != "" {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (c *Connects) observeTimeout(address string) {
+func (c *RunnerDialer) observeTimeout(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if zone := c.zones[address]; zone != "" {
@@ -119,7 +119,7 @@
 }
 
 // isUnmeasured reports whether too few connects to a zone were measured.
-func (c *Connects) isUnmeasured(zone structs.ZoneID) bool {
+func (c *RunnerDialer) isUnmeasured(zone structs.ZoneID) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.times.IsMeasured(zone)
@@ -127,7 +127,7 @@
 
 // extraLatencies returns how much longer a round trip to each other zone takes than one within own.
 // Zones with too few measurements are left out.
-func (c *Connects) extraLatencies(own structs.ZoneID) map[structs.ZoneID]time.Duration {
+func (c *RunnerDialer) extraLatencies(own structs.ZoneID) map[structs.ZoneID]time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	near := c.times.Mean(own)
--- a/request/relay/dialer_test.go
+++ b/request/relay/dialer_test.go
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		network := &slowNetwork{delay: 2 * time.Millisecond}
-		connects := NewConnects(network)
+		connects := NewRunnerDialer(network)
 		connects.setZone("b0", "b")
 		dial := func() bool {
 			conn, err := connects.DialContext(t.Context(), "tcp", "b0")
--- a/request/relay/exchange.go
+++ b/request/relay/exchange.go
@@ -376,7 +376,7 @@
 	case answer.NotRun:
 		x.refusals++
 		x.noteRejection(choice.Runner())
-		return result{outcome: routing.OutcomeTurnedAway, isNotRun: true, reason: reasonShed}
+		return result{outcome: routing.OutcomeRejected, isNotRun: true, reason: reasonShed}
 	}
 	x.attempts++
 	if answer.IsStream && answer.Status == http.StatusOK {
--- a/request/relay/exchangelog.go
+++ b/request/relay/exchangelog.go
@@ -53,7 +53,7 @@
 		return
 	}
 	level.Info(x.router.logger).Log("msg", "A request was answered.", "request", x.request.ID, "content", x.digest, "route", x.route.Name,
-		"runner", choice.Runner(), "model", x.row.Model, "adapter", x.row.Adapter, "late", isLate, "first", first, "expected", choice.Expected(),
+		"runner", choice.Runner(), "model", x.row.Model, "adapter", x.row.Adapter, "late", isLate, "first", first, "expected", choice.ExpectedCost(),
 		"waited", x.waited, "pause", x.timing.pause, "sent", x.sent, "age", x.router.age(x.request), "version", x.version, "outcome", ended.reason)
 }
 
--- a/request/relay/follow.go
+++ b/request/relay/follow.go
@@ -33,9 +33,9 @@
 
 // watchLoop keeps a watch on the leader's view until ctx ends.
 func (r *Router) watchLoop(ctx context.Context) {
-	hold := domainapi.LeastHold
+	hold := domainapi.MinHold
 	caller := leadercall.New(r.client, nil).WithTryTimeout(hold + watchMargin)
-	arguments := domainapi.WatchArguments{Router: r.options.Name, MaxHold: domainapi.MostHold}
+	arguments := domainapi.WatchArguments{Router: r.options.Name, MaxHold: domainapi.MaxHold}
 	var controllers []string
 	isConnected := false
 	for ctx.Err() == nil {
@@ -71,7 +71,7 @@
 
 // holdOf returns how long the leader holds the next watch.
 func holdOf(reply *domainapi.WatchReply) time.Duration {
-	return min(max(reply.Hold, domainapi.LeastHold), domainapi.MostHold)
+	return min(max(reply.Hold, domainapi.MinHold), domainapi.MaxHold)
 }
 
 func (r *Router) watch(ctx context.Context, caller *leadercall.Caller, arguments domainapi.WatchArguments) (*domainapi.WatchReply, error) {
@@ -93,8 +93,8 @@
 	r.queue.SetShares(r.now(), reply.Shares)
 	if reply.Term != arguments.Term {
 		// A new leader may know none of the limits and notices yet, so all are sent again.
-		r.runnerLimits.belief.TellAnew()
-		r.notices.book.TellAnew()
+		r.runnerLimits.belief.ResendAll()
+		r.notices.book.ResendAll()
 		r.wakeReport()
 	}
 	r.mutex.Unlock()
@@ -163,7 +163,7 @@
 		load := listed[instance]
 		id := structs.RunnerID(instance)
 		r.balancer.ObserveLoad(id, structs.LoadReport{Running: load.Requests, ObservedAt: at})
-		r.balancer.ObserveReading(id, load.Reading)
+		r.balancer.ObservePrefillShare(id, load.Reading)
 	}
 	r.metrics.heardLoads(at)
 }
@@ -234,7 +234,7 @@
 	r.mutex.Lock()
 	losses, endings := r.suspects.take()
 	works := r.queue.TakeWork()
-	limits, said := r.runnerLimits.belief.News(), r.notices.book.News(r.now())
+	limits, said := r.runnerLimits.belief.Pending(), r.notices.book.Pending(r.now())
 	r.mutex.Unlock()
 	isIdle := len(demands) == 0 && len(doubted) == 0 && len(unreachable) == 0 && len(paces) == 0 && len(attempts) == 0 &&
 		len(losses) == 0 && len(endings) == 0 && len(works) == 0 && len(limits.Reports) == 0 && len(said.Reports) == 0
@@ -259,8 +259,8 @@
 		return true
 	}
 	r.mutex.Lock()
-	r.runnerLimits.belief.Told(limits)
-	r.notices.book.Told(said)
+	r.runnerLimits.belief.Acknowledge(limits)
+	r.notices.book.Acknowledge(said)
 	r.mutex.Unlock()
 	r.adoptForecasts(reply.Forecasts)
 	return true
--- a/request/relay/limits.go
+++ b/request/relay/limits.go
@@ -52,7 +52,7 @@
 	if at.Sub(l.refilledAt) < refillInterval {
 		return false
 	}
-	_, soon := l.limiter.IsAsking(at)
+	_, soon := l.limiter.NeedsLeader(at)
 	return soon
 }
 
@@ -98,7 +98,7 @@
 	r.limits.refilledAt = asked
 	r.limits.sequence++
 	sequence := r.limits.sequence
-	isWaiting, _ := r.limits.limiter.IsAsking(asked)
+	isWaiting, _ := r.limits.limiter.NeedsLeader(asked)
 	r.limits.mutex.Unlock()
 	if len(wants) == 0 || ctx.Err() != nil {
 		return isWaiting && ctx.Err() == nil
@@ -114,7 +114,7 @@
 	if err == nil {
 		r.limits.limiter.Adopt(asked, at, grants)
 	}
-	waiting, _ := r.limits.limiter.IsAsking(at)
+	waiting, _ := r.limits.limiter.NeedsLeader(at)
 	return waiting
 }
 
--- a/request/relay/limits_test.go
+++ b/request/relay/limits_test.go
@@ -20,7 +20,7 @@
 	limits.SetTenants(began, []site.Tenant{{Name: "t", Limit: site.RateLimit{Rate: 100, Burst: 400, Unit: site.UnitRequests}}})
 	draw := func(at time.Time, router string) {
 		wants := []quota.Want{{Tenant: "t", Waiting: []float64{cost}}}
-		limits.Lacks(at, router, wants)
+		limits.RecordShortfalls(at, router, wants)
 		limits.Reserved(at, limits.Reserve(at))
 		c.Assert(limits.Draw(at, router, wants)[0].Amount, qt.Equals, cost)
 	}
@@ -28,6 +28,6 @@
 	draw(began.Add(500*time.Millisecond), "b")
 	returned := []quota.Want{{Tenant: "t", Returned: []quota.Return{{Amount: cost, Age: 100 * time.Millisecond}}}}
 	ageReturns(returned)
-	limits.TakeBack(began.Add(800*time.Millisecond), quota.Asker{Router: "a"}, 1, returned)
+	limits.ApplyReturns(began.Add(800*time.Millisecond), quota.RouterProcess{Router: "a"}, 1, returned)
 	c.Assert(limits.TakeUsages(began.Add(window + 200*time.Millisecond))[0].Used, qt.Equals, cost)
 }
--- a/request/relay/notices.go
+++ b/request/relay/notices.go
@@ -30,7 +30,7 @@
 // notices is what runners reported about themselves in responses: rest periods, during which the
 // router must not send them requests, and that they are leaving. It is guarded by Router.mutex.
 type notices struct {
-	book *notice.Book
+	book *notice.Tracker
 	// logLimiter limits the log lines about notices.
 	logLimiter *asynclog.Limiter
 	// restTimer fires at the end of the next rest period; nil before the first.
@@ -38,7 +38,7 @@
 }
 
 func newNotices() notices {
-	return notices{book: notice.NewBook(), logLimiter: asynclog.NewLimiter(maxNoticeLogRate)}
+	return notices{book: notice.NewTracker(), logLimiter: asynclog.NewLimiter(maxNoticeLogRate)}
 }
 
 // observeAnswer applies the notices in a response to a request sent at the given time. They hold
@@ -52,8 +52,8 @@
 		r.noteLimit(runner, sent, answer.Notice.Limit)
 	}
 	if answer.isTaken() {
-		r.notices.book.Took(sent, string(runner))
-		if choice.Took() {
+		r.notices.book.RecordAccepted(sent, string(runner))
+		if choice.RecordAccepted() {
 			r.serveWaiters()
 		}
 	}
@@ -67,13 +67,13 @@
 	for _, problem := range heard.Problems {
 		r.logNotice("What a runner says of itself cannot be read.", runner, "err", problem)
 	}
-	change := r.notices.book.Hear(r.now(), string(runner), heard)
+	change := r.notices.book.Observe(r.now(), string(runner), heard)
 	if change == (notice.Change{}) {
 		return
 	}
-	if change.IsResting {
+	if change.IsCoolingDown {
 		r.metrics.restsAsked.Inc()
-		r.logNotice("A runner asks for rest.", runner, "for", heard.Rest)
+		r.logNotice("A runner asks for rest.", runner, "for", heard.Cooldown)
 	}
 	if change.IsLeaving {
 		r.logNotice("A runner says in an answer that it is leaving.", runner)
@@ -98,13 +98,13 @@
 	if r.notices.book.IsLeaving(instance) {
 		r.balancer.Leave(structs.RunnerID(instance))
 	}
-	r.setRest(instance, r.notices.book.RestsUntil(instance).Sub(r.now()))
+	r.setRest(instance, r.notices.book.CooldownEnd(instance).Sub(r.now()))
 }
 
 // scheduleRestEnd sets the timer for the end of the next rest period. The caller must hold r.mutex.
 func (r *Router) scheduleRestEnd() {
 	now := r.now()
-	r.metrics.restingRunners.Set(float64(r.notices.book.Resting(now)))
+	r.metrics.restingRunners.Set(float64(r.notices.book.CountCoolingDown(now)))
 	if r.notices.restTimer != nil {
 		r.notices.restTimer.Stop()
 	}
@@ -128,7 +128,7 @@
 	if _, isNamed := r.runnerLimits.belief.Of(instance); isNamed {
 		r.metrics.limitedSent.WithLabelValues(repeated).Inc()
 	}
-	if now.Before(r.notices.book.RestsUntil(instance)) {
+	if now.Before(r.notices.book.CooldownEnd(instance)) {
 		r.metrics.unwantedSent.WithLabelValues("resting", repeated).Inc()
 	}
 	if r.notices.book.IsLeaving(instance) {
--- a/request/relay/notices_test.go
+++ b/request/relay/notices_test.go
@@ -37,7 +37,7 @@
 		router, backend := newRestingRouter(4 * time.Second)
 		router.adoptView(plainView("p1", "p2"))
 		router.mutex.Lock()
-		router.noteNotice("p2", notice.Notice{Rest: 3 * time.Second})
+		router.noteNotice("p2", notice.Notice{Cooldown: 3 * time.Second})
 		router.mutex.Unlock()
 		began := time.Now()
 		for range 3 {
@@ -95,9 +95,9 @@
 		said    notice.Notice
 		servers int
 	}{
-		"rest":               {false, notice.Notice{Rest: time.Second}, 2},
+		"rest":               {false, notice.Notice{Cooldown: time.Second}, 2},
 		"leaving":            {false, notice.Notice{IsLeaving: true}, 2},
-		"rest, already sent": {true, notice.Notice{Rest: time.Second}, 1},
+		"rest, already sent": {true, notice.Notice{Cooldown: time.Second}, 1},
 		"unreadable notice":  {false, notice.Notice{Problems: []string{"unreadable"}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -161,7 +161,7 @@
 			recorder, _ = ask(router, t.Context(), "/once/x", "")
 			c.Assert(recorder.Code, qt.Equals, http.StatusServiceUnavailable)
 		}
-		c.Assert(router.notices.book.News(router.now()).Reports, qt.DeepEquals, []notice.Report{{Instance: former, IsLeaving: true}})
+		c.Assert(router.notices.book.Pending(router.now()).Reports, qt.DeepEquals, []notice.Report{{Instance: former, IsLeaving: true}})
 		router.adoptView(plainView(next))
 		recorder, _ = ask(router, t.Context(), "/once/x", "")
 		c.Assert(recorder.Code, qt.Equals, http.StatusOK)
@@ -176,7 +176,7 @@
 		c := qt.New(t)
 		router, backend := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
 			answer, err := failed()
-			answer.Notice.Rest = 4 * time.Second
+			answer.Notice.Cooldown = 4 * time.Second
 			return answer, err
 		})
 		router.adoptView(plainView("p1"))
--- a/request/relay/options.go
+++ b/request/relay/options.go
@@ -28,9 +28,9 @@
 	Zone structs.ZoneID
 	// Regions maps zones to regions.
 	Regions map[structs.ZoneID]string
-	// Connects is the dialer of Backend. If it is nil, unreachable zones are not detected.
-	Connects *Connects
-	Retry    RetryRule
+	// Dialer is the dialer of Backend. If it is nil, unreachable zones are not detected.
+	Dialer *RunnerDialer
+	Retry  RetryRule
 	// Patience is how long callers of streams are expected to wait for the first event and between
 	// events.
 	Patience Patience
--- a/request/relay/order_test.go
+++ b/request/relay/order_test.go
@@ -143,7 +143,7 @@
 				document := tenantDocument(3)
 				document.Tenants[0].Limit, document.Tenants[1].Priority = site.RateLimit{}, nil
 				router.adoptDocument(document)
-				router.queue.SetShares(router.now(), shares.Word{IsKnown: true, Above: []shares.Share{{Tenant: "limited", Use: 4}}})
+				router.queue.SetShares(router.now(), shares.Overuse{IsKnown: true, Above: []shares.Share{{Tenant: "limited", Use: 4}}})
 				pause.For(t.Context(), test.age)
 				var first string
 				row := residency.Row{Service: "engine", Model: "m"}
--- a/request/relay/pressure.go
+++ b/request/relay/pressure.go
@@ -20,12 +20,12 @@
 	r.overload.mutex.Lock()
 	defer r.overload.mutex.Unlock()
 	changed := r.overload.gauge.Observe(now, late)
-	usual := r.overload.gauge.Late()
+	usual := r.overload.gauge.MedianDelay()
 	r.metrics.lateness.Set(usual.Seconds())
 	if !changed {
 		return
 	}
-	if r.overload.gauge.IsUnder() {
+	if r.overload.gauge.IsUnderPressure() {
 		r.metrics.overloaded.Set(1)
 		level.Warn(r.logger).Log("msg", "This router is at its limit and lets connections go.", "timers_late", usual)
 		return
@@ -39,15 +39,15 @@
 func (r *Router) isOverloaded() bool {
 	r.overload.mutex.Lock()
 	defer r.overload.mutex.Unlock()
-	return r.overload.gauge.IsUnder()
+	return r.overload.gauge.IsUnderPressure()
 }
 
-// LetsGo reports whether the caller's connection should be closed after the response because the
+// ShouldCloseConnection reports whether the caller's connection should be closed after the response because the
 // router is overloaded. The caller then reconnects, possibly to another router.
-func (r *Router) LetsGo() bool {
+func (r *Router) ShouldCloseConnection() bool {
 	r.overload.mutex.Lock()
 	defer r.overload.mutex.Unlock()
-	if !r.overload.gauge.LetGo(r.now()) {
+	if !r.overload.gauge.ShouldClose(r.now()) {
 		return false
 	}
 	r.metrics.connectionsClosed.Inc()
--- a/request/relay/queue.go
+++ b/request/relay/queue.go
@@ -70,7 +70,7 @@
 	switch {
 	case wanted.regions != nil:
 		return s.regionQueue(wanted.regions)
-	case wanted.work.Avoid != "" || wanted.work.Barred != "":
+	case wanted.work.Avoid != "" || wanted.work.Excluded != "":
 		return &s.restricted
 	}
 	return &s.waiters
@@ -200,12 +200,12 @@
 	}
 	wanted.cachedParts = choice.Cached(wanted.work.Prefixes)
 	choice.Sent(at, wanted.work.Prefixes)
-	if again := choice.NextTry(at); again > 0 {
+	if again := choice.ProbeDelay(at); again > 0 {
 		time.AfterFunc(again, r.serveAfterRest)
 	}
 	state := r.rowState(wanted.row)
 	state.active[choice.Runner()]++
-	state.prompts[choice.Runner()] += choice.Unread()
+	state.prompts[choice.Runner()] += choice.UncachedTokens()
 	r.prefetchTokens(wanted.row)
 	return choice, true
 }
@@ -214,12 +214,12 @@
 // must hold r.mutex.
 func (r *Router) setRest(instance string, left time.Duration) {
 	if left > 0 {
-		r.balancer.Rest(structs.RunnerID(instance), time.Now().Add(left))
+		r.balancer.CoolDown(structs.RunnerID(instance), time.Now().Add(left))
 	}
 }
 
 // isWanted reports whether the chosen runner still accepts requests. The caller must hold r.mutex.
-func (r *Router) isWanted(choice routing.Choice) bool { return choice.IsWanted(time.Now()) }
+func (r *Router) isWanted(choice routing.Choice) bool { return choice.AcceptsRequests(time.Now()) }
 
 // restsUntil returns when the first eligible runner ends its rest period, if all of them are
 // resting. The caller must hold r.mutex.
@@ -228,7 +228,7 @@
 		return time.Time{}, false
 	}
 	at := time.Now()
-	until, isResting := r.balancer.RestsUntil(at, rowName(wanted.row), &wanted.work)
+	until, isResting := r.balancer.CooldownEnd(at, rowName(wanted.row), &wanted.work)
 	return r.now().Add(until.Sub(at)), isResting
 }
 
@@ -243,9 +243,9 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.releaseLocked(row, choice, outcome)
-	if outcome == routing.OutcomeTurnedAway {
+	if outcome == routing.OutcomeRejected {
 		// No other event may signal the end of the runner's rest.
-		time.AfterFunc(choice.Rest(time.Now()), r.serveAfterRest)
+		time.AfterFunc(choice.Cooldown(time.Now()), r.serveAfterRest)
 	}
 	r.serveWaiters()
 }
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -454,9 +454,9 @@
 		})
 		go func() {
 			time.Sleep(time.Second)
-			router.RefuseWaiting()
+			router.RejectWaiting()
 			time.Sleep(time.Second)
-			router.CutAll()
+			router.CancelAll()
 		}()
 		began := time.Now()
 		sent := make(chan int)
--- a/request/relay/rest_test.go
+++ b/request/relay/rest_test.go
@@ -164,7 +164,7 @@
 // period.
 func rejectWithRest(rest time.Duration) (*Answer, error) {
 	answer, err := shed()
-	answer.Notice.Rest = rest
+	answer.Notice.Cooldown = rest
 	return answer, err
 }
 
--- a/request/relay/router.go
+++ b/request/relay/router.go
@@ -130,7 +130,7 @@
 		balancer: routing.New(routing.Options{
 			Daemon: structs.DaemonID(options.Name), Zone: options.Zone, MaxBatch: defaultBatch, ReportLife: loadTTL,
 			BreakerFailures: 2, BreakerDelay: 500 * time.Millisecond, BreakerDelayLimit: 4 * time.Second,
-			EjectionTime: 2 * time.Second, ColdTime: newConnTime, WarmTime: idleConnTime, UseFailing: true, Sharpness: selectionSharpness,
+			EjectionTime: 2 * time.Second, ColdTime: newConnTime, WarmTime: idleConnTime, UseFailing: true, CostExponent: selectionSharpness,
 		}, random),
 		rows:    make(map[residency.Row]*rowState),
 		queue:   fairqueue.New[*waiter](),
@@ -181,7 +181,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.candidates.hasPaced = false
-	r.applyFleetChanges(r.fleet.Learn(view))
+	r.applyFleetChanges(r.fleet.ApplyView(view))
 	r.metrics.runners.Set(float64(r.fleet.Len()))
 	r.dropIdleModels(r.now())
 	r.serveWaiters()
--- a/request/relay/runnerlimits.go
+++ b/request/relay/runnerlimits.go
@@ -12,11 +12,11 @@
 )
 
 // prefetchInterval is the interval between token requests for a runner that no request waits for.
-const prefetchInterval = ratelimit.TokenLife / 2
+const prefetchInterval = ratelimit.TokenTTL / 2
 
 // runnerLimits holds the rate limits announced by runners. It is guarded by Router.mutex.
 type runnerLimits struct {
-	belief *ratelimit.Belief
+	belief *ratelimit.LimitCache
 	// prefetch are the runners for which a token is to be requested although no request waits.
 	// requestedAt is the time of the last such request for each runner.
 	prefetch    map[structs.RunnerID]bool
@@ -25,7 +25,7 @@
 
 func newRunnerLimits() runnerLimits {
 	return runnerLimits{
-		belief:   ratelimit.NewBelief(),
+		belief:   ratelimit.NewLimitCache(),
 		prefetch: make(map[structs.RunnerID]bool), requestedAt: make(map[structs.RunnerID]time.Time),
 	}
 }
@@ -38,7 +38,7 @@
 		r.logNotice("The rate limit announced by a runner could not be parsed.", runner, "err", notice.Problem)
 	}
 	// A runner that is no longer listed has no limit to track.
-	if r.fleet.Runner(string(runner)) == nil || !r.runnerLimits.belief.Hear(r.now(), sent, string(runner), notice) {
+	if r.fleet.Runner(string(runner)) == nil || !r.runnerLimits.belief.ObserveAnswer(r.now(), sent, string(runner), notice) {
 		return
 	}
 	if notice.IsNamed {
@@ -121,7 +121,7 @@
 			found = rowLimit{}
 			return false
 		}
-		found.rate += max(ratelimit.LeastRate, perSecond)
+		found.rate += max(ratelimit.MinRate, perSecond)
 		found.runners++
 		return true
 	})
--- a/request/relay/runnerrests_fleet_test.go
+++ b/request/relay/runnerrests_fleet_test.go
@@ -86,8 +86,8 @@
 func (s *testSite) recordNotice(seen *runnerLog, router int, told notice.Notice) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if told.Rest > 0 {
-		seen.rests = append(seen.rests, restRequest{router, time.Now(), told.Rest})
+	if told.Cooldown > 0 {
+		seen.rests = append(seen.rests, restRequest{router, time.Now(), told.Cooldown})
 	}
 	if _, isTold := seen.toldLeaving[router]; told.IsLeaving && !isTold {
 		seen.toldLeaving[router] = time.Now()
@@ -160,7 +160,7 @@
 // rejectionWithRest returns the response of a runner that rejects a request and asks for a rest
 // period.
 func rejectionWithRest(rest time.Duration) relay.Answer {
-	return relay.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Notice: notice.Notice{Rest: rest}}
+	return relay.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Notice: notice.Notice{Cooldown: rest}}
 }
 
 // Runners that reject all requests and ask for rest periods must get almost none in those, while
--- a/request/relay/stop.go
+++ b/request/relay/stop.go
@@ -19,10 +19,10 @@
 	return made
 }
 
-// RefuseWaiting rejects the requests that wait for a runner, now and in the future, so that their
+// RejectWaiting rejects the requests that wait for a runner, now and in the future, so that their
 // callers can use another router in time.
-func (r *Router) RefuseWaiting() { r.stop.refuseWaiting() }
+func (r *Router) RejectWaiting() { r.stop.refuseWaiting() }
 
-// CutAll ends all requests in progress: those whose response has not started get an error response,
+// CancelAll ends all requests in progress: those whose response has not started get an error response,
 // the others are aborted.
-func (r *Router) CutAll() { r.stop.cutAll() }
+func (r *Router) CancelAll() { r.stop.cutAll() }
--- a/request/relay/suspects.go
+++ b/request/relay/suspects.go
@@ -210,7 +210,7 @@
 	r := x.router
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	ending := poison.Ending{Digest: x.digest, How: poison.EndedOpen}
+	ending := poison.Ending{Digest: x.digest, How: poison.Inconclusive}
 	switch {
 	case ended.isBroken() && r.zones.watch.IsLost(r.zones.watch.ZoneOf(instance)):
 		// The zone was lost, not the runner.
@@ -226,11 +226,11 @@
 			return
 		}
 		r.suspects.clear(x.digest)
-		ending.How = poison.EndedWell
+		ending.How = poison.Succeeded
 	case !isTrial:
 		return
 	case ended.reason == reasonNotHeld || ended.reason == reasonShed:
-		ending.How = poison.TurnedAway
+		ending.How = poison.Rejected
 	case ended.isNotRun:
 		ending.How = poison.NotSent
 	}
--- a/request/relay/tenancy.go
+++ b/request/relay/tenancy.go
@@ -102,7 +102,7 @@
 type admission struct {
 	tenant *site.Tenant
 	cost   float64
-	fresh  limiter.Fresh
+	fresh  limiter.LeaderGrant
 }
 
 // admit charges a request to its tenant's limit, or returns a refusal. It waits for the leader's
@@ -142,11 +142,11 @@
 	}
 	if !verdict.IsAdmitted {
 		return admission{}, &refusal{
-			status: http.StatusTooManyRequests, retryAfter: verdict.ComeBackIn, outcome: "over_limit",
+			status: http.StatusTooManyRequests, retryAfter: verdict.RetryAfter, outcome: "over_limit",
 			message: "the tenant's limit is used up: send less, or ask the operators of the site to raise it",
 		}
 	}
-	counted.fresh = verdict.Fresh
+	counted.fresh = verdict.Granted
 	r.metrics.tenant(tenant.Name, "admitted")
 	return counted, nil
 }
--- a/request/relay/tenancy_test.go
+++ b/request/relay/tenancy_test.go
@@ -238,7 +238,7 @@
 		synctest.Wait()
 		leave()
 		c.Assert((<-answered).outcome, qt.Equals, "caller_left")
-		now, _ := router.limits.limiter.IsAsking(time.Now())
+		now, _ := router.limits.limiter.NeedsLeader(time.Now())
 		c.Assert(now, qt.IsFalse)
 	})
 }
--- a/request/relay/tokens.go
+++ b/request/relay/tokens.go
@@ -22,7 +22,7 @@
 	// tokenRetryDelay is the delay after a failed token request.
 	tokenRetryDelay = 100 * time.Millisecond
 	// tokenTimeout bounds a token request; tokens of a later response would have expired.
-	tokenTimeout = ratelimit.TokenLife
+	tokenTimeout = ratelimit.TokenTTL
 	// tokenReserve is subtracted from the lifetime of tokens for the transit of the request to the
 	// runner.
 	tokenReserve = 50 * time.Millisecond
@@ -66,7 +66,7 @@
 		level.Debug(r.logger).Log("msg", "The token request to the leader failed.", "runners", len(wants), "err", err)
 		return tokenRetryDelay
 	}
-	again := r.takeTokens(reply.Grants, asked.Add(ratelimit.TokenLife-tokenReserve))
+	again := r.takeTokens(reply.Grants, asked.Add(ratelimit.TokenTTL-tokenReserve))
 	if !slices.ContainsFunc(wants, hasWaiters) {
 		// Requests that start to wait wake the loop.
 		return 0
--- a/request/relay/types.go
+++ b/request/relay/types.go
@@ -128,7 +128,7 @@
 }
 
 // isTaken reports whether the runner accepted the request, whatever its outcome.
-func (a *Answer) isTaken() bool { return !a.NotHeld && !a.NotRun && a.Notice.Rest == 0 }
+func (a *Answer) isTaken() bool { return !a.NotHeld && !a.NotRun && a.Notice.Cooldown == 0 }
 
 // tellsLimit reports whether the response is evidence of the runner's rate limit, or of its
 // absence. A response with NotHeld may come from another runner. Only a successful response proves
--- a/request/relay/zones.go
+++ b/request/relay/zones.go
@@ -78,7 +78,7 @@
 	if zone == "" {
 		return func() { r.endAttempt(zone, w) }
 	}
-	if r.zones.watch.IsQuiet() {
+	if r.zones.watch.IsIdle() {
 		r.zones.wakeUp()
 	}
 	r.zones.watch.Sent(r.now(), zone)
@@ -109,7 +109,7 @@
 
 // zoneLoop monitors zone reachability until ctx ends.
 func (r *Router) zoneLoop(ctx context.Context) {
-	if r.options.Connects == nil {
+	if r.options.Dialer == nil {
 		return
 	}
 	r.mutex.Lock()
@@ -127,7 +127,7 @@
 		}
 		if now.Sub(lookedAt) >= latencyInterval {
 			lookedAt = now
-			r.balancer.SetWays(r.options.Connects.extraLatencies(r.options.Zone))
+			r.balancer.SetZoneLatencies(r.options.Dialer.extraLatencies(r.options.Zone))
 			r.sampleLatencies()
 		}
 		r.mutex.Unlock()
@@ -136,19 +136,19 @@
 
 // leaderSilence returns the time without a leader after which no model load can be expected: twice
 // the hold time of a watch. The caller must hold r.mutex.
-func (r *Router) leaderSilence() time.Duration { return 2 * max(r.leaderHold, domainapi.LeastHold) }
+func (r *Router) leaderSilence() time.Duration { return 2 * max(r.leaderHold, domainapi.MinHold) }
 
 // leaderQuiet returns the time without a leader after which all zones are probed, once per
 // leaderSilence: the hold time of a watch plus leaderAnswerTime. The caller must hold r.mutex.
 func (r *Router) leaderQuiet() time.Duration {
-	return max(r.leaderHold, domainapi.LeastHold) + leaderAnswerTime
+	return max(r.leaderHold, domainapi.MinHold) + leaderAnswerTime
 }
 
 // awaitCheck waits until the next check is due. It returns false if ctx ends first.
 func (r *Router) awaitCheck(ctx context.Context) bool {
 	wait := zoneCheckInterval
 	r.mutex.Lock()
-	if r.zones.watch.IsQuiet() && !r.isOverloaded() {
+	if r.zones.watch.IsIdle() && !r.isOverloaded() {
 		untilQuiet := r.leaderQuiet() - r.now().Sub(r.routerCount.at)
 		wait = min(quietCheckInterval, max(zoneCheckInterval, untilQuiet))
 	}
@@ -178,7 +178,7 @@
 
 // sampleLatencies probes zones whose latency is unknown. The caller must hold r.mutex.
 func (r *Router) sampleLatencies() {
-	wanted := r.zones.watch.Sample(r.options.Connects.isUnmeasured)
+	wanted := r.zones.watch.Sample(r.options.Dialer.isUnmeasured)
 	r.random.Shuffle(len(wanted), func(i, j int) { wanted[i], wanted[j] = wanted[j], wanted[i] })
 	wanted = wanted[:min(len(wanted), r.zones.probeBudget())]
 	r.zones.sampled += len(wanted)
@@ -218,7 +218,7 @@
 		address := runner.Address
 		r.metrics.zoneProbes.Inc()
 		r.zones.probes.Go(func() {
-			outcome := r.options.Connects.probe(ctx, address)
+			outcome := r.options.Dialer.probe(ctx, address)
 			r.mutex.Lock()
 			defer r.mutex.Unlock()
 			changes, more := r.zones.watch.Probed(r.now(), each, outcome)
@@ -233,7 +233,7 @@
 // applyZoneChange excludes a zone from selection or includes it again. The caller must hold
 // r.mutex.
 func (r *Router) applyZoneChange(change zonewatch.Change) {
-	r.balancer.SetOutOfReach(change.Zone, change.IsLost)
+	r.balancer.SetZoneUnreachable(change.Zone, change.IsLost)
 	r.metrics.zonesLost.Set(float64(r.zones.watch.Lost()))
 	sinceLeader := r.now().Sub(r.routerCount.at)
 	if !change.IsLost {
@@ -259,5 +259,5 @@
 // as after a network partition. Requests for the row still wait, since the partition may heal at
 // any moment; if they wait in vain they get a longer Retry-After. The caller must hold r.mutex.
 func (r *Router) isPartitioned(now time.Time, row structs.RowName) bool {
-	return r.zones.watch.Lost() > 0 && now.Sub(r.routerCount.at) > r.leaderSilence() && r.balancer.Reached(row) == 0
+	return r.zones.watch.Lost() > 0 && now.Sub(r.routerCount.at) > r.leaderSilence() && r.balancer.ReachableReplicas(row) == 0
 }
--- a/request/relay/zones_test.go
+++ b/request/relay/zones_test.go
@@ -36,7 +36,7 @@
 	detectTime = 500 * time.Millisecond
 	// isolatedDetectTime is the same within an isolated zone, whose routers detect the partition
 	// from the silence of the leader.
-	isolatedDetectTime = domainapi.LeastHold + leaderAnswerTime + 3*zoneAnswer
+	isolatedDetectTime = domainapi.MinHold + leaderAnswerTime + 3*zoneAnswer
 	// leaderInterval is the interval between messages of the leader.
 	leaderInterval = 500 * time.Millisecond
 )
@@ -97,12 +97,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &zoneSite{c: qt.New(t), network: &partitionedNetwork{cut: make(map[string]bool)}, isOpen: make(map[string]bool)}
-		connects := NewConnects(s.network)
+		connects := NewRunnerDialer(s.network)
 		s.backend = &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt) (*Answer, error) {
 			return s.answer(ctx, connects, attempt)
 		}}
 		s.router = New(Options{
-			Logger: log.NewNopLogger(), Name: "router", Zone: "a", Connects: connects, Backend: s.backend,
+			Logger: log.NewNopLogger(), Name: "router", Zone: "a", Dialer: connects, Backend: s.backend,
 			Retry:    RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
 			Patience: Patience{Floor: 2 * time.Second, Objectives: 4, Pauses: 8},
 		})
@@ -149,7 +149,7 @@
 }
 
 // answer simulates the runners. Requests that reach a disconnected zone are not answered.
-func (s *zoneSite) answer(ctx context.Context, connects *Connects, attempt *Attempt) (*Answer, error) {
+func (s *zoneSite) answer(ctx context.Context, connects *RunnerDialer, attempt *Attempt) (*Answer, error) {
 	s.mutex.Lock()
 	isOpen := s.isOpen[attempt.Instance]
 	s.mutex.Unlock()
--- a/request/router/attempt.go
+++ b/request/router/attempt.go
@@ -15,7 +15,7 @@
 func (r *request) markAccepted() {
 	if !r.accepted {
 		r.accepted = true
-		r.choice.Took()
+		r.choice.RecordAccepted()
 	}
 }
 
@@ -90,7 +90,7 @@
 	if event.Stage == RefusedByEngine {
 		outcome = routing.OutcomeRefused
 		if event.Error != nil && event.Error.RetryAfter > 0 {
-			c.balancer.Rest(req.choice.Runner(), c.now.Add(event.Error.RetryAfter))
+			c.balancer.CoolDown(req.choice.Runner(), c.now.Add(event.Error.RetryAfter))
 		}
 	}
 	c.endAttempt(req, outcome)
--- a/request/router/claim.go
+++ b/request/router/claim.go
@@ -23,7 +23,7 @@
 		Session:       c.options.Session,
 		HolderAddress: c.options.Address,
 		State:         structs.ClaimHeld,
-		ExpiresAt:     c.now.Add(c.options.AnswerLife),
+		ExpiresAt:     c.now.Add(c.options.AnswerTTL),
 	}
 	switch req.phase {
 	case phaseBinding:
--- a/request/router/event.go
+++ b/request/router/event.go
@@ -115,7 +115,7 @@
 type OfferFailed struct {
 	ID         structs.RequestID
 	Refused    []structs.ZoneID
-	Silent     []structs.ZoneID
+	TimedOut   []structs.ZoneID
 	MayHaveRun bool
 }
 
--- a/request/router/offer.go
+++ b/request/router/offer.go
@@ -82,7 +82,7 @@
 
 // offerFailed queues a request that no other zone accepted, as of its arrival.
 func (c *Core) offerFailed(event OfferFailed) {
-	c.recordUnresponsive(event.Silent)
+	c.recordUnresponsive(event.TimedOut)
 	req := c.requests[event.ID]
 	if req == nil || req.phase != phaseOffered {
 		return
--- a/request/router/offer_test.go
+++ b/request/router/offer_test.go
@@ -106,7 +106,7 @@
 func TestSilentZoneGetsNoOfferForAWhile(t *testing.T) {
 	s := newOfferScript(t)
 	s.arriveCold("first", nil)
-	s.do(OfferFailed{ID: "first", Silent: []structs.ZoneID{"b"}, MayHaveRun: true})
+	s.do(OfferFailed{ID: "first", TimedOut: []structs.ZoneID{"b"}, MayHaveRun: true})
 	s.arriveCold("second", nil)
 	s.c.Assert(only[Offer](s).Zones, qt.DeepEquals, []structs.ZoneID{"c"})
 	s.now = testStart.Add(20 * time.Second)
--- a/request/router/options.go
+++ b/request/router/options.go
@@ -58,7 +58,7 @@
 	// AnswerLimit limits the answer of a request with a key, in bytes. AnswerLife is how
 	// long the key stays claimed, and the longest time that the answer can be replayed.
 	AnswerLimit int
-	AnswerLife  time.Duration
+	AnswerTTL   time.Duration
 	// Estimator holds the estimates for a row without observations.
 	Estimator admission.EstimatorOptions
 	// Routing holds the settings of replica selection; New sets its Daemon.
@@ -74,7 +74,7 @@
 	DefaultStallFloor   = time.Second
 	DefaultStallCeiling = 5 * time.Second
 	DefaultAnswerLimit  = 1 << 20
-	DefaultAnswerLife   = 24 * time.Hour
+	DefaultAnswerTTL    = 24 * time.Hour
 )
 
 // MinimumRetryAfter is the shortest RetryAfter of a refusal.
@@ -95,7 +95,7 @@
 	option.Positive(&o.StallFloor, DefaultStallFloor)
 	option.Positive(&o.StallCeiling, DefaultStallCeiling)
 	option.Positive(&o.AnswerLimit, DefaultAnswerLimit)
-	option.Positive(&o.AnswerLife, DefaultAnswerLife)
+	option.Positive(&o.AnswerTTL, DefaultAnswerTTL)
 	option.Positive(&o.BackoffBase, routing.DefaultBackoffBase)
 	option.Positive(&o.BackoffLimit, routing.DefaultBackoffLimit)
 	if len(o.Zones) == 0 {
--- a/request/router/simulation_test.go
+++ b/request/router/simulation_test.go
@@ -301,7 +301,7 @@
 		w.after(effect.Budget, OfferTaken{ID: effect.ID, Zone: effect.Zones[0]})
 	case draw < 14:
 		w.executions[string(effect.ID)]++
-		w.after(effect.Budget, OfferFailed{ID: effect.ID, Silent: effect.Zones[:1], MayHaveRun: true})
+		w.after(effect.Budget, OfferFailed{ID: effect.ID, TimedOut: effect.Zones[:1], MayHaveRun: true})
 	default:
 		w.after(effect.Budget, OfferFailed{ID: effect.ID, Refused: effect.Zones})
 	}
--- a/request/routing/balancer.go
+++ b/request/routing/balancer.go
@@ -76,7 +76,7 @@
 
 // pick chooses among the usable replicas by the method that the options select.
 func (b *Balancer) pick(now time.Time, wanted *row, work *Work, found *lookup) *replica {
-	if b.options.Sharpness > 0 {
+	if b.options.CostExponent > 0 {
 		return b.draw(now, wanted, work, found)
 	}
 	return b.sample(now, wanted, work, found)
--- a/request/routing/breaker.go
+++ b/request/routing/breaker.go
@@ -12,9 +12,9 @@
 	// OutcomeNeutral means that the attempt was abandoned for a reason unrelated to
 	// the replica.
 	OutcomeNeutral
-	// OutcomeTurnedAway means that the runner rejected the request without running it,
+	// OutcomeRejected means that the runner rejected the request without running it,
 	// because it is full or about to unload the model.
-	OutcomeTurnedAway
+	OutcomeRejected
 	// OutcomeRefused means that the runner responds but does not run the replica's requests.
 	OutcomeRefused
 	// OutcomeBroken means that the runner was unreachable or the stream broke.
--- a/request/routing/choice.go
+++ b/request/routing/choice.go
@@ -21,14 +21,14 @@
 	expected float64
 }
 
-// Expected returns the expected time of the request at the chosen replica plus the
+// ExpectedCost returns the expected time of the request at the chosen replica plus the
 // delay that it causes to other requests there.
-func (c Choice) Expected() time.Duration {
+func (c Choice) ExpectedCost() time.Duration {
 	return time.Duration(c.expected * float64(time.Second))
 }
 
-// Unread returns the expected number of prompt tokens that the runner has to process.
-func (c Choice) Unread() int64 { return c.uncachedTokens }
+// UncachedTokens returns the expected number of prompt tokens that the runner has to process.
+func (c Choice) UncachedTokens() int64 { return c.uncachedTokens }
 
 // Runner returns the ID of the chosen runner.
 func (c Choice) Runner() structs.RunnerID { return c.runner.ID }
@@ -46,18 +46,20 @@
 	return !target.leaving && target.replicas[c.replica.row.name] == c.replica
 }
 
-// IsWanted reports whether the runner still accepts requests: it is neither leaving nor in a requested cooldown.
-func (c Choice) IsWanted(now time.Time) bool {
+// AcceptsRequests reports whether the runner still accepts requests: it is neither leaving nor in a requested cooldown.
+func (c Choice) AcceptsRequests(now time.Time) bool {
 	target := c.replica.runner
 	return !target.leaving && !target.requested.isActive(now)
 }
 
-// Rest returns the remaining cooldown of the replica after rejected requests.
-func (c Choice) Rest(now time.Time) time.Duration { return max(0, c.replica.cooldown.until.Sub(now)) }
+// Cooldown returns the remaining cooldown of the replica after rejected requests.
+func (c Choice) Cooldown(now time.Time) time.Duration {
+	return max(0, c.replica.cooldown.until.Sub(now))
+}
 
-// Took records that the runner accepted the request. It reports whether this ends the probing after a requested
+// RecordAccepted records that the runner accepted the request. It reports whether this ends the probing after a requested
 // cooldown. Requests chosen before the end of the cooldown are ignored.
-func (c Choice) Took() bool {
+func (c Choice) RecordAccepted() bool {
 	requested := &c.replica.runner.requested
 	if !requested.isProbing || c.chosenAt.Before(requested.until) {
 		return false
@@ -66,9 +68,9 @@
 	return true
 }
 
-// NextTry returns the delay before another request may be sent to a runner that has not accepted one since its
+// ProbeDelay returns the delay before another request may be sent to a runner that has not accepted one since its
 // requested cooldown; 0 for any other runner.
-func (c Choice) NextTry(now time.Time) time.Duration {
+func (c Choice) ProbeDelay(now time.Time) time.Duration {
 	requested := &c.replica.runner.requested
 	if !requested.isProbing {
 		return 0
@@ -121,7 +123,7 @@
 	case OutcomeNeutral:
 		target.breaker.abandoned()
 		c.replica.breaker.abandoned()
-	case OutcomeTurnedAway:
+	case OutcomeRejected:
 		target.breaker.abandoned()
 		c.replica.breaker.abandoned()
 		c.replica.cooldown.start(now)
--- a/request/routing/cooldown.go
+++ b/request/routing/cooldown.go
@@ -82,9 +82,9 @@
 	return -1
 }
 
-// Rest excludes a runner until the given time, whatever it answers to requests in flight. In rows with more replicas than
+// CoolDown excludes a runner until the given time, whatever it answers to requests in flight. In rows with more replicas than
 // the subset holds, another replica takes its place.
-func (b *Balancer) Rest(id structs.RunnerID, until time.Time) {
+func (b *Balancer) CoolDown(id structs.RunnerID, until time.Time) {
 	target := b.runners[id]
 	if target == nil {
 		return
@@ -96,9 +96,9 @@
 	}
 }
 
-// RestsUntil returns the earliest end of the requested cooldowns of the row's runners that may get the work. It reports
+// CooldownEnd returns the earliest end of the requested cooldowns of the row's runners that may get the work. It reports
 // false if any of them accepts requests now, or if there is none.
-func (b *Balancer) RestsUntil(now time.Time, name structs.RowName, work *Work) (time.Time, bool) {
+func (b *Balancer) CooldownEnd(now time.Time, name structs.RowName, work *Work) (time.Time, bool) {
 	wanted := b.rows[name]
 	if wanted == nil {
 		return time.Time{}, false
--- a/request/routing/cooldown_test.go
+++ b/request/routing/cooldown_test.go
@@ -36,14 +36,14 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := newTwoRunners()
-	before, _ := b.PickFor(now, "m", &Work{Barred: "b"})
+	before, _ := b.PickFor(now, "m", &Work{Excluded: "b"})
 	before.Sent(now, nil)
-	b.Rest("a", now.Add(3*time.Second))
-	c.Assert(before.IsWanted(now), qt.IsFalse)
+	b.CoolDown("a", now.Add(3*time.Second))
+	c.Assert(before.AcceptsRequests(now), qt.IsFalse)
 	// Neither the answer to an earlier request nor a shorter cooldown ends it.
-	c.Assert(before.Took(), qt.IsFalse)
+	c.Assert(before.RecordAccepted(), qt.IsFalse)
 	before.Done(now, OutcomeSuccess)
-	b.Rest("a", now.Add(time.Second))
+	b.CoolDown("a", now.Add(time.Second))
 	for _, row := range []structs.RowName{"m", "n"} {
 		for range 20 {
 			choice, found := b.Pick(now.Add(2999*time.Millisecond), row, nil, "")
@@ -62,10 +62,10 @@
 	b := newTwoRunners()
 	b.Leave("b")
 	end := now.Add(3 * time.Second)
-	b.Rest("a", end)
+	b.CoolDown("a", end)
 	first, found := send(b, end, "m")
 	c.Assert(found, qt.IsTrue)
-	c.Assert(first.NextTry(end), qt.Equals, probeInterval)
+	c.Assert(first.ProbeDelay(end), qt.Equals, probeInterval)
 	_, found = send(b, end, "n")
 	c.Assert(found, qt.IsFalse)
 	// After probeInterval another probe is sent without an answer to the first.
@@ -74,12 +74,12 @@
 	_, found = send(b, end.Add(probeInterval), "m")
 	c.Assert(found, qt.IsFalse)
 	// The runner accepts requests again.
-	c.Assert(first.Took(), qt.IsTrue)
-	c.Assert(second.Took(), qt.IsFalse)
+	c.Assert(first.RecordAccepted(), qt.IsTrue)
+	c.Assert(second.RecordAccepted(), qt.IsFalse)
 	for range 5 {
 		choice, found := send(b, end.Add(probeInterval), "m")
 		c.Assert(found, qt.IsTrue)
-		c.Assert(choice.NextTry(end.Add(probeInterval)), qt.Equals, time.Duration(0))
+		c.Assert(choice.ProbeDelay(end.Add(probeInterval)), qt.Equals, time.Duration(0))
 	}
 }
 
@@ -88,31 +88,31 @@
 	now := time.Unix(1000, 0)
 	b := newTwoRunners()
 	cooldownFor := func(work Work) time.Duration {
-		until, isCooling := b.RestsUntil(now, "m", &work)
+		until, isCooling := b.CooldownEnd(now, "m", &work)
 		if !isCooling {
 			return 0
 		}
 		return until.Sub(now)
 	}
-	b.Rest("a", now.Add(3*time.Second))
+	b.CoolDown("a", now.Add(3*time.Second))
 	c.Assert(cooldownFor(Work{}), qt.Equals, time.Duration(0))
 	// Work restricted to the one runner waits for its cooldown.
-	c.Assert(cooldownFor(Work{Barred: "b"}), qt.Equals, 3*time.Second)
+	c.Assert(cooldownFor(Work{Excluded: "b"}), qt.Equals, 3*time.Second)
 	c.Assert(cooldownFor(Work{Zones: map[structs.ZoneID]bool{"z1": true}}), qt.Equals, 3*time.Second)
-	b.Rest("b", now.Add(2*time.Second))
+	b.CoolDown("b", now.Add(2*time.Second))
 	c.Assert(cooldownFor(Work{}), qt.Equals, 2*time.Second)
 	b.Leave("b")
 	c.Assert(cooldownFor(Work{}), qt.Equals, 3*time.Second)
 	b.Leave("a")
 	c.Assert(cooldownFor(Work{}), qt.Equals, time.Duration(0))
-	_, isCooling := b.RestsUntil(now, "unknown", &Work{})
+	_, isCooling := b.CooldownEnd(now, "unknown", &Work{})
 	c.Assert(isCooling, qt.IsFalse)
 }
 
 // Runners outside the subset replace its members that cool down or leave, until none is left.
 func TestSubsetReplacesCoolingAndLeavingRunners(t *testing.T) {
 	for name, lose := range map[string]func(b *Balancer, id structs.RunnerID, until time.Time){
-		"cooldown": func(b *Balancer, id structs.RunnerID, until time.Time) { b.Rest(id, until) },
+		"cooldown": func(b *Balancer, id structs.RunnerID, until time.Time) { b.CoolDown(id, until) },
 		"leave":    func(b *Balancer, id structs.RunnerID, _ time.Time) { b.Leave(id) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -137,7 +137,7 @@
 			}
 			_, found := b.Pick(now, "m", nil, "")
 			c.Assert(found, qt.IsFalse)
-			_, isCooling := b.RestsUntil(now, "m", &Work{})
+			_, isCooling := b.CooldownEnd(now, "m", &Work{})
 			c.Assert(isCooling, qt.Equals, name == "cooldown")
 		})
 	}
--- a/request/routing/draw.go
+++ b/request/routing/draw.go
@@ -77,7 +77,7 @@
 	if !found.peers.isKnown && candidate.runner.pace.PromptRate > 0 {
 		return cost
 	}
-	return intPow(cost, b.options.Sharpness)
+	return intPow(cost, b.options.CostExponent)
 }
 
 // intPow returns base to the given power, which must be at least 1.
--- a/request/routing/expected.go
+++ b/request/routing/expected.go
@@ -162,8 +162,8 @@
 	r.pendingTokensAt = now
 }
 
-// ObserveReading records the share of its recent time that a runner spent processing prompts.
-func (b *Balancer) ObserveReading(id structs.RunnerID, share float64) {
+// ObservePrefillShare records the share of its recent time that a runner spent processing prompts.
+func (b *Balancer) ObservePrefillShare(id structs.RunnerID, share float64) {
 	if target := b.runners[id]; target != nil {
 		target.prefillShare = share
 	}
--- a/request/routing/load_choice_test.go
+++ b/request/routing/load_choice_test.go
@@ -15,7 +15,7 @@
 
 // manyRouters returns the options of one router among many.
 func manyRouters() Options {
-	return Options{ReportLife: 3 * time.Second, Sharpness: 3, ColdTime: 4 * time.Millisecond, WarmTime: 8 * time.Second}
+	return Options{ReportLife: 3 * time.Second, CostExponent: 3, ColdTime: 4 * time.Millisecond, WarmTime: 8 * time.Second}
 }
 
 // simulate runs the load with a policy for several seeds and returns the mean result.
@@ -172,7 +172,7 @@
 		choice, found := balancer.Pick(now, "row", nil, "")
 		if found {
 			choice.Sent(now, nil)
-			choice.Done(now, OutcomeTurnedAway)
+			choice.Done(now, OutcomeRejected)
 		}
 		return found
 	}
@@ -199,10 +199,10 @@
 	first.Sent(start, nil)
 	second, _ := balancer.Pick(start, "row", nil, "")
 	second.Sent(start, nil)
-	second.Done(start, OutcomeTurnedAway)
-	c.Assert(second.Rest(start), qt.Equals, minCooldown)
+	second.Done(start, OutcomeRejected)
+	c.Assert(second.Cooldown(start), qt.Equals, minCooldown)
 	first.Done(start, OutcomeSuccess)
-	c.Assert(second.Rest(start), qt.Equals, time.Duration(0))
+	c.Assert(second.Cooldown(start), qt.Equals, time.Duration(0))
 }
 
 func TestBarredRunnerIsNeverPicked(t *testing.T) {
@@ -210,7 +210,7 @@
 	balancer := newBalancer(1, Options{UseFailing: true})
 	_, found := balancer.PickFor(start, "row", &Work{Avoid: "runner-0"})
 	c.Assert(found, qt.IsTrue)
-	_, found = balancer.PickFor(start, "row", &Work{Barred: "runner-0"})
+	_, found = balancer.PickFor(start, "row", &Work{Excluded: "runner-0"})
 	c.Assert(found, qt.IsFalse)
 }
 
--- a/request/routing/load_long_test.go
+++ b/request/routing/load_long_test.go
@@ -50,7 +50,7 @@
 		}
 	}
 	if s.size < len(promptSizes)-1 {
-		work.Barred = runnerID(holder)
+		work.Excluded = runnerID(holder)
 		return p.chooseFor(now, s, work)
 	}
 	choice, found := p.longBalancers[s.router].PickFor(at(now), rowName(holder), work)
--- a/request/routing/load_policies_test.go
+++ b/request/routing/load_policies_test.go
@@ -83,7 +83,7 @@
 		}
 		for number, each := range written {
 			balancer.ObserveLoad(runnerID(number), structs.LoadReport{Running: each.requests, ObservedAt: at(now)})
-			balancer.ObserveReading(runnerID(number), each.prefillShare)
+			balancer.ObservePrefillShare(runnerID(number), each.prefillShare)
 		}
 	}
 }
--- a/request/routing/options.go
+++ b/request/routing/options.go
@@ -45,10 +45,10 @@
 	// not answered within WarmTime. Zero ignores connections.
 	ColdTime time.Duration
 	WarmTime time.Duration
-	// Sharpness is the power of the cost in the weights of a random draw, for routers
+	// CostExponent is the power of the cost in the weights of a random draw, for routers
 	// that each know little of the load of many others. Zero selects the best of
 	// Choices samples.
-	Sharpness int
+	CostExponent int
 }
 
 // Defaults of Options.
--- a/request/routing/paced_test.go
+++ b/request/routing/paced_test.go
@@ -75,7 +75,7 @@
 func TestColdRunnerTokenIsNotAlwaysTaken(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	b := New(Options{Daemon: "d", Zone: "near", Sharpness: 3}, rand.New(rand.NewPCG(1, 1)))
+	b := New(Options{Daemon: "d", Zone: "near", CostExponent: 3}, rand.New(rand.NewPCG(1, 1)))
 	b.SetPlacement(structs.Placement{
 		Runners:  []structs.RunnerInfo{{ID: "cold", Zone: "far"}, {ID: "warm", Zone: "near"}},
 		Replicas: []structs.Replica{{Row: "m", Runner: "cold", State: structs.ReplicaReady}, {Row: "m", Runner: "warm", State: structs.ReplicaReady}},
--- a/request/routing/work.go
+++ b/request/routing/work.go
@@ -17,15 +17,15 @@
 	Prompt int64
 	// Avoid is a runner that is chosen only if no other one has room. Barred is never
 	// chosen.
-	Avoid  structs.RunnerID
-	Barred structs.RunnerID
+	Avoid    structs.RunnerID
+	Excluded structs.RunnerID
 	// Zones are the zones whose runners may be chosen; nil allows all.
 	Zones map[structs.ZoneID]bool
 }
 
 // allows reports whether the runner may get the work, regardless of its load.
 func (w *Work) allows(target *runner) bool {
-	if w.Barred != "" && target.info.ID == w.Barred {
+	if w.Excluded != "" && target.info.ID == w.Excluded {
 		return false
 	}
 	return w.Zones == nil || w.Zones[target.info.Zone]
