--- a/request/routing/zone.go
+++ b/request/routing/zone.go
@@ -22,9 +22,9 @@
 	latencies map[structs.ZoneID]time.Duration
 }
 
-// SetOutOfReach sets whether the runners of a zone are excluded. When the zone is reachable again, earlier failures
+// SetZoneUnreachable sets whether the runners of a zone are excluded. When the zone is reachable again, earlier failures
 // of its runners are cleared.
-func (b *Balancer) SetOutOfReach(zone structs.ZoneID, isUnreachable bool) {
+func (b *Balancer) SetZoneUnreachable(zone structs.ZoneID, isUnreachable bool) {
 	if isUnreachable {
 		b.zones.unreachable[zone] = true
 		return
@@ -42,9 +42,11 @@
 	}
 }
 
-// SetWays sets the additional round-trip times to other zones, relative to the own zone. Zones that are not listed
+// SetZoneLatencies sets the additional round-trip times to other zones, relative to the own zone. Zones that are not listed
 // have defaultZoneLatency.
-func (b *Balancer) SetWays(latencies map[structs.ZoneID]time.Duration) { b.zones.latencies = latencies }
+func (b *Balancer) SetZoneLatencies(latencies map[structs.ZoneID]time.Duration) {
+	b.zones.latencies = latencies
+}
 
 // remoteCost returns the additional cost of the runner's zone.
 func (b *Balancer) remoteCost(target *runner) time.Duration {
@@ -90,8 +92,8 @@
 	return b.options.Zone != "" && zone != "" && zone != b.options.Zone
 }
 
-// Reached returns the number of the row's ready replicas in reachable zones.
-func (b *Balancer) Reached(name structs.RowName) int {
+// ReachableReplicas returns the number of the row's ready replicas in reachable zones.
+func (b *Balancer) ReachableReplicas(name structs.RowName) int {
 	wanted := b.rows[name]
 	if wanted == nil {
 		return 0
--- a/request/routing/zone_test.go
+++ b/request/routing/zone_test.go
@@ -14,7 +14,7 @@
 
 // newZonedBalancer returns a balancer in the given zone with two runners in each of the zones a and b.
 func newZonedBalancer(zone structs.ZoneID) *routing.Balancer {
-	b := routing.New(routing.Options{Daemon: "d", Zone: zone, MaxBatch: 24, Sharpness: 3, BreakerFailures: 2, BreakerDelay: 10 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+	b := routing.New(routing.Options{Daemon: "d", Zone: zone, MaxBatch: 24, CostExponent: 3, BreakerFailures: 2, BreakerDelay: 10 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 	var placed structs.Placement
 	for _, id := range []structs.RunnerID{"a1", "a2", "b1", "b2"} {
 		placed.Runners = append(placed.Runners, structs.RunnerInfo{ID: id, Zone: structs.ZoneID(id[:1])})
@@ -62,7 +62,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			b := newZonedBalancer(test.zone)
-			b.SetWays(test.latencies)
+			b.SetZoneLatencies(test.latencies)
 			for _, id := range []structs.RunnerID{"a1", "a2"} {
 				b.ObserveLoad(id, structs.LoadReport{Running: test.others, ObservedAt: now})
 			}
@@ -85,14 +85,14 @@
 		choice.Sent(now, nil)
 		choice.Done(now, routing.OutcomeBroken)
 	}
-	b.SetOutOfReach("a", true)
-	b.SetOutOfReach("b", true)
+	b.SetZoneUnreachable("a", true)
+	b.SetZoneUnreachable("b", true)
 	_, found := b.Pick(now, "r", nil, "")
 	c.Assert(found, qt.IsFalse)
-	c.Assert(b.Reached("r"), qt.Equals, 0)
-	b.SetOutOfReach("b", false)
-	c.Assert(b.Reached("r"), qt.Equals, 2)
+	c.Assert(b.ReachableReplicas("r"), qt.Equals, 0)
+	b.SetZoneUnreachable("b", false)
+	c.Assert(b.ReachableReplicas("r"), qt.Equals, 2)
 	c.Assert(countLocal(c, b, now), qt.Equals, 0)
-	b.SetOutOfReach("a", false)
+	b.SetZoneUnreachable("a", false)
 	c.Assert(countLocal(c, b, now), qt.Equals, 1000)
 }
--- a/request/zonewatch/connect.go
+++ b/request/zonewatch/connect.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// LeastConnectTimeout is the minimum timeout of a connect: twenty round trips between zones of
+	// MinConnectTimeout is the minimum timeout of a connect: twenty round trips between zones of
 	// one region, with a margin for a router whose CPU is busy for some tens of milliseconds. It is
 	// the delay caused by a lost SYN, which the kernel retransmits only after a second.
-	LeastConnectTimeout = 80 * time.Millisecond
-	// MostConnectTimeout is the maximum timeout, also used before anything was measured.
-	MostConnectTimeout = 500 * time.Millisecond
+	MinConnectTimeout = 80 * time.Millisecond
+	// MaxConnectTimeout is the maximum timeout, also used before anything was measured.
+	MaxConnectTimeout = 500 * time.Millisecond
 	// connectFactor is the ratio of the timeout to the estimated maximum connect time.
 	connectFactor = 4
 	// meanWeight and deviationWeight are the weights of a new sample in the averages, and
@@ -72,14 +72,14 @@
 // Timeout returns the timeout for the next connect to a runner of the zone.
 func (c *ConnectTimes) Timeout(zone structs.ZoneID) time.Duration {
 	if !c.IsMeasured(zone) {
-		return MostConnectTimeout
+		return MaxConnectTimeout
 	}
 	known := c.zones[zone]
 	if known.timeouts%fullTimeoutEvery == fullTimeoutEvery-1 {
-		return MostConnectTimeout
+		return MaxConnectTimeout
 	}
 	usual := known.mean + deviationFactor*known.deviation
-	return min(MostConnectTimeout, max(LeastConnectTimeout, connectFactor*usual))
+	return min(MaxConnectTimeout, max(MinConnectTimeout, connectFactor*usual))
 }
 
 // IsMeasured reports whether enough connects to the zone were measured.
--- a/request/zonewatch/connect_test.go
+++ b/request/zonewatch/connect_test.go
@@ -17,8 +17,8 @@
 		took        []time.Duration
 		least, most time.Duration
 	}{
-		{"no measurements", nil, zonewatch.MostConnectTimeout, zonewatch.MostConnectTimeout},
-		{"within a region", repeat(2*time.Millisecond, 20), zonewatch.LeastConnectTimeout, zonewatch.LeastConnectTimeout},
+		{"no measurements", nil, zonewatch.MaxConnectTimeout, zonewatch.MaxConnectTimeout},
+		{"within a region", repeat(2*time.Millisecond, 20), zonewatch.MinConnectTimeout, zonewatch.MinConnectTimeout},
 		{"another continent", repeat(60*time.Millisecond, 40), 240 * time.Millisecond, 300 * time.Millisecond},
 		{"a busy router", append(repeat(2*time.Millisecond, 20), 40*time.Millisecond, 3*time.Millisecond, 50*time.Millisecond), 100 * time.Millisecond, 500 * time.Millisecond},
 	} {
--- a/request/zonewatch/watch.go
+++ b/request/zonewatch/watch.go
@@ -145,8 +145,8 @@
 	return known != nil && known.isLost
 }
 
-// IsQuiet reports whether no request is open and no zone is unreachable or suspected.
-func (w *Watch) IsQuiet() bool {
+// IsIdle reports whether no request is open and no zone is unreachable or suspected.
+func (w *Watch) IsIdle() bool {
 	for _, each := range w.zones {
 		if each.open > 0 || each.isLost || each.suspicion != nil {
 			return false
