--- a/placement/domainapi/messages.go
+++ b/placement/domainapi/messages.go
@@ -122,12 +122,12 @@
 	// Suspects is the revision, within Term, of the router's list of suspects.
 	Suspects uint64
 	// MaxHold is the longest time that the router waits for a reply. The previous release
-	// sends 0 and waits for LeastHold.
+	// sends 0 and waits for MinHold.
 	MaxHold time.Duration
 }
 
 const (
-	// MinHold and MostHold bound the time that a leader holds a watch without changes.
+	// MinHold and MaxHold bound the time that a leader holds a watch without changes.
 	// Routers detect the loss of a leader only after the hold time.
 	MinHold = 500 * time.Millisecond
 	MaxHold = time.Second
@@ -216,7 +216,7 @@
 	Wants  []ratelimit.Want
 }
 
-// WarmUpReply grants tokens. Each expires ratelimit.TokenLife after the router asked.
+// WarmUpReply grants tokens. Each expires ratelimit.TokenTTL after the router asked.
 type WarmUpReply struct {
 	Reply
 	Grants []ratelimit.Grant
--- a/placement/domainnode/drains.go
+++ b/placement/domainnode/drains.go
@@ -17,7 +17,7 @@
 
 // soleReplicaGrace is how long after a drain order a drained zone's runners still take
 // requests for models loaded on no other runner, while those are loaded elsewhere. It is
-// half of the shortest drain time, 5 s; routers learn of its end within domainapi.MostHold.
+// half of the shortest drain time, 5 s; routers learn of its end within domainapi.MaxHold.
 const soleReplicaGrace = 2500 * time.Millisecond
 
 // DrainZone starts or ends the drain of a zone. It returns once the order is durable and the
--- a/placement/fleet/failing.go
+++ b/placement/fleet/failing.go
@@ -34,7 +34,7 @@
 }
 
 // OutlierDetector detects runners that fail many requests although their heartbeats arrive. It combines the
-// reports of all routers, since each router sees only a few attempts. Create one with NewFailing
+// reports of all routers, since each router sees only a few attempts. Create one with NewOutlierDetector
 // when leadership begins. Its methods are not safe for concurrent use.
 type OutlierDetector struct{ runners map[string]*attemptStats }
 
@@ -48,7 +48,7 @@
 	ejection     time.Duration
 }
 
-// NewOutlierDetector returns a Failing without any reports.
+// NewOutlierDetector returns an OutlierDetector without any reports.
 func NewOutlierDetector() *OutlierDetector {
 	return &OutlierDetector{runners: make(map[string]*attemptStats)}
 }
--- a/placement/fleet/merge_test.go
+++ b/placement/fleet/merge_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// Merge is the reference implementation of Directory.Learn. It returns the view that a router knows
+// Merge is the reference implementation of Directory.ApplyView. It returns the view that a router knows
 // after applying a newer one.
 func Merge(known, update View) View {
 	if update.Partial {
--- a/placement/fleet/news.go
+++ b/placement/fleet/news.go
@@ -33,7 +33,7 @@
 	return news
 }
 
-// EncodedTakeoverChangesSince returns the encoded result of NewsSince. It encodes only once per known
+// EncodedTakeoverChangesSince returns the encoded result of TakeoverChangesSince. It encodes only once per known
 // revision.
 func (p *Publisher) EncodedTakeoverChangesSince(known uint64) (EncodedView, error) {
 	return p.encodeOnce(p.encodedNews, known, p.TakeoverChangesSince)
--- a/placement/fleet/publisher.go
+++ b/placement/fleet/publisher.go
@@ -25,7 +25,7 @@
 	goneAt map[string]uint64
 	// encoded caches the encoded results of Since for the current revision, by known revision.
 	encoded map[uint64]EncodedView
-	// encodedNews caches those of NewsSince. firstHeardAt maps each runner to the revision in which
+	// encodedNews caches those of TakeoverChangesSince. firstHeardAt maps each runner to the revision in which
 	// it was first heard.
 	encodedNews map[uint64]EncodedView
 	// whole is the cached full view, encoded at wholeAt from revision wholeRevision.
--- a/placement/notice/book.go
+++ b/placement/notice/book.go
@@ -18,8 +18,8 @@
 	maxUnlisted = 4096
 )
 
-// Tracker is a router's record of the backoffs and departures that runners announced. Create one with
-// NewBook. Its methods are not safe for concurrent use.
+// Tracker is a router's record of the cooldowns and departures that runners announced. Create one with
+// NewTracker. Its methods are not safe for concurrent use.
 type Tracker struct {
 	runners map[string]*entry
 	// leaderEpoch counts changes of the leader.
@@ -29,7 +29,7 @@
 // entry is the state of one incarnation of a runner.
 type entry struct {
 	instance string
-	// backoffUntil is the latest end of the announced backoffs; zero for none.
+	// backoffUntil is the latest end of the announced cooldowns; zero for none.
 	backoffUntil time.Time
 	// backoffSince is when the first of them was announced. The runner has taken no request since.
 	backoffSince time.Time
@@ -40,7 +40,7 @@
 	reported uint64
 }
 
-// NewTracker returns an empty Book.
+// NewTracker returns an empty Tracker.
 func NewTracker() *Tracker { return &Tracker{runners: make(map[string]*entry)} }
 
 // Change describes what an answer changed.
@@ -92,7 +92,7 @@
 	}
 }
 
-// IsEmpty reports whether the book has no entries.
+// IsEmpty reports whether the tracker has no entries.
 func (b *Tracker) IsEmpty() bool { return len(b.runners) == 0 }
 
 // CooldownEnd returns the end of a runner's backoff; zero or in the past if it takes requests.
@@ -173,7 +173,7 @@
 	leaderEpoch uint64
 }
 
-// Pending returns the pending reports. They stay pending until Told is called.
+// Pending returns the pending reports. They stay pending until Acknowledge is called.
 func (b *Tracker) Pending(now time.Time) PendingReports {
 	news := PendingReports{leaderEpoch: b.leaderEpoch}
 	for instance, known := range b.runners {
--- a/placement/notice/book_test.go
+++ b/placement/notice/book_test.go
@@ -109,7 +109,7 @@
 	b.Observe(at(0), testRunner, backoff(3))
 	news := b.Pending(at(0))
 	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, RestsFor: 3 * time.Second}})
-	// Changes after News are not acknowledged by Told.
+	// Changes after Pending are not acknowledged by Acknowledge.
 	b.Observe(at(1), testRunner, Notice{IsLeaving: true, Cooldown: 10 * time.Second})
 	b.Acknowledge(news)
 	news = b.Pending(at(1))
--- a/placement/notice/notice.go
+++ b/placement/notice/notice.go
@@ -14,7 +14,7 @@
 	Cooldown time.Duration
 	// IsLeaving is set if the runner takes no new requests until it ends.
 	IsLeaving bool
-	// Problems describes invalid values of Rest and IsLeaving.
+	// Problems describes invalid values of Cooldown and IsLeaving.
 	Problems []string
 }
 
--- a/placement/ratelimit/belief.go
+++ b/placement/ratelimit/belief.go
@@ -3,7 +3,7 @@
 import "time"
 
 // LimitCache is a router's cache of the rate limits that runners announce, from the answers it receives
-// and from the leader's views. Create one with NewBelief. Its methods are not safe for concurrent
+// and from the leader's views. Create one with NewLimitCache. Its methods are not safe for concurrent
 // use.
 type LimitCache struct {
 	runners map[string]*cachedLimit
@@ -23,7 +23,7 @@
 	leaderRate float64
 }
 
-// NewLimitCache returns an empty Belief.
+// NewLimitCache returns an empty LimitCache.
 func NewLimitCache() *LimitCache {
 	return &LimitCache{runners: make(map[string]*cachedLimit), pending: make(map[string]Report)}
 }
@@ -129,7 +129,7 @@
 	leaderEpoch uint64
 }
 
-// Pending returns the pending reports. They stay pending until Told is called.
+// Pending returns the pending reports. They stay pending until Acknowledge is called.
 func (b *LimitCache) Pending() PendingReports {
 	news := PendingReports{leaderEpoch: b.leaderEpoch}
 	for _, report := range b.pending {
--- a/placement/ratelimit/limits.go
+++ b/placement/ratelimit/limits.go
@@ -34,7 +34,7 @@
 	return !isKnown || known != perSecond
 }
 
-// Of returns the limit of a runner in requests per second, at least LeastRate; 0 if it has none.
+// Of returns the limit of a runner in requests per second, at least MinRate; 0 if it has none.
 func (l *Limits) Of(instance string) float64 { return l.perSecond[instance] }
 
 // Len returns the number of runners with a limit.
--- a/placement/residency/judge.go
+++ b/placement/residency/judge.go
@@ -19,7 +19,7 @@
 	IsSlow bool
 	// Pauses is set if too many recent streams of the runner paused for too long.
 	Pauses bool
-	// Pace is the speed of the runner, and Borne its capacity in requests per second.
+	// Pace is the speed of the runner, and Capacity its capacity in requests per second.
 	Pace     pace.Runner
 	Capacity float64
 }
--- a/placement/scheduler/usagehistory.go
+++ b/placement/scheduler/usagehistory.go
@@ -21,7 +21,7 @@
 	maxHistoryRows = 100_000
 	// soonInterval is the minimum time between two computations in Soon.
 	soonInterval = time.Minute
-	// minSoonProbability and maxSoonRows bound the result of Soon.
+	// minSoonProbability and maxSoonRows bound the result of ExpectedSoon.
 	minSoonProbability = 0.02
 	maxSoonRows        = 256
 )
--- a/placement/shares/book.go
+++ b/placement/shares/book.go
@@ -22,7 +22,7 @@
 	reportLifetime = 3 * time.Second
 	// sweepInterval is the minimum time between two removals of expired reports.
 	sweepInterval = 500 * time.Millisecond
-	// maxReportedTenants bounds the tenants in a Word to those furthest above their shares,
+	// maxReportedTenants bounds the tenants in an Overuse to those furthest above their shares,
 	// which limits its size to a few hundred bytes.
 	maxReportedTenants = 32
 	// tokensPerRequest is the assumed work of a request, in tokens, if a tenant's limit counts
@@ -104,7 +104,7 @@
 	at    time.Time
 }
 
-// New returns an empty Book for a leader term that begins at the time.
+// New returns an empty Ledger for a leader term that begins at the time.
 func New(at time.Time) *Ledger {
 	return &Ledger{startedAt: at, decayedAt: at, tenants: make(map[string]*account)}
 }
--- a/placement/weightstore/limiter.go
+++ b/placement/weightstore/limiter.go
@@ -20,7 +20,7 @@
 }
 
 const (
-	// initialConcurrency is the initial concurrency limit, unless set by Expect.
+	// initialConcurrency is the initial concurrency limit, unless set by SetInitialLimit.
 	initialConcurrency = 4
 	// rampUpFactor multiplies the proven concurrency to get the next limit, until the
 	// store is first found saturated. Excess loads take longer, but the total throughput
@@ -119,7 +119,7 @@
 }
 
 // Learned returns the learned limit, and whether the store was ever found saturated, for
-// use with Recall. It returns 0 and false if nothing has been learned.
+// use with RestoreLearned. It returns 0 and false if nothing has been learned.
 func (l *Limiter) Learned() (limit int, isSaturated bool) {
 	if !l.isLearned {
 		return 0, false
--- a/request/relay/dialer.go
+++ b/request/relay/dialer.go
@@ -15,7 +15,7 @@
 )
 
 // RunnerDialer dials runners. It learns the connect timeout of each zone, so that a lost connect costs
-// tens of milliseconds rather than the default of half a second. Create one with NewConnects. It is
+// tens of milliseconds rather than the default of half a second. Create one with NewRunnerDialer. It is
 // safe for concurrent use.
 type RunnerDialer struct {
 	network network.Network
@@ -27,7 +27,7 @@
 
 var _ network.Network = (*RunnerDialer)(nil)
 
-// NewRunnerDialer returns a Connects over the given network that knows the zone of no runner yet.
+// NewRunnerDialer returns a RunnerDialer over the given network that knows the zone of no runner yet.
 func NewRunnerDialer(over network.Network) *RunnerDialer { return &RunnerDialer{network: over} }
 
 // Listen implements network.Network.
--- a/request/router/options.go
+++ b/request/router/options.go
@@ -55,7 +55,7 @@
 	StallCeiling time.Duration
 	// StatusLimit limits the status requests for one attempt.
 	StatusLimit int
-	// AnswerLimit limits the answer of a request with a key, in bytes. AnswerLife is how
+	// AnswerLimit limits the answer of a request with a key, in bytes. AnswerTTL is how
 	// long the key stays claimed, and the longest time that the answer can be replayed.
 	AnswerLimit int
 	AnswerTTL   time.Duration
--- a/request/routing/draw.go
+++ b/request/routing/draw.go
@@ -70,7 +70,7 @@
 	r.recentAt = now
 }
 
-// weightedCost raises the cost to the power Sharpness. Without any load report it
+// weightedCost raises the cost to the power CostExponent. Without any load report it
 // returns the cost itself, so that the load follows the replicas' speed: otherwise
 // routers without reports would together overload the fastest ones.
 func (b *Balancer) weightedCost(cost float64, candidate *replica, found *lookup) float64 {
--- a/request/zonewatch/connect.go
+++ b/request/zonewatch/connect.go
@@ -23,7 +23,7 @@
 	deviationFactor = 4
 	// minConnects is the minimum number of measured connects for an estimate.
 	minConnects = 3
-	// fullTimeoutEvery makes every eighth connect of a series of timeouts use MostConnectTimeout:
+	// fullTimeoutEvery makes every eighth connect of a series of timeouts use MaxConnectTimeout:
 	// latency may have grown beyond all measured connects, and only a successful one shows it. The loss
 	// of a zone is detected with fewer connects; detection of its recovery may take 0.4 s longer.
 	fullTimeoutEvery = 8
--- a/structs/asserror.go
+++ b/structs/asserror.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// AsError turns a typed error into an error without making a nil one non-nil.
+// AsError converts a typed error to an error, so that a nil pointer gives a nil error.
 func AsError(typed *Error) error {
 	if typed == nil {
 		return nil
@@ -10,7 +10,7 @@
 	return typed
 }
 
-// AsTyped gives the typed error in err's chain, or wraps err as an internal one.
+// AsTyped returns the first *Error in err's chain, or wraps err as an internal one.
 func AsTyped(err error) *Error {
 	if err == nil {
 		return nil
--- a/structs/doc.go
+++ b/structs/doc.go
@@ -4,7 +4,7 @@
 // package can depend on it.
 //
 // Units: memory is in bytes, durations are time.Duration, counts of tokens are
-// tokens of the model. Values of these types that cross the network or the disk
-// are encoded with msgpack or gob; exported field names are therefore part of
-// the format, and a field is never given a new meaning.
+// tokens of the model. Values of these types are sent and stored in msgpack or gob
+// encoding; exported field names are therefore part of the format, and the meaning of
+// a field never changes.
 package structs
--- a/structs/error.go
+++ b/structs/error.go
@@ -10,15 +10,15 @@
 
 // The kinds of error.
 const (
-	// ErrorInvalid: the input is wrong and will stay wrong.
+	// ErrorInvalid: the input is invalid, and retrying does not help.
 	ErrorInvalid ErrorKind = "invalid"
-	// ErrorConflict: the input was made against an older revision.
+	// ErrorConflict: the input is based on an older revision.
 	ErrorConflict ErrorKind = "conflict"
 	// ErrorNotFound: no such row, runner, zone or claim.
 	ErrorNotFound ErrorKind = "not_found"
-	// ErrorNotLeader: another member must be asked; Leader may name it.
+	// ErrorNotLeader: another member is the leader; Leader may be its address.
 	ErrorNotLeader ErrorKind = "not_leader"
-	// ErrorUnavailable: a quorum or a peer cannot be reached now.
+	// ErrorUnavailable: a quorum or a peer is unreachable.
 	ErrorUnavailable ErrorKind = "unavailable"
 	// ErrorOverloaded: a queue or a budget is full.
 	ErrorOverloaded ErrorKind = "overloaded"
@@ -26,7 +26,7 @@
 	ErrorDeadline ErrorKind = "deadline"
 	// ErrorLimit: a replica, memory or grant limit forbids the command.
 	ErrorLimit ErrorKind = "limit"
-	// ErrorFenced: an order is older than one already accepted.
+	// ErrorFenced: the order is older than one already accepted.
 	ErrorFenced ErrorKind = "fenced"
 	// ErrorDenied: the caller's or peer's credentials do not allow it.
 	ErrorDenied ErrorKind = "denied"
@@ -36,22 +36,21 @@
 	ErrorCorrupt ErrorKind = "corrupt"
 )
 
-// Error is the typed error of lotusferry. Its message names the remedy, so that
-// the person who reads it knows what to do next. It crosses net/rpc inside
-// replies, because net/rpc itself carries only strings.
+// Error is the typed error of lotusferry. It includes a remedy for the reader. It is
+// sent within the replies of net/rpc calls, since net/rpc transfers errors as strings.
 type Error struct {
 	Kind    ErrorKind
 	Message string
-	// Remedy is a full sentence that says what to do.
+	// Remedy is a full sentence with the recommended action.
 	Remedy string
-	// RetryAfter is when to come back; zero means that coming back is of no use
-	// or that no time is known.
+	// RetryAfter is the delay before a retry; zero if a retry does not help or no time
+	// is known.
 	RetryAfter time.Duration
-	// Leader is the address of the member to ask instead (ErrorNotLeader only).
+	// Leader is the address of the leader if known (ErrorNotLeader only).
 	Leader string
 }
 
-// NewError makes an Error of the given kind with its remedy.
+// NewError returns an Error of the given kind with its remedy.
 func NewError(kind ErrorKind, message, remedy string) *Error {
 	return &Error{Kind: kind, Message: message, Remedy: remedy}
 }
@@ -64,8 +63,8 @@
 	return e.Message + ": " + e.Remedy
 }
 
-// KindOf returns the kind of the first *Error in err's chain, or ErrorInternal
-// when err carries none, or "" when err is nil.
+// KindOf returns the kind of the first *Error in err's chain, ErrorInternal if there
+// is none, or "" if err is nil.
 func KindOf(err error) ErrorKind {
 	if err == nil {
 		return ""
--- a/structs/identity.go
+++ b/structs/identity.go
@@ -1,21 +1,21 @@
 package structs
 
-// ZoneID names a zone, as written in the settings file ("sala-a").
+// ZoneID is the name of a zone in the settings file ("sala-a").
 type ZoneID string
 
-// RowName names a row of the table; it is what callers write as "model".
+// RowName is the name of a row of the table, which callers send as "model".
 type RowName string
 
-// RunnerID names a runner (a back end with accelerators) within the site.
+// RunnerID identifies a runner (a back end with accelerators) within the site.
 type RunnerID string
 
-// DaemonID names a lotusferry daemon within the site.
+// DaemonID identifies a lotusferry daemon within the site.
 type DaemonID string
 
-// RequestID names one attempt of a caller to get an answer. The router makes it;
-// the engine echoes it on every token.
+// RequestID identifies one attempt of a caller to get an answer. The router generates
+// it, and the engine repeats it in every token.
 type RequestID string
 
-// Incarnation numbers the lives of a runner process: a runner that restarts
-// comes back empty with a higher incarnation.
+// Incarnation numbers the processes of a runner: after a restart, a runner has no
+// replicas and a higher incarnation.
 type Incarnation uint64
--- a/structs/reportshare.go
+++ b/structs/reportshare.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ReportShare is the part of a zone's runners whose engine reports one router reads
+// ReportShare is the subset of a zone's runners whose engine reports one router polls
 // for the zone's leader.
 type ReportShare struct {
-	// Epoch is the leader's, and Version rises with each change of the router's share.
+	// Epoch is the leader's, and Version increases with each change of the router's share.
 	Epoch   Epoch
 	Version uint64
 	Runners []ShareRunner
@@ -17,27 +17,27 @@
 	Address string
 }
 
-// ReportRelay is what a router tells the leader of its share: of all runners that it
-// does not name, that their reports are as it last said.
+// ReportRelay is a router's message about its share to the leader. The reports of
+// runners that it does not list are unchanged.
 type ReportRelay struct {
 	Daemon DaemonID
 	// Epoch and Version are those of the share that the router has; 0 for none.
 	Epoch   Epoch
 	Version uint64
-	// OldestAge is how long ago the oldest of the reports that count was asked for.
+	// OldestAge is the time since the poll for the oldest of the recent reports.
 	OldestAge time.Duration
-	// Silent are the runners of the share without a report that is new enough.
+	// Silent lists the runners of the share without a recent report.
 	Silent []RunnerID
-	// Changed are the reports that changed since the router last said so.
+	// Changed lists the reports that changed since they were last sent.
 	Changed []RelayedReport
 }
 
-// RelayedReport is the part of an engine's report that a router passes on.
+// RelayedReport is the part of an engine's report that a router relays.
 type RelayedReport struct {
 	Runner RunnerID
-	// Digest stands for all of the report but its load.
+	// Digest is a hash of the report without its load.
 	Digest uint64
-	// Busy counts the running and queued requests of each replica, in the order of
-	// the names of their rows.
+	// Busy is the number of running and queued requests of each replica, in the order
+	// of the row names.
 	Busy []int
 }
--- a/structs/request.go
+++ b/structs/request.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Execution says whether a request that got no full answer ran.
+// Execution describes whether a request without a complete answer ran.
 type Execution string
 
-// What is known of an execution.
+// Values of Execution.
 const (
-	// ExecutionNotRun: no engine executed any part of the request. It is certain.
+	// ExecutionNotRun: certainly, no engine executed any part of the request.
 	ExecutionNotRun Execution = "not_run"
-	// ExecutionUnknown: it cannot be known whether the request ran.
+	// ExecutionUnknown: it cannot be determined whether the request ran.
 	ExecutionUnknown Execution = "outcome_unknown"
-	// ExecutionPartial: a repeatable request ran in part; asking again is safe.
+	// ExecutionPartial: a repeatable request ran in part; a retry is safe.
 	ExecutionPartial Execution = "partial"
-	// ExecutionDone: the request ran whole under its idempotency key, and its answer
-	// is no longer kept. It is certain, and will not change.
+	// ExecutionDone: the request ran to completion under its idempotency key, and its
+	// answer is no longer stored. This is certain and final.
 	ExecutionDone Execution = "done"
 )
 
-// Request is a caller's request as the router's decisions see it.
+// Request is the part of a caller's request on which the router bases its decisions.
 type Request struct {
 	ID     RequestID
 	Row    RowName
 	Prompt string
 	// MaxTokens bounds the answer.
 	MaxTokens int
-	// Sampling is nil when the engine's defaults will do.
+	// Sampling is nil for the engine's defaults.
 	Sampling   *Sampling
 	Priority   Priority
 	Caller     string
@@ -33,21 +33,21 @@
 	DeadlineAt time.Time
 	// IdempotencyKey makes the request run at most once; empty means repeatable.
 	IdempotencyKey string
-	// Embedding asks for the vector of the prompt instead of generated text: the
-	// answer is one token whose text is a JSON list of numbers.
+	// Embedding requests the vector of the prompt instead of generated text. The answer
+	// is one token whose text is a JSON list of numbers.
 	Embedding bool
-	// Forwarded is set when another zone's router sent the request here; it is
+	// Forwarded is set if another zone's router forwarded the request, which is then
 	// not forwarded again.
 	Forwarded bool
-	// IfReady is set beside Forwarded when the request is to be refused at once,
-	// as not run, unless a ready replica has room for it now.
+	// IfReady is set along with Forwarded if the request is to be rejected at once, as
+	// not run, unless a ready replica has capacity for it now.
 	IfReady bool
 }
 
 // Repeatable reports whether the request may run more than once.
 func (r Request) Repeatable() bool { return r.IdempotencyKey == "" }
 
-// Refusal is the terminal answer to a request that got no full answer.
+// Refusal is the terminal response to a request without a complete answer.
 type Refusal struct {
 	Error     Error
 	Execution Execution
@@ -61,16 +61,16 @@
 	MaxTokens int       `json:"max_tokens"`
 	Sampling  *Sampling `json:"sampling,omitempty"`
 	Priority  Priority  `json:"priority"`
-	// ResumeFrom is the index of the first token wanted: a stream that broke is
-	// resumed elsewhere without a repeated or lost token.
+	// ResumeFrom is the index of the first token to send, so that an interrupted stream
+	// resumes on another engine without repeated or lost tokens.
 	ResumeFrom int `json:"resume_from"`
-	// Embedding asks for the vector of the prompt, as in Request.
+	// Embedding requests the vector of the prompt, as in Request.
 	Embedding bool `json:"embedding,omitempty"`
-	// Incarnation, when set, must be the engine's own.
+	// Incarnation, if set, must be the engine's own.
 	Incarnation Incarnation `json:"incarnation,omitempty"`
 }
 
-// FinishReason says why a stream ended.
+// FinishReason is why a stream ended.
 type FinishReason string
 
 // The finish reasons.
@@ -81,8 +81,8 @@
 	FinishError     FinishReason = "error"
 )
 
-// Token is one event of an engine's stream. A stream is whole when its last
-// token has a Finish of stop or length and the indexes have no gap.
+// Token is one event of an engine's stream. A stream is complete if its last token has
+// a Finish of stop or length and the indexes have no gap.
 type Token struct {
 	ID     RequestID    `json:"id"`
 	Index  int          `json:"index"`
@@ -95,9 +95,9 @@
 
 // The run states.
 const (
-	// RunUnknown: the engine has no record. It says not-run only when the engine
-	// has the same incarnation as when the request was sent and refuses the ID
-	// from now on.
+	// RunUnknown: the engine has no record of the request. That the request did not run
+	// follows only if the engine still has the incarnation to which the request was
+	// sent, and rejects the ID from now on.
 	RunUnknown   RunState = "unknown"
 	RunQueued    RunState = "queued"
 	RunRunning   RunState = "running"
@@ -105,19 +105,18 @@
 	RunCancelled RunState = "cancelled"
 )
 
-// RequestStatus is an engine's answer about a request ID.
+// RequestStatus is the state of a request ID at an engine.
 type RequestStatus struct {
 	ID          RequestID    `json:"id"`
 	State       RunState     `json:"state"`
 	Incarnation Incarnation  `json:"incarnation"`
 	Tokens      int          `json:"tokens"`
 	Finish      FinishReason `json:"finish,omitempty"`
-	// Started is true once the engine has executed any part of it.
+	// Started is set if the engine has executed any part of the request.
 	Started bool `json:"started"`
 }
 
-// DemandReport is a router's statement of the requests waiting for a row: one
-// entry a row however many requests wait.
+// DemandReport is a router's report of its waiting requests, with one entry per row.
 type DemandReport struct {
 	Daemon DaemonID
 	// Partial reports list only rows that changed; the others stay as reported before.
@@ -133,10 +132,10 @@
 	Running int
 	// Arrived counts the requests since the router's previous report of the row.
 	Arrived int
-	// Unserved says that the router knows no ready replica of the row.
+	// Unserved is set if the router knows no ready replica of the row.
 	Unserved bool
-	// Highest is the highest priority waiting.
+	// Highest is the highest priority of a waiting request.
 	Highest Priority
-	// OldestWait is how long the oldest request has waited.
+	// OldestWait is the waiting time of the oldest request.
 	OldestWait time.Duration
 }
--- a/structs/runner.go
+++ b/structs/runner.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// RunnerInfo describes a runner as the zone group knows it.
+// RunnerInfo is the record of a runner in the zone group.
 type RunnerInfo struct {
 	ID          RunnerID    `json:"id"`
 	Zone        ZoneID      `json:"zone"`
 	Address     string      `json:"address"`
 	Role        RunnerRole  `json:"role"`
 	Incarnation Incarnation `json:"incarnation"`
-	// MemoryBytes is the accelerator memory of the runner, all accelerators together.
+	// MemoryBytes is the total memory of the accelerators of the runner.
 	MemoryBytes  int64 `json:"memory_bytes"`
 	Accelerators int   `json:"accelerators"`
-	// Leaving runners get no new work and no new replicas.
+	// Leaving runners get no new requests or replicas.
 	Leaving bool `json:"leaving"`
-	// Silent runners' reports have stopped; routers are told that they are leaving.
+	// Silent is set if the runner's reports have stopped. Routers see it as leaving.
 	Silent bool `json:"silent,omitempty"`
 }
 
@@ -27,7 +27,7 @@
 	MachineLeaving MachineState = "leaving"
 )
 
-// Machine is an entry of the platform's machine list. The list lags.
+// Machine is an entry of the platform's machine list, which may be outdated.
 type Machine struct {
 	Runner  RunnerID     `json:"runner"`
 	Zone    ZoneID       `json:"zone"`
@@ -35,7 +35,7 @@
 	State   MachineState `json:"state"`
 }
 
-// CacheTier tells where a checkpoint is nearest to a runner.
+// CacheTier is where the closest copy of a checkpoint is for a runner.
 type CacheTier string
 
 // The tiers, fastest first.
@@ -53,44 +53,43 @@
 	ReplicaLoading   ReplicaState = "loading"
 	ReplicaReady     ReplicaState = "ready"
 	ReplicaUnloading ReplicaState = "unloading"
-	// ReplicaAbsent is reported for a replica that is not there (failed or unloaded).
+	// ReplicaAbsent is reported for a replica that failed or was unloaded.
 	ReplicaAbsent ReplicaState = "absent"
 )
 
-// Replica is one loaded, loading or unloading copy of a row on a runner, as the
-// zone log records it. Its memory is reserved from the moment the record exists
-// until the record is removed.
+// Replica is the record of a loaded, loading or unloading copy of a row on a runner in
+// the zone log. Its memory is reserved until the record is removed.
 type Replica struct {
 	Row         RowName      `json:"row"`
 	Runner      RunnerID     `json:"runner"`
 	Incarnation Incarnation  `json:"incarnation"`
 	State       ReplicaState `json:"state"`
 	MemoryBytes int64        `json:"memory_bytes"`
-	// Order is the number of the last order about this replica.
+	// Order is the number of the last order for this replica.
 	Order OrderNumber `json:"order"`
-	// Since is when the state was entered, by the proposing leader's clock.
+	// Since is the time of the last change of state, by the proposing leader's clock.
 	Since time.Time `json:"since"`
 }
 
-// EngineReplica is a replica as the engine itself reports it.
+// EngineReplica is a replica as reported by its engine.
 type EngineReplica struct {
 	Row   RowName      `json:"row"`
 	State ReplicaState `json:"state"`
-	// Fence is the order that created or last changed the replica.
+	// Fence is that of the order that created or last changed the replica.
 	Fence Fence `json:"fence"`
 	// Running and Queued count the requests on this replica.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
 }
 
-// CachedRow tells that a runner has a checkpoint of the row in a tier.
+// CachedRow is a checkpoint of a row in a cache tier of a runner.
 type CachedRow struct {
 	Row  RowName   `json:"row"`
 	Tier CacheTier `json:"tier"`
 }
 
-// EngineReport is what an engine says of itself. It lags by the engine's
-// reporting interval.
+// EngineReport is the state of an engine as reported by itself. It is outdated by up to
+// the engine's reporting interval.
 type EngineReport struct {
 	Runner       RunnerID        `json:"runner"`
 	Incarnation  Incarnation     `json:"incarnation"`
