--- a/daemon/attempt.go
+++ b/daemon/attempt.go
@@ -108,7 +108,7 @@
 	case engineapi.StageNotSent:
 		return router.NotSent
 	case engineapi.StageRefused:
-		return router.RefusedByEngine
+		return router.RejectedByEngine
 	}
 	return router.Broken
 }
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -37,7 +37,7 @@
 	tokens  []structs.Token
 	next    int
 	bytes   int
-	refusal *structs.Refusal
+	refusal *structs.Rejection
 	closed  bool
 }
 
@@ -139,7 +139,7 @@
 }
 
 // refuse ends the call without a whole answer.
-func (c *call) refuse(refusal structs.Refusal) {
+func (c *call) refuse(refusal structs.Rejection) {
 	c.mutex.Lock()
 	c.refusal = &refusal
 	c.mutex.Unlock()
--- a/daemon/daemondrain.go
+++ b/daemon/daemondrain.go
@@ -82,11 +82,11 @@
 }
 
 // drainedRefusal is the answer to a new request while an operator drains the daemon.
-func drainedRefusal() structs.Refusal {
+func drainedRefusal() structs.Rejection {
 	problem := structs.NewError(structs.ErrorUnavailable, "this router is being drained by an operator",
 		"Send the request to another router.")
 	problem.RetryAfter = router.MinimumRetryAfter
-	return structs.Refusal{Error: *problem, Execution: structs.ExecutionNotRun}
+	return structs.Rejection{Error: *problem, Execution: structs.ExecutionNotRun}
 }
 
 // drainDaemon starts or ends the drain of a daemon that the site lists, or of this one.
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -129,8 +129,8 @@
 
 // cutRefusal is the answer to a request that the end of a planned stop cuts. Only
 // one that was never sent anywhere certainly did not run.
-func cutRefusal(open *call) *structs.Refusal {
-	refusal := &structs.Refusal{
+func cutRefusal(open *call) *structs.Rejection {
+	refusal := &structs.Rejection{
 		Error: *structs.NewError(structs.ErrorUnavailable, "this router stops before the answer is whole",
 			"Send the request to another router, with the same key if there is one."),
 		Execution: structs.ExecutionNotRun,
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -33,7 +33,7 @@
 	return stopped
 }
 
-func refusalOf(c *qt.C, err error) structs.Refusal {
+func refusalOf(c *qt.C, err error) structs.Rejection {
 	var refused *api.RefusedError
 	c.Assert(errors.As(err, &refused), qt.IsTrue, qt.Commentf("%v", err))
 	return refused.Refusal
--- a/daemon/forward.go
+++ b/daemon/forward.go
@@ -137,7 +137,7 @@
 		}
 	}
 	if last == nil {
-		last = &api.RefusedError{Refusal: structs.Refusal{
+		last = &api.RefusedError{Refusal: structs.Rejection{
 			Error: *structs.NewError(structs.ErrorUnavailable, "no router of the zones that serve this row is known",
 				"Have the operators list routers for every zone in the settings."),
 			Execution: structs.ExecutionNotRun,
@@ -168,7 +168,7 @@
 
 // refusalByRouter returns what the router that was asked refused the request with;
 // it is nil when the request did not reach one, or its answer broke off.
-func refusalByRouter(err error) *structs.Refusal {
+func refusalByRouter(err error) *structs.Rejection {
 	var refused *api.RefusedError
 	if !errors.As(err, &refused) || errors.Is(err, api.ErrNotSent) || errors.Is(err, api.ErrBroken) {
 		return nil
@@ -197,7 +197,7 @@
 	})
 }
 
-func (r *requestRouter) endForward(id structs.RequestID, refusal *structs.Refusal) {
+func (r *requestRouter) endForward(id structs.RequestID, refusal *structs.Rejection) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.end(id, refusal)
--- a/daemon/offer.go
+++ b/daemon/offer.go
@@ -50,7 +50,7 @@
 			// The caller has gone, or this process ends.
 			return
 		case isNotRun(err):
-			failed.Refused = append(failed.Refused, settings.ID)
+			failed.Rejected = append(failed.Rejected, settings.ID)
 		default:
 			closeAnswer(answer)
 			failed.TimedOut = append(failed.TimedOut, settings.ID)
--- a/daemon/requestrouter.go
+++ b/daemon/requestrouter.go
@@ -103,8 +103,8 @@
 }
 
 // cannotTake is the answer to every new request, or nil; it is called under the lock.
-func (r *requestRouter) cannotTake() *structs.Refusal {
-	var refusal structs.Refusal
+func (r *requestRouter) cannotTake() *structs.Rejection {
+	var refusal structs.Rejection
 	switch {
 	case !r.viewed:
 		refusal = notViewed()
@@ -151,8 +151,8 @@
 		r.deliver(effect.ID, effect.Token)
 	case router.Finish:
 		r.end(effect.ID, nil)
-	case router.Refuse:
-		r.end(effect.ID, &effect.Refusal)
+	case router.Reject:
+		r.end(effect.ID, &effect.Rejection)
 	case router.Replay:
 		r.replay(effect)
 	case router.SendAttempt:
@@ -192,7 +192,7 @@
 }
 
 // end removes a call from the table; its handler still reads what was delivered.
-func (r *requestRouter) end(id structs.RequestID, refusal *structs.Refusal) {
+func (r *requestRouter) end(id structs.RequestID, refusal *structs.Rejection) {
 	target, waiting := r.calls[id]
 	if !waiting {
 		return
@@ -213,7 +213,7 @@
 	}
 	answer, err := router.DecodeAnswer(effect.Answer)
 	if err != nil {
-		r.end(effect.ID, &structs.Refusal{Error: *structs.AsTyped(err), Execution: structs.ExecutionUnknown})
+		r.end(effect.ID, &structs.Rejection{Error: *structs.AsTyped(err), Execution: structs.ExecutionUnknown})
 		return
 	}
 	target.deliver(structs.Token{ID: effect.ID, Text: answer.Text, Finish: answer.Finish})
--- a/daemon/streammetrics.go
+++ b/daemon/streammetrics.go
@@ -48,7 +48,7 @@
 	registry.MustRegister(m.accepted, m.answered, m.refused, m.queue, m.firstToken, m.betweenTokens)
 }
 
-func (m *requestMetrics) end(refusal *structs.Refusal) {
+func (m *requestMetrics) end(refusal *structs.Rejection) {
 	if refusal == nil {
 		m.answered.Inc()
 		return
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -176,8 +176,8 @@
 }
 
 // notViewed refuses a request to a router that knows no table yet.
-func notViewed() structs.Refusal {
-	refusal := structs.Refusal{
+func notViewed() structs.Rejection {
+	refusal := structs.Rejection{
 		Error: *structs.NewError(structs.ErrorUnavailable, "this router has not read its zone's table yet",
 			"Send the request to another router, or come back after the time given."),
 		Execution: structs.ExecutionNotRun,
--- a/daemon/viewstore_test.go
+++ b/daemon/viewstore_test.go
@@ -268,6 +268,6 @@
 		{"the table changed", structs.ZoneView{Index: 8, Table: structs.TableDelta{Revision: 3}}, ViewArguments{SinceIndex: 7, SinceTable: 2}, true},
 		{"the router has a newer table", structs.ZoneView{Index: 8, Table: structs.TableDelta{Revision: 3}}, ViewArguments{SinceIndex: 8, SinceTable: 4}, false},
 	} {
-		qt.Check(t, test.view.IsNews(test.arguments.SinceTable), qt.Equals, test.want, qt.Commentf(test.about))
+		qt.Check(t, test.view.HasChanges(test.arguments.SinceTable), qt.Equals, test.want, qt.Commentf(test.about))
 	}
 }
--- a/daemon/zoneservice.go
+++ b/daemon/zoneservice.go
@@ -66,7 +66,7 @@
 		}
 		s.node.group.View(func() { reply.View = viewFor(s.node.machine.state, arguments) })
 		reply.View.Epoch = structs.Epoch(s.node.group.Status().Term)
-		if reply.View.IsNews(arguments.SinceTable) || ctx.Err() != nil {
+		if reply.View.HasChanges(arguments.SinceTable) || ctx.Err() != nil {
 			return nil
 		}
 		select {
--- a/kit/capacity/router.go
+++ b/kit/capacity/router.go
@@ -154,7 +154,7 @@
 			others = append(others, effect)
 			continue
 		}
-		others = append(others, core.Step(probeTime, router.OfferFailed{ID: offer.ID, Refused: offer.Zones})...)
+		others = append(others, core.Step(probeTime, router.OfferFailed{ID: offer.ID, Rejected: offer.Zones})...)
 	}
 	return others
 }
--- a/kit/emulator/batch.go
+++ b/kit/emulator/batch.go
@@ -158,7 +158,7 @@
 	}
 }
 
-func (e *Engine) checkGenerate(request structs.GenerateRequest) (*replica, *structs.Refusal) {
+func (e *Engine) checkGenerate(request structs.GenerateRequest) (*replica, *structs.Rejection) {
 	wrongTokens := request.MaxTokens <= 0 || request.MaxTokens > maxAnswerTokens
 	wrongResume := request.ResumeFrom < 0 || request.ResumeFrom > maxAnswerTokens
 	if request.ID == "" || wrongTokens || wrongResume {
--- a/kit/emulator/http.go
+++ b/kit/emulator/http.go
@@ -22,7 +22,7 @@
 
 // refusalError is the error of a refused call.
 type refusalError struct {
-	refusal structs.Refusal
+	refusal structs.Rejection
 }
 
 // Error implements error.
@@ -70,7 +70,7 @@
 	writeRefusal(w, refused.refusal)
 }
 
-func writeRefusal(w http.ResponseWriter, refusal structs.Refusal) {
+func writeRefusal(w http.ResponseWriter, refusal structs.Rejection) {
 	w.Header().Set("Content-Type", engineapi.ContentTypeJSON)
 	if refusal.Execution == structs.ExecutionNotRun {
 		w.Header().Set(engineapi.HeaderExecution, string(refusal.Execution))
--- a/kit/emulator/messages.go
+++ b/kit/emulator/messages.go
@@ -95,7 +95,7 @@
 	Call       CallID
 	Token      structs.Token
 	Load       *structs.LoadReport
-	Refusal    *structs.Refusal
+	Refusal    *structs.Rejection
 	Status     *structs.RequestStatus
 	Order      *structs.OrderReply
 	Report     *structs.EngineReport
--- a/kit/emulator/requests.go
+++ b/kit/emulator/requests.go
@@ -121,7 +121,7 @@
 
 // admissible checks a new request against the register. It returns the refusal,
 // or nil when the request may run.
-func (e *Engine) admissible(id structs.RequestID, incarnation structs.Incarnation, resume bool) *structs.Refusal {
+func (e *Engine) admissible(id structs.RequestID, incarnation structs.Incarnation, resume bool) *structs.Rejection {
 	if incarnation != 0 && incarnation != e.incarnation {
 		return notRun(structs.NewError(structs.ErrorUnavailable,
 			"the engine has another incarnation", "Read the placement again and choose another replica."))
@@ -147,14 +147,14 @@
 	return nil
 }
 
-func notRun(err *structs.Error) *structs.Refusal {
-	return &structs.Refusal{Error: *err, Execution: structs.ExecutionNotRun}
+func notRun(err *structs.Error) *structs.Rejection {
+	return &structs.Rejection{Error: *err, Execution: structs.ExecutionNotRun}
 }
 
 // refuse answers a call with an error. An empty execution means that the request
 // ran or may have run.
 func (e *Engine) refuse(call CallID, execution structs.Execution, err *structs.Error) {
-	e.emit(EngineOutput{Kind: OutputRefused, Call: call, Refusal: &structs.Refusal{Error: *err, Execution: execution}})
+	e.emit(EngineOutput{Kind: OutputRefused, Call: call, Refusal: &structs.Rejection{Error: *err, Execution: execution}})
 }
 
 // register makes the record of an accepted request. A live request of the same
--- a/kit/emulator/store_server.go
+++ b/kit/emulator/store_server.go
@@ -79,7 +79,7 @@
 		if output.Failed {
 			level.Warn(s.logger).Log("msg", "A read failed.", "row", request.Row, "runner", request.Runner)
 			failure := structs.NewError(structs.ErrorUnavailable, "the read failed", "Send the fetch again.")
-			return engineapi.FetchReply{}, &refusalError{refusal: structs.Refusal{Error: *failure}}
+			return engineapi.FetchReply{}, &refusalError{refusal: structs.Rejection{Error: *failure}}
 		}
 		return output.Reply, nil
 	case <-ctx.Done():
--- a/kit/emulator/weights.go
+++ b/kit/emulator/weights.go
@@ -87,7 +87,7 @@
 }
 
 // servingReplica returns the ready replica of a row, or the refusal.
-func (e *Engine) servingReplica(row structs.RowName) (*replica, *structs.Refusal) {
+func (e *Engine) servingReplica(row structs.RowName) (*replica, *structs.Rejection) {
 	target := e.replicas[row]
 	if target == nil || target.state != structs.ReplicaReady {
 		return nil, notRun(structs.NewError(structs.ErrorUnavailable,
--- a/kit/lab/caller.go
+++ b/kit/lab/caller.go
@@ -26,7 +26,7 @@
 	LongestGap time.Duration
 	Finish     structs.FinishReason
 	// Refusal is set when the call got no whole answer.
-	Refusal *structs.Refusal
+	Refusal *structs.Rejection
 	// NotSent and Broken tell that the transfer itself failed.
 	NotSent bool
 	Broken  bool
@@ -104,7 +104,7 @@
 		o.Refusal = &refused.Refusal
 		return o
 	}
-	o.Refusal = &structs.Refusal{
+	o.Refusal = &structs.Rejection{
 		Error:     *structs.NewError(structs.ErrorInternal, err.Error(), "Look in the report of the run for what the router and the engines did."),
 		Execution: structs.ExecutionUnknown,
 	}
--- a/kit/lab/check_test.go
+++ b/kit/lab/check_test.go
@@ -31,7 +31,7 @@
 func refusedCall(execution structs.Execution) Outcome {
 	return answered(func(outcome *Outcome) {
 		outcome.Finish = ""
-		outcome.Refusal = &structs.Refusal{Error: structs.Error{Kind: structs.ErrorOverloaded}, Execution: execution}
+		outcome.Refusal = &structs.Rejection{Error: structs.Error{Kind: structs.ErrorOverloaded}, Execution: execution}
 	})
 }
 
--- a/kit/overload/call.go
+++ b/kit/overload/call.go
@@ -47,7 +47,7 @@
 	waited    time.Duration
 	tokens    int
 	terminals int
-	refusal   *structs.Refusal
+	refusal   *structs.Rejection
 }
 
 func (c *call) inTime() bool {
--- a/kit/overload/engine.go
+++ b/kit/overload/engine.go
@@ -101,7 +101,7 @@
 	case emulator.OutputRefused:
 		h.forget(output.Call)
 		problem := output.Refusal.Error
-		call.from.step(router.AttemptFailed{Attempt: call.attempt, Stage: router.RefusedByEngine, Error: &problem})
+		call.from.step(router.AttemptFailed{Attempt: call.attempt, Stage: router.RejectedByEngine, Error: &problem})
 	}
 }
 
--- a/kit/overload/fifo.go
+++ b/kit/overload/fifo.go
@@ -132,7 +132,7 @@
 	f.end(given)
 	problem := structs.NewError(structs.ErrorDeadline, "the deadline came before the answer was whole", fmt.Sprintf("Come back after %v.", fixedRetryAfter))
 	problem.RetryAfter = fixedRetryAfter
-	f.effects = append(f.effects, router.Refuse{ID: given.ID, Refusal: structs.Refusal{Error: *problem, Execution: execution}})
+	f.effects = append(f.effects, router.Reject{ID: given.ID, Rejection: structs.Rejection{Error: *problem, Execution: execution}})
 }
 
 func (f *fifo) end(done *fifoRequest) {
--- a/kit/overload/overload_test.go
+++ b/kit/overload/overload_test.go
@@ -105,9 +105,9 @@
 func unchanged(effect router.Effect) []router.Effect { return []router.Effect{effect} }
 
 // refusals changes refusals only.
-func refusals(change func(*router.Refuse) []router.Effect) func(router.Effect) []router.Effect {
+func refusals(change func(*router.Reject) []router.Effect) func(router.Effect) []router.Effect {
 	return func(effect router.Effect) []router.Effect {
-		if refuse, ok := effect.(router.Refuse); ok {
+		if refuse, ok := effect.(router.Reject); ok {
 			return change(&refuse)
 		}
 		return unchanged(effect)
@@ -121,14 +121,14 @@
 		broken saboteur
 	}{
 		{"", PolicyLotusferry, saboteur{change: unchanged}},
-		{ruleTerminal, PolicyLotusferry, saboteur{change: refusals(func(*router.Refuse) []router.Effect { return nil })}},
-		{ruleTerminal, PolicyLotusferry, saboteur{change: refusals(func(refuse *router.Refuse) []router.Effect { return []router.Effect{*refuse, *refuse} })}},
-		{ruleRetryAfter, PolicyLotusferry, saboteur{change: refusals(func(refuse *router.Refuse) []router.Effect {
-			refuse.Refusal.Error.RetryAfter = 0
+		{ruleTerminal, PolicyLotusferry, saboteur{change: refusals(func(*router.Reject) []router.Effect { return nil })}},
+		{ruleTerminal, PolicyLotusferry, saboteur{change: refusals(func(refuse *router.Reject) []router.Effect { return []router.Effect{*refuse, *refuse} })}},
+		{ruleRetryAfter, PolicyLotusferry, saboteur{change: refusals(func(refuse *router.Reject) []router.Effect {
+			refuse.Rejection.Error.RetryAfter = 0
 			return unchanged(*refuse)
 		})}},
-		{ruleNotRun, PolicyFIFO, saboteur{change: refusals(func(refuse *router.Refuse) []router.Effect {
-			refuse.Refusal.Execution = structs.ExecutionNotRun
+		{ruleNotRun, PolicyFIFO, saboteur{change: refusals(func(refuse *router.Reject) []router.Effect {
+			refuse.Rejection.Execution = structs.ExecutionNotRun
 			return unchanged(*refuse)
 		})}},
 		{ruleWhole, PolicyLotusferry, saboteur{change: func(effect router.Effect) []router.Effect {
--- a/kit/overload/routerhost.go
+++ b/kit/overload/routerhost.go
@@ -104,8 +104,8 @@
 		h.site.delivered(effect.ID, effect.Token)
 	case router.Finish:
 		h.site.ended(effect.ID, nil)
-	case router.Refuse:
-		h.site.ended(effect.ID, &effect.Refusal)
+	case router.Reject:
+		h.site.ended(effect.ID, &effect.Rejection)
 	}
 }
 
--- a/kit/overload/site.go
+++ b/kit/overload/site.go
@@ -130,7 +130,7 @@
 }
 
 // ended notes a terminal answer; refusal is nil for a whole answer.
-func (s *site) ended(id structs.RequestID, refusal *structs.Refusal) {
+func (s *site) ended(id structs.RequestID, refusal *structs.Rejection) {
 	target := s.byRequest[id]
 	target.terminals++
 	target.endedAt = s.scheduler.Now()
--- a/kit/simulate/requestcaller.go
+++ b/kit/simulate/requestcaller.go
@@ -69,7 +69,7 @@
 	tokens     int
 	// ending says how it ended; empty while it is open.
 	ending  string
-	refusal *structs.Refusal
+	refusal *structs.Rejection
 	// decidedAt is when a router gave it up, answeredAt when it told so.
 	decidedAt time.Duration
 	// afterEnd is set when the caller had the whole answer to an earlier one.
--- a/kit/simulate/requestcontrol.go
+++ b/kit/simulate/requestcontrol.go
@@ -102,7 +102,7 @@
 	since := control.source.Next().SinceTable
 	ended := h.site.scheduler.Now()-control.pollStarted >= router.ViewPoll
 	pause := h.site.controlled.pace.view
-	if !answer.view.IsNews(since) && !ended {
+	if !answer.view.HasChanges(since) && !ended {
 		h.site.scheduler.After(pause, h.inLife(h.poll))
 		return
 	}
--- a/kit/simulate/requestoffer.go
+++ b/kit/simulate/requestoffer.go
@@ -129,5 +129,5 @@
 func (o *requestOffer) fail(mayHaveRun bool) {
 	o.ended = true
 	o.link, o.call.forward = nil, nil
-	o.host.step(router.OfferFailed{ID: o.effect.ID, Refused: o.refused, TimedOut: o.silent, MayHaveRun: mayHaveRun})
+	o.host.step(router.OfferFailed{ID: o.effect.ID, Rejected: o.refused, TimedOut: o.silent, MayHaveRun: mayHaveRun})
 }
--- a/kit/simulate/requestrecords.go
+++ b/kit/simulate/requestrecords.go
@@ -133,7 +133,7 @@
 			if wait := r.waits[effect.Attempt]; wait != nil {
 				wait.ask(r.now())
 			}
-		case router.Refuse:
+		case router.Reject:
 			r.refused(event, effect)
 		}
 	}
@@ -155,7 +155,7 @@
 				r.counts.OffersTaken++
 				return
 			}
-		case router.Refuse:
+		case router.Reject:
 			if effect.ID == id {
 				return
 			}
@@ -212,10 +212,10 @@
 }
 
 // refused checks that a request that failed is not kept waiting for its answer.
-func (r *requestRecords) refused(event router.Event, effect router.Refuse) {
+func (r *requestRecords) refused(event router.Event, effect router.Reject) {
 	failed, known := r.failedAt[effect.ID]
 	_, isTick := event.(router.Tick)
-	kind := effect.Refusal.Error.Kind
+	kind := effect.Rejection.Error.Kind
 	if !isTick || !known || kind != structs.ErrorUnavailable || failed == r.now() {
 		return
 	}
@@ -223,7 +223,7 @@
 	if submitted != nil && r.now() < submitted.deadlineAt {
 		return
 	}
-	if effect.Refusal.Execution == structs.ExecutionNotRun {
+	if effect.Rejection.Execution == structs.ExecutionNotRun {
 		r.site.judge.Report(checkerAtOnce, "%s was refused at its deadline, %v after it had failed", effect.ID, r.now()-failed)
 	}
 }
--- a/kit/simulate/requestrouter.go
+++ b/kit/simulate/requestrouter.go
@@ -182,7 +182,7 @@
 		h.deliver(effect.ID, effect.Token)
 	case router.Finish:
 		h.end(effect.ID, terminal{finish: effect.Finish})
-	case router.Refuse:
+	case router.Reject:
 		h.refuse(effect)
 	case router.Replay:
 		h.replay(effect)
@@ -241,13 +241,13 @@
 }
 
 // refuse answers a refusal at once; a mutation holds it back until the deadline.
-func (h *routerHost) refuse(effect router.Refuse) {
+func (h *routerHost) refuse(effect router.Reject) {
 	call := h.calls[effect.ID]
 	if call == nil {
 		return
 	}
 	h.site.records.decided(call.submission)
-	ending := terminal{refusal: &effect.Refusal}
+	ending := terminal{refusal: &effect.Rejection}
 	if h.site.mutated(mutationLoseRefusal) {
 		return
 	}
@@ -272,7 +272,7 @@
 // terminal is the last message of a router to its caller.
 type terminal struct {
 	finish  structs.FinishReason
-	refusal *structs.Refusal
+	refusal *structs.Rejection
 	replay  *router.Answer
 }
 
--- a/kit/simulate/requestrouterlinks.go
+++ b/kit/simulate/requestrouterlinks.go
@@ -64,7 +64,7 @@
 	case emulator.OutputRefused:
 		stage := router.Broken
 		if output.Refusal.Execution == structs.ExecutionNotRun {
-			stage = router.RefusedByEngine
+			stage = router.RejectedByEngine
 		}
 		h.attemptFailed(current, stage)
 	case emulator.OutputToken:
@@ -98,7 +98,7 @@
 	}
 	h.dropAttempt(current)
 	if stage == router.Broken && h.site.mutated(mutationNotRunAlways) {
-		stage = router.RefusedByEngine
+		stage = router.RejectedByEngine
 	}
 	h.step(router.AttemptFailed{Attempt: id, Stage: stage})
 }
--- a/kit/simulate/requestscenario_test.go
+++ b/kit/simulate/requestscenario_test.go
@@ -61,7 +61,7 @@
 // TestHeldBackRefusalIsSeen shows the records a router that knows of a failure
 // and refuses only when time has passed to the deadline.
 func TestHeldBackRefusalIsSeen(t *testing.T) {
-	refusal := router.Refuse{ID: "router-1-1", Refusal: structs.Refusal{
+	refusal := router.Reject{ID: "router-1-1", Rejection: structs.Rejection{
 		Error:     structs.Error{Kind: structs.ErrorUnavailable},
 		Execution: structs.ExecutionNotRun,
 	}}
--- a/placement/controller/claims_model_test.go
+++ b/placement/controller/claims_model_test.go
@@ -225,8 +225,8 @@
 		m.recordOutcome(effect.ID, "finish")
 	case router.Replay:
 		m.recordOutcome(effect.ID, "replay")
-	case router.Refuse:
-		m.recordOutcome(effect.ID, string(effect.Refusal.Execution))
+	case router.Reject:
+		m.recordOutcome(effect.ID, string(effect.Rejection.Execution))
 	}
 	if m.chance(150) {
 		m.startRouter(r)
--- a/placement/controller/claims_modelsteps_test.go
+++ b/placement/controller/claims_modelsteps_test.go
@@ -126,7 +126,7 @@
 	m.send(r.zone, e.zone, func() {
 		run := e.records[effect.Generate.ID]
 		if e.incarnation != effect.Incarnation || (run != nil && run.fenced) {
-			fail(router.RefusedByEngine)
+			fail(router.RejectedByEngine)
 			return
 		}
 		if run != nil {
--- a/placement/domainnode/leadership.go
+++ b/placement/domainnode/leadership.go
@@ -170,7 +170,7 @@
 			l.registry.Depart(at, instance, isGone)
 		}
 		l.drains = newDrains(m.machine.Drained())
-		l.poison.Recall(at, m.machine.Suspects())
+		l.poison.RestoreSuspects(at, m.machine.Suspects())
 		l.limits = quota.New(at, n.options.Limits, m.machine.Reservations())
 		for _, each := range m.machine.StoreLimits() {
 			l.planner.RecallStore(at, each.Service, each.AtOnce, each.IsCrowded)
--- a/placement/domainnode/summary.go
+++ b/placement/domainnode/summary.go
@@ -108,8 +108,8 @@
 func (l *leadership) storeStates() string {
 	var listed []string
 	for _, state := range l.planner.Stores() {
-		listed = append(listed, fmt.Sprintf("%s:%d/%d", state.Service, state.UnderWay, state.Limit))
-		l.node.metrics.storeLoads.WithLabelValues(state.Service).Set(float64(state.UnderWay))
+		listed = append(listed, fmt.Sprintf("%s:%d/%d", state.Service, state.InProgress, state.Limit))
+		l.node.metrics.storeLoads.WithLabelValues(state.Service).Set(float64(state.InProgress))
 		l.node.metrics.storeLimit.WithLabelValues(state.Service).Set(float64(state.Limit))
 	}
 	return strings.Join(listed, " ")
--- a/placement/poison/tracker.go
+++ b/placement/poison/tracker.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Recall restores the records of the former leader. Refusals start again, since their elapsed time
+// RestoreSuspects restores the records of the former leader. Refusals start again, since their elapsed time
 // is unknown.
-func (t *Tracker) Recall(now time.Time, records []Record) {
+func (t *Tracker) RestoreSuspects(now time.Time, records []Record) {
 	for _, record := range records {
 		recalled := &suspect{
 			observedAt: now, losses: record.Losses, isRecalled: true, refusals: record.Refusals,
--- a/placement/poison/tracker_test.go
+++ b/placement/poison/tracker_test.go
@@ -176,7 +176,7 @@
 	reportLoss(tracker, start, "a", crashing)
 	records := tracker.TakeRecords()
 	next := New()
-	next.Recall(start, records[len(records)-1:])
+	next.RestoreSuspects(start, records[len(records)-1:])
 	c.Assert(askOnce(next, start.Add(time.Minute), crashing, "a"), qt.Equals, Refused)
 	c.Assert(next.List(start).Entries, qt.DeepEquals, []Entry{{Digest: crashing, RefusedFor: minRefusal}})
 	next.Expire(start.Add(minRefusal + time.Second))
--- a/placement/residency/arrivals.go
+++ b/placement/residency/arrivals.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		for router, report := range demand.reports {
-			if report.demand.Waiting > 0 && now.Sub(report.at) <= p.options.DemandLife {
+			if report.demand.Waiting > 0 && now.Sub(report.at) <= p.options.DemandTTL {
 				waiting[router] = true
 			}
 		}
--- a/placement/residency/options.go
+++ b/placement/residency/options.go
@@ -8,12 +8,12 @@
 
 // Options are the settings of a Planner; zero values mean the defaults.
 type Options struct {
-	// AskAgain is the minimum time between two polls of a runner for its report.
-	AskAgain time.Duration
-	// QuestionRate and QuestionBurst bound the polls of all runners: their number per second, and
+	// PollInterval is the minimum time between two polls of a runner for its report.
+	PollInterval time.Duration
+	// PollRate and QuestionBurst bound the polls of all runners: their number per second, and
 	// at once.
-	QuestionRate  float64
-	QuestionBurst float64
+	PollRate  float64
+	PollBurst float64
 	// ReportLag is the maximum age of the state in a report.
 	ReportLag time.Duration
 	// AdapterTime is the time from the acceptance of an adapter until it is usable.
@@ -23,8 +23,8 @@
 	IdleTime time.Duration
 	// RateTime is the averaging time of demand.
 	RateTime time.Duration
-	// DemandLife is how long the report of a router is valid.
-	DemandLife time.Duration
+	// DemandTTL is how long the report of a router is valid.
+	DemandTTL time.Duration
 	// ReplicaRate is the assumed capacity of a typical runner in requests per second until enough
 	// streams have been observed.
 	ReplicaRate float64
@@ -37,14 +37,14 @@
 }
 
 func (o Options) withDefaults() Options {
-	option.Positive(&o.AskAgain, 300*time.Millisecond)
-	option.Positive(&o.QuestionRate, 200)
-	option.Positive(&o.QuestionBurst, 160)
+	option.Positive(&o.PollInterval, 300*time.Millisecond)
+	option.Positive(&o.PollRate, 200)
+	option.Positive(&o.PollBurst, 160)
 	option.Positive(&o.ReportLag, 350*time.Millisecond)
 	option.Positive(&o.AdapterTime, 60*time.Millisecond)
 	option.Positive(&o.IdleTime, 350*time.Millisecond)
 	option.Positive(&o.RateTime, 8*time.Second)
-	option.Positive(&o.DemandLife, 2*time.Second)
+	option.Positive(&o.DemandTTL, 2*time.Second)
 	option.Positive(&o.ReplicaRate, 4)
 	option.Positive(&o.Horizon, 10*time.Second)
 	option.Positive(&o.StoreWindow, 5*time.Second)
--- a/placement/residency/planner.go
+++ b/placement/residency/planner.go
@@ -214,7 +214,7 @@
 // RunnersToPoll returns the runners to poll for a report now, those polled the longest ago first.
 func (p *Planner) RunnersToPoll(now time.Time) []fleet.Status {
 	p.refillQuestions(now)
-	isEarly := now.Before(p.ordersFrom.Add(-p.options.AskAgain))
+	isEarly := now.Before(p.ordersFrom.Add(-p.options.PollInterval))
 	candidates := slices.Clone(p.sorted())
 	slices.SortStableFunc(candidates, func(a, b *runner) int { return a.askedAt.Compare(b.askedAt) })
 	orderable := p.countOrderable(candidates)
@@ -229,7 +229,7 @@
 		if p.engineOf(each) == nil || !each.status.MayServe() || each.isGone || each.sent || each.isTakenKnown {
 			continue
 		}
-		if now.Before(each.pausedUntil) || now.Sub(each.changedAt) < p.options.ReportLag || now.Sub(each.askedAt) < p.options.AskAgain {
+		if now.Before(each.pausedUntil) || now.Sub(each.changedAt) < p.options.ReportLag || now.Sub(each.askedAt) < p.options.PollInterval {
 			continue
 		}
 		if orderable.isEnough(each) && !p.isWaitedFor(each) {
@@ -287,11 +287,11 @@
 // polling thousands of runners at once.
 func (p *Planner) refillQuestions(now time.Time) {
 	if p.questionsAt.IsZero() {
-		p.questions = p.options.QuestionBurst
+		p.questions = p.options.PollBurst
 	} else {
-		p.questions += now.Sub(p.questionsAt).Seconds() * p.options.QuestionRate
+		p.questions += now.Sub(p.questionsAt).Seconds() * p.options.PollRate
 	}
-	p.questions = min(p.questions, p.options.QuestionBurst)
+	p.questions = min(p.questions, p.options.PollBurst)
 	p.questionsAt = now
 }
 
@@ -338,7 +338,7 @@
 	var rows []waiting
 	for row, demand := range p.demands {
 		demand.decay(now, p.options.RateTime)
-		if found := demand.waits(now, row, p.options.DemandLife); found.count > 0 {
+		if found := demand.waits(now, row, p.options.DemandTTL); found.count > 0 {
 			rows = append(rows, found)
 		} else if demand.rate < 1e-4 {
 			delete(p.demands, row)
@@ -365,7 +365,7 @@
 // RequestPolls has runners polled that refused requests for models they were listed with.
 func (p *Planner) RequestPolls(now time.Time, instances []string) {
 	for _, instance := range instances {
-		if r := p.runners[instance]; r != nil && now.Sub(r.askedAt) >= p.options.AskAgain {
+		if r := p.runners[instance]; r != nil && now.Sub(r.askedAt) >= p.options.PollInterval {
 			r.isTakenKnown = false
 		}
 	}
--- a/placement/residency/planner_test.go
+++ b/placement/residency/planner_test.go
@@ -219,7 +219,7 @@
 // Guards against a new leader that polls all runners of a large site at once.
 func TestPollsAreRateLimited(t *testing.T) {
 	c := qt.New(t)
-	p := NewPlanner(Options{QuestionRate: 10, QuestionBurst: 4}, start)
+	p := NewPlanner(Options{PollRate: 10, PollBurst: 4}, start)
 	p.SetDocument(twoModels())
 	var statuses []fleet.Status
 	for i := range 20 {
--- a/placement/residency/snapshot.go
+++ b/placement/residency/snapshot.go
@@ -76,7 +76,7 @@
 	recent := make(map[Row]float64)
 	for row, demand := range p.demands {
 		demand.decay(now, p.options.RateTime)
-		demand.prune(now, p.options.DemandLife)
+		demand.prune(now, p.options.DemandTTL)
 		model := modelOf(row)
 		total := t.demands[model]
 		total.rate += demand.rate
--- a/placement/residency/store.go
+++ b/placement/residency/store.go
@@ -273,10 +273,10 @@
 // StoreState is the state of a service's weight store.
 type StoreState struct {
 	Service string
-	// UnderWay is the number of loads under way, and Limit the number of concurrent loads that the
+	// InProgress is the number of loads under way, and Limit the number of concurrent loads that the
 	// store is assumed to serve at full speed.
-	UnderWay int
-	Limit    int
+	InProgress int
+	Limit      int
 	// Learned is the limit as learned from loads, 0 if it is unknown, and IsCrowded is set if loads
 	// were found to be slow.
 	Learned   int
--- a/placement/residency/store_test.go
+++ b/placement/residency/store_test.go
@@ -160,7 +160,7 @@
 	p.RecallStore(start, "s", 3, true)
 	waitForModels(p, start, 10, 9)
 	c.Assert(p.Plan(start), qt.HasLen, 3)
-	c.Assert(p.Stores(), qt.DeepEquals, []StoreState{{Service: "s", UnderWay: 3, Limit: 3, Learned: 3, IsCrowded: true}})
+	c.Assert(p.Stores(), qt.DeepEquals, []StoreState{{Service: "s", InProgress: 3, Limit: 3, Learned: 3, IsCrowded: true}})
 }
 
 // A new document may lack a service whose runner is loading a model.
@@ -216,7 +216,7 @@
 	heartbeat.Sequence, heartbeat.OnDisk = 1, []string{"m1"}
 	p.SetRunners(start, []fleet.Status{{Heartbeat: heartbeat}})
 	c.Assert(p.Plan(start), qt.HasLen, 1)
-	c.Assert(p.Stores()[0].UnderWay, qt.Equals, 0)
+	c.Assert(p.Stores()[0].InProgress, qt.Equals, 0)
 }
 
 // Guards against overloaded models that wait until a load of a cold model ends.
--- a/request/api/client.go
+++ b/request/api/client.go
@@ -130,7 +130,7 @@
 }
 
 func refused(kind structs.ErrorKind, execution structs.Execution, message, remedy string) *RefusedError {
-	return &RefusedError{Refusal: structs.Refusal{
+	return &RefusedError{Refusal: structs.Rejection{
 		Error:     *structs.NewError(kind, message, remedy),
 		Execution: execution,
 	}}
--- a/request/api/embeddings.go
+++ b/request/api/embeddings.go
@@ -152,7 +152,7 @@
 	if inputs == 1 || executionOf(err) != structs.ExecutionNotRun {
 		return err
 	}
-	return &RefusedError{Refusal: structs.Refusal{Error: *typedError(err), Execution: structs.ExecutionPartial}}
+	return &RefusedError{Refusal: structs.Rejection{Error: *typedError(err), Execution: structs.ExecutionPartial}}
 }
 
 type embeddingItem struct {
@@ -195,7 +195,7 @@
 func encodeVector(vector string, asBase64 bool) (json.RawMessage, error) {
 	var values []float32
 	if err := json.Unmarshal([]byte(vector), &values); err != nil || len(values) == 0 {
-		return nil, &RefusedError{Refusal: structs.Refusal{
+		return nil, &RefusedError{Refusal: structs.Rejection{
 			Error: *structs.NewError(structs.ErrorInternal, "the engine's answer is not a vector",
 				"Choose a model that makes embeddings."),
 			Execution: structs.ExecutionPartial,
--- a/request/api/service.go
+++ b/request/api/service.go
@@ -26,7 +26,7 @@
 
 // RefusedError is the terminal answer to a request that got no full answer.
 type RefusedError struct {
-	Refusal structs.Refusal
+	Refusal structs.Rejection
 	// transfer is ErrNotSent, ErrBroken or nil when the router itself refused.
 	transfer error
 }
--- a/request/api/service_test.go
+++ b/request/api/service_test.go
@@ -58,10 +58,10 @@
 	case a.request.Row == "full":
 		full := structs.NewError(structs.ErrorOverloaded, "the queue of the row is full", "Come back after the time given.")
 		full.RetryAfter = 1500 * time.Millisecond
-		return token, &api.RefusedError{Refusal: structs.Refusal{Error: *full, Execution: structs.ExecutionNotRun}}
+		return token, &api.RefusedError{Refusal: structs.Rejection{Error: *full, Execution: structs.ExecutionNotRun}}
 	case a.request.Row == "unknown", a.request.Row == "broken" && a.next > 0:
 		lost := structs.NewError(structs.ErrorUnavailable, "the stream broke", "Find out by other means.")
-		return token, &api.RefusedError{Refusal: structs.Refusal{Error: *lost, Execution: structs.ExecutionUnknown}}
+		return token, &api.RefusedError{Refusal: structs.Rejection{Error: *lost, Execution: structs.ExecutionUnknown}}
 	case a.request.Row == "endless" && a.next > 0:
 		<-ctx.Done()
 		return token, ctx.Err()
--- a/request/relay/acquire.go
+++ b/request/relay/acquire.go
@@ -64,7 +64,7 @@
 	if x.route.Kind != site.KindStream || x.isStarted {
 		return limit
 	}
-	patience := x.request.Arrived.Add(x.router.options.Patience.of(x.route) * 9 / 10)
+	patience := x.request.Arrived.Add(x.router.options.MaxWait.of(x.route) * 9 / 10)
 	if patience.Before(limit) {
 		return patience
 	}
--- a/request/relay/answer.go
+++ b/request/relay/answer.go
@@ -27,7 +27,7 @@
 		return result{outcome: routing.OutcomeBroken, reason: reasonCutShort, err: err}
 	case x.isStarted:
 		// A stream that has started can only be continued by another stream.
-		return result{outcome: routing.OutcomeRefused, reason: "not_resumed"}
+		return result{outcome: routing.OutcomeUnavailable, reason: "not_resumed"}
 	case answer.Status < http.StatusMultipleChoices && !answer.Signed:
 		return result{outcome: routing.OutcomeBroken, reason: reasonNotSigned}
 	case len(body) > maxBuffered:
@@ -36,7 +36,7 @@
 	}
 	whole := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	if answer.Status >= http.StatusInternalServerError {
-		ended := result{outcome: routing.OutcomeRefused, reason: reasonRunnerFailed, answer: whole}
+		ended := result{outcome: routing.OutcomeUnavailable, reason: reasonRunnerFailed, answer: whole}
 		if answer.Status == http.StatusGatewayTimeout {
 			// The deadline was too short, which is no fault of the runner.
 			ended.outcome = routing.OutcomeNeutral
--- a/request/relay/attempts.go
+++ b/request/relay/attempts.go
@@ -39,7 +39,7 @@
 	case reasonSendFailed, reasonSilent, reasonCutShort, reasonNotSigned:
 		return true
 	case reasonRunnerFailed:
-		return r.outcome == routing.OutcomeRefused
+		return r.outcome == routing.OutcomeUnavailable
 	}
 	return false
 }
--- a/request/relay/exchange.go
+++ b/request/relay/exchange.go
@@ -372,7 +372,7 @@
 	case answer.NotHeld:
 		x.refusals++
 		x.router.noteNotHeld(choice.Runner(), x.row)
-		return result{outcome: routing.OutcomeRefused, isNotRun: true, reason: reasonNotHeld}
+		return result{outcome: routing.OutcomeUnavailable, isNotRun: true, reason: reasonNotHeld}
 	case answer.NotRun:
 		x.refusals++
 		x.noteRejection(choice.Runner())
--- a/request/relay/fleet_test.go
+++ b/request/relay/fleet_test.go
@@ -244,9 +244,9 @@
 func (s *testSite) startRouter(index int) {
 	router := relay.New(relay.Options{
 		Logger: log.NewNopLogger(), Name: fmt.Sprint("router-", index), Seeds: controllerAddresses, Decoder: decodeSite,
-		Backend:  routerBackend{s, index},
-		Retry:    relay.RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
-		Patience: relay.Patience{Floor: 2 * time.Second, Objectives: 4, Pauses: 8}, Network: s.network, Seed: uint64(index) + 1,
+		Backend: routerBackend{s, index},
+		Retry:   relay.RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
+		MaxWait: relay.MaxWait{Floor: 2 * time.Second, Objectives: 4, Pauses: 8}, Network: s.network, Seed: uint64(index) + 1,
 	})
 	ctx, end := context.WithCancel(context.Background())
 	go router.Run(ctx)
--- a/request/relay/options.go
+++ b/request/relay/options.go
@@ -31,12 +31,12 @@
 	// Dialer is the dialer of Backend. If it is nil, unreachable zones are not detected.
 	Dialer *RunnerDialer
 	Retry  RetryRule
-	// Patience is how long callers of streams are expected to wait for the first event and between
+	// MaxWait is how long callers of streams are expected to wait for the first event and between
 	// events.
-	Patience Patience
-	// ConfirmationLife is how long API keys are valid after the request with which a leader
+	MaxWait MaxWait
+	// ConfirmationTTL is how long API keys are valid after the request with which a leader
 	// confirmed that the document is the newest; 0 means indefinitely.
-	ConfirmationLife time.Duration
+	ConfirmationTTL time.Duration
 	// Network is used to dial controllers; nil means TCP.
 	Network network.Network
 	// Metrics is where the router registers its metrics; nil for none.
@@ -48,8 +48,8 @@
 	Now func() time.Time
 }
 
-// Patience is the maximum of its terms.
-type Patience struct {
+// MaxWait is the maximum of its terms.
+type MaxWait struct {
 	Floor time.Duration
 	// Objectives and Pauses are multiples of the route's Objective and MaxPause.
 	Objectives int
@@ -57,6 +57,6 @@
 }
 
 // of returns the patience of callers on a route.
-func (p Patience) of(route *site.Route) time.Duration {
+func (p MaxWait) of(route *site.Route) time.Duration {
 	return max(p.Floor, time.Duration(p.Objectives)*route.Objective, time.Duration(p.Pauses)*route.MaxPause)
 }
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -132,8 +132,8 @@
 	backend := &scriptedBackend{answer: answer}
 	router := New(Options{
 		Logger: log.NewNopLogger(), Name: "router", Seeds: func() []string { return nil }, Backend: backend,
-		Retry:    RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
-		Patience: Patience{Floor: 2 * time.Second, Objectives: 4, Pauses: 8},
+		Retry:   RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
+		MaxWait: MaxWait{Floor: 2 * time.Second, Objectives: 4, Pauses: 8},
 	})
 	router.routerCount = routerCount{routers: 1, at: time.Now()}
 	router.adoptDocument(testDocument())
--- a/request/relay/router.go
+++ b/request/relay/router.go
@@ -128,7 +128,7 @@
 		fleet:       fleet.NewDirectory(),
 		candidates:  newCandidates(),
 		balancer: routing.New(routing.Options{
-			Daemon: structs.DaemonID(options.Name), Zone: options.Zone, MaxBatch: defaultBatch, ReportLife: loadTTL,
+			Daemon: structs.DaemonID(options.Name), Zone: options.Zone, MaxBatch: defaultBatch, ReportTTL: loadTTL,
 			BreakerFailures: 2, BreakerDelay: 500 * time.Millisecond, BreakerDelayLimit: 4 * time.Second,
 			EjectionTime: 2 * time.Second, ColdTime: newConnTime, WarmTime: idleConnTime, UseFailing: true, CostExponent: selectionSharpness,
 		}, random),
@@ -289,7 +289,7 @@
 // noteHeard is heardFrom for callers that hold r.mutex.
 func (r *Router) noteHeard(instance structs.RunnerID) {
 	r.lastHeard[instance] = time.Now()
-	r.zones.watch.Heard(r.now(), instance)
+	r.zones.watch.ObserveData(r.now(), instance)
 }
 
 // addPace queues the timing of a stream for the next report.
--- a/request/relay/tenancy.go
+++ b/request/relay/tenancy.go
@@ -39,7 +39,7 @@
 // isConfirmed reports whether the current document was confirmed as the newest recently enough to
 // accept its API keys.
 func (r *Router) isConfirmed(at time.Time) bool {
-	life := r.options.ConfirmationLife
+	life := r.options.ConfirmationTTL
 	if life <= 0 {
 		return true
 	}
--- a/request/relay/tenancy_test.go
+++ b/request/relay/tenancy_test.go
@@ -39,7 +39,7 @@
 
 func newTenantRouter(answer func(ctx context.Context, attempt *Attempt) (*Answer, error)) (*Router, *scriptedBackend) {
 	router, backend := newTestRouter(answer)
-	router.options.ConfirmationLife = testConfirmationLife
+	router.options.ConfirmationTTL = testConfirmationLife
 	router.adoptDocument(tenantDocument(2))
 	router.confirm(time.Now())
 	return router, backend
--- a/request/relay/watchdog.go
+++ b/request/relay/watchdog.go
@@ -113,7 +113,7 @@
 // busySilenceLimit returns how long a runner that sends data for other requests may be silent.
 func (x *exchange) busySilenceLimit() time.Duration {
 	if x.route.Kind == site.KindStream {
-		return x.router.options.Patience.of(x.route) * 3 / 4
+		return x.router.options.MaxWait.of(x.route) * 3 / 4
 	}
 	return x.silenceLimit()
 }
--- a/request/relay/zones_test.go
+++ b/request/relay/zones_test.go
@@ -103,8 +103,8 @@
 		}}
 		s.router = New(Options{
 			Logger: log.NewNopLogger(), Name: "router", Zone: "a", Dialer: connects, Backend: s.backend,
-			Retry:    RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
-			Patience: Patience{Floor: 2 * time.Second, Objectives: 4, Pauses: 8},
+			Retry:   RetryRule{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
+			MaxWait: MaxWait{Floor: 2 * time.Second, Objectives: 4, Pauses: 8},
 		})
 		s.router.adoptDocument(testDocument())
 		view := fleet.View{Complete: true}
--- a/request/router/arrive.go
+++ b/request/router/arrive.go
@@ -142,7 +142,7 @@
 
 // forwardFailed refuses a forwarded request that no zone answered completely.
 func (c *Core) forwardFailed(event ForwardFailed) {
-	refusal := structs.Refusal{
+	refusal := structs.Rejection{
 		Error: structs.Error{
 			Kind:       structs.ErrorUnavailable,
 			Message:    "the zone that serves this request cannot be reached",
@@ -160,8 +160,8 @@
 	if event.Stage == Broken && !event.Repeatable {
 		refusal.Execution = structs.ExecutionUnknown
 	}
-	c.emit(Refuse{ID: event.ID, Refusal: refusal})
-	c.stats.Refused++
+	c.emit(Reject{ID: event.ID, Rejection: refusal})
+	c.stats.Rejected++
 }
 
 // track adds the request to those held.
@@ -194,7 +194,7 @@
 	req.estimatedWait = req.row.estimator.Start(state)
 	patience := req.DeadlineAt.Sub(c.now)
 	if finish := req.row.estimator.Finish(state); finish >= patience {
-		c.stats.RefusedEarly++
+		c.stats.RejectedEarly++
 		c.refuse(req, structs.ErrorDeadline, "the request would be answered after its deadline",
 			"Retry after the given delay, or allow a later deadline.", max(req.estimatedWait, finish-patience))
 		return
--- a/request/router/attempt.go
+++ b/request/router/attempt.go
@@ -87,8 +87,8 @@
 		return
 	}
 	outcome := routing.OutcomeBroken
-	if event.Stage == RefusedByEngine {
-		outcome = routing.OutcomeRefused
+	if event.Stage == RejectedByEngine {
+		outcome = routing.OutcomeUnavailable
 		if event.Error != nil && event.Error.RetryAfter > 0 {
 			c.balancer.CoolDown(req.choice.Runner(), c.now.Add(event.Error.RetryAfter))
 		}
--- a/request/router/core_test.go
+++ b/request/router/core_test.go
@@ -82,7 +82,7 @@
 				s.do(event)
 			}
 			s.arrive(test.change)
-			refusal := only[Refuse](s).Refusal
+			refusal := only[Reject](s).Rejection
 			s.c.Check(refusal.Error.Kind, qt.Equals, test.kind)
 			s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
 			s.c.Check(refusal.Error.RetryAfter > 0, qt.Equals, test.retry)
@@ -119,7 +119,7 @@
 			}
 			s.c.Assert(only[Forward](s).Zones, qt.DeepEquals, []structs.ZoneID{"b"})
 			s.do(ForwardFailed{ID: "id", Repeatable: true, Stage: NotSent})
-			s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+			s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 		})
 	}
 }
@@ -181,7 +181,7 @@
 				s.c.Assert(only[Replay](s).Answer, qt.DeepEquals, kept)
 				return
 			}
-			refusal := only[Refuse](s).Refusal
+			refusal := only[Reject](s).Rejection
 			s.c.Check(refusal.Execution, qt.Equals, test.execution)
 			s.c.Check(refusal.Error.RetryAfter > 0, qt.Equals, test.retry)
 		})
@@ -197,7 +197,7 @@
 	only[FetchAnswer](s)
 	s.now, _ = s.core.NextDeadline()
 	s.do(Tick{})
-	refusal := only[Refuse](s).Refusal
+	refusal := only[Reject](s).Rejection
 	s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionDone)
 	s.c.Check(refusal.Error.RetryAfter > 0, qt.IsTrue)
 	s.do(AnswerFetched{ID: "id", Answer: []byte("late")})
@@ -254,7 +254,7 @@
 				return
 			}
 			s.c.Check(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimUnknown)
-			s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+			s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 		})
 	}
 }
@@ -266,7 +266,7 @@
 	s.c.Assert(s.core.Demand().Rows, qt.DeepEquals, []structs.RowDemand{{Row: "cold", Waiting: 1, Arrived: 1, Unserved: true}})
 	s.now = s.now.Add(4900 * time.Millisecond)
 	s.do(Tick{})
-	refusal := only[Refuse](s).Refusal
+	refusal := only[Reject](s).Rejection
 	s.c.Check(refusal.Error.Kind, qt.Equals, structs.ErrorDeadline)
 	s.c.Check(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 }
@@ -274,12 +274,12 @@
 func TestRequestIsRefusedInTheStepOfItsLastFailure(t *testing.T) {
 	s := newScript(t, func(options *Options) { options.AttemptLimit = 2 })
 	s.arrive(nil)
-	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: RefusedByEngine})
+	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: RejectedByEngine})
 	s.c.Assert(s.effects, qt.HasLen, 0)
 	s.now, _ = s.core.NextDeadline()
 	s.do(Tick{})
 	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: NotSent})
-	refusal := only[Refuse](s).Refusal
+	refusal := only[Reject](s).Rejection
 	s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
 	s.c.Check(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 }
@@ -293,7 +293,7 @@
 	full.RetryAfter = 2 * time.Second
 	s.arrive(nil)
 	began := s.now
-	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: RefusedByEngine, Error: full})
+	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: RejectedByEngine, Error: full})
 	s.arrive(func(r *structs.Request) { r.ID = "other" })
 	var sent []SendAttempt
 	for s.now.Sub(began) < full.RetryAfter+50*time.Millisecond {
@@ -326,10 +326,10 @@
 			s.arrive(func(r *structs.Request) { r.Row = "cold" })
 			s.c.Assert(s.effects, qt.HasLen, 0)
 			s.arrive(func(r *structs.Request) { r.ID, r.Row, r.Priority = "live", "cold", structs.PriorityLive })
-			s.c.Check(only[Refuse](s).ID, qt.Equals, structs.RequestID("id"))
-			s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+			s.c.Check(only[Reject](s).ID, qt.Equals, structs.RequestID("id"))
+			s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 			s.arrive(func(r *structs.Request) { r.ID, r.Row, r.Priority = "more", "cold", structs.PriorityLive })
-			s.c.Check(only[Refuse](s).ID, qt.Equals, structs.RequestID("more"))
+			s.c.Check(only[Reject](s).ID, qt.Equals, structs.RequestID("more"))
 		})
 	}
 }
@@ -360,7 +360,7 @@
 	gap := structs.TableDelta{SinceRevision: 4, Revision: 5, Rows: []structs.Row{{Name: "row", MaxReplicas: 1}}}
 	s.do(ViewChanged{View: structs.ZoneView{Table: gap}})
 	s.arrive(nil)
-	s.c.Assert(only[Refuse](s).Refusal.Error.Kind, qt.Equals, structs.ErrorNotFound)
+	s.c.Assert(only[Reject](s).Rejection.Error.Kind, qt.Equals, structs.ErrorNotFound)
 }
 
 func TestAnswerOverAnswerLimitEndsAsUnknown(t *testing.T) {
@@ -373,7 +373,7 @@
 	s.do(TokenReceived{Attempt: sent.Attempt, Token: structs.Token{ID: sent.Generate.ID, Text: long}})
 	s.c.Check(only[CancelAttempt](s).Attempt, qt.Equals, sent.Attempt)
 	s.c.Check(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimUnknown)
-	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+	s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 }
 
 func TestColdLoadIsObservedEvenIfEveryRequestWasRefused(t *testing.T) {
@@ -413,7 +413,7 @@
 	s.do(TokenReceived{Attempt: sent.Attempt, Token: structs.Token{ID: sent.Generate.ID, Text: "part"}})
 	s.do(AttemptFailed{Attempt: sent.Attempt, Stage: Broken})
 	s.c.Check(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimUnknown)
-	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+	s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 }
 
 // TestRowWithLiveRequestsDoesNotStarveAnother runs two rows on one slot.
--- a/request/router/effect.go
+++ b/request/router/effect.go
@@ -93,10 +93,10 @@
 	Answer []byte
 }
 
-// Refuse ends a request without a complete answer.
-type Refuse struct {
-	ID      structs.RequestID
-	Refusal structs.Refusal
+// Reject ends a request without a complete answer.
+type Reject struct {
+	ID        structs.RequestID
+	Rejection structs.Rejection
 }
 
 // Forward sends the request to a router of another zone with Forwarded set. The driver
@@ -124,6 +124,6 @@
 func (*Deliver) effect()      {}
 func (Finish) effect()        {}
 func (Replay) effect()        {}
-func (Refuse) effect()        {}
+func (Reject) effect()        {}
 func (Forward) effect()       {}
 func (Offer) effect()         {}
--- a/request/router/engine_test.go
+++ b/request/router/engine_test.go
@@ -27,7 +27,7 @@
 	case 0:
 		w.after(time.Second, AttemptFailed{Attempt: send.Attempt, Stage: NotSent})
 	case 1:
-		w.after(time.Second, AttemptFailed{Attempt: send.Attempt, Stage: RefusedByEngine})
+		w.after(time.Second, AttemptFailed{Attempt: send.Attempt, Stage: RejectedByEngine})
 	case 2:
 		w.after(time.Second, AttemptFailed{Attempt: send.Attempt, Stage: Broken})
 	default:
@@ -60,7 +60,7 @@
 		}
 		if fault == 12 && index > send.Generate.ResumeFrom {
 			// The engine refuses an attempt that it has started.
-			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: RefusedByEngine}})
+			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: RejectedByEngine}})
 			return
 		}
 		if fault == 2 {
--- a/request/router/event.go
+++ b/request/router/event.go
@@ -27,8 +27,8 @@
 const (
 	// NotSent: nothing reached the other side; the request certainly did not run.
 	NotSent FailureStage = iota
-	// RefusedByEngine: the engine refused the attempt; the request certainly did not run.
-	RefusedByEngine
+	// RejectedByEngine: the engine refused the attempt; the request certainly did not run.
+	RejectedByEngine
 	// Broken: the connection ended after the request was sent; the request may have run.
 	Broken
 )
@@ -114,7 +114,7 @@
 // one of the silent zones received the request.
 type OfferFailed struct {
 	ID         structs.RequestID
-	Refused    []structs.ZoneID
+	Rejected   []structs.ZoneID
 	TimedOut   []structs.ZoneID
 	MayHaveRun bool
 }
--- a/request/router/fairness_test.go
+++ b/request/router/fairness_test.go
@@ -123,10 +123,10 @@
 	s.request("3", "row", 20*time.Second, "prompt")
 	// It would start after 1.5 s and needs 3 s.
 	s.request("late", "row", 4*time.Second, "prompt")
-	refuse := only[Refuse](s)
-	qt.Check(t, refuse.Refusal.Error.Kind, qt.Equals, structs.ErrorDeadline)
-	qt.Check(t, refuse.Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-	qt.Check(t, refuse.Refusal.Error.RetryAfter >= 1500*time.Millisecond, qt.IsTrue)
+	refuse := only[Reject](s)
+	qt.Check(t, refuse.Rejection.Error.Kind, qt.Equals, structs.ErrorDeadline)
+	qt.Check(t, refuse.Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+	qt.Check(t, refuse.Rejection.Error.RetryAfter >= 1500*time.Millisecond, qt.IsTrue)
 	s.request("in time", "row", 6*time.Second, "prompt")
 	qt.Check(t, s.effects, qt.HasLen, 0)
 }
--- a/request/router/finish.go
+++ b/request/router/finish.go
@@ -37,10 +37,10 @@
 		return
 	}
 	problem := structs.Error{Kind: kind, Message: message, Remedy: remedy, RetryAfter: c.retryAfter(estimate)}
-	c.stats.Refused++
-	c.emit(Refuse{ID: req.ID, Refusal: structs.Refusal{Error: problem, Execution: execution}})
+	c.stats.Rejected++
+	c.emit(Reject{ID: req.ID, Rejection: structs.Rejection{Error: problem, Execution: execution}})
 	if c.mutation == mutationTwoTerminals {
-		c.emit(Refuse{ID: req.ID, Refusal: structs.Refusal{Error: problem, Execution: execution}})
+		c.emit(Reject{ID: req.ID, Rejection: structs.Rejection{Error: problem, Execution: execution}})
 	}
 }
 
@@ -51,8 +51,8 @@
 
 // refuseUntracked refuses a request that is not held; none of it ran.
 func (c *Core) refuseUntracked(id structs.RequestID, problem structs.Error) {
-	c.stats.Refused++
-	c.emit(Refuse{ID: id, Refusal: structs.Refusal{Error: problem, Execution: structs.ExecutionNotRun}})
+	c.stats.Rejected++
+	c.emit(Reject{ID: id, Rejection: structs.Rejection{Error: problem, Execution: structs.ExecutionNotRun}})
 }
 
 // refuseUnknown refuses a request with a key whose outcome is unknown.
--- a/request/router/home_test.go
+++ b/request/router/home_test.go
@@ -47,13 +47,13 @@
 			if test.granted {
 				claim := only[BeginClaim](s).Claim
 				s.do(ClaimReplied{ID: "id", Claim: &claim, New: true})
-				s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: RefusedByEngine})
+				s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: RejectedByEngine})
 				s.now, _ = s.core.NextDeadline()
 				s.do(Tick{})
 				s.c.Assert(only[BeginClaim](s).Choice, qt.Equals, uint64(2))
 			}
 			s.do(ClaimReplied{ID: "id", Error: unreachable, NotAsked: true})
-			refusal := only[Refuse](s).Refusal
+			refusal := only[Reject](s).Rejection
 			s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
 			s.c.Check(refusal.Error.Remedy, qt.Contains, test.remedy)
 			s.c.Check(refusal.Error.RetryAfter >= unreachable.RetryAfter, qt.IsTrue)
@@ -98,7 +98,7 @@
 	s.now = s.now.Add(time.Hour)
 	s.do(ClaimReplied{ID: "id", Claim: &claim, New: true})
 	s.c.Check(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimReleased)
-	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+	s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 }
 
 func TestEmbeddingAnswerFitsAnswerLimit(t *testing.T) {
@@ -119,7 +119,7 @@
 	claim.State, claim.Request = structs.ClaimFinished, "earlier"
 	s.do(ClaimReplied{ID: "id", Claim: &claim})
 	s.do(AnswerFetched{ID: only[FetchAnswer](s).ID})
-	refusal := only[Refuse](s).Refusal
+	refusal := only[Reject](s).Rejection
 	s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionDone)
 	s.c.Check(refusal.Error.Message, qt.Contains, "ran")
 	s.c.Check(s.effects, qt.HasLen, 1)
@@ -132,6 +132,6 @@
 	claim.Holder, claim.HolderAddress = "another", "127.0.0.1:7"
 	s.do(ClaimReplied{ID: "id", Claim: &claim})
 	s.do(AnswerFetched{ID: only[FetchAnswer](s).ID})
-	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+	s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 	s.c.Check(s.effects, qt.HasLen, 1)
 }
--- a/request/router/offer.go
+++ b/request/router/offer.go
@@ -87,7 +87,7 @@
 	if req == nil || req.phase != phaseOffered {
 		return
 	}
-	c.recordRefusals(req.row, event.Refused)
+	c.recordRefusals(req.row, event.Rejected)
 	req.row.offered--
 	req.phase = phaseQueued
 	req.mayHaveRun = event.MayHaveRun
--- a/request/router/offer_test.go
+++ b/request/router/offer_test.go
@@ -67,7 +67,7 @@
 	s.c.Assert(s.core.Demand().Rows, qt.HasLen, 0)
 	arrivedAt := s.now
 	s.now = s.now.Add(offer.Budget)
-	s.do(OfferFailed{ID: "id", Refused: offer.Zones})
+	s.do(OfferFailed{ID: "id", Rejected: offer.Zones})
 	s.c.Assert(s.effects, qt.HasLen, 0)
 	s.c.Assert(s.core.DemandUrgent(), qt.IsTrue)
 	demand := s.core.Demand().Rows[0]
@@ -75,7 +75,7 @@
 	s.c.Assert(demand.OldestWait, qt.Equals, s.now.Sub(arrivedAt))
 	s.now = arrivedAt.Add(20 * time.Second)
 	s.do(Tick{})
-	s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+	s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 }
 
 func TestNextOfferPrefersTheZoneThatAcceptedLast(t *testing.T) {
@@ -95,7 +95,7 @@
 	zones := only[Offer](s).Zones
 	s.arriveCold("during", nil)
 	s.c.Assert(s.offers(), qt.Equals, 0)
-	s.do(OfferFailed{ID: "first", Refused: zones})
+	s.do(OfferFailed{ID: "first", Rejected: zones})
 	s.arriveCold("after", nil)
 	s.c.Assert(s.offers(), qt.Equals, 0)
 	s.now = s.now.Add(refusalBackoff)
@@ -112,7 +112,7 @@
 	s.now = testStart.Add(20 * time.Second)
 	s.do(Tick{})
 	for _, effect := range s.effects {
-		s.c.Assert(effect.(Refuse).Refusal.Execution, qt.Equals, structs.ExecutionPartial)
+		s.c.Assert(effect.(Reject).Rejection.Execution, qt.Equals, structs.ExecutionPartial)
 	}
 }
 
@@ -120,18 +120,18 @@
 	offered := func(r *structs.Request) { r.Forwarded, r.IfReady = true, true }
 	s := newOfferScript(t)
 	s.arriveCold("cold", offered)
-	refusal := only[Refuse](s).Refusal
+	refusal := only[Reject](s).Rejection
 	s.c.Assert(refusal.Error.Kind, qt.Equals, structs.ErrorUnavailable)
 	s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
 	s.c.Assert(s.core.Demand().Rows, qt.HasLen, 0)
 	for s.effects = nil; ; {
 		id := structs.RequestID(string(rune('a' + len(s.core.requests))))
 		s.arrive(func(r *structs.Request) { r.ID = id; offered(r) })
-		if _, refused := s.effects[0].(Refuse); refused {
+		if _, refused := s.effects[0].(Reject); refused {
 			break
 		}
 		only[SendAttempt](s)
 	}
-	s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+	s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 	s.c.Assert(s.core.queued, qt.Equals, 0)
 }
--- a/request/router/promptness_test.go
+++ b/request/router/promptness_test.go
@@ -31,10 +31,10 @@
 		switch effect := effect.(type) {
 		case CancelAttempt:
 			ended[effect.Attempt.Request()] = true
-		case Refuse:
-			failed := effect.Refusal.Error.Kind == structs.ErrorUnavailable
-			if failed && effect.Refusal.Execution != structs.ExecutionUnknown && !ended[effect.ID] {
-				w.violate("no-delay", "%s was refused by a Tick: %s", effect.ID, effect.Refusal.Error.Message)
+		case Reject:
+			failed := effect.Rejection.Error.Kind == structs.ErrorUnavailable
+			if failed && effect.Rejection.Execution != structs.ExecutionUnknown && !ended[effect.ID] {
+				w.violate("no-delay", "%s was refused by a Tick: %s", effect.ID, effect.Rejection.Error.Message)
 			}
 		}
 	}
--- a/request/router/report.go
+++ b/request/router/report.go
@@ -14,8 +14,8 @@
 	Arrived           uint64
 	DuplicateArrivals uint64
 	Finished          uint64
-	Refused           uint64
-	RefusedEarly      uint64
+	Rejected          uint64
+	RejectedEarly     uint64
 	Displaced         uint64
 	OverTokens        uint64
 	Expired           uint64
--- a/request/router/review.go
+++ b/request/router/review.go
@@ -57,7 +57,7 @@
 }
 
 func (c *Core) refuseEarly(late *request, retryAfter time.Duration) {
-	c.stats.RefusedEarly++
+	c.stats.RejectedEarly++
 	c.refuse(late, structs.ErrorDeadline, "the request would be answered after its deadline",
 		"Retry after the given delay, or allow a later deadline.", retryAfter)
 }
--- a/request/router/review_test.go
+++ b/request/router/review_test.go
@@ -75,7 +75,7 @@
 			r.running[at+serviceTime] = append(r.running[at+serviceTime], effect.Attempt)
 		case Finish:
 			r.ended[effect.ID] = at
-		case Refuse:
+		case Reject:
 			r.ended[effect.ID] = at
 			r.refused[effect.ID] = true
 		}
@@ -127,8 +127,8 @@
 	sent := s.finish(second[0].Attempt)
 	qt.Assert(t, sent, qt.HasLen, 1)
 	qt.Check(t, sent[0].Attempt.Request(), qt.Equals, structs.RequestID("next"))
-	refuse := only[Refuse](s)
+	refuse := only[Reject](s)
 	qt.Check(t, refuse.ID, qt.Equals, structs.RequestID("late"))
-	qt.Check(t, refuse.Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-	qt.Check(t, refuse.Refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+	qt.Check(t, refuse.Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+	qt.Check(t, refuse.Rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 }
--- a/request/router/roles_test.go
+++ b/request/router/roles_test.go
@@ -38,7 +38,7 @@
 					s.c.Assert(only[Forward](s).Zones, qt.DeepEquals, []structs.ZoneID{"b", "c"})
 					return
 				}
-				refusal := only[Refuse](s).Refusal
+				refusal := only[Reject](s).Rejection
 				s.c.Assert(refusal.Error.Remedy, qt.Contains, "runner")
 				s.c.Assert(refusal.Error.RetryAfter > 0, qt.IsTrue)
 				s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
@@ -56,7 +56,7 @@
 	alone := newScript(t, nil)
 	alone.arriveCold("queued", nil)
 	alone.loseRunners(false)
-	alone.c.Assert(only[Refuse](alone).Refusal.Error.Remedy, qt.Contains, "runner")
+	alone.c.Assert(only[Reject](alone).Rejection.Error.Remedy, qt.Contains, "runner")
 }
 
 func TestRoleIsNotLostWhileItsRunnersMayRegister(t *testing.T) {
@@ -68,5 +68,5 @@
 	s.c.Assert(s.effects, qt.HasLen, 0)
 	s.now = s.now.Add(registrationGrace)
 	s.arrive(func(r *structs.Request) { r.ID, r.Row = "later", "new" })
-	s.c.Assert(only[Refuse](s).ID, qt.Equals, structs.RequestID("later"))
+	s.c.Assert(only[Reject](s).ID, qt.Equals, structs.RequestID("later"))
 }
--- a/request/router/simulation_test.go
+++ b/request/router/simulation_test.go
@@ -278,7 +278,7 @@
 	case Replay:
 		w.recordEnd(effect.ID, "replay")
 		w.checkAnswer(w.requests[effect.ID], effect.Answer)
-	case Refuse:
+	case Reject:
 		w.checkRefusal(effect)
 	case Offer:
 		w.offer(effect)
@@ -303,7 +303,7 @@
 		w.executions[string(effect.ID)]++
 		w.after(effect.Budget, OfferFailed{ID: effect.ID, TimedOut: effect.Zones[:1], MayHaveRun: true})
 	default:
-		w.after(effect.Budget, OfferFailed{ID: effect.ID, Refused: effect.Zones})
+		w.after(effect.Budget, OfferFailed{ID: effect.ID, Rejected: effect.Zones})
 	}
 }
 
@@ -315,14 +315,14 @@
 	}
 }
 
-func (w *simulation) checkRefusal(refuse Refuse) {
-	w.recordEnd(refuse.ID, "refuse "+string(refuse.Refusal.Execution))
-	problem := refuse.Refusal.Error
-	if refuse.Refusal.Execution == structs.ExecutionNotRun {
+func (w *simulation) checkRefusal(refuse Reject) {
+	w.recordEnd(refuse.ID, "refuse "+string(refuse.Rejection.Execution))
+	problem := refuse.Rejection.Error
+	if refuse.Rejection.Execution == structs.ExecutionNotRun {
 		w.requests[refuse.ID].notRun = true
 	}
-	useless := problem.Kind == structs.ErrorNotFound || problem.Kind == structs.ErrorInvalid || refuse.Refusal.Execution == structs.ExecutionUnknown ||
-		refuse.Refusal.Execution == structs.ExecutionDone && strings.Contains(problem.Message, "no longer kept")
+	useless := problem.Kind == structs.ErrorNotFound || problem.Kind == structs.ErrorInvalid || refuse.Rejection.Execution == structs.ExecutionUnknown ||
+		refuse.Rejection.Execution == structs.ExecutionDone && strings.Contains(problem.Message, "no longer kept")
 	if problem.RetryAfter <= 0 && !useless {
 		w.violate("retry-after", "%s: %s without RetryAfter", refuse.ID, problem.Message)
 	}
--- a/request/router/stall_test.go
+++ b/request/router/stall_test.go
@@ -128,7 +128,7 @@
 					s.do(withStatus(reply, status))
 				}
 				s.c.Assert(only[CancelAttempt](s).Attempt, qt.Equals, sent.Attempt)
-				refusal := only[Refuse](s).Refusal
+				refusal := only[Reject](s).Rejection
 				s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionPartial)
 				s.c.Assert(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 				s.c.Assert(s.core.Idle(), qt.IsTrue)
@@ -149,7 +149,7 @@
 	advance(s, DefaultStallCeiling+time.Second)
 	s.c.Assert(only[AskStatus](s).Peek, qt.IsTrue)
 	s.do(withStatus(reply, running))
-	s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionPartial)
+	s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionPartial)
 }
 
 // TestSilentEngineIsAbandonedOnceBudgetAllowsRetry covers a budget that is empty when the
@@ -235,7 +235,7 @@
 	fenced := withStatus(reply, structs.RequestStatus{State: structs.RunCancelled, Incarnation: 7})
 	fenced.Peek = false
 	s.do(fenced)
-	refusal := only[Refuse](s).Refusal
+	refusal := only[Reject](s).Rejection
 	s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
 	s.c.Assert(refusal.Error.RetryAfter > 0, qt.IsTrue)
 	s.c.Assert(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimReleased)
@@ -259,7 +259,7 @@
 			s, sent, reply := stalledKeyedRequest(t, test.tokens, nil)
 			s.do(withStatus(reply, test.status))
 			s.c.Assert(only[CancelAttempt](s).Attempt, qt.Equals, sent.Attempt)
-			s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+			s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 			s.c.Assert(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimUnknown)
 			s.c.Assert(s.core.Idle(), qt.IsTrue)
 		})
@@ -285,7 +285,7 @@
 			advance(s, time.Second)
 		}
 		s.do(reply)
-		s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+		s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 	}
 }
 
@@ -307,7 +307,7 @@
 	s.c.Assert(s.effects, qt.HasLen, 0)
 	advance(s, DefaultStallCeiling+time.Second)
 	s.do(withStatus(reply, running))
-	s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+	s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 }
 
 // TestStatusOfBrokenAttemptIsAskedOnce checks that the stall check of an attempt ends
--- a/request/router/tokens_test.go
+++ b/request/router/tokens_test.go
@@ -47,7 +47,7 @@
 				s.arrive(ten("first"))
 				test.end(s, only[SendAttempt](s))
 				s.arrive(ten("second"))
-				refusal := only[Refuse](s).Refusal
+				refusal := only[Reject](s).Rejection
 				s.c.Check(refusal.Error.Kind, qt.Equals, structs.ErrorLimit)
 				s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
 				s.c.Check(refusal.Error.RetryAfter >= test.wait && refusal.Error.RetryAfter <= test.wait*11/10, qt.IsTrue, qt.Commentf("%v", refusal.Error.RetryAfter))
@@ -70,6 +70,6 @@
 	})
 	begin := only[BeginClaim](s)
 	s.do(ClaimReplied{ID: "keyed", Claim: &begin.Claim, New: true})
-	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+	s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 	s.c.Check(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimReleased)
 }
--- a/request/router/viewsource.go
+++ b/request/router/viewsource.go
@@ -37,7 +37,7 @@
 // when this controller cannot help. After a full poll without changes the next controller
 // is asked, because this one may be partitioned from its group.
 func (s *ViewSource) Take(view structs.ZoneView) (structs.ZoneView, bool) {
-	news := view.IsNews(s.reader.Next().SinceTable)
+	news := view.HasChanges(s.reader.Next().SinceTable)
 	adopted, helps := s.reader.Take(view)
 	if !helps || !news {
 		s.Failed()
--- a/request/routing/balancer.go
+++ b/request/routing/balancer.go
@@ -131,7 +131,7 @@
 // it may not respond for a while.
 func (b *Balancer) IsCrowded(now time.Time, id structs.RunnerID) bool {
 	target := b.runners[id]
-	return target != nil && target.load(now, b.options.ReportLife) >= target.maxBatch
+	return target != nil && target.load(now, b.options.ReportTTL) >= target.maxBatch
 }
 
 // Slots returns how many requests of the row can run at once on usable replicas of
@@ -147,7 +147,7 @@
 			continue
 		}
 		limit := target.maxBatch + b.options.QueueSlack
-		load := target.load(now, b.options.ReportLife)
+		load := target.load(now, b.options.ReportTTL)
 		slots += max(1, limit-(load-target.inFlight))
 		if target.hasRoom(now, &b.options) {
 			free += max(1, limit-load)
--- a/request/routing/balancer_test.go
+++ b/request/routing/balancer_test.go
@@ -261,7 +261,7 @@
 		qt.Assert(t, ok, qt.IsTrue, qt.Commentf("round %d", round))
 		choice.Sent(start, nil)
 		bad := choice.Runner() <= "runner-2"
-		choice.Done(start, map[bool]Outcome{true: OutcomeRefused, false: OutcomeSuccess}[bad])
+		choice.Done(start, map[bool]Outcome{true: OutcomeUnavailable, false: OutcomeSuccess}[bad])
 	}
 	qt.Assert(t, balancer.Ejections(), qt.Equals, uint64(2))
 }
@@ -320,9 +320,9 @@
 		outcome Outcome
 		found   bool
 	}{
-		{"replicas refuse", Options{UseFailing: true}, OutcomeRefused, true},
+		{"replicas refuse", Options{UseFailing: true}, OutcomeUnavailable, true},
 		{"runners do not answer", Options{UseFailing: true}, OutcomeBroken, false},
-		{"option unset", Options{}, OutcomeRefused, false},
+		{"option unset", Options{}, OutcomeUnavailable, false},
 	} {
 		t.Run(test.about, func(t *testing.T) {
 			test.options.BreakerFailures = 2
--- a/request/routing/breaker.go
+++ b/request/routing/breaker.go
@@ -15,8 +15,8 @@
 	// OutcomeRejected means that the runner rejected the request without running it,
 	// because it is full or about to unload the model.
 	OutcomeRejected
-	// OutcomeRefused means that the runner responds but does not run the replica's requests.
-	OutcomeRefused
+	// OutcomeUnavailable means that the runner responds but does not run the replica's requests.
+	OutcomeUnavailable
 	// OutcomeBroken means that the runner was unreachable or the stream broke.
 	OutcomeBroken
 )
--- a/request/routing/choice.go
+++ b/request/routing/choice.go
@@ -127,7 +127,7 @@
 		target.breaker.abandoned()
 		c.replica.breaker.abandoned()
 		c.replica.cooldown.start(now)
-	case OutcomeRefused:
+	case OutcomeUnavailable:
 		target.breaker.succeeded()
 		c.replica.breaker.failed(now, options)
 		c.replica.rate.add(true)
--- a/request/routing/expected.go
+++ b/request/routing/expected.go
@@ -45,7 +45,7 @@
 
 // peerLoad sums up the reported load of the candidates of a row.
 func (b *Balancer) peerLoad(now time.Time, wanted *row) peerLoad {
-	sum := peerLoad{now: now, reportLife: b.options.ReportLife}
+	sum := peerLoad{now: now, reportLife: b.options.ReportTTL}
 	capacity := 0.0
 	for _, candidate := range wanted.subset {
 		target := candidate.runner
@@ -109,7 +109,7 @@
 		extra += b.options.ColdTime.Seconds()
 	}
 	if target.pace.PromptRate <= 0 {
-		load := float64(target.load(now, b.options.ReportLife))
+		load := float64(target.load(now, b.options.ReportTTL))
 		return extra + defaultServiceTime*target.pace.Slowness*(load+1)/batch
 	}
 	others, prefillShare := peers.others(target)
--- a/request/routing/load_choice_test.go
+++ b/request/routing/load_choice_test.go
@@ -15,7 +15,7 @@
 
 // manyRouters returns the options of one router among many.
 func manyRouters() Options {
-	return Options{ReportLife: 3 * time.Second, CostExponent: 3, ColdTime: 4 * time.Millisecond, WarmTime: 8 * time.Second}
+	return Options{ReportTTL: 3 * time.Second, CostExponent: 3, ColdTime: 4 * time.Millisecond, WarmTime: 8 * time.Second}
 }
 
 // simulate runs the load with a policy for several seeds and returns the mean result.
--- a/request/routing/options.go
+++ b/request/routing/options.go
@@ -26,8 +26,8 @@
 	QueueSlack int
 	// MaxBatch is assumed for runners that have not reported theirs.
 	MaxBatch int
-	// ReportLife is how long a load report is used.
-	ReportLife time.Duration
+	// ReportTTL is how long a load report is used.
+	ReportTTL time.Duration
 	// BreakerFailures is the number of consecutive failures that opens a breaker.
 	BreakerFailures int
 	// BreakerDelay is how long a breaker stays open before a probe; it doubles with
@@ -59,7 +59,7 @@
 	DefaultHintLimit         = 32768
 	DefaultQueueSlack        = 2
 	DefaultMaxBatch          = 8
-	DefaultReportLife        = 10 * time.Second
+	DefaultReportTTL         = 10 * time.Second
 	DefaultBreakerFailures   = 5
 	DefaultBreakerDelay      = time.Second
 	DefaultBreakerDelayLimit = 30 * time.Second
@@ -74,7 +74,7 @@
 	option.Positive(&o.HintLimit, DefaultHintLimit)
 	option.Positive(&o.QueueSlack, DefaultQueueSlack)
 	option.Positive(&o.MaxBatch, DefaultMaxBatch)
-	option.Positive(&o.ReportLife, DefaultReportLife)
+	option.Positive(&o.ReportTTL, DefaultReportTTL)
 	option.Positive(&o.BreakerFailures, DefaultBreakerFailures)
 	option.Positive(&o.BreakerDelay, DefaultBreakerDelay)
 	option.Positive(&o.BreakerDelayLimit, DefaultBreakerDelayLimit)
--- a/request/routing/runner.go
+++ b/request/routing/runner.go
@@ -91,7 +91,7 @@
 // engine queues the excess.
 func (r *runner) hasRoom(now time.Time, options *Options) bool {
 	limit := r.maxBatch + options.QueueSlack
-	load := r.load(now, options.ReportLife)
+	load := r.load(now, options.ReportTTL)
 	if load < limit {
 		return true
 	}
--- a/request/zonewatch/watch.go
+++ b/request/zonewatch/watch.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// Heard records that a runner sent data for a request.
-func (w *Watch) Heard(now time.Time, id structs.RunnerID) {
+// ObserveData records that a runner sent data for a request.
+func (w *Watch) ObserveData(now time.Time, id structs.RunnerID) {
 	known := w.runners[id]
 	if known == nil {
 		return
--- a/request/zonewatch/watch_test.go
+++ b/request/zonewatch/watch_test.go
@@ -137,7 +137,7 @@
 	}
 	s.after(s.answerTime, func() {
 		if s.isReachable(zone, id) {
-			s.watch.Heard(s.now, id)
+			s.watch.ObserveData(s.now, id)
 			s.watch.Ended(zone)
 			return
 		}
@@ -276,7 +276,7 @@
 			s.run(3 * time.Second)
 			s.c.Assert(s.probes, qt.Equals, 0)
 			// The own zone was heard from just now.
-			s.watch.Heard(s.now, "a0")
+			s.watch.ObserveData(s.now, "a0")
 			s.probe(s.watch.LeaderSilent(s.now))
 			s.c.Assert(s.probes, qt.Equals, 3)
 			s.run(3 * connectTime)
--- a/structs/request.go
+++ b/structs/request.go
@@ -47,8 +47,8 @@
 // Repeatable reports whether the request may run more than once.
 func (r Request) Repeatable() bool { return r.IdempotencyKey == "" }
 
-// Refusal is the terminal response to a request without a complete answer.
-type Refusal struct {
+// Rejection is the terminal response to a request without a complete answer.
+type Rejection struct {
 	Error     Error
 	Execution Execution
 }
--- a/structs/view.go
+++ b/structs/view.go
@@ -47,10 +47,10 @@
 	return v.Epoch > 0 && epoch >= v.Epoch+restoredEpochs
 }
 
-// IsNews reports whether the view has changes for a router whose table has the revision
+// HasChanges reports whether the view has changes for a router whose table has the revision
 // sinceTable. The view of a controller that has applied nothing, as after a start
 // without a quorum, has none, so that its routers do not poll without delay.
-func (v *ZoneView) IsNews(sinceTable uint64) bool {
+func (v *ZoneView) HasChanges(sinceTable uint64) bool {
 	if v.Index == 0 {
 		return false
 	}
