--- a/agreement/raft/types.go
+++ b/agreement/raft/types.go
@@ -95,7 +95,7 @@
 	Entries []Entry
 	// Commit is the sender's commit index (append, heartbeat and its reply).
 	Commit uint64
-	// Reject is set in replies that refuse a vote or an append; Hint is the index to try
+	// Reject is set in replies that reject a vote or an append; Hint is the index to try
 	// next after a rejected append.
 	Reject bool
 	Hint   uint64
--- a/placement/controller/claims.go
+++ b/placement/controller/claims.go
@@ -19,7 +19,7 @@
 )
 
 // Inquiry asks an engine about a request whose claim is no longer renewed. It sets the
-// cancel flag, so that the engine refuses the request from then on.
+// cancel flag, so that the engine rejects the request from then on.
 type Inquiry struct {
 	Key    structs.ClaimKey
 	Choice uint64
@@ -54,7 +54,7 @@
 
 // resolveClaims ends the claims whose lease has expired: the holder died, or never learned
 // that a delayed command of its own made them. A wrong suspicion may abort a request, but
-// never runs one twice: a claim that ends as not run also makes the zone refuse the
+// never runs one twice: a claim that ends as not run also makes the zone reject the
 // holder's next choice, and the engine the request.
 func (d *decider) resolveClaims() {
 	if d.input.Renewed == nil || d.input.Now.Sub(d.core.leaderSince) < d.core.options.ClaimLease {
--- a/placement/controller/claims_modelsteps_test.go
+++ b/placement/controller/claims_modelsteps_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// status returns the engine's status of a request; with fence set, the engine refuses the
+// status returns the engine's status of a request; with fence set, the engine rejects the
 // request from then on.
 func (e *claimEngine) status(id structs.RequestID, fence bool) structs.RequestStatus {
 	status := structs.RequestStatus{ID: id, State: structs.RunUnknown, Incarnation: e.incarnation}
--- a/placement/controller/core_test.go
+++ b/placement/controller/core_test.go
@@ -96,7 +96,7 @@
 // runModel runs a model with faults and then without, and checks that it converges.
 func runModel(seed uint64) *model {
 	m := newModel(seed)
-	m.refusesPrefetch = seed%4 == 0
+	m.rejectsPrefetch = seed%4 == 0
 	for range faultSteps {
 		m.step()
 	}
--- a/placement/controller/doc.go
+++ b/placement/controller/doc.go
@@ -6,5 +6,5 @@
 // engine report counts as the outcome of an order only if the report's fence shows
 // that the engine had accepted that order.
 //
-// The package is pure: time and all other inputs come in through Input.
+// The package does no I/O and reads no clock: the time and all other inputs are in Input.
 package controller
--- a/placement/controller/model_engine_test.go
+++ b/placement/controller/model_engine_test.go
@@ -76,8 +76,8 @@
 // execute delivers an order to its engine, and the engine's reply to the leader.
 func (m *model) execute(order structs.Order) {
 	e := m.engine(order.Runner)
-	isRefused := m.refusesPrefetch && order.Kind == structs.OrderPrefetch
-	if order.Incarnation != e.incarnation || order.Fence.Before(e.fence) || isRefused {
+	isRejected := m.rejectsPrefetch && order.Kind == structs.OrderPrefetch
+	if order.Incarnation != e.incarnation || order.Fence.Before(e.fence) || isRejected {
 		return
 	}
 	if e.fence.Before(order.Fence) {
--- a/placement/controller/model_test.go
+++ b/placement/controller/model_test.go
@@ -52,8 +52,8 @@
 	failedLoads int
 	// prefetches counts the executed prefetches.
 	prefetches int
-	// refusesPrefetch makes all engines refuse to prefetch.
-	refusesPrefetch bool
+	// rejectsPrefetch makes all engines reject prefetch orders.
+	rejectsPrefetch bool
 }
 
 func newModel(seed uint64) *model {
--- a/placement/controller/prefetch.go
+++ b/placement/controller/prefetch.go
@@ -9,7 +9,7 @@
 
 // A prefetch counts as a read of the store until its checkpoint is reported, or for at
 // most the allowance plus the factor times the read time at full speed. After that it
-// is assumed to be refused or failed.
+// is assumed to be rejected or failed.
 const (
 	prefetchReadFactor     = 4
 	prefetchOrderAllowance = 5 * time.Second
--- a/placement/domainapi/messages.go
+++ b/placement/domainapi/messages.go
@@ -196,8 +196,8 @@
 type DrawArguments struct {
 	Router string
 	Wants  []quota.Want
-	// Session identifies the router's process; Question is the sequence number of the
-	// request within the session.
+	// Session identifies the incarnation of the router; Question is the sequence number of the
+	// request within the incarnation.
 	Session  uint64
 	Question uint64
 }
--- a/placement/domainnode/incarnation_test.go
+++ b/placement/domainnode/incarnation_test.go
@@ -8,8 +8,8 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-func incarnationHeartbeat(born int64, sequence uint64) fleet.Heartbeat {
-	return fleet.Heartbeat{Instance: "r", Born: born, Service: "s", Address: "10.9.9.9:1", Zone: "zone-0", Slots: 4, Sequence: sequence}
+func incarnationHeartbeat(startTime int64, sequence uint64) fleet.Heartbeat {
+	return fleet.Heartbeat{Instance: "r", Born: startTime, Service: "s", Address: "10.9.9.9:1", Zone: "zone-0", Slots: 4, Sequence: sequence}
 }
 
 // sendHeartbeat sends a heartbeat to a node, retrying errors.
--- a/placement/domainnode/metrics.go
+++ b/placement/domainnode/metrics.go
@@ -40,7 +40,7 @@
 	failing      prometheus.Counter
 	promptRate   *prometheus.GaugeVec
 	eventTime    *prometheus.GaugeVec
-	borne        *prometheus.GaugeVec
+	capacity     *prometheus.GaugeVec
 	paceError    *prometheus.GaugeVec
 	speeds       *prometheus.GaugeVec
 	// tenantShare, tenantWaiting and tenantLimit cover the tenants listed in the summary.
@@ -115,7 +115,7 @@
 		earlyViews:    counter("early_views_total", "Views that a router was told of at once, since its requests wait for what is new in them."),
 		promptRate:    gauges("prompt_tokens_per_second", "Prompt tokens that the usual runner reads a second, as learned, by service; 0 until it is known.", "service"),
 		eventTime:     gauges("event_seconds", "Time between two events of a stream at the usual runner while it reads no prompt, as learned, by service.", "service"),
-		borne:         gauges("borne_requests_per_second", "Requests a second that a usual runner is believed to bear, by service.", "service"),
+		capacity:      gauges("borne_requests_per_second", "Requests a second that a usual runner is believed to bear, by service.", "service"),
 		paceError:     gauges("pace_error_ratio", "Mean part by which forecasts of the time between two events were wrong, by service.", "service"),
 		speeds:        gauges("runner_speeds", "Runners by service and speed: slow, or unknown as nothing tells.", "service", "speed"),
 		reopened:      counter("store_failures_total", "Times that the store failed and was opened again."),
@@ -125,7 +125,7 @@
 			m.reports, m.membership, m.runners, m.routers, m.waiting, m.version, m.reopened,
 			m.loadTime, m.loadExcess, m.unmet, m.storeLoads, m.storeLimit, m.coverage, m.zoneBound, m.waitedModels,
 			m.stepTime, m.earlyViews, m.lost, m.losses, m.suspects, m.trials, m.failing, m.drains, m.drained, m.cold, m.limited, m.warmups,
-			m.promptRate, m.eventTime, m.borne, m.paceError, m.speeds,
+			m.promptRate, m.eventTime, m.capacity, m.paceError, m.speeds,
 			m.tenantShare, m.tenantWaiting, m.tenantLimit)
 	}
 	return m
--- a/placement/domainnode/operator.go
+++ b/placement/domainnode/operator.go
@@ -77,10 +77,10 @@
 
 // Depart records that a runner is gone. Born is the start time of its process in Unix
 // milliseconds, or 0 if unknown.
-func (n *Node) Depart(ctx context.Context, id string, born int64) error {
+func (n *Node) Depart(ctx context.Context, id string, startTime int64) error {
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
-	return n.depart(ctx, domainapi.DepartArguments{Departure: domain.Departure{Instance: id, Gone: true}, Born: born})
+	return n.depart(ctx, domainapi.DepartArguments{Departure: domain.Departure{Instance: id, Gone: true}, Born: startTime})
 }
 
 func (n *Node) depart(ctx context.Context, arguments domainapi.DepartArguments) error {
--- a/placement/domainnode/service.go
+++ b/placement/domainnode/service.go
@@ -152,9 +152,9 @@
 
 // resolveInstance returns the instance of a runner by its ID and start time; 0 selects its
 // latest incarnation.
-func (l *leadership) resolveInstance(id string, born int64) string {
-	if born > 0 {
-		return fleet.Incarnation(id, born)
+func (l *leadership) resolveInstance(id string, startTime int64) string {
+	if startTime > 0 {
+		return fleet.Incarnation(id, startTime)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/placement/domainnode/summary.go
+++ b/placement/domainnode/summary.go
@@ -65,7 +65,7 @@
 			state.Typical.PromptRate, state.Typical.Event, state.Capacity, state.Scale, state.Slow, state.Unknown, state.Error))
 		l.node.metrics.promptRate.WithLabelValues(state.Service).Set(state.Typical.PromptRate)
 		l.node.metrics.eventTime.WithLabelValues(state.Service).Set(state.Typical.Event.Seconds())
-		l.node.metrics.borne.WithLabelValues(state.Service).Set(state.Capacity)
+		l.node.metrics.capacity.WithLabelValues(state.Service).Set(state.Capacity)
 		l.node.metrics.paceError.WithLabelValues(state.Service).Set(state.Error)
 		l.node.metrics.speeds.WithLabelValues(state.Service, "slow").Set(float64(state.Slow))
 		l.node.metrics.speeds.WithLabelValues(state.Service, "unknown").Set(float64(state.Unknown))
--- a/placement/fleet/fleet_test.go
+++ b/placement/fleet/fleet_test.go
@@ -115,8 +115,8 @@
 	c.Assert(r.addresses, qt.HasLen, 0)
 }
 
-// BenchmarkHear measures one heartbeat in a fleet of 3,000 runners.
-func BenchmarkHear(b *testing.B) {
+// BenchmarkObserveHeartbeat measures one heartbeat in a fleet of 3,000 runners.
+func BenchmarkObserveHeartbeat(b *testing.B) {
 	r := NewRegistry(start, testTiming)
 	beats := make([]Heartbeat, 3000)
 	for i := range beats {
--- a/placement/fleet/incarnation.go
+++ b/placement/fleet/incarnation.go
@@ -9,28 +9,28 @@
 const incarnationSeparator = "#"
 
 // Incarnation returns the name of one incarnation of a runner: a runner that restarts under the
-// same ID has lost its state, so all state kept about runners belongs to an incarnation. born is
+// same ID has lost its state, so all state kept about runners belongs to an incarnation. startTime is
 // the start time in Unix milliseconds, or 0 if the runner does not report it; the name is then the
 // ID.
-func Incarnation(id string, born int64) string {
-	if born <= 0 {
+func Incarnation(id string, startTime int64) string {
+	if startTime <= 0 {
 		return id
 	}
-	return id + incarnationSeparator + strconv.FormatInt(born, 10)
+	return id + incarnationSeparator + strconv.FormatInt(startTime, 10)
 }
 
-// SplitIncarnation splits the name of an incarnation into ID and start time. born is 0 if the name
+// SplitIncarnation splits the name of an incarnation into ID and start time. startTime is 0 if the name
 // has none.
-func SplitIncarnation(name string) (id string, born int64) {
+func SplitIncarnation(name string) (id string, startTime int64) {
 	at := strings.LastIndex(name, incarnationSeparator)
 	if at < 0 {
 		return name, 0
 	}
-	born, err := strconv.ParseInt(name[at+len(incarnationSeparator):], 10, 64)
-	if err != nil || born <= 0 {
+	startTime, err := strconv.ParseInt(name[at+len(incarnationSeparator):], 10, 64)
+	if err != nil || startTime <= 0 {
 		return name, 0
 	}
-	return name[:at], born
+	return name[:at], startTime
 }
 
 // IDOf returns the runner ID of an incarnation.
@@ -75,7 +75,7 @@
 func appendIDs(ended []string, isListed func(id string) bool) []string {
 	listed := ended
 	for _, each := range ended {
-		if id, born := SplitIncarnation(each); born > 0 && !isListed(id) {
+		if id, startTime := SplitIncarnation(each); startTime > 0 && !isListed(id) {
 			listed = append(listed, id)
 		}
 	}
--- a/placement/fleet/incarnation_test.go
+++ b/placement/fleet/incarnation_test.go
@@ -11,32 +11,32 @@
 
 // event is a message to the leader about one of two incarnations of the runner "i".
 type event struct {
-	name  string
-	born  int64
-	apply func(r *Registry, now time.Time)
+	name      string
+	startTime int64
+	apply     func(r *Registry, now time.Time)
 }
 
-func heartbeatOf(born int64, sequence uint64, leaving bool) Heartbeat {
-	return Heartbeat{Instance: "i", Born: born, Service: "s", Address: "10.0.0.1:1", Slots: int(born), Sequence: sequence, Leaving: leaving}
+func heartbeatOf(startTime int64, sequence uint64, leaving bool) Heartbeat {
+	return Heartbeat{Instance: "i", Born: startTime, Service: "s", Address: "10.0.0.1:1", Slots: int(startTime), Sequence: sequence, Leaving: leaving}
 }
 
 // eventsOf returns the events of an incarnation in the order in which the runner sends them.
-func eventsOf(born int64, departs bool) []event {
-	hear := func(sequence uint64, leaving bool) func(*Registry, time.Time) {
+func eventsOf(startTime int64, departs bool) []event {
+	observe := func(sequence uint64, leaving bool) func(*Registry, time.Time) {
 		return func(r *Registry, now time.Time) {
-			r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(born, sequence, leaving)))
+			r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(startTime, sequence, leaving)))
 		}
 	}
 	events := []event{
-		{fmt.Sprint("first of ", born), born, hear(1, false)},
-		{fmt.Sprint("second of ", born), born, hear(2, false)},
+		{fmt.Sprint("first of ", startTime), startTime, observe(1, false)},
+		{fmt.Sprint("second of ", startTime), startTime, observe(2, false)},
 	}
 	if !departs {
 		return events
 	}
 	return append(events,
-		event{fmt.Sprint("leaving of ", born), born, hear(3, true)},
-		event{fmt.Sprint("end of ", born), born, func(r *Registry, now time.Time) { r.Depart(now, Incarnation("i", born), true) }},
+		event{fmt.Sprint("leaving of ", startTime), startTime, observe(3, true)},
+		event{fmt.Sprint("end of ", startTime), startTime, func(r *Registry, now time.Time) { r.Depart(now, Incarnation("i", startTime), true) }},
 	)
 }
 
@@ -69,7 +69,7 @@
 				now = now.Add(10 * time.Millisecond)
 				each.apply(r, now)
 				history += each.name + ", "
-				isHeard = isHeard || each.born == 200
+				isHeard = isHeard || each.startTime == 200
 				listed := r.Runners(now)
 				for _, status := range listed {
 					if isHeard {
@@ -92,9 +92,9 @@
 // Guards against registrations that a new leader recalls from the log overriding a later
 // incarnation.
 func TestRecalledIncarnationIsSuperseded(t *testing.T) {
-	recall := func(born int64) event {
-		return event{fmt.Sprint("recall of ", born), born, func(r *Registry, now time.Time) {
-			r.Recall(now, Heartbeat{Instance: Incarnation("i", born), Service: "s", Address: "10.0.0.1:1"})
+	recall := func(startTime int64) event {
+		return event{fmt.Sprint("recall of ", startTime), startTime, func(r *Registry, now time.Time) {
+			r.Recall(now, Heartbeat{Instance: Incarnation("i", startTime), Service: "s", Address: "10.0.0.1:1"})
 		}}
 	}
 	events := append(eventsOf(100, true), recall(100), recall(200))
@@ -230,18 +230,18 @@
 func TestIncarnationNames(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
-		id   string
-		born int64
-		name string
+		id        string
+		startTime int64
+		name      string
 	}{{"i", 0, "i"}, {"i", 7, "i#7"}, {"i-7f", 1733195000000, "i-7f#1733195000000"}} {
-		c.Assert(Incarnation(test.id, test.born), qt.Equals, test.name)
-		id, born := SplitIncarnation(test.name)
+		c.Assert(Incarnation(test.id, test.startTime), qt.Equals, test.name)
+		id, startTime := SplitIncarnation(test.name)
 		c.Assert(id, qt.Equals, test.id)
-		c.Assert(born, qt.Equals, test.born)
+		c.Assert(startTime, qt.Equals, test.startTime)
 	}
 	c.Assert(IsID("a#1"), qt.IsFalse)
 	c.Assert(IsID(""), qt.IsFalse)
-	id, born := SplitIncarnation("a#b")
+	id, startTime := SplitIncarnation("a#b")
 	c.Assert(id, qt.Equals, "a#b")
-	c.Assert(born, qt.Equals, int64(0))
+	c.Assert(startTime, qt.Equals, int64(0))
 }
--- a/placement/fleet/news.go
+++ b/placement/fleet/news.go
@@ -8,9 +8,9 @@
 	}
 }
 
-// isNews reports whether a runner has changed after the revision in another way than by being heard
+// isTakeoverChange reports whether a runner has changed after the revision in another way than by being heard
 // for the first time.
-func (p *Publisher) isNews(runner *Runner, known uint64) bool {
+func (p *Publisher) isTakeoverChange(runner *Runner, known uint64) bool {
 	changed := p.changedAt[runner.Instance]
 	if changed <= known {
 		return false
@@ -23,20 +23,20 @@
 // leader has most likely sent. The result is small for any fleet size; the router fetches the full
 // view later.
 func (p *Publisher) TakeoverChangesSince(known uint64) View {
-	news := View{Partial: true, Gone: p.goneSince(known)}
+	delta := View{Partial: true, Gone: p.goneSince(known)}
 	for i := range p.view.Runners {
-		if p.isNews(&p.view.Runners[i], known) {
-			news.Runners = append(news.Runners, p.view.Runners[i])
+		if p.isTakeoverChange(&p.view.Runners[i], known) {
+			delta.Runners = append(delta.Runners, p.view.Runners[i])
 		}
 	}
-	news.Removed = p.removedSince(known)
-	return news
+	delta.Removed = p.removedSince(known)
+	return delta
 }
 
 // EncodedTakeoverChangesSince returns the encoded result of TakeoverChangesSince. It encodes only once per known
 // revision.
 func (p *Publisher) EncodedTakeoverChangesSince(known uint64) (EncodedView, error) {
-	return p.encodeOnce(p.encodedNews, known, p.TakeoverChangesSince)
+	return p.encodeOnce(p.encodedTakeoverChanges, known, p.TakeoverChangesSince)
 }
 
 // encodeOnce returns the encoded view for a known revision, from the cache if possible.
--- a/placement/fleet/publisher.go
+++ b/placement/fleet/publisher.go
@@ -25,9 +25,9 @@
 	goneAt map[string]uint64
 	// encoded caches the encoded results of Since for the current revision, by known revision.
 	encoded map[uint64]EncodedView
-	// encodedNews caches those of TakeoverChangesSince. firstHeardAt maps each runner to the revision in which
+	// encodedTakeoverChanges caches those of TakeoverChangesSince. firstHeardAt maps each runner to the revision in which
 	// it was first heard.
-	encodedNews map[uint64]EncodedView
+	encodedTakeoverChanges map[uint64]EncodedView
 	// whole is the cached full view, encoded at wholeAt from revision wholeRevision.
 	whole         EncodedView
 	wholeRevision uint64
@@ -48,7 +48,7 @@
 func NewPublisher() *Publisher {
 	return &Publisher{
 		changedAt: make(map[string]uint64), goneAt: make(map[string]uint64), encoded: make(map[uint64]EncodedView),
-		encodedNews: make(map[uint64]EncodedView), firstHeardAt: make(map[string]uint64),
+		encodedTakeoverChanges: make(map[uint64]EncodedView), firstHeardAt: make(map[string]uint64),
 	}
 }
 
@@ -102,7 +102,7 @@
 	p.trimRemovals()
 	p.spare, p.view = p.view.Runners, view
 	clear(p.encoded)
-	clear(p.encodedNews)
+	clear(p.encodedTakeoverChanges)
 	return true
 }
 
--- a/placement/fleet/registry.go
+++ b/placement/fleet/registry.go
@@ -140,9 +140,9 @@
 	owner := known
 	_, latest := SplitIncarnation(known.heartbeat.Instance)
 	for _, other := range r.addresses[known.heartbeat.Address] {
-		_, born := SplitIncarnation(other.heartbeat.Instance)
-		if latest > 0 && born > latest && !other.hasEnded() {
-			owner, latest = other, born
+		_, startTime := SplitIncarnation(other.heartbeat.Instance)
+		if latest > 0 && startTime > latest && !other.hasEnded() {
+			owner, latest = other, startTime
 		}
 	}
 	for _, other := range r.addresses[known.heartbeat.Address] {
--- a/placement/fleet/supersede.go
+++ b/placement/fleet/supersede.go
@@ -7,9 +7,9 @@
 // attributed to the latest known incarnation only if it matches that one.
 func (r *Registry) Resolve(heartbeat Heartbeat) Heartbeat {
 	heartbeat = heartbeat.withIncarnation()
-	id, born := SplitIncarnation(heartbeat.Instance)
+	id, startTime := SplitIncarnation(heartbeat.Instance)
 	newest := r.latest[id]
-	if born > 0 || newest == "" || newest == heartbeat.Instance {
+	if startTime > 0 || newest == "" || newest == heartbeat.Instance {
 		return heartbeat
 	}
 	known := r.runners[newest]
@@ -32,14 +32,14 @@
 // addIncarnation adds the record of a new incarnation. It returns nil if a later one is known or if
 // the incarnation has ended.
 func (r *Registry) addIncarnation(now time.Time, heartbeat Heartbeat) *record {
-	id, born := SplitIncarnation(heartbeat.Instance)
+	id, startTime := SplitIncarnation(heartbeat.Instance)
 	former := r.runners[r.latest[id]]
 	if !r.supersede(now, heartbeat.Instance) {
 		return nil
 	}
 	added := &record{}
 	r.add(heartbeat.Instance, added)
-	if born > 0 && former != nil && former.hasNoStartTime() && former.isSameIncarnation(heartbeat) {
+	if startTime > 0 && former != nil && former.hasNoStartTime() && former.isSameIncarnation(heartbeat) {
 		added.leaving, added.gone, added.endsAt = former.leaving, former.gone, former.endsAt
 		if added.gone {
 			added.heartbeat, added.heardAt = Heartbeat{Instance: heartbeat.Instance}, now
@@ -52,9 +52,9 @@
 // supersede makes the instance the latest incarnation of its runner and ends the one before. It
 // reports false if a later incarnation is known.
 func (r *Registry) supersede(now time.Time, instance string) bool {
-	id, born := SplitIncarnation(instance)
+	id, startTime := SplitIncarnation(instance)
 	if former := r.latest[id]; former != "" {
-		if _, formerBorn := SplitIncarnation(former); formerBorn > born {
+		if _, formerStartTime := SplitIncarnation(former); formerStartTime > startTime {
 			return false
 		}
 		if known := r.runners[former]; known != nil && former != instance {
@@ -71,8 +71,8 @@
 
 // hasNoStartTime reports whether the start time of the runner is unknown.
 func (r *record) hasNoStartTime() bool {
-	_, born := SplitIncarnation(r.heartbeat.Instance)
-	return born == 0
+	_, startTime := SplitIncarnation(r.heartbeat.Instance)
+	return startTime == 0
 }
 
 // isSameIncarnation reports whether a record without start time, as the previous version keeps it,
--- a/placement/notice/book.go
+++ b/placement/notice/book.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// backoffContinuation is how long after the end of a backoff a new one still counts as its
+	// cooldownContinuation is how long after the end of a cooldown a new one still counts as its
 	// continuation, since a router may send requests to a model only every few seconds.
-	backoffContinuation = 10 * time.Second
+	cooldownContinuation = 10 * time.Second
 	// leavingTTL is how long a leaving runner is remembered after it is no longer listed. A new
 	// leader or a partitioned controller may list it again.
 	leavingTTL = 10 * time.Minute
@@ -29,12 +29,12 @@
 // entry is the state of one incarnation of a runner.
 type entry struct {
 	instance string
-	// backoffUntil is the latest end of the announced cooldowns; zero for none.
-	backoffUntil time.Time
-	// backoffSince is when the first of them was announced. The runner has taken no request since.
-	backoffSince time.Time
-	isLeaving    bool
-	heardAt      time.Time
+	// cooldownUntil is the latest end of the announced cooldowns; zero for none.
+	cooldownUntil time.Time
+	// cooldownSince is when the first of them was announced. The runner has taken no request since.
+	cooldownSince time.Time
+	isLeaving     bool
+	heardAt       time.Time
 	// changes counts the changes of the entry, reported those that the leader has acknowledged.
 	changes  uint64
 	reported uint64
@@ -45,13 +45,13 @@
 
 // Change describes what an answer changed.
 type Change struct {
-	// IsCoolingDown is set if the backoff ends later than was known.
+	// IsCoolingDown is set if the cooldown ends later than was known.
 	IsCoolingDown bool
 	// IsLeaving is set if the runner was not known to be leaving.
 	IsLeaving bool
 }
 
-// Observe records the notice of a runner's answer. A backoff ends only when its time has passed, not by a
+// Observe records the notice of a runner's answer. A cooldown ends only when its time has passed, not by a
 // shorter one or by answers to earlier requests.
 func (b *Tracker) Observe(now time.Time, instance string, notice Notice) Change {
 	var change Change
@@ -64,11 +64,11 @@
 		b.runners[instance] = known
 	}
 	known.heardAt = now
-	if until := now.Add(notice.Cooldown); notice.Cooldown > 0 && until.After(known.backoffUntil) {
-		if known.backoffUntil.IsZero() || now.Sub(known.backoffUntil) > backoffContinuation {
-			known.backoffSince = now
+	if until := now.Add(notice.Cooldown); notice.Cooldown > 0 && until.After(known.cooldownUntil) {
+		if known.cooldownUntil.IsZero() || now.Sub(known.cooldownUntil) > cooldownContinuation {
+			known.cooldownSince = now
 		}
-		known.backoffUntil = until
+		known.cooldownUntil = until
 		change.IsCoolingDown = true
 	}
 	change.IsLeaving = notice.IsLeaving && !known.isLeaving
@@ -79,14 +79,14 @@
 	return change
 }
 
-// RecordAccepted records that a runner accepted a request sent at the given time, which ends its backoff if that
+// RecordAccepted records that a runner accepted a request sent at the given time, which ends its cooldown if that
 // is over. Requests sent before the end are ignored.
 func (b *Tracker) RecordAccepted(sent time.Time, instance string) {
 	known := b.runners[instance]
-	if known == nil || known.backoffUntil.IsZero() || sent.Before(known.backoffUntil) {
+	if known == nil || known.cooldownUntil.IsZero() || sent.Before(known.cooldownUntil) {
 		return
 	}
-	known.backoffUntil, known.backoffSince = time.Time{}, time.Time{}
+	known.cooldownUntil, known.cooldownSince = time.Time{}, time.Time{}
 	if !known.isLeaving {
 		delete(b.runners, instance)
 	}
@@ -95,10 +95,10 @@
 // IsEmpty reports whether the tracker has no entries.
 func (b *Tracker) IsEmpty() bool { return len(b.runners) == 0 }
 
-// CooldownEnd returns the end of a runner's backoff; zero or in the past if it takes requests.
+// CooldownEnd returns the end of a runner's cooldown; zero or in the past if it takes requests.
 func (b *Tracker) CooldownEnd(instance string) time.Time {
 	if known := b.runners[instance]; known != nil {
-		return known.backoffUntil
+		return known.cooldownUntil
 	}
 	return time.Time{}
 }
@@ -113,19 +113,19 @@
 func (b *Tracker) CountCoolingDown(now time.Time) int {
 	count := 0
 	for _, known := range b.runners {
-		if now.Before(known.backoffUntil) {
+		if now.Before(known.cooldownUntil) {
 			count++
 		}
 	}
 	return count
 }
 
-// NextEnd returns the earliest end of a current backoff, and false if there is none.
+// NextEnd returns the earliest end of a current cooldown, and false if there is none.
 func (b *Tracker) NextEnd(now time.Time) (time.Time, bool) {
 	var next time.Time
 	for _, known := range b.runners {
-		if now.Before(known.backoffUntil) && (next.IsZero() || known.backoffUntil.Before(next)) {
-			next = known.backoffUntil
+		if now.Before(known.cooldownUntil) && (next.IsZero() || known.cooldownUntil.Before(next)) {
+			next = known.cooldownUntil
 		}
 	}
 	return next, !next.IsZero()
@@ -135,13 +135,13 @@
 func (b *Tracker) Sweep(now time.Time, isListed func(instance string) bool) {
 	var unlisted []*entry
 	for instance, known := range b.runners {
-		isBackoffOver := now.Sub(known.backoffUntil) > backoffContinuation
+		isCooldownOver := now.Sub(known.cooldownUntil) > cooldownContinuation
 		switch {
 		case isListed(instance):
-			if isBackoffOver && !known.isLeaving {
+			if isCooldownOver && !known.isLeaving {
 				delete(b.runners, instance)
 			}
-		case isBackoffOver && (!known.isLeaving || now.Sub(known.heardAt) > leavingTTL):
+		case isCooldownOver && (!known.isLeaving || now.Sub(known.heardAt) > leavingTTL):
 			delete(b.runners, instance)
 		default:
 			unlisted = append(unlisted, known)
@@ -175,33 +175,33 @@
 
 // Pending returns the pending reports. They stay pending until Acknowledge is called.
 func (b *Tracker) Pending(now time.Time) PendingReports {
-	news := PendingReports{leaderEpoch: b.leaderEpoch}
+	pending := PendingReports{leaderEpoch: b.leaderEpoch}
 	for instance, known := range b.runners {
 		if known.reported < known.changes {
-			news.Reports = append(news.Reports, Report{Instance: instance, RestsFor: known.remainingBackoff(now), IsLeaving: known.isLeaving})
-			news.changes = append(news.changes, known.changes)
+			pending.Reports = append(pending.Reports, Report{Instance: instance, RestsFor: known.remainingCooldown(now), IsLeaving: known.isLeaving})
+			pending.changes = append(pending.changes, known.changes)
 		}
 	}
-	return news
+	return pending
 }
 
-// remainingBackoff returns the expected remaining backoff: the announced time, or the time that it has
+// remainingCooldown returns the expected remaining cooldown: the announced time, or the time that it has
 // lasted so far if that is longer.
-func (e *entry) remainingBackoff(now time.Time) time.Duration {
-	if !now.Before(e.backoffUntil) {
+func (e *entry) remainingCooldown(now time.Time) time.Duration {
+	if !now.Before(e.cooldownUntil) {
 		return 0
 	}
-	return max(e.backoffUntil.Sub(now), now.Sub(e.backoffSince))
+	return max(e.cooldownUntil.Sub(now), now.Sub(e.cooldownSince))
 }
 
 // Acknowledge marks the reports as acknowledged, unless the leader has changed since.
-func (b *Tracker) Acknowledge(news PendingReports) {
-	if news.leaderEpoch != b.leaderEpoch {
+func (b *Tracker) Acknowledge(pending PendingReports) {
+	if pending.leaderEpoch != b.leaderEpoch {
 		return
 	}
-	for i, report := range news.Reports {
+	for i, report := range pending.Reports {
 		if known := b.runners[report.Instance]; known != nil {
-			known.reported = max(known.reported, news.changes[i])
+			known.reported = max(known.reported, pending.changes[i])
 		}
 	}
 }
--- a/placement/notice/book_test.go
+++ b/placement/notice/book_test.go
@@ -15,19 +15,19 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-func backoff(seconds float64) Notice {
+func cooldown(seconds float64) Notice {
 	return Notice{Cooldown: time.Duration(seconds * float64(time.Second))}
 }
 
-func TestBackoffEndsOnlyWhenItsTimeHasPassed(t *testing.T) {
+func TestCooldownEndsOnlyWhenItsTimeHasPassed(t *testing.T) {
 	c := qt.New(t)
 	b := NewTracker()
-	c.Assert(b.Observe(at(0), testRunner, backoff(3)), qt.Equals, Change{IsCoolingDown: true})
+	c.Assert(b.Observe(at(0), testRunner, cooldown(3)), qt.Equals, Change{IsCoolingDown: true})
 	c.Assert(b.CooldownEnd(testRunner), qt.Equals, at(3))
-	// A shorter backoff has no effect, a longer one extends it.
-	c.Assert(b.Observe(at(1), testRunner, backoff(1)), qt.Equals, Change{})
+	// A shorter cooldown has no effect, a longer one extends it.
+	c.Assert(b.Observe(at(1), testRunner, cooldown(1)), qt.Equals, Change{})
 	c.Assert(b.CooldownEnd(testRunner), qt.Equals, at(3))
-	c.Assert(b.Observe(at(2), testRunner, backoff(4)), qt.Equals, Change{IsCoolingDown: true})
+	c.Assert(b.Observe(at(2), testRunner, cooldown(4)), qt.Equals, Change{IsCoolingDown: true})
 	c.Assert(b.CooldownEnd(testRunner), qt.Equals, at(6))
 	// Answers to earlier requests don't end it.
 	b.Observe(at(2.5), testRunner, Notice{})
@@ -57,14 +57,14 @@
 	c.Assert(b.IsEmpty(), qt.IsTrue)
 }
 
-func TestLongBackoffIsKeptAndMemoryIsBounded(t *testing.T) {
+func TestLongCooldownIsKeptAndMemoryIsBounded(t *testing.T) {
 	c := qt.New(t)
 	b := NewTracker()
-	b.Observe(at(0), testRunner, backoff(1e9))
+	b.Observe(at(0), testRunner, cooldown(1e9))
 	b.Sweep(at(1e6), func(string) bool { return true })
 	c.Assert(b.CountCoolingDown(at(1e6)), qt.Equals, 1)
 	for i := range maxUnlisted + 100 {
-		b.Observe(at(1e6+float64(i)), fmt.Sprint("other", i), backoff(1e9))
+		b.Observe(at(1e6+float64(i)), fmt.Sprint("other", i), cooldown(1e9))
 	}
 	b.Sweep(at(1e6), func(instance string) bool { return instance == testRunner })
 	c.Assert(b.runners, qt.HasLen, maxUnlisted+1)
@@ -77,8 +77,8 @@
 	b := NewTracker()
 	_, isAny := b.NextEnd(at(0))
 	c.Assert(isAny, qt.IsFalse)
-	b.Observe(at(0), "a", backoff(5))
-	b.Observe(at(0), "b", backoff(2))
+	b.Observe(at(0), "a", cooldown(5))
+	b.Observe(at(0), "b", cooldown(2))
 	b.Observe(at(0), "c", Notice{IsLeaving: true})
 	next, _ := b.NextEnd(at(0))
 	c.Assert(next, qt.Equals, at(2))
@@ -88,34 +88,34 @@
 	c.Assert(isAny, qt.IsFalse)
 }
 
-// Guards against expecting a short backoff from a runner that has been backing off for longer.
-func TestReportsExpectedRemainingBackoff(t *testing.T) {
+// Guards against expecting a short cooldown from a runner that has been cooling down for longer.
+func TestReportsExpectedRemainingCooldown(t *testing.T) {
 	c := qt.New(t)
 	b := NewTracker()
-	restsFor := func(now time.Time) time.Duration { return b.Pending(now).Reports[0].RestsFor }
-	b.Observe(at(0), testRunner, backoff(3))
-	c.Assert(restsFor(at(0)), qt.Equals, 3*time.Second)
-	c.Assert(restsFor(at(1)), qt.Equals, 2*time.Second)
-	b.Observe(at(3.5), testRunner, backoff(3))
-	c.Assert(restsFor(at(3.5)), qt.Equals, 3500*time.Millisecond)
+	cooldownLeft := func(now time.Time) time.Duration { return b.Pending(now).Reports[0].RestsFor }
+	b.Observe(at(0), testRunner, cooldown(3))
+	c.Assert(cooldownLeft(at(0)), qt.Equals, 3*time.Second)
+	c.Assert(cooldownLeft(at(1)), qt.Equals, 2*time.Second)
+	b.Observe(at(3.5), testRunner, cooldown(3))
+	c.Assert(cooldownLeft(at(3.5)), qt.Equals, 3500*time.Millisecond)
 	b.RecordAccepted(at(7), testRunner)
-	b.Observe(at(8), testRunner, backoff(3))
-	c.Assert(restsFor(at(8)), qt.Equals, 3*time.Second)
+	b.Observe(at(8), testRunner, cooldown(3))
+	c.Assert(cooldownLeft(at(8)), qt.Equals, 3*time.Second)
 }
 
-func TestNewsStayPendingUntilTold(t *testing.T) {
+func TestReportsStayPendingUntilAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	b := NewTracker()
-	b.Observe(at(0), testRunner, backoff(3))
-	news := b.Pending(at(0))
-	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, RestsFor: 3 * time.Second}})
+	b.Observe(at(0), testRunner, cooldown(3))
+	pending := b.Pending(at(0))
+	c.Assert(pending.Reports, qt.DeepEquals, []Report{{Instance: testRunner, RestsFor: 3 * time.Second}})
 	// Changes after Pending are not acknowledged by Acknowledge.
 	b.Observe(at(1), testRunner, Notice{IsLeaving: true, Cooldown: 10 * time.Second})
-	b.Acknowledge(news)
-	news = b.Pending(at(1))
-	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, RestsFor: 10 * time.Second, IsLeaving: true}})
+	b.Acknowledge(pending)
+	pending = b.Pending(at(1))
+	c.Assert(pending.Reports, qt.DeepEquals, []Report{{Instance: testRunner, RestsFor: 10 * time.Second, IsLeaving: true}})
 	b.ResendAll()
-	b.Acknowledge(news)
+	b.Acknowledge(pending)
 	c.Assert(b.Pending(at(1)).Reports, qt.HasLen, 1)
 	b.Acknowledge(b.Pending(at(1)))
 	c.Assert(b.Pending(at(1)).Reports, qt.HasLen, 0)
@@ -123,7 +123,7 @@
 	c.Assert(b.Pending(at(1)).Reports, qt.HasLen, 1)
 }
 
-// Guards against a backoff that ends early, or a leaving runner that is forgotten, for random
+// Guards against a cooldown that ends early, or a leaving runner that is forgotten, for random
 // interleavings of answers, views and leader changes.
 func TestAnnouncementsAreKept(t *testing.T) {
 	for seed := range uint64(300) {
@@ -131,7 +131,7 @@
 		random := rand.New(rand.NewPCG(seed, 5))
 		b := NewTracker()
 		now := start
-		var backoffUntil time.Time
+		var cooldownUntil time.Time
 		isLeaving := false
 		for range 80 {
 			now = now.Add(time.Duration(random.IntN(900)) * time.Millisecond)
@@ -139,8 +139,8 @@
 			case 0:
 				duration := time.Duration(random.IntN(5000)) * time.Millisecond
 				b.Observe(now, testRunner, Notice{Cooldown: duration})
-				if duration > 0 && now.Add(duration).After(backoffUntil) {
-					backoffUntil = now.Add(duration)
+				if duration > 0 && now.Add(duration).After(cooldownUntil) {
+					cooldownUntil = now.Add(duration)
 				}
 			case 1:
 				b.RecordAccepted(now.Add(-time.Duration(random.IntN(4000))*time.Millisecond), testRunner)
@@ -157,8 +157,8 @@
 					isLeaving = true
 				}
 			}
-			if now.Before(backoffUntil) {
-				c.Assert(b.CooldownEnd(testRunner), qt.Equals, backoffUntil, qt.Commentf("seed %d", seed))
+			if now.Before(cooldownUntil) {
+				c.Assert(b.CooldownEnd(testRunner), qt.Equals, cooldownUntil, qt.Commentf("seed %d", seed))
 			}
 			c.Assert(b.IsLeaving(testRunner), qt.Equals, isLeaving, qt.Commentf("seed %d", seed))
 		}
--- a/placement/notice/notice.go
+++ b/placement/notice/notice.go
@@ -10,7 +10,7 @@
 type Notice struct {
 	// Limit is the announced rate limit.
 	Limit ratelimit.Notice
-	// Cooldown is how long the runner wants no requests from this router; 0 if not announced.
+	// Cooldown is how long this router should send no requests to the runner; 0 if not announced.
 	Cooldown time.Duration
 	// IsLeaving is set if the runner takes no new requests until it ends.
 	IsLeaving bool
@@ -21,7 +21,7 @@
 // Report is a router's report of a runner's announcement to the leader.
 type Report struct {
 	Instance string
-	// RestsFor is the expected remaining time without requests from this router; 0 if the runner
+	// RestsFor is the expected remaining cooldown of the runner for this router; 0 if the runner
 	// takes requests.
 	RestsFor  time.Duration
 	IsLeaving bool
--- a/placement/poison/tracker_test.go
+++ b/placement/poison/tracker_test.go
@@ -117,8 +117,8 @@
 	c.Assert(trials, qt.DeepEquals, []time.Duration{0, 30 * time.Second, 90 * time.Second, 210 * time.Second})
 }
 
-// Guards against blocking an asker that repeats its question because the answer was lost.
-func TestAskerMayRepeatQuestion(t *testing.T) {
+// Guards against blocking an asker that repeats its request because the answer was lost.
+func TestAskerMayRepeatRequest(t *testing.T) {
 	c := qt.New(t)
 	tracker := newTrackerWithSuspect(crashing)
 	for _, instance := range []string{"a", "a", "b"} {
@@ -182,8 +182,8 @@
 	next.Expire(start.Add(minRefusal + time.Second))
 	c.Assert(askOnce(next, start.Add(minRefusal+time.Second), crashing, "a"), qt.Equals, Trial)
 	reportLoss(next, start.Add(minRefusal+time.Second), "a", crashing)
-	_, comeBackIn := next.Ask(start.Add(minRefusal+time.Second), crashing, "asker", "a")
-	c.Assert(comeBackIn, qt.Equals, refusalGrowth*minRefusal)
+	_, retryAfter := next.Ask(start.Add(minRefusal+time.Second), crashing, "asker", "a")
+	c.Assert(retryAfter, qt.Equals, refusalGrowth*minRefusal)
 }
 
 func TestMemoryIsBounded(t *testing.T) {
--- a/placement/quota/ask.go
+++ b/placement/quota/ask.go
@@ -19,10 +19,11 @@
 	Away time.Duration
 }
 
-// Answer is the decision on a request. A request that is neither admitted nor told to come back is
+// Answer is the decision on a request. A request that is neither admitted nor has a retry delay is
 // undecided.
 type Answer struct {
 	IsAdmitted bool
+	// ComeBackIn is the delay before a retry of a rejected request.
 	ComeBackIn time.Duration
 }
 
--- a/placement/quota/bookings.go
+++ b/placement/quota/bookings.go
@@ -19,7 +19,7 @@
 	maxBookings = 2048
 )
 
-// booking is an amount kept for a rejected caller that was told when to retry.
+// booking is an amount kept for a rejected caller with a retry time.
 type booking struct {
 	digest uint64
 	cost   float64
--- a/placement/quota/decision.go
+++ b/placement/quota/decision.go
@@ -47,7 +47,7 @@
 		counts.asked++
 	}
 	if answer.ComeBackIn > 0 {
-		counts.refused++
+		counts.rejected++
 	}
 }
 
--- a/placement/quota/decision_test.go
+++ b/placement/quota/decision_test.go
@@ -24,18 +24,18 @@
 	c := qt.New(t)
 	d := newDivider()
 	c.Assert(drawAt(d, origin, "a", oneRequest(230, urgent(1))).Answers[0].IsAdmitted, qt.IsTrue)
-	refused := drawAt(d, origin, "a", oneRequest(20, patient(2))).Answers[0]
-	c.Assert(refused.IsAdmitted, qt.IsFalse)
+	rejected := drawAt(d, origin, "a", oneRequest(20, patient(2))).Answers[0]
+	c.Assert(rejected.IsAdmitted, qt.IsFalse)
 	// Its answer is in time then, and the next moments are left to urgent callers.
-	c.Assert(refused.ComeBackIn >= 3*time.Second && refused.ComeBackIn <= 5*time.Second, qt.IsTrue, qt.Commentf("%v", refused.ComeBackIn))
+	c.Assert(rejected.ComeBackIn >= 3*time.Second && rejected.ComeBackIn <= 5*time.Second, qt.IsTrue, qt.Commentf("%v", rejected.ComeBackIn))
 	// Meanwhile other callers exceed the rate.
 	at := origin
-	for digest := uint64(100); at.Before(origin.Add(refused.ComeBackIn)); digest++ {
+	for digest := uint64(100); at.Before(origin.Add(rejected.ComeBackIn)); digest++ {
 		at = at.Add(10 * time.Millisecond)
 		drawAt(d, at, "b", oneRequest(10, urgent(digest)))
 	}
 	// The caller retries at another router.
-	redeemed := drawAt(d, origin.Add(refused.ComeBackIn), "c", oneRequest(20, patient(2)))
+	redeemed := drawAt(d, origin.Add(rejected.ComeBackIn), "c", oneRequest(20, patient(2)))
 	c.Assert(redeemed.Answers[0].IsAdmitted, qt.IsTrue)
 	c.Assert(redeemed.Amount, qt.Equals, 20.0)
 }
--- a/placement/quota/divider.go
+++ b/placement/quota/divider.go
@@ -266,7 +266,7 @@
 		known.expire(at)
 		known.sweep(at)
 		usages = append(usages, Usage{Tenant: name, Used: known.used, Most: known.maxGranted, Lent: known.leasedSum, Drawn: known.drawn,
-			Asked: known.counts.asked, Refused: known.counts.refused, Promised: known.counts.booked})
+			Asked: known.counts.asked, Refused: known.counts.rejected, Promised: known.counts.booked})
 		known.drawn, known.counts = 0, counts{}
 	}
 	slices.SortFunc(usages, func(a, b Usage) int { return strings.Compare(a.Tenant, b.Tenant) })
--- a/placement/quota/window.go
+++ b/placement/quota/window.go
@@ -50,9 +50,9 @@
 
 // counts holds the numbers of requests by decision.
 type counts struct {
-	asked   int
-	refused int
-	booked  int
+	asked    int
+	rejected int
+	booked   int
 }
 
 // grantedStep is the amount granted in one step. It counts until the window after its end has
--- a/placement/ratelimit/belief.go
+++ b/placement/ratelimit/belief.go
@@ -131,19 +131,19 @@
 
 // Pending returns the pending reports. They stay pending until Acknowledge is called.
 func (b *LimitCache) Pending() PendingReports {
-	news := PendingReports{leaderEpoch: b.leaderEpoch}
+	reports := PendingReports{leaderEpoch: b.leaderEpoch}
 	for _, report := range b.pending {
-		news.Reports = append(news.Reports, report)
+		reports.Reports = append(reports.Reports, report)
 	}
-	return news
+	return reports
 }
 
 // Acknowledge marks the reports as acknowledged, unless the leader has changed since.
-func (b *LimitCache) Acknowledge(news PendingReports) {
-	if news.leaderEpoch != b.leaderEpoch {
+func (b *LimitCache) Acknowledge(reports PendingReports) {
+	if reports.leaderEpoch != b.leaderEpoch {
 		return
 	}
-	for _, report := range news.Reports {
+	for _, report := range reports.Reports {
 		if b.pending[report.Instance] == report {
 			delete(b.pending, report.Instance)
 		}
--- a/placement/ratelimit/belief_test.go
+++ b/placement/ratelimit/belief_test.go
@@ -31,10 +31,10 @@
 	c.Assert(b.ObserveAnswer(at, at, testRunner, limitNotice(2)), qt.IsTrue)
 	c.Assert(b.ObserveAnswer(at, at, testRunner, limitNotice(2)), qt.IsFalse)
 	assertLimit(c, b, 2)
-	news := b.Pending()
-	c.Assert(news.Reports, qt.DeepEquals, []Report{{Instance: testRunner, PerSecond: 2}})
+	reports := b.Pending()
+	c.Assert(reports.Reports, qt.DeepEquals, []Report{{Instance: testRunner, PerSecond: 2}})
 	c.Assert(b.Pending().Reports, qt.HasLen, 1)
-	b.Acknowledge(news)
+	b.Acknowledge(reports)
 	c.Assert(b.Pending().Reports, qt.HasLen, 0)
 	b.Forget(testRunner)
 	c.Assert(b.IsEmpty(), qt.IsTrue)
@@ -124,12 +124,12 @@
 			at = at.Add(time.Millisecond)
 		}
 		report := func(router *LimitCache) {
-			news := router.Pending()
-			for _, each := range news.Reports {
+			reports := router.Pending()
+			for _, each := range reports.Reports {
 				leader.Observe(each)
 			}
 			views = append(views, leader.Of(testRunner))
-			router.Acknowledge(news)
+			router.Acknowledge(reports)
 		}
 		watch := func(router *LimitCache, view float64) { router.ApplyView(at, testRunner, view) }
 		for range 60 {
--- a/placement/residency/answers.go
+++ b/placement/residency/answers.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// rollBack reverts the state recorded when the order was sent, after the runner refused it.
+// rollBack reverts the state recorded when the order was sent, after the runner rejected it.
 func (p *Planner) rollBack(r *runner, order Order) {
 	held := r.holdings[order.Model]
 	switch {
--- a/placement/residency/backoff.go
+++ b/placement/residency/backoff.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// ObserveCooldown records that a runner asked a router to back off and probably refuses requests for
+// ObserveCooldown records that a runner requested a cooldown from a router and probably rejects requests for
 // that time. Only that router is bound by it, but requests waiting there are not served by others.
-func (p *Planner) ObserveCooldown(now time.Time, instance string, backoff time.Duration) {
+func (p *Planner) ObserveCooldown(now time.Time, instance string, cooldown time.Duration) {
 	r := p.runners[instance]
-	if r == nil || backoff <= 0 {
+	if r == nil || cooldown <= 0 {
 		return
 	}
-	if until := now.Add(backoff); until.After(r.backoffUntil) {
-		r.backoffUntil = until
+	if until := now.Add(cooldown); until.After(r.cooldownUntil) {
+		r.cooldownUntil = until
 	}
 }
 
@@ -26,20 +26,20 @@
 	}
 }
 
-// isBackingOff reports whether the runner refuses requests, so that no model should be loaded
+// isCoolingDown reports whether the runner rejects requests, so that no model should be loaded
 // there.
-func (r *runner) isBackingOff(now time.Time) bool { return now.Before(r.backoffUntil) }
+func (r *runner) isCoolingDown(now time.Time) bool { return now.Before(r.cooldownUntil) }
 
 // isServed reports whether a runner of the zones holds the model and will accept requests sooner
 // than a load at another runner would complete; nil stands for all zones.
 func (p *Planner) isServed(now time.Time, row Row, zones []string) bool {
 	holders := p.holders(row)
-	if !slices.ContainsFunc(holders, func(r *runner) bool { return r.isBackingOff(now) }) {
+	if !slices.ContainsFunc(holders, func(r *runner) bool { return r.isCoolingDown(now) }) {
 		return isAnyIn(holders, zones)
 	}
 	elsewhere := p.quickestLoadElsewhere(row)
 	return slices.ContainsFunc(holders, func(r *runner) bool {
-		return r.isIn(zones) && r.backoffUntil.Sub(now) <= elsewhere
+		return r.isIn(zones) && r.cooldownUntil.Sub(now) <= elsewhere
 	})
 }
 
--- a/placement/residency/backoff_test.go
+++ b/placement/residency/backoff_test.go
@@ -9,15 +9,15 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// A model whose only replica is backing off is loaded elsewhere if the backoff exceeds the time of
-// a load, here six seconds, and not at a runner that is backing off as well.
-func TestModelOfBackingOffRunnerIsLoadedElsewhere(t *testing.T) {
+// A model whose only replica is cooling down is loaded elsewhere if the cooldown exceeds the time of
+// a load, here six seconds, and not at a runner that is cooling down as well.
+func TestModelOfCoolingRunnerIsLoadedElsewhere(t *testing.T) {
 	const loadTime = 6 * time.Second
 	for _, test := range []struct {
-		name    string
-		backoff time.Duration
-		waiting int
-		loaded  []string
+		name     string
+		cooldown time.Duration
+		waiting  int
+		loaded   []string
 	}{
 		{"no backoff", 0, 1, nil},
 		{"a backoff as long as a load", loadTime, 1, nil},
@@ -32,9 +32,9 @@
 				}
 			})
 			c.Assert(p.document.Service("s").Engine.ModelByName("m0").LoadTime, qt.Equals, loadTime)
-			p.ObserveCooldown(start, "r0", test.backoff)
-			p.ObserveCooldown(start, "r1", test.backoff)
-			p.ObserveCooldown(start, "nobody", test.backoff)
+			p.ObserveCooldown(start, "r0", test.cooldown)
+			p.ObserveCooldown(start, "r1", test.cooldown)
+			p.ObserveCooldown(start, "nobody", test.cooldown)
 			row := Row{Service: "s", Model: "m0"}
 			demands := []Demand{{Row: row, Waiting: test.waiting}}
 			p.Observe(start, "router", demands)
@@ -47,8 +47,8 @@
 			c.Assert(loaded, qt.DeepEquals, test.loaded)
 			// Routers get a forecast.
 			c.Assert(len(p.Forecasts(start, demands)) > 0, qt.Equals, test.loaded != nil)
-			// After the backoff, no load is needed.
-			at := start.Add(test.backoff)
+			// After the cooldown, no load is needed.
+			at := start.Add(test.cooldown)
 			p.takeSnapshot(at)
 			c.Assert(p.isServed(at, row, nil), qt.IsTrue)
 		})
--- a/placement/residency/burstworld_test.go
+++ b/placement/residency/burstworld_test.go
@@ -101,9 +101,9 @@
 	rare     []string
 	rareSeen burstResult
 	hotSeen  burstResult
-	// swaps and storeLoads count loads, and turnedAway requests that were sent to a runner without
+	// swaps and storeLoads count loads, and rejected requests that were sent to a runner without
 	// the model.
-	swaps, storeLoads, turnedAway int
+	swaps, storeLoads, rejected int
 	// longest is the longest wait of a request for a rare model.
 	longest time.Duration
 	// diskFactor scales diskTime.
@@ -445,7 +445,7 @@
 	least := slices.MinFunc(holders, func(a, b *burstRunner) int { return cmp.Compare(len(a.models[name]), len(b.models[name])) })
 	ends, isHeld := least.models[name]
 	if least.isDead || !isHeld || least.isBusy && least.order.Operation == Unload && least.order.Model == name {
-		w.turnedAway++
+		w.rejected++
 		return false
 	}
 	if len(ends) >= w.shape.slots {
@@ -495,5 +495,5 @@
 
 func (w *burstWorld) String() string {
 	return fmt.Sprintf("rare %+v, hot %+v, %d swaps, %d from the store, %d turned away, longest wait %v",
-		w.rareSeen, w.hotSeen, w.swaps, w.storeLoads, w.turnedAway, w.longest)
+		w.rareSeen, w.hotSeen, w.swaps, w.storeLoads, w.rejected, w.longest)
 }
--- a/placement/residency/demand.go
+++ b/placement/residency/demand.go
@@ -66,12 +66,12 @@
 	d.ratedAt = now
 }
 
-// waits summarizes the reports that are not older than life.
-func (d *rowDemand) waits(now time.Time, row Row, life time.Duration) waiting {
+// waits summarizes the reports that are not older than ttl.
+func (d *rowDemand) waits(now time.Time, row Row, ttl time.Duration) waiting {
 	total := waiting{row: row, priority: math.MaxInt}
 	for _, report := range d.reports {
 		age := now.Sub(report.at)
-		if age > life || report.demand.Waiting == 0 {
+		if age > ttl || report.demand.Waiting == 0 {
 			continue
 		}
 		total.count += report.demand.Waiting
@@ -84,10 +84,10 @@
 	return total
 }
 
-// prune deletes reports older than life.
-func (d *rowDemand) prune(now time.Time, life time.Duration) {
+// prune deletes reports older than ttl.
+func (d *rowDemand) prune(now time.Time, ttl time.Duration) {
 	for router, report := range d.reports {
-		if now.Sub(report.at) > life {
+		if now.Sub(report.at) > ttl {
 			delete(d.reports, router)
 		}
 	}
--- a/placement/residency/doc.go
+++ b/placement/residency/doc.go
@@ -7,5 +7,6 @@
 // seconds later. What an order with an unknown outcome may have loaded counts as held until the
 // runner reports otherwise.
 //
-// The package has no clock and does no I/O: time is an argument, and orders are return values.
+// The package does no I/O and reads no clock: callers pass the time as an argument.
+// Orders are return values.
 package residency
--- a/placement/residency/idledemand.go
+++ b/placement/residency/idledemand.go
@@ -17,24 +17,24 @@
 // number at the time of the requests. The current number would overestimate the rate of each after
 // a burst over all models, when few are left idle.
 type idleDemand struct {
-	// askedAt is the time of the last request for each model; idle models are not listed.
-	askedAt map[string]time.Time
+	// polledAt is the time of the last request for each model; idle models are not listed.
+	polledAt map[string]time.Time
 	// rate is the average number of requests per second for each idle model, as of ratedAt.
 	rate    float64
 	ratedAt time.Time
 }
 
-func newIdleDemand() *idleDemand { return &idleDemand{askedAt: make(map[string]time.Time)} }
+func newIdleDemand() *idleDemand { return &idleDemand{polledAt: make(map[string]time.Time)} }
 
 // observe counts a request for a model, one of the given number of models.
 func (d *idleDemand) observe(now time.Time, model string, listed int) {
-	last, isAsked := d.askedAt[model]
+	last, isAsked := d.polledAt[model]
 	if !isAsked || now.Sub(last) > idleAfter {
 		d.decay(now)
 		d.prune(now)
-		d.rate += 1 / idleRateTime.Seconds() / float64(max(1, listed-len(d.askedAt)))
+		d.rate += 1 / idleRateTime.Seconds() / float64(max(1, listed-len(d.polledAt)))
 	}
-	d.askedAt[model] = now
+	d.polledAt[model] = now
 }
 
 func (d *idleDemand) decay(now time.Time) {
@@ -52,9 +52,9 @@
 
 // prune deletes models that have become idle.
 func (d *idleDemand) prune(now time.Time) {
-	for model, last := range d.askedAt {
+	for model, last := range d.polledAt {
 		if now.Sub(last) > idleAfter {
-			delete(d.askedAt, model)
+			delete(d.polledAt, model)
 		}
 	}
 }
--- a/placement/residency/options.go
+++ b/placement/residency/options.go
@@ -10,7 +10,7 @@
 type Options struct {
 	// PollInterval is the minimum time between two polls of a runner for its report.
 	PollInterval time.Duration
-	// PollRate and QuestionBurst bound the polls of all runners: their number per second, and
+	// PollRate and PollBurst bound the polls of all runners: their number per second, and
 	// at once.
 	PollRate  float64
 	PollBurst float64
@@ -19,7 +19,7 @@
 	// AdapterTime is the time from the acceptance of an adapter until it is usable.
 	AdapterTime time.Duration
 	// IdleTime is the time without use after which a model may be evicted. It must exceed the
-	// interval between two reports of a router, which tell of the use.
+	// interval between two reports of a router, which show the use.
 	IdleTime time.Duration
 	// RateTime is the averaging time of demand.
 	RateTime time.Duration
--- a/placement/residency/pace.go
+++ b/placement/residency/pace.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// pausedShare is the share of paused streams from which routers are told that a runner is slow,
-	// and pausedLife how long that is valid without a further stream.
+	// pausedShare is the share of paused streams from which a runner is reported to routers as slow,
+	// and pausedTTL how long that is valid without a further stream.
 	pausedShare = 0.12
-	pausedLife  = 20 * time.Second
+	pausedTTL   = 20 * time.Second
 	// pausedSmoothing is the weight of a stream in the share of paused ones.
 	pausedSmoothing = 0.08
 	// minPausedStreams is the number of streams from which the share is used.
@@ -48,7 +48,7 @@
 // isHigh reports whether too many streams of the model at the runner paused for too long.
 func (p pauses) isHigh(now time.Time, row Row, instance string) bool {
 	streams := p[row][instance]
-	return streams != nil && streams.seen >= minPausedStreams && streams.share > pausedShare && now.Sub(streams.seenAt) < pausedLife
+	return streams != nil && streams.seen >= minPausedStreams && streams.share > pausedShare && now.Sub(streams.seenAt) < pausedTTL
 }
 
 // forget deletes the runners that are no longer listed.
--- a/placement/residency/pace_test.go
+++ b/placement/residency/pace_test.go
@@ -113,7 +113,7 @@
 		observe(false)
 	}
 	c.Assert(isSlow(start), qt.IsTrue, qt.Commentf("one of six"))
-	c.Assert(isSlow(start.Add(pausedLife)), qt.IsFalse)
+	c.Assert(isSlow(start.Add(pausedTTL)), qt.IsFalse)
 	for range 12 {
 		observe(false)
 	}
--- a/placement/residency/placement.go
+++ b/placement/residency/placement.go
@@ -14,7 +14,7 @@
 const (
 	ObstacleNone Obstacle = iota
 	// ObstacleBusy: every runner executes an order, reserves its memory for another model, is
-	// backing off, or has not reported its number of orders or its copies yet.
+	// cooling down, or has not reported its number of orders or its copies yet.
 	ObstacleBusy
 	// ObstacleStore: the weight store has no slot for a further load.
 	ObstacleStore
@@ -125,9 +125,9 @@
 	if r.holdings[row.Model] != nil || !r.isIn(wanted.zones) {
 		return placement{}
 	}
-	if r.status.Recalled || r.isBackingOff(now) {
+	if r.status.Recalled || r.isCoolingDown(now) {
 		// The copies of a recalled runner are unknown until its first heartbeat, and a runner that
-		// is backing off takes no requests.
+		// is cooling down takes no requests.
 		return placement{obstacle: ObstacleBusy}
 	}
 	isReserved := r.reserved != "" && now.Before(r.reservedUntil)
--- a/placement/residency/plan.go
+++ b/placement/residency/plan.go
@@ -82,7 +82,7 @@
 	for _, r := range p.runners {
 		for _, held := range r.holdings {
 			isMoving := held.phase == phaseLoading || held.phase == phaseUnloading
-			if isMoving && now.Sub(held.since) > loadTimeout && now.Sub(r.askedAt) > loadTimeout {
+			if isMoving && now.Sub(held.since) > loadTimeout && now.Sub(r.polledAt) > loadTimeout {
 				r.isTakenKnown = false
 			}
 		}
--- a/placement/residency/planner.go
+++ b/placement/residency/planner.go
@@ -50,9 +50,9 @@
 	judged     []Judgement
 	// slowness is the last known slowness at each endpoint.
 	slowness map[endpoint]float64
-	// questions is the number of polls allowed, as of questionsAt.
-	questions   float64
-	questionsAt time.Time
+	// questions is the number of polls allowed, as of pollAllowanceAt.
+	pollAllowance   float64
+	pollAllowanceAt time.Time
 	// snapshot is the state that the current plan is based on.
 	snapshot *snapshot
 	// unmet lists the needs that the last plan could not meet.
@@ -213,14 +213,14 @@
 
 // RunnersToPoll returns the runners to poll for a report now, those polled the longest ago first.
 func (p *Planner) RunnersToPoll(now time.Time) []fleet.Status {
-	p.refillQuestions(now)
+	p.refillPollAllowance(now)
 	isEarly := now.Before(p.ordersFrom.Add(-p.options.PollInterval))
 	candidates := slices.Clone(p.sorted())
-	slices.SortStableFunc(candidates, func(a, b *runner) int { return a.askedAt.Compare(b.askedAt) })
+	slices.SortStableFunc(candidates, func(a, b *runner) int { return a.polledAt.Compare(b.polledAt) })
 	orderable := p.countOrderable(candidates)
 	var polled []fleet.Status
 	for _, each := range candidates {
-		if p.questions < 1 {
+		if p.pollAllowance < 1 {
 			break
 		}
 		if isEarly && (!each.status.Recalled || len(each.holdings) > 0) {
@@ -229,14 +229,14 @@
 		if p.engineOf(each) == nil || !each.status.MayServe() || each.isGone || each.sent || each.isTakenKnown {
 			continue
 		}
-		if now.Before(each.pausedUntil) || now.Sub(each.changedAt) < p.options.ReportLag || now.Sub(each.askedAt) < p.options.PollInterval {
+		if now.Before(each.pausedUntil) || now.Sub(each.changedAt) < p.options.ReportLag || now.Sub(each.polledAt) < p.options.PollInterval {
 			continue
 		}
 		if orderable.isEnough(each) && !p.isWaitedFor(each) {
 			continue
 		}
-		each.askedAt = now
-		p.questions--
+		each.polledAt = now
+		p.pollAllowance--
 		polled = append(polled, each.status)
 	}
 	return polled
@@ -283,22 +283,22 @@
 	return false
 }
 
-// refillQuestions refills the allowance of polls, which prevents a new leader of a large site from
+// refillPollAllowance refills the allowance of polls, which prevents a new leader of a large site from
 // polling thousands of runners at once.
-func (p *Planner) refillQuestions(now time.Time) {
-	if p.questionsAt.IsZero() {
-		p.questions = p.options.PollBurst
+func (p *Planner) refillPollAllowance(now time.Time) {
+	if p.pollAllowanceAt.IsZero() {
+		p.pollAllowance = p.options.PollBurst
 	} else {
-		p.questions += now.Sub(p.questionsAt).Seconds() * p.options.PollRate
+		p.pollAllowance += now.Sub(p.pollAllowanceAt).Seconds() * p.options.PollRate
 	}
-	p.questions = min(p.questions, p.options.PollBurst)
-	p.questionsAt = now
+	p.pollAllowance = min(p.pollAllowance, p.options.PollBurst)
+	p.pollAllowanceAt = now
 }
 
-// Reported applies the report of a runner that was polled at askedAt.
-func (p *Planner) Reported(now, askedAt time.Time, instance string, report Report) {
+// Reported applies the report of a runner that was polled at polledAt.
+func (p *Planner) Reported(now, polledAt time.Time, instance string, report Report) {
 	r := p.runners[instance]
-	if r == nil || r.sent || askedAt.Sub(r.changedAt) < p.options.ReportLag {
+	if r == nil || r.sent || polledAt.Sub(r.changedAt) < p.options.ReportLag {
 		return
 	}
 	before := r.loaded()
@@ -362,10 +362,10 @@
 // modelDemand returns the demand for the model of a row.
 func (p *Planner) modelDemand(row Row) modelDemand { return p.snapshot.demands[modelOf(row)] }
 
-// RequestPolls has runners polled that refused requests for models they were listed with.
+// RequestPolls has runners polled that rejected requests for models they were listed with.
 func (p *Planner) RequestPolls(now time.Time, instances []string) {
 	for _, instance := range instances {
-		if r := p.runners[instance]; r != nil && now.Sub(r.askedAt) >= p.options.PollInterval {
+		if r := p.runners[instance]; r != nil && now.Sub(r.polledAt) >= p.options.PollInterval {
 			r.isTakenKnown = false
 		}
 	}
--- a/placement/residency/planner_test.go
+++ b/placement/residency/planner_test.go
@@ -230,11 +230,11 @@
 	p.SetRunners(start, statuses)
 	asked := make(map[string]bool)
 	ask := func(at time.Time) int {
-		questions := p.RunnersToPoll(at)
-		for _, each := range questions {
+		pollAllowance := p.RunnersToPoll(at)
+		for _, each := range pollAllowance {
 			asked[each.Heartbeat.Instance] = true
 		}
-		return len(questions)
+		return len(pollAllowance)
 	}
 	c.Assert(ask(start), qt.Equals, 4)
 	c.Assert(ask(start), qt.Equals, 0)
--- a/placement/residency/reach.go
+++ b/placement/residency/reach.go
@@ -14,12 +14,12 @@
 	return len(t.holders[row]) == 0 && len(t.coming[row]) == 0 && len(t.copies[row]) == 0
 }
 
-// refusedWeight is the weight of a request for an unreachable model, which is refused, relative to
+// rejectedWeight is the weight of a request for an unreachable model, which is rejected, relative to
 // a late one.
-const refusedWeight = 3
+const rejectedWeight = 3
 
 // slotsForUnreachable returns how many slots of a weight store are reserved for unreachable models
-// and not available to the need. Requests for unreachable models are refused until one is loaded,
+// and not available to the need. Requests for unreachable models are rejected until one is loaded,
 // while those for a model with a replica or a copy are only late. At most half of several slots are
 // reserved, and none from a need with a higher rank, such as that of a model at 160 requests per
 // second with a single replica.
@@ -29,7 +29,7 @@
 	}
 	waiting := 0
 	for row, gain := range p.snapshot.unreachable {
-		if row.Service == wanted.row.Service && refusedWeight*gain > wanted.rank() {
+		if row.Service == wanted.row.Service && rejectedWeight*gain > wanted.rank() {
 			waiting++
 		}
 	}
--- a/placement/residency/runner.go
+++ b/placement/residency/runner.go
@@ -54,8 +54,8 @@
 	isListed bool
 	// read is the rate of prompt tokens that routers send to it.
 	read readTokens
-	// backoffUntil is the time until which the runner probably refuses requests.
-	backoffUntil time.Time
+	// cooldownUntil is the time until which the runner probably rejects requests.
+	cooldownUntil time.Time
 	// pausedUntil is the time until which the runner gets no orders or polls.
 	pausedUntil time.Time
 	// copies lists the models of which the runner's machine has a copy.
@@ -73,7 +73,7 @@
 	// taken is the number of orders that the runner has taken; valid if isTakenKnown is set.
 	taken        uint64
 	isTakenKnown bool
-	askedAt      time.Time
+	polledAt     time.Time
 	// sent is set while an order is unanswered.
 	sent bool
 	// changedAt is the time at which the last order was answered or given up.
--- a/placement/residency/simulated_test.go
+++ b/placement/residency/simulated_test.go
@@ -159,7 +159,7 @@
 	w.demand()
 	w.planner.SetRunners(w.now, w.statuses())
 	for _, status := range w.planner.RunnersToPoll(w.now) {
-		w.answerQuestion(status.Heartbeat.Instance)
+		w.answerPoll(status.Heartbeat.Instance)
 	}
 	orders := w.planner.Plan(w.now)
 	w.planner.checkLists()
@@ -211,11 +211,11 @@
 	return nil
 }
 
-// answerQuestion answers with a state that is up to 200 ms old.
-func (w *world) answerQuestion(id string) {
-	r, askedAt, planner := w.runner(id), w.now, w.planner
+// answerPoll answers with a state that is up to 200 ms old.
+func (w *world) answerPoll(id string) {
+	r, polledAt, planner := w.runner(id), w.now, w.planner
 	old := r.seen[max(0, len(r.seen)-1-w.random.IntN(20))]
-	w.later(10*time.Millisecond, func() { planner.Reported(w.now, askedAt, id, old.report) })
+	w.later(10*time.Millisecond, func() { planner.Reported(w.now, polledAt, id, old.report) })
 }
 
 func (w *world) sendOrder(order Order) {
--- a/placement/residency/store.go
+++ b/placement/residency/store.go
@@ -273,7 +273,7 @@
 // StoreState is the state of a service's weight store.
 type StoreState struct {
 	Service string
-	// InProgress is the number of loads under way, and Limit the number of concurrent loads that the
+	// InProgress is the number of loads in progress, and Limit the number of concurrent loads that the
 	// store is assumed to serve at full speed.
 	InProgress int
 	Limit      int
--- a/placement/residency/store_test.go
+++ b/placement/residency/store_test.go
@@ -177,7 +177,7 @@
 	c.Assert(p.Stores(), qt.HasLen, 0)
 }
 
-// The only runner with a copy never has free memory, and waiting requests are refused and replaced
+// The only runner with a copy never has free memory, and waiting requests are rejected and replaced
 // by others, so that none of them has waited for long.
 func TestWaitForCopyWithoutFreeMemoryIsBounded(t *testing.T) {
 	c := qt.New(t)
--- a/placement/residency/zonecover.go
+++ b/placement/residency/zonecover.go
@@ -104,18 +104,18 @@
 	return cover
 }
 
-// unserved returns the requests per second that could not be served if a zone were cut off, inside
+// unserved returns the requests per second that could not be served if a zone were partitioned, inside
 // and outside of it, averaged over the zones.
 func (c *zoneCover) unserved() float64 {
-	rate, borne := 0.0, 0.0
+	rate, totalServed := 0.0, 0.0
 	for i := range c.zones {
 		rate += c.rates[i]
-		borne += c.capacities[i]
+		totalServed += c.capacities[i]
 	}
 	total := 0.0
 	for i := range c.zones {
 		total += max(0, c.rates[i]-c.capacities[i])
-		total += max(0, rate-c.rates[i]-(borne-c.capacities[i]))
+		total += max(0, rate-c.rates[i]-(totalServed-c.capacities[i]))
 	}
 	return total / max(1, float64(len(c.zones)))
 }
--- a/placement/shares/book_test.go
+++ b/placement/shares/book_test.go
@@ -44,14 +44,14 @@
 	at := observeWork(b, start, 10, 600, 700, 350, 60)
 	c.Assert(b.Overuse(at), qt.DeepEquals, Overuse{IsKnown: true, Above: []Share{}})
 	at = observeWork(b, at, 3, 600, 4200, 350, 60)
-	word := b.Overuse(at)
-	c.Assert(word.Above, qt.HasLen, 1)
-	c.Assert(word.Above[0].Tenant, qt.Equals, "t1")
+	overuse := b.Overuse(at)
+	c.Assert(overuse.Above, qt.HasLen, 1)
+	c.Assert(overuse.Above[0].Tenant, qt.Equals, "t1")
 	at = observeWork(b, at, 12, 600, 700, 350, 60)
 	c.Assert(b.Overuse(at).Above, qt.HasLen, 0)
 }
 
-func TestWordIsUnknownForNewLeader(t *testing.T) {
+func TestOveruseIsUnknownForNewLeader(t *testing.T) {
 	c := qt.New(t)
 	b := New(start)
 	b.SetTenants(tenantsOf(100, 100))
--- a/placement/shares/doc.go
+++ b/placement/shares/doc.go
@@ -6,5 +6,5 @@
 // rate of its limit, which is what it was promised; tenants without a limit have the mean
 // weight of those with one.
 //
-// The package is pure: the time is an argument.
+// The package does no I/O and reads no clock: callers pass the time as an argument.
 package shares
--- a/placement/table/codec_test.go
+++ b/placement/table/codec_test.go
@@ -11,7 +11,7 @@
 )
 
 // sampleState returns a state with zones, a removed zone, a row, a tombstone and
-// refused edits.
+// rejected edits.
 func sampleState(t testing.TB) *State {
 	state := stateWith(3)
 	mustApply(t, state, editOf("e1", put(modelRow("m", 4), 0), put(adapterRow("x", "m", 2), 0)))
--- a/placement/table/command.go
+++ b/placement/table/command.go
@@ -53,7 +53,7 @@
 }
 
 // Result is the result of a Command. Edit is set for every edit that was checked,
-// accepted or not. Error is set if the command itself was refused. Both are nil for
+// accepted or not. Error is set if the command itself was rejected. Both are nil for
 // other commands that succeeded, with or without effect.
 type Result struct {
 	Edit  *structs.EditResult
@@ -63,8 +63,8 @@
 // EncodeCommand encodes a command with msgpack. It returns ErrorInvalid unless exactly
 // one field is set.
 func EncodeCommand(command Command) ([]byte, error) {
-	if refusal := command.check(); refusal != nil {
-		return nil, refusal
+	if rejection := command.check(); rejection != nil {
+		return nil, rejection
 	}
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -88,8 +88,8 @@
 	if err := decoder.Decode(&command); err != nil {
 		return Command{}, corruptCommand(err.Error())
 	}
-	if refusal := command.check(); refusal != nil {
-		return Command{}, corruptCommand(refusal.Message)
+	if rejection := command.check(); rejection != nil {
+		return Command{}, corruptCommand(rejection.Message)
 	}
 	if command.Edit != nil {
 		command.Edit.At = command.Edit.At.UTC()
--- a/placement/table/grant_test.go
+++ b/placement/table/grant_test.go
@@ -227,9 +227,9 @@
 		{Zone: &ZoneCommand{Zone: "b", Remove: true}},
 	}
 	for _, command := range commands {
-		refusal := state.Apply(command).Error
-		qt.Assert(t, refusal != nil, qt.IsTrue, qt.Commentf("%+v", command))
-		qt.Assert(t, refusal.Remedy, qt.Not(qt.Equals), "")
+		rejection := state.Apply(command).Error
+		qt.Assert(t, rejection != nil, qt.IsTrue, qt.Commentf("%+v", command))
+		qt.Assert(t, rejection.Remedy, qt.Not(qt.Equals), "")
 		after, err := state.Snapshot()
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, string(after), qt.Equals, string(before))
--- a/placement/table/state.go
+++ b/placement/table/state.go
@@ -65,11 +65,11 @@
 	}
 }
 
-// Apply applies one committed command. A refused command changes nothing, except that
-// the result of a refused edit is recorded.
+// Apply applies one committed command. A rejected command changes nothing, except that
+// the result of a rejected edit is recorded.
 func (s *State) Apply(command Command) Result {
-	if refusal := command.check(); refusal != nil {
-		return Result{Error: refusal}
+	if rejection := command.check(); rejection != nil {
+		return Result{Error: rejection}
 	}
 	s.next = s.revision + 1
 	switch {
--- a/placement/table/zone.go
+++ b/placement/table/zone.go
@@ -25,8 +25,8 @@
 		s.removeZone(index, command.Force)
 		return nil
 	}
-	if refusal := s.checkZone(command, isKnown); refusal != nil {
-		return refusal
+	if rejection := s.checkZone(command, isKnown); rejection != nil {
+		return rejection
 	}
 	if !isKnown {
 		index = s.addZone(ZoneState{Zone: command.Zone, Removed: true})
@@ -112,15 +112,15 @@
 }
 
 // applyWishes records a zone's wishes and splits the limits of the named rows. An
-// invalid wish refuses the whole command.
+// invalid wish rejects the whole command.
 func (s *State) applyWishes(command WishCommand) *structs.Error {
-	index, refusal := s.activeZone(command.Zone)
-	if refusal != nil {
-		return refusal
+	index, rejection := s.activeZone(command.Zone)
+	if rejection != nil {
+		return rejection
 	}
 	for _, wish := range command.Wishes {
-		if refusal := checkWish(command.Zone, wish); refusal != nil {
-			return refusal
+		if rejection := checkWish(command.Zone, wish); rejection != nil {
+			return rejection
 		}
 	}
 	for _, wish := range command.Wishes {
@@ -162,9 +162,9 @@
 
 // applyInForce raises the recorded revision that a zone has adopted.
 func (s *State) applyInForce(command InForceCommand) *structs.Error {
-	index, refusal := s.activeZone(command.Zone)
-	if refusal != nil {
-		return refusal
+	index, rejection := s.activeZone(command.Zone)
+	if rejection != nil {
+		return rejection
 	}
 	if command.Revision > s.revision {
 		return structs.NewError(structs.ErrorInvalid,
--- a/placement/tablefile/tablefile_test.go
+++ b/placement/tablefile/tablefile_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestDecodeRefusesInvalidFiles(t *testing.T) {
+func TestDecodeRejectsInvalidFiles(t *testing.T) {
 	const header = "name,kind,weight,priority,max_replicas,memory,role"
 	tests := []struct {
 		about  string
--- a/placement/weightstore/doc.go
+++ b/placement/weightstore/doc.go
@@ -3,5 +3,5 @@
 // the store serves at full speed is estimated from the durations of loads. Loads from
 // copies on a runner's disk or in its memory are not counted.
 //
-// The package does not read the clock: times are passed as arguments.
+// The package does no I/O and reads no clock: callers pass the time as an argument.
 package weightstore
--- a/placement/zone/claim.go
+++ b/placement/zone/claim.go
@@ -8,7 +8,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Limits on the claims of a zone. A claim that does not fit is refused before its
+// Limits on the claims of a zone. A claim that does not fit is rejected before its
 // request is executed. Expired claims are removed first; then the finished claims
 // with the earliest expiry are reduced to their keys (see keyOnlyClaims). Held
 // claims, claims with an unknown outcome and unexpired keys are never evicted.
@@ -66,7 +66,7 @@
 	// State is ClaimFinished or ClaimUnknown.
 	State structs.ClaimState
 	// NotRun removes the claim, if any, because the request did not run and never
-	// will; State is ignored. A later begin of the request is refused.
+	// will; State is ignored. A later begin of the request is rejected.
 	NotRun bool
 	// EarlierAnswer is ignored; log entries of earlier versions store the answer here.
 	EarlierAnswer []byte
@@ -119,10 +119,10 @@
 // time at is the proposing leader's clock.
 func (t *claimTable) begin(command *ClaimBeginCommand, at time.Time) Result {
 	if command.Key == "" || command.Request == "" {
-		return refused(structs.ErrorInvalid, "the claim has no key or no request", "Give both.")
+		return rejected(structs.ErrorInvalid, "the claim has no key or no request", "Give both.")
 	}
 	if t.released.has(command.Request) {
-		return refused(structs.ErrorConflict, "the request was released as not run before",
+		return rejected(structs.ErrorConflict, "the request was released as not run before",
 			"Send it again as a new request with the same key.")
 	}
 	record, isOpen := t.open[command.Key]
@@ -157,7 +157,7 @@
 }
 
 func digestMismatch() Result {
-	return refused(structs.ErrorInvalid, "the idempotency key was used for another request",
+	return rejected(structs.ErrorInvalid, "the idempotency key was used for another request",
 		"Use a new key for each new request.")
 }
 
@@ -210,7 +210,7 @@
 	case r.claim.Runner == "" || command.Attempt > r.claim.Choice:
 		r.setChoice(command, at)
 	default:
-		result := refused(structs.ErrorConflict, "a later attempt of the request named its runner",
+		result := rejected(structs.ErrorConflict, "a later attempt of the request named its runner",
 			"Number each attempt above the ones before.")
 		result.Claim = r.copyClaim()
 		return result
@@ -230,7 +230,7 @@
 		return finishAgain(record.copyClaim(), command)
 	}
 	if command.Resolve && command.Choice != record.claim.Choice {
-		result := refused(structs.ErrorConflict, "the holder has since chosen another runner", "Resolve the claim again for the latest choice.")
+		result := rejected(structs.ErrorConflict, "the holder has since chosen another runner", "Resolve the claim again for the latest choice.")
 		result.Claim = record.copyClaim()
 		return result
 	}
@@ -258,7 +258,7 @@
 		t.released.add(command.Request)
 		return Result{}
 	}
-	return refused(structs.ErrorNotFound, "the request holds no claim on the key", "Begin a claim first.")
+	return rejected(structs.ErrorNotFound, "the request holds no claim on the key", "Begin a claim first.")
 }
 
 // finishAgain handles a repeated end of a claim. It returns ErrorConflict if the
@@ -280,7 +280,7 @@
 		record.claim.State = structs.ClaimUnknown
 		return Result{Claim: record.copyClaim()}
 	default:
-		return refused(structs.ErrorInvalid, "a claim must end as finished or outcome_unknown", "Use one of these states.")
+		return rejected(structs.ErrorInvalid, "a claim must end as finished or outcome_unknown", "Use one of these states.")
 	}
 	delete(t.held, command.Key)
 	delete(t.open, command.Key)
--- a/placement/zone/claim_test.go
+++ b/placement/zone/claim_test.go
@@ -101,19 +101,19 @@
 }
 
 // claimOf returns the commands that begin and finish the claim of a numbered request.
-func claimOf(number int, life time.Duration) (held, finished Command) {
+func claimOf(number int, ttl time.Duration) (held, finished Command) {
 	request := structs.RequestID(fmt.Sprint(number))
 	key := structs.ClaimKey(request)
 	held = Command{ClaimBegin: &ClaimBeginCommand{
 		Key: key, Request: request, Digest: 7, Holder: "d", Session: 3, HolderAddress: "127.0.0.1:7",
 	}}
 	finished = Command{ClaimFinish: &ClaimFinishCommand{
-		Key: key, Request: request, State: structs.ClaimFinished, AnswerBytes: 5, AnswerHash: 9, ExpiresAt: testTime.Add(life),
+		Key: key, Request: request, State: structs.ClaimFinished, AnswerBytes: 5, AnswerHash: 9, ExpiresAt: testTime.Add(ttl),
 	}}
 	return held, finished
 }
 
-func TestClaimTableFullOfOpenClaimsRefusesNewClaims(t *testing.T) {
+func TestClaimTableFullOfOpenClaimsRejectsNewClaims(t *testing.T) {
 	c := qt.New(t)
 	m := &testMachine{State: New("z")}
 	for number := range MaxClaims {
@@ -138,9 +138,9 @@
 	c := qt.New(t)
 	m := &testMachine{State: New("z")}
 	const more = 600
-	lifeOf := func(number int) time.Duration { return 24*time.Hour - time.Duration(number)*time.Second/4 }
+	ttlOf := func(number int) time.Duration { return 24*time.Hour - time.Duration(number)*time.Second/4 }
 	for number := range MaxClaims {
-		held, finished := claimOf(number, lifeOf(number))
+		held, finished := claimOf(number, ttlOf(number))
 		m.must(held)
 		m.must(finished)
 	}
@@ -172,7 +172,7 @@
 		// A key can be claimed again only after it expires.
 		last, _ := claimOf(MaxClaims-1, 0)
 		last.ClaimBegin.Request = "later"
-		machine.must(Command{ClaimExpire: &ClaimExpireCommand{Now: testTime.Add(lifeOf(MaxClaims-1) - time.Second)}})
+		machine.must(Command{ClaimExpire: &ClaimExpireCommand{Now: testTime.Add(ttlOf(MaxClaims-1) - time.Second)}})
 		c.Assert(machine.do(last).ClaimNew, qt.IsFalse)
 		over := testTime.Add(24*time.Hour + 2*keyBatchSeconds*time.Second)
 		for range MaxClaims/MaxExpiredClaims + 1 {
@@ -204,7 +204,7 @@
 	c.Assert(m.do(begin("r3", "d", 0, "")).ClaimNew, qt.IsTrue)
 }
 
-func TestFullKeyTableRefusesNewClaims(t *testing.T) {
+func TestFullKeyTableRejectsNewClaims(t *testing.T) {
 	c := qt.New(t)
 	m := &testMachine{State: New("z")}
 	for number := range MaxClaims {
--- a/placement/zone/claimbatch.go
+++ b/placement/zone/claimbatch.go
@@ -26,7 +26,7 @@
 	Finish *ClaimFinishCommand
 }
 
-// check refuses an operation without exactly one field set.
+// check rejects an operation without exactly one field set.
 func (o ClaimOperation) check() *structs.Error {
 	if (o.Begin == nil) != (o.Finish == nil) {
 		return nil
@@ -37,7 +37,7 @@
 
 func (t *claimTable) batch(command *ClaimBatchCommand) Result {
 	if len(command.Operations) > MaxClaimOperations {
-		return refused(structs.ErrorInvalid, "the batch has too many claim operations", "Send fewer at once.")
+		return rejected(structs.ErrorInvalid, "the batch has too many claim operations", "Send fewer at once.")
 	}
 	results := make([]Result, len(command.Operations))
 	for i, operation := range command.Operations {
--- a/placement/zone/doc.go
+++ b/placement/zone/doc.go
@@ -7,5 +7,5 @@
 // when a command is applied, so commands from outdated plans are safe.
 //
 // Order numbers are indexes of the zone log and never repeat. A command that changes
-// a replica carries the replica's order number, so that stale commands are refused.
+// a replica carries the replica's order number, so that stale commands are rejected.
 package zone
--- a/placement/zone/finishedclaims.go
+++ b/placement/zone/finishedclaims.go
@@ -12,7 +12,7 @@
 
 // keyHash identifies the key of a finished claim. It is a truncated SHA-256 hash, so
 // that callers cannot construct collisions. With four million stored keys, a new key
-// collides by chance with probability 1 in 4e12 and is then refused.
+// collides by chance with probability 1 in 4e12 and is then rejected.
 type keyHash uint64
 
 func hashKey(key structs.ClaimKey) keyHash {
--- a/placement/zone/random_test.go
+++ b/placement/zone/random_test.go
@@ -150,7 +150,7 @@
 	})
 }
 
-func TestRestoreRefusesCorruptSnapshots(t *testing.T) {
+func TestRestoreRejectsCorruptSnapshots(t *testing.T) {
 	c := qt.New(t)
 	m := newTestMachine()
 	data, err := m.Snapshot()
--- a/placement/zone/released.go
+++ b/placement/zone/released.go
@@ -3,7 +3,7 @@
 import "github.com/lotusferry/lotusferry/structs"
 
 // releasedRequests remembers the latest requests that were released as not run, so
-// that a delayed begin of one of them is refused instead of holding the key forever.
+// that a delayed begin of one of them is rejected instead of holding the key forever.
 type releasedRequests struct {
 	known map[structs.RequestID]bool
 	// order is a ring buffer of the known requests; oldest is the next slot to reuse.
--- a/placement/zone/replica.go
+++ b/placement/zone/replica.go
@@ -39,7 +39,7 @@
 }
 
 func limitResult(message, remedy string) Result {
-	return refused(structs.ErrorLimit, message, remedy)
+	return rejected(structs.ErrorLimit, message, remedy)
 }
 
 func limitError(message, remedy string) *structs.Error {
@@ -122,7 +122,7 @@
 		}
 		replica.Order = number
 	default:
-		return refused(structs.ErrorInvalid, "the replica cannot go from "+string(replica.State)+" to "+string(command.To),
+		return rejected(structs.ErrorInvalid, "the replica cannot go from "+string(replica.State)+" to "+string(command.To),
 			"Plan again from the current state.")
 	}
 	replica.State = command.To
@@ -147,7 +147,7 @@
 		return Result{Error: problem}
 	}
 	if replica.State == structs.ReplicaReady {
-		return refused(structs.ErrorInvalid, "a ready replica has no pending order", "Plan again from the current state.")
+		return rejected(structs.ErrorInvalid, "a ready replica has no pending order", "Plan again from the current state.")
 	}
 	replica.Order = number
 	s.recordPlacementChange(command.Runner, uint64(number))
@@ -160,7 +160,7 @@
 		return Result{Error: problem}
 	}
 	if replica.State == structs.ReplicaReady {
-		return refused(structs.ErrorInvalid, "a ready replica must be unloaded before it is removed",
+		return rejected(structs.ErrorInvalid, "a ready replica must be unloaded before it is removed",
 			"Move it to unloading first.")
 	}
 	if s.hasAdapters(replica) {
--- a/placement/zone/runner.go
+++ b/placement/zone/runner.go
@@ -11,7 +11,7 @@
 		return s.applyVouch(index, known, info.Incarnation)
 	}
 	if info.ID == "" || info.Zone != s.zone || info.MemoryBytes < 0 {
-		return refused(structs.ErrorInvalid, "the runner has no ID, another zone or negative memory",
+		return rejected(structs.ErrorInvalid, "the runner has no ID, another zone or negative memory",
 			"Register the runner with its ID in its own zone.")
 	}
 	if !ok {
@@ -20,7 +20,7 @@
 		return Result{}
 	}
 	if info.Incarnation < known.Incarnation {
-		return refused(structs.ErrorConflict, "a newer incarnation of the runner is known",
+		return rejected(structs.ErrorConflict, "a newer incarnation of the runner is known",
 			"Register the runner's current incarnation.")
 	}
 	if info.Incarnation > known.Incarnation {
@@ -50,10 +50,10 @@
 
 func (s *State) applyVouch(index uint64, known *Runner, incarnation structs.Incarnation) Result {
 	if known == nil {
-		return refused(structs.ErrorNotFound, "the runner is not known", "Check the runner's ID.")
+		return rejected(structs.ErrorNotFound, "the runner is not known", "Check the runner's ID.")
 	}
 	if incarnation != known.Incarnation {
-		return refused(structs.ErrorConflict, "the runner's incarnation is not the one confirmed as stopped",
+		return rejected(structs.ErrorConflict, "the runner's incarnation is not the one confirmed as stopped",
 			"Check the runner again and confirm its current incarnation if it has stopped.")
 	}
 	s.removeReplicasOn(known.ID)
@@ -66,7 +66,7 @@
 func (s *State) applyDrain(index uint64, command *DrainCommand) Result {
 	known, ok := s.runners[command.Runner]
 	if !ok {
-		return refused(structs.ErrorNotFound, "the runner is not known", "Check the runner's ID.")
+		return rejected(structs.ErrorNotFound, "the runner is not known", "Check the runner's ID.")
 	}
 	known.Draining = command.Draining
 	s.recordPlacementChange(known.ID, index)
--- a/placement/zone/state.go
+++ b/placement/zone/state.go
@@ -92,7 +92,7 @@
 }
 
 // Apply applies the command at the given index of the zone log. Indexes at or below
-// the last applied one are refused.
+// the last applied one are rejected.
 func (s *State) Apply(index uint64, command Command) Result {
 	result := s.apply(index, command)
 	if index > s.index {
@@ -104,7 +104,7 @@
 
 func (s *State) apply(index uint64, command Command) Result {
 	if index <= s.index {
-		return refused(structs.ErrorInvalid, "the log index was applied before",
+		return rejected(structs.ErrorInvalid, "the log index was applied before",
 			"Apply each entry of the log once, in order.")
 	}
 	if err := command.check(); err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-func refused(kind structs.ErrorKind, message, remedy string) Result {
+func rejected(kind structs.ErrorKind, message, remedy string) Result {
 	return Result{Error: structs.NewError(kind, message, remedy)}
 }
 
--- a/placement/zone/tablepart.go
+++ b/placement/zone/tablepart.go
@@ -16,7 +16,7 @@
 
 // AdoptPartCommand carries a part of a delta that is too large for one log entry. The
 // last part adopts the whole delta atomically. A part that is out of sequence is
-// refused, and the delta must be sent again from its first part.
+// rejected, and the delta must be sent again from its first part.
 type AdoptPartCommand struct {
 	// Part is the index of the part, from 0 to Parts-1.
 	Part  int
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -105,7 +105,7 @@
 }
 
 // Push adds an item. With QueuedDisplacing, the returned item was removed from the queue
-// and must be refused.
+// and must be rejected.
 func (q *Queue) Push(item Item) (Item, Verdict) {
 	if _, exists := q.nodes[item.ID]; exists {
 		return Item{}, Duplicate
--- a/request/fairqueue/load_test.go
+++ b/request/fairqueue/load_test.go
@@ -185,7 +185,7 @@
 }
 
 // The two largest of 16 tenants come to six times their use on 80 routers. Tenants within their share
-// must not be refused or delayed by them.
+// must not be rejected or delayed by them.
 func TestOverloadDoesNotAffectOtherTenants(t *testing.T) {
 	c := qt.New(t)
 	baseline, before, alone := simulateLoad(1, true, 0), simulateLoad(6, false, 0), simulateLoad(6, true, 0)
@@ -200,7 +200,7 @@
 			quiet := loadKey{false, class.name}
 			t.Logf("%s of the others not in time: baseline %.3f, first come first served %.3f, without reports %.3f, with reports %.3f", class.name,
 				baseline[quiet].missed(), before[quiet].missed(), alone[quiet].missed(), after[quiet].missed())
-			if sharesInterval >= sharesLife {
+			if sharesInterval >= sharesTTL {
 				// Such a report expires before the next one, and the clocks of each router decide in between.
 				c.Check(after[quiet].missed() <= alone[quiet].missed(), qt.IsTrue, qt.Commentf("%s: %+v", class.name, *after[quiet]))
 				continue
--- a/request/fairqueue/shares.go
+++ b/request/fairqueue/shares.go
@@ -8,9 +8,9 @@
 	"github.com/lotusferry/lotusferry/placement/shares"
 )
 
-// sharesLife is how long a report on shares is used before the clocks of this queue decide
+// sharesTTL is how long a report on shares is used before the clocks of this queue decide
 // alone.
-const sharesLife = 2 * time.Second
+const sharesTTL = 2 * time.Second
 
 // SetShares adopts a report on the tenants above their share over all routers. Until it
 // expires, tenants within their share go first, ordered by slack alone, as there is enough
@@ -19,7 +19,7 @@
 	if !report.IsKnown {
 		return
 	}
-	q.sharesUntil = at.Add(sharesLife)
+	q.sharesUntil = at.Add(sharesTTL)
 	for _, known := range q.tenants {
 		known.isAboveShare = false
 	}
--- a/request/limiter/bound_test.go
+++ b/request/limiter/bound_test.go
@@ -32,7 +32,7 @@
 	routers     []*simulatedRouter
 	// admitted lists the admitted requests that were run.
 	admitted []admission
-	// refused counts the requests refused by the limit.
+	// rejected counts the requests rejected by the limit.
 	refused int
 	// leaderlessUntil is when the next leader takes over.
 	leaderlessUntil time.Time
@@ -314,7 +314,7 @@
 	}
 }
 
-// A tenant below its limit is refused nothing while there is a leader, and one far above it gets
+// A tenant below its limit is denied nothing while there is a leader, and one far above it gets
 // nearly its whole limit.
 func TestLimitIsFullyUsed(t *testing.T) {
 	for _, rate := range []float64{2700, 30000, 180000} {
--- a/request/limiter/limiter.go
+++ b/request/limiter/limiter.go
@@ -24,7 +24,7 @@
 	askIntervalPerRouter = 500 * time.Microsecond
 	// maxAsked bounds the waiters of a tenant in one request to the leader.
 	maxAsked = 64
-	// minRetryAfter is the minimum retry delay of a refused request; an exhausted limit has no
+	// minRetryAfter is the minimum retry delay of a rejected request; an exhausted limit has no
 	// room earlier.
 	minRetryAfter = 250 * time.Millisecond
 )
@@ -33,7 +33,7 @@
 type Verdict struct {
 	// IsAdmitted is set if the request was counted; otherwise it exceeds the limit.
 	IsAdmitted bool
-	// RetryAfter is the delay after which a refused request should be retried.
+	// RetryAfter is the delay after which a rejected request should be retried.
 	RetryAfter time.Duration
 	// Granted is the part of the cost that the leader granted for this request.
 	Granted LeaderGrant
@@ -95,7 +95,7 @@
 
 // SetTenants adopts the limits of the configured tenants. A share of a lowered limit is
 // dropped. Waiters of tenants without a limit are admitted, and those of removed tenants
-// are refused.
+// are rejected.
 func (l *Limiter) SetTenants(tenants []site.Tenant) {
 	listed := make(map[string]bool, len(tenants))
 	for i := range tenants {
@@ -300,7 +300,7 @@
 }
 
 // settleInOrder admits waiters in order while the held share suffices. It serves leaders of
-// the previous version, which send no answers and refuse all others if roomIn is set.
+// the previous version, which send no answers and reject all others if roomIn is set.
 func (a *account) settleInOrder(roomIn time.Duration) {
 	for len(a.waiters) > 0 && a.held >= a.waiters[0].Cost {
 		a.held -= a.waiters[0].Cost
--- a/request/limiter/overload_test.go
+++ b/request/limiter/overload_test.go
@@ -30,14 +30,14 @@
 	asked  int
 	inTime int
 	late   int
-	// retried counts retries after the given delay, refusedRetries those of them that were refused again.
-	retried        int
-	refusedRetries int
+	// retried counts retries after the given delay, rejectedRetries those of them that were rejected again.
+	retried         int
+	rejectedRetries int
 }
 
 func (t classTally) served() float64 { return float64(t.inTime+t.late) / float64(t.asked) }
 
-// overloadRun simulates one tenant at a multiple of its usual use over many routers. Refused requests
+// overloadRun simulates one tenant at a multiple of its usual use over many routers. Rejected requests
 // are retried once: after the given delay, or after a third of their remaining time if that is
 // sooner.
 type overloadRun struct {
@@ -101,7 +101,7 @@
 		}
 		if isRetry && !r.isImpatient(digest) {
 			if followsRetryAfter {
-				tally.refusedRetries++
+				tally.rejectedRetries++
 			}
 			return
 		}
@@ -171,7 +171,7 @@
 		*r.tallies[name] = classTally{}
 	}
 	r.play(6, 12)
-	// Let the refused requests be retried.
+	// Let the rejected requests be retried.
 	r.play(0, 6)
 	for _, class := range requestClasses {
 		tally := r.tallies[class.name]
@@ -190,7 +190,7 @@
 		// The limit is slightly above a sixth of the demand.
 		c.Assert(tally.served() >= 0.2, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *tally))
 		// The simulation loses 1 in 50 answers of the leader after it has counted them.
-		c.Assert(tally.refusedRetries <= tally.retried/20, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *tally))
+		c.Assert(tally.rejectedRetries <= tally.retried/20, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *tally))
 	}
 }
 
@@ -235,7 +235,7 @@
 		tally := r.tallies[class.name]
 		t.Logf("%s: %+v, served %.3f", class.name, *tally, tally.served())
 		// The simulation loses 1 in 50 answers; 3 allows for chance where few requests are retried.
-		c.Assert(tally.refusedRetries <= tally.retried/20+3, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *tally))
+		c.Assert(tally.rejectedRetries <= tally.retried/20+3, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *tally))
 		c.Assert(tally.served() >= 0.2, qt.IsTrue, qt.Commentf("%s: %+v", class.name, *tally))
 	}
 	c.Assert(r.maxWindowUse(limit) <= 1, qt.IsTrue)
--- a/request/relay/acquire.go
+++ b/request/relay/acquire.go
@@ -64,9 +64,9 @@
 	if x.route.Kind != site.KindStream || x.isStarted {
 		return limit
 	}
-	patience := x.request.Arrived.Add(x.router.options.MaxWait.of(x.route) * 9 / 10)
-	if patience.Before(limit) {
-		return patience
+	maxWait := x.request.Arrived.Add(x.router.options.MaxWait.of(x.route) * 9 / 10)
+	if maxWait.Before(limit) {
+		return maxWait
 	}
 	return limit
 }
--- a/request/relay/answer.go
+++ b/request/relay/answer.go
@@ -77,8 +77,8 @@
 	_, _ = x.writer.Write(whole.body)
 }
 
-// refuse writes a response of the router itself.
-func refuse(writer http.ResponseWriter, status int, retryAfter time.Duration, message string) {
+// reject writes a response of the router itself.
+func reject(writer http.ResponseWriter, status int, retryAfter time.Duration, message string) {
 	header := writer.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	if retryAfter > 0 {
--- a/request/relay/conclude.go
+++ b/request/relay/conclude.go
@@ -12,7 +12,7 @@
 	var retry *retryLaterError
 	switch {
 	case errors.As(err, &retry) && x.attempts == 0:
-		x.refuseWithRetryAfter(retry)
+		x.rejectWithRetryAfter(retry)
 		return
 	case errors.As(err, &retry):
 		last.reason, last.err = reasonNoRunner, err
@@ -62,10 +62,10 @@
 	case x.isStarted:
 		panic(http.ErrAbortHandler)
 	case x.attempts == 0:
-		refuse(x.writer, http.StatusServiceUnavailable, retryAfter, message)
+		reject(x.writer, http.StatusServiceUnavailable, retryAfter, message)
 	case x.timeLeft() <= 0:
-		refuse(x.writer, http.StatusGatewayTimeout, 0, "the request took too long")
+		reject(x.writer, http.StatusGatewayTimeout, 0, "the request took too long")
 	default:
-		refuse(x.writer, http.StatusBadGateway, 0, message)
+		reject(x.writer, http.StatusBadGateway, 0, message)
 	}
 }
--- a/request/relay/deferral.go
+++ b/request/relay/deferral.go
@@ -33,10 +33,10 @@
 
 const (
 	// reasonLoading means that the model is being loaded, reasonCrowded that too many requests wait
-	// for the row, and reasonResting that all its runners have asked for a rest period.
-	reasonLoading retryReason = "come_back"
-	reasonCrowded retryReason = "crowded"
-	reasonResting retryReason = "resting"
+	// for the row, and reasonCoolingDown that all its runners have requested a cooldown.
+	reasonLoading     retryReason = "come_back"
+	reasonCrowded     retryReason = "crowded"
+	reasonCoolingDown retryReason = "resting"
 )
 
 // message returns the text for the caller.
@@ -44,7 +44,7 @@
 	switch r {
 	case reasonCrowded:
 		return "too many requests wait for the model"
-	case reasonResting:
+	case reasonCoolingDown:
 		return "all runners that could take the request have asked for rest"
 	}
 	return "the model is being loaded"
@@ -113,7 +113,7 @@
 	}
 	after, isDeferred := wanted.deferral(now, readyAt)
 	// A request that may have run must not be told to retry, but waiting would be useless too.
-	isFutile := reason == reasonResting && readyAt.After(wanted.until)
+	isFutile := reason == reasonCoolingDown && readyAt.After(wanted.until)
 	if !isDeferred && !isFutile {
 		return nil
 	}
@@ -121,13 +121,13 @@
 }
 
 // readyAt returns when a runner should be available for a request, from the leader's forecast and
-// the rest periods of runners, and false if that is not known. The caller must hold r.mutex.
+// the cooldowns of runners, and false if that is not known. The caller must hold r.mutex.
 func (r *Router) readyAt(now time.Time, state *rowState, wanted *waiter) (at time.Time, reason retryReason, isKnown bool) {
 	if state != nil {
 		at, isKnown = state.forecast.at(now)
 	}
-	if until, isResting := r.restsUntil(wanted); isResting && (!isKnown || until.Before(at)) {
-		return until, reasonResting, true
+	if until, isCoolingDown := r.cooldownEnd(wanted); isCoolingDown && (!isKnown || until.Before(at)) {
+		return until, reasonCoolingDown, true
 	}
 	return at, reasonLoading, isKnown
 }
@@ -222,8 +222,8 @@
 	return max(minRetryAfter, wanted.retryAfter(now, readyAt))
 }
 
-// refuseWithRetryAfter answers a request that was not sent to any runner.
-func (x *exchange) refuseWithRetryAfter(retry *retryLaterError) {
+// rejectWithRetryAfter answers a request that was not sent to any runner.
+func (x *exchange) rejectWithRetryAfter(retry *retryLaterError) {
 	x.count(string(retry.reason))
 	if x.tenant != nil {
 		x.router.metrics.tenant(x.tenantName(), string(retry.reason))
@@ -231,5 +231,5 @@
 	level.Info(x.router.logger).Log("msg", "A request was told to come back.", "request", x.request.ID,
 		"route", x.route.Name, "model", x.row.Model, "adapter", x.row.Adapter, "tenant", x.tenantName(), "outcome", string(retry.reason),
 		"after", retry.after, "age", x.router.age(x.request), "version", x.version)
-	refuse(x.writer, http.StatusServiceUnavailable, retry.after, retry.reason.message())
+	reject(x.writer, http.StatusServiceUnavailable, retry.after, retry.reason.message())
 }
--- a/request/relay/deferral_test.go
+++ b/request/relay/deferral_test.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// A forecast must serve later requests for the model without another question to the leader.
+// A forecast must serve later requests for the model without another request to the leader.
 func TestForecastIsUsedForLaterRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/request/relay/exchange.go
+++ b/request/relay/exchange.go
@@ -26,8 +26,8 @@
 	maxBuffered = 1 << 20
 	// minRetryAfter is the least Retry-After given to a caller.
 	minRetryAfter = 200 * time.Millisecond
-	// maxRefusals bounds the runners that may reject one request.
-	maxRefusals = 3
+	// maxRejections bounds the runners that may reject one request.
+	maxRejections = 3
 	// maxUnsent bounds the failed connects of one request. It may meet several runners of an
 	// unreachable zone before the loss of the zone is detected.
 	maxUnsent = 6
@@ -83,10 +83,10 @@
 	regions *regionLimit
 	// hidesKey is set if the document has tenants, so that API keys are not forwarded.
 	hidesKey bool
-	// attempts counts the runners that may have run the request, refusals those that reported that
+	// attempts counts the runners that may have run the request, rejections those that reported that
 	// they did not.
-	attempts int
-	refusals int
+	attempts         int
+	runnerRejections int
 	// unsent counts failed connects.
 	unsent int
 	// sent counts all sends, arrivals those of which a runner may have received something. Only
@@ -98,7 +98,7 @@
 	// not tried again.
 	avoid  structs.RunnerID
 	barred structs.RunnerID
-	// rejectedBy lists the runners that rejected the request, at most maxRefusals.
+	// rejectedBy lists the runners that rejected the request, at most maxRejections.
 	rejectedBy []structs.RunnerID
 	// digest identifies the content of the request.
 	digest poison.Digest
@@ -128,25 +128,25 @@
 	if index == nil {
 		r.metrics.requests.WithLabelValues(kindName(0), "no_document").Inc()
 		r.log(request, 0, "no_document", nil)
-		refuse(writer, http.StatusServiceUnavailable, minRetryAfter, "no document is known yet")
+		reject(writer, http.StatusServiceUnavailable, minRetryAfter, "no document is known yet")
 		return
 	}
 	route := index.Route(request.HTTP.Host, request.HTTP.URL.EscapedPath())
 	if route == nil {
 		r.metrics.requests.WithLabelValues(kindName(0), "no_route").Inc()
 		r.log(request, index.Document.Version, "no_route", nil)
-		refuse(writer, http.StatusNotFound, 0, "no route leads there")
+		reject(writer, http.StatusNotFound, 0, "no route leads there")
 		return
 	}
-	tenant, refused := r.identify(index, route, request)
+	tenant, rejected := r.identify(index, route, request)
 	ticket := ticketOf(request, route, tenant)
 	digest := request.digest(ticket.Tenant)
 	var counted admission
-	if refused == nil {
-		counted, refused = r.admit(request.HTTP.Context(), tenant, request, ticket, digest)
+	if rejected == nil {
+		counted, rejected = r.admit(request.HTTP.Context(), tenant, request, ticket, digest)
 	}
-	if refused != nil {
-		r.refuseTenant(writer, request, route, tenant, index.Document.Version, refused)
+	if rejected != nil {
+		r.rejectTenant(writer, request, route, tenant, index.Document.Version, rejected)
 		return
 	}
 	x := &exchange{
@@ -170,7 +170,7 @@
 		return
 	}
 	if !x.hasRunners() {
-		x.refuseNoRegion()
+		x.rejectNoRegion()
 		return
 	}
 	r.countRequest(x.row, route.Objective)
@@ -266,7 +266,7 @@
 		return false
 	}
 	if ended.isNotRun {
-		return x.refusals < maxRefusals && x.unsent < maxUnsent
+		return x.runnerRejections < maxRejections && x.unsent < maxUnsent
 	}
 	return x.route.MayRepeat() && x.attempts < max(1, x.route.MaxAttempts)
 }
@@ -370,11 +370,11 @@
 func (x *exchange) receive(ctx context.Context, choice routing.Choice, answer *Answer, watchdog *watchdog) result {
 	switch {
 	case answer.NotHeld:
-		x.refusals++
+		x.runnerRejections++
 		x.router.noteNotHeld(choice.Runner(), x.row)
 		return result{outcome: routing.OutcomeUnavailable, isNotRun: true, reason: reasonNotHeld}
 	case answer.NotRun:
-		x.refusals++
+		x.runnerRejections++
 		x.noteRejection(choice.Runner())
 		return result{outcome: routing.OutcomeRejected, isNotRun: true, reason: reasonShed}
 	}
--- a/request/relay/limits.go
+++ b/request/relay/limits.go
@@ -34,7 +34,7 @@
 	limiter *limiter.Limiter
 	// refilledAt is the time of the last draw.
 	refilledAt time.Time
-	// session identifies this process to the leader; sequence numbers its draws.
+	// session identifies this incarnation of the router to the leader; sequence numbers its draws.
 	session  uint64
 	sequence uint64
 }
--- a/request/relay/metrics.go
+++ b/request/relay/metrics.go
@@ -28,7 +28,7 @@
 	loadsAt       prometheus.Gauge
 	tenants       *prometheus.CounterVec
 	draws         prometheus.Histogram
-	// zonesLost is the number of zones currently out of reach, zoneLosses the number of transitions
+	// zonesLost is the number of zones currently unreachable, zoneLosses the number of transitions
 	// to that state.
 	zonesLost  prometheus.Gauge
 	zoneLosses prometheus.Counter
@@ -44,11 +44,11 @@
 	// sends to them.
 	limitedRunners prometheus.Gauge
 	limitedSent    *prometheus.CounterVec
-	// restingRunners is the number of runners in a rest period asked of this router, restsAsked
-	// counts such requests. unwantedSent counts sends to runners that rest or are leaving.
-	restingRunners prometheus.Gauge
-	restsAsked     prometheus.Counter
-	unwantedSent   *prometheus.CounterVec
+	// coolingRunners is the number of runners in a cooldown requested from this router, cooldownsRequested
+	// counts such requests. unwantedSent counts sends to runners that cool down or are leaving.
+	coolingRunners     prometheus.Gauge
+	cooldownsRequested prometheus.Counter
+	unwantedSent       *prometheus.CounterVec
 	// named are the tenants with their own series.
 	named sync.Map
 	count atomic.Int32
@@ -88,16 +88,16 @@
 			Namespace: namespace, Subsystem: subsystem, Name: "limit_draw_seconds",
 			Help: "Time of a question for parts of limits.", Buckets: latencyBuckets,
 		}),
-		zonesLost:      gauge("zones_out_of_reach", "Zones of which no runner can be reached."),
-		zoneLosses:     counter("zone_losses_total", "Times that a zone got out of reach.").WithLabelValues(),
-		zoneProbes:     counter("zone_probes_total", "Connects made to learn whether a zone is reached.").WithLabelValues(),
-		lateness:       gauge("timers_late_seconds", "By how much the timers of the process usually are late."),
-		overloaded:     gauge("at_limit", "1 while the router lets connections go as its machine is too slow for them."),
-		coldRequests:   counter("cold_requests_granted_total", "Requests to cold runners that the leader granted to this router.").WithLabelValues(),
-		limitedRunners: gauge("limited_runners", "Runners that name a rate limit, as this router knows."),
-		limitedSent:    counter("limited_sendings_total", "Sendings to runners that name a rate limit, by whether the request was sent before.", "repeated"),
-		restingRunners: gauge("resting_runners", "Runners that asked this router for rest that is not over."),
-		restsAsked:     counter("rests_asked_total", "Times that a runner asked this router for rest, or for a longer one.").WithLabelValues(),
+		zonesLost:          gauge("zones_out_of_reach", "Zones of which no runner can be reached."),
+		zoneLosses:         counter("zone_losses_total", "Times that a zone got out of reach.").WithLabelValues(),
+		zoneProbes:         counter("zone_probes_total", "Connects made to learn whether a zone is reached.").WithLabelValues(),
+		lateness:           gauge("timers_late_seconds", "By how much the timers of the process usually are late."),
+		overloaded:         gauge("at_limit", "1 while the router lets connections go as its machine is too slow for them."),
+		coldRequests:       counter("cold_requests_granted_total", "Requests to cold runners that the leader granted to this router.").WithLabelValues(),
+		limitedRunners:     gauge("limited_runners", "Runners that name a rate limit, as this router knows."),
+		limitedSent:        counter("limited_sendings_total", "Sendings to runners that name a rate limit, by whether the request was sent before.", "repeated"),
+		coolingRunners:     gauge("resting_runners", "Runners that asked this router for rest that is not over."),
+		cooldownsRequested: counter("rests_asked_total", "Times that a runner asked this router for rest, or for a longer one.").WithLabelValues(),
 		unwantedSent: counter("unwanted_sendings_total",
 			"Sendings to runners that had asked for rest, or said in an answer that they are leaving.", "runner", "repeated"),
 		connectionsClosed: counter("connections_let_go_total", "Connections of callers closed after an answer for that.").WithLabelValues(),
@@ -108,7 +108,7 @@
 		registerer.MustRegister(made.requests, made.attempts, made.first, made.waited, made.unserved, made.late, made.inFlight,
 			made.repeats, made.version, made.runners, made.leaderTerm, made.leaderHeardAt, made.loadsAt, made.tenants, made.draws,
 			made.zonesLost, made.zoneLosses, made.zoneProbes, made.lateness, made.overloaded, made.connectionsClosed, made.coldRequests,
-			made.limitedRunners, made.limitedSent, made.restingRunners, made.restsAsked, made.unwantedSent)
+			made.limitedRunners, made.limitedSent, made.coolingRunners, made.cooldownsRequested, made.unwantedSent)
 	}
 	return made
 }
--- a/request/relay/notices.go
+++ b/request/relay/notices.go
@@ -16,25 +16,25 @@
 // maxNoticeLogRate bounds the log lines per second about notices of runners.
 const maxNoticeLogRate = 20
 
-// restEndDelay is added to the end of a rest period before the queue is served, because the
+// cooldownEndDelay is added to the end of a cooldown before the queue is served, because the
 // balancer uses another clock.
-const restEndDelay = time.Millisecond
+const cooldownEndDelay = time.Millisecond
 
-// reasonUnwanted means that the request was not sent because the runner asked for a rest period or
+// reasonUnwanted means that the request was not sent because the runner requested a cooldown or
 // is leaving.
 const reasonUnwanted = "unwanted"
 
 // errUnwanted is the cancellation cause of such an attempt.
 var errUnwanted = errors.New("the runner no longer accepts requests")
 
-// notices is what runners reported about themselves in responses: rest periods, during which the
+// notices is what runners reported about themselves in responses: cooldowns, during which the
 // router must not send them requests, and that they are leaving. It is guarded by Router.mutex.
 type notices struct {
 	book *notice.Tracker
 	// logLimiter limits the log lines about notices.
 	logLimiter *asynclog.Limiter
-	// restTimer fires at the end of the next rest period; nil before the first.
-	restTimer *time.Timer
+	// cooldownTimer fires at the end of the next cooldown; nil before the first.
+	cooldownTimer *time.Timer
 }
 
 func newNotices() notices {
@@ -60,7 +60,7 @@
 	r.noteNotice(runner, answer.Notice)
 }
 
-// noteNotice records that a runner asks for a rest period or is leaving. A rest period applies to
+// noteNotice records that a runner requests a cooldown or is leaving. A cooldown applies to
 // this router only; that a runner is leaving is reported to the leader, which informs the other
 // routers. The caller must hold r.mutex.
 func (r *Router) noteNotice(runner structs.RunnerID, heard notice.Notice) {
@@ -72,7 +72,7 @@
 		return
 	}
 	if change.IsCoolingDown {
-		r.metrics.restsAsked.Inc()
+		r.metrics.cooldownsRequested.Inc()
 		r.logNotice("A runner asks for rest.", runner, "for", heard.Cooldown)
 	}
 	if change.IsLeaving {
@@ -85,11 +85,11 @@
 		}
 	}
 	r.deferAll()
-	r.scheduleRestEnd()
+	r.scheduleCooldownEnd()
 	r.wakeReport()
 }
 
-// applyNotices excludes a candidate from selection while it rests or is leaving. The caller must
+// applyNotices excludes a candidate from selection while it cools down or is leaving. The caller must
 // hold r.mutex.
 func (r *Router) applyNotices(instance string) {
 	if r.notices.book.IsEmpty() {
@@ -98,30 +98,30 @@
 	if r.notices.book.IsLeaving(instance) {
 		r.balancer.Leave(structs.RunnerID(instance))
 	}
-	r.setRest(instance, r.notices.book.CooldownEnd(instance).Sub(r.now()))
+	r.setCooldown(instance, r.notices.book.CooldownEnd(instance).Sub(r.now()))
 }
 
-// scheduleRestEnd sets the timer for the end of the next rest period. The caller must hold r.mutex.
-func (r *Router) scheduleRestEnd() {
+// scheduleCooldownEnd sets the timer for the end of the next cooldown. The caller must hold r.mutex.
+func (r *Router) scheduleCooldownEnd() {
 	now := r.now()
-	r.metrics.restingRunners.Set(float64(r.notices.book.CountCoolingDown(now)))
-	if r.notices.restTimer != nil {
-		r.notices.restTimer.Stop()
+	r.metrics.coolingRunners.Set(float64(r.notices.book.CountCoolingDown(now)))
+	if r.notices.cooldownTimer != nil {
+		r.notices.cooldownTimer.Stop()
 	}
 	if next, isAny := r.notices.book.NextEnd(now); isAny {
-		r.notices.restTimer = time.AfterFunc(next.Sub(now)+restEndDelay, r.endRest)
+		r.notices.cooldownTimer = time.AfterFunc(next.Sub(now)+cooldownEndDelay, r.endCooldown)
 	}
 }
 
-// endRest serves the requests that waited for the end of a rest period.
-func (r *Router) endRest() {
+// endCooldown serves the requests that waited for the end of a cooldown.
+func (r *Router) endCooldown() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.serveWaiters()
-	r.scheduleRestEnd()
+	r.scheduleCooldownEnd()
 }
 
-// countSending counts a send to a runner that has a rate limit, rests or is leaving. The caller
+// countSending counts a send to a runner that has a rate limit, cools down or is leaving. The caller
 // must hold r.mutex.
 func (r *Router) countSending(now time.Time, sent *watchdog) {
 	instance, repeated := string(sent.runner), strconv.FormatBool(sent.isRepeated)
--- a/request/relay/notices_test.go
+++ b/request/relay/notices_test.go
@@ -16,13 +16,13 @@
 	"github.com/lotusferry/lotusferry/placement/notice"
 )
 
-// newRestingRouter returns a router whose only runner rejects the first request, asks for a rest
+// newCoolingRouter returns a router whose only runner rejects the first request, requests a cooldown
 // period, and serves later requests.
-func newRestingRouter(rest time.Duration) (*Router, *scriptedBackend) {
+func newCoolingRouter(cooldown time.Duration) (*Router, *scriptedBackend) {
 	asked := 0
 	router, backend := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
 		if asked++; asked == 1 {
-			return rejectWithRest(rest)
+			return rejectWithCooldown(cooldown)
 		}
 		return fine()
 	})
@@ -30,11 +30,11 @@
 	return router, backend
 }
 
-// A request must be rejected at once if all runners rest beyond its wait limit.
-func TestRequestIsRejectedAtOnceDuringLongRest(t *testing.T) {
+// A request must be rejected at once if all runners cool down beyond its wait limit.
+func TestRequestIsRejectedAtOnceDuringLongCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		router, backend := newRestingRouter(4 * time.Second)
+		router, backend := newCoolingRouter(4 * time.Second)
 		router.adoptView(plainView("p1", "p2"))
 		router.mutex.Lock()
 		router.noteNotice("p2", notice.Notice{Cooldown: 3 * time.Second})
@@ -52,11 +52,11 @@
 	})
 }
 
-// Requests that wait for the end of a rest period must be sent one at a time at first.
-func TestWaitingRequestsAreSentOneByOneAfterRest(t *testing.T) {
+// Requests that wait for the end of a cooldown must be sent one at a time at first.
+func TestWaitingRequestsAreSentOneByOneAfterCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		const rest = time.Second
+		const cooldown = time.Second
 		answered := make(chan *httptest.ResponseRecorder, 10)
 		var mutex sync.Mutex
 		var at []time.Duration
@@ -67,7 +67,7 @@
 			isFirst := len(at) == 1
 			mutex.Unlock()
 			if isFirst {
-				return rejectWithRest(rest)
+				return rejectWithCooldown(cooldown)
 			}
 			pause.For(ctx, 100*time.Millisecond)
 			return fine()
@@ -80,14 +80,14 @@
 			c.Assert((<-answered).Code, qt.Equals, http.StatusOK)
 		}
 		first := at[1]
-		c.Assert(first >= rest && first < rest+10*time.Millisecond, qt.IsTrue, qt.Commentf("%v", at))
+		c.Assert(first >= cooldown && first < cooldown+10*time.Millisecond, qt.IsTrue, qt.Commentf("%v", at))
 		for _, later := range at[2:] {
 			c.Assert(later, qt.Equals, first+100*time.Millisecond)
 		}
 	})
 }
 
-// A request that waits for a connection must be recalled when its runner asks for a rest period or
+// A request that waits for a connection must be recalled when its runner requests a cooldown or
 // is leaving, unless it was already sent.
 func TestUnsentRequestIsRecalled(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -170,8 +170,8 @@
 }
 
 // A request that may have run must be answered with its last result instead of waiting for a long
-// rest period.
-func TestRequestThatMayHaveRunDoesNotAwaitLongRest(t *testing.T) {
+// cooldown.
+func TestRequestThatMayHaveRunDoesNotAwaitLongCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, backend := newTestRouter(func(context.Context, *Attempt) (*Answer, error) {
--- a/request/relay/options.go
+++ b/request/relay/options.go
@@ -48,7 +48,7 @@
 	Now func() time.Time
 }
 
-// MaxWait is the maximum of its terms.
+// MaxWait is the maximum wait for an event: the largest of its terms.
 type MaxWait struct {
 	Floor time.Duration
 	// Objectives and Pauses are multiples of the route's Objective and MaxPause.
@@ -56,7 +56,7 @@
 	Pauses     int
 }
 
-// of returns the patience of callers on a route.
+// of returns the maximum wait of callers on a route.
 func (p MaxWait) of(route *site.Route) time.Duration {
 	return max(p.Floor, time.Duration(p.Objectives)*route.Objective, time.Duration(p.Pauses)*route.MaxPause)
 }
--- a/request/relay/queue.go
+++ b/request/relay/queue.go
@@ -201,7 +201,7 @@
 	wanted.cachedParts = choice.Cached(wanted.work.Prefixes)
 	choice.Sent(at, wanted.work.Prefixes)
 	if again := choice.ProbeDelay(at); again > 0 {
-		time.AfterFunc(again, r.serveAfterRest)
+		time.AfterFunc(again, r.serveAfterCooldown)
 	}
 	state := r.rowState(wanted.row)
 	state.active[choice.Runner()]++
@@ -210,9 +210,9 @@
 	return choice, true
 }
 
-// setRest excludes a runner from selection for the time left of its rest period, if any. The caller
+// setCooldown excludes a runner from selection for the time left of its cooldown, if any. The caller
 // must hold r.mutex.
-func (r *Router) setRest(instance string, left time.Duration) {
+func (r *Router) setCooldown(instance string, left time.Duration) {
 	if left > 0 {
 		r.balancer.CoolDown(structs.RunnerID(instance), time.Now().Add(left))
 	}
@@ -221,15 +221,15 @@
 // isWanted reports whether the chosen runner still accepts requests. The caller must hold r.mutex.
 func (r *Router) isWanted(choice routing.Choice) bool { return choice.AcceptsRequests(time.Now()) }
 
-// restsUntil returns when the first eligible runner ends its rest period, if all of them are
-// resting. The caller must hold r.mutex.
-func (r *Router) restsUntil(wanted *waiter) (time.Time, bool) {
+// cooldownEnd returns when the first eligible runner ends its cooldown, if all of them are
+// cooling down. The caller must hold r.mutex.
+func (r *Router) cooldownEnd(wanted *waiter) (time.Time, bool) {
 	if r.notices.book.IsEmpty() {
 		return time.Time{}, false
 	}
 	at := time.Now()
-	until, isResting := r.balancer.CooldownEnd(at, rowName(wanted.row), &wanted.work)
-	return r.now().Add(until.Sub(at)), isResting
+	until, isCoolingDown := r.balancer.CooldownEnd(at, rowName(wanted.row), &wanted.work)
+	return r.now().Add(until.Sub(at)), isCoolingDown
 }
 
 // pacedRunners returns the runners of the row that accept requests only for tokens. The caller must
@@ -244,14 +244,14 @@
 	defer r.mutex.Unlock()
 	r.releaseLocked(row, choice, outcome)
 	if outcome == routing.OutcomeRejected {
-		// No other event may signal the end of the runner's rest.
-		time.AfterFunc(choice.Cooldown(time.Now()), r.serveAfterRest)
+		// No other event may signal the end of the runner's cooldown.
+		time.AfterFunc(choice.Cooldown(time.Now()), r.serveAfterCooldown)
 	}
 	r.serveWaiters()
 }
 
-// serveAfterRest serves the queue after the rest of a runner.
-func (r *Router) serveAfterRest() {
+// serveAfterCooldown serves the queue after the cooldown of a runner.
+func (r *Router) serveAfterCooldown() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.serveWaiters()
--- a/request/relay/regions.go
+++ b/request/relay/regions.go
@@ -79,12 +79,12 @@
 	return isAvailable || !isListed && len(x.regions.zones) > 0
 }
 
-// refuseNoRegion answers a request that no runner is allowed to serve.
-func (x *exchange) refuseNoRegion() {
+// rejectNoRegion answers a request that no runner is allowed to serve.
+func (x *exchange) rejectNoRegion() {
 	x.count(reasonNoRegion)
 	level.Info(x.router.logger).Log("msg", "A request was refused, as it may be served nowhere.", "request", x.request.ID,
 		"route", x.route.Name, "tenant", x.tenantName(), "outcome", reasonNoRegion, "regions", x.regions.name, "version", x.version,
 		"age", x.router.age(x.request))
-	refuse(x.writer, http.StatusServiceUnavailable, noRegionRetryAfter,
+	reject(x.writer, http.StatusServiceUnavailable, noRegionRetryAfter,
 		fmt.Sprintf("the request may be served in the regions %q alone, and the service has no runners there now", x.regions.name))
 }
--- a/request/relay/rest_test.go
+++ b/request/relay/rest_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestRequestsWaitingForRestAreReported(t *testing.T) {
+func TestRequestsWaitingForCooldownAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		seen := &rejectingRunners{began: time.Now(), full: map[string]int{"e1": 1}}
@@ -113,7 +113,7 @@
 			recorder, _ := ask(router, t.Context(), "/once/x", "")
 			barred <- recorder.Code
 		}()
-		// It has been rejected twice, and the second rest is over.
+		// It has been rejected twice, and the second cooldown is over.
 		time.Sleep(400 * time.Millisecond)
 		c.Assert(backend.runners(), qt.HasLen, 2)
 		began := time.Now()
@@ -160,11 +160,11 @@
 	return document
 }
 
-// rejectWithRest returns the response of a runner that rejects a request and asks for a rest
+// rejectWithCooldown returns the response of a runner that rejects a request and requests a cooldown
 // period.
-func rejectWithRest(rest time.Duration) (*Answer, error) {
+func rejectWithCooldown(cooldown time.Duration) (*Answer, error) {
 	answer, err := shed()
-	answer.Notice.Cooldown = rest
+	answer.Notice.Cooldown = cooldown
 	return answer, err
 }
 
@@ -175,10 +175,10 @@
 	}}}
 }
 
-// A rest period must apply to all models of the runner, and end neither with responses to earlier
+// A cooldown must apply to all models of the runner, and end neither with responses to earlier
 // requests nor with a new view.
-func TestRestAppliesToAllModelsOfRunner(t *testing.T) {
-	const rest = 3 * time.Second
+func TestCooldownAppliesToAllModelsOfRunner(t *testing.T) {
+	const cooldown = 3 * time.Second
 	for name, meanwhile := range map[string]func(router *Router, t *testing.T){
 		"another model": func(*Router, *testing.T) {},
 		"response to an earlier request": func(_ *Router, t *testing.T) {
@@ -198,7 +198,7 @@
 						pause.For(ctx, streamTime)
 						return stream(events(1, 1), io.EOF)
 					}
-					return rejectWithRest(rest)
+					return rejectWithCooldown(cooldown)
 				})
 				router.adoptView(twoModelView())
 				answered := make(chan *httptest.ResponseRecorder, 10)
@@ -211,7 +211,7 @@
 					askAsync(t, router, t.Context(), "/stream/after", model, answered)
 					pause.For(t.Context(), 300*time.Millisecond)
 				}
-				pause.For(t.Context(), rest-time.Since(began)-time.Millisecond)
+				pause.For(t.Context(), cooldown-time.Since(began)-time.Millisecond)
 				c.Assert(backend.runners(), qt.HasLen, 2)
 				pause.For(t.Context(), 10*time.Second)
 			})
--- a/request/relay/router.go
+++ b/request/relay/router.go
@@ -39,8 +39,8 @@
 	// it never was.
 	confirmed atomic.Pointer[time.Time]
 	limits    *limits
-	// refusalLog limits the log lines about requests refused for their keys or limits.
-	refusalLog *asynclog.Limiter
+	// rejectionLog limits the log lines about requests rejected for their keys or limits.
+	rejectionLog *asynclog.Limiter
 	// suspectLog limits those about requests that may crash runners.
 	suspectLog *asynclog.Limiter
 	// trialIDs numbers the requests that ask the leader for permission to run.
@@ -143,8 +143,8 @@
 		lastHeard: make(map[structs.RunnerID]time.Time),
 		known:     make(chan struct{}),
 
-		limits:     newLimits(random.Uint64()),
-		refusalLog: asynclog.NewLimiter(maxTenantLogRate),
+		limits:       newLimits(random.Uint64()),
+		rejectionLog: asynclog.NewLimiter(maxTenantLogRate),
 
 		runnerLimits: newRunnerLimits(),
 		notices:      newNotices(),
--- a/request/relay/runnerlimits_fleet_test.go
+++ b/request/relay/runnerlimits_fleet_test.go
@@ -222,9 +222,9 @@
 		for range len(answers) {
 			answer := <-answers
 			c.Assert(answer.Code, qt.Equals, http.StatusServiceUnavailable)
-			comeBack, err := strconv.ParseFloat(answer.Header().Get("Retry-After"), 64)
+			retryAfterSeconds, err := strconv.ParseFloat(answer.Header().Get("Retry-After"), 64)
 			c.Assert(err, qt.IsNil)
-			c.Assert(comeBack >= 1, qt.IsTrue, qt.Commentf("%v s", comeBack))
+			c.Assert(retryAfterSeconds >= 1, qt.IsTrue, qt.Commentf("%v s", retryAfterSeconds))
 		}
 	})
 }
--- a/request/relay/runnerrests_fleet_test.go
+++ b/request/relay/runnerrests_fleet_test.go
@@ -14,21 +14,21 @@
 	"github.com/lotusferry/lotusferry/request/relay"
 )
 
-// These tests guard against routers that ignore the rest periods that runners ask for, or the
+// These tests guard against routers that ignore the cooldowns that runners ask for, or the
 // announcement that a runner is leaving, and go on sending requests to it.
 
 const (
-	// restGrace is how long after a runner asked for a rest period requests in transit may still
-	// arrive, and restAllowed how many may arrive from then until its end.
-	restGrace   = 500 * time.Millisecond
-	restAllowed = 2
+	// cooldownGrace is how long after a runner requested a cooldown requests in transit may still
+	// arrive, and allowedInCooldown how many may arrive from then until its end.
+	cooldownGrace     = 500 * time.Millisecond
+	allowedInCooldown = 2
 	// leavingGrace is how long after a router forwarded the announcement that a runner is leaving
 	// requests may still arrive there.
 	leavingGrace = 2 * time.Second
 )
 
-// restRequest is a rest period that a runner asked a router for.
-type restRequest struct {
+// cooldownRequest is a cooldown that a runner asked a router for.
+type cooldownRequest struct {
 	router int
 	at     time.Time
 	length time.Duration
@@ -44,8 +44,8 @@
 
 // runnerLog records what a runner received from and announced to each router.
 type runnerLog struct {
-	arrivals []routerArrival
-	rests    []restRequest
+	arrivals  []routerArrival
+	cooldowns []cooldownRequest
 	// toldLeaving is when each router first received the announcement that the runner is leaving.
 	toldLeaving map[int]time.Time
 }
@@ -87,7 +87,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if told.Cooldown > 0 {
-		seen.rests = append(seen.rests, restRequest{router, time.Now(), told.Cooldown})
+		seen.cooldowns = append(seen.cooldowns, cooldownRequest{router, time.Now(), told.Cooldown})
 	}
 	if _, isTold := seen.toldLeaving[router]; told.IsLeaving && !isTold {
 		seen.toldLeaving[router] = time.Now()
@@ -115,26 +115,26 @@
 	s.leavingAddresses[runner.address] = true
 }
 
-// assertRests checks that no router sent more than restAllowed requests to a runner in its rest
-// period. Routers that restarted meanwhile do not know of the rest.
-func (s *testSite) assertRests() {
+// assertCooldowns checks that no router sent more than allowedInCooldown requests to a runner in its
+// cooldown. Routers that restarted meanwhile do not know of it.
+func (s *testSite) assertCooldowns() {
 	s.c.Helper()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for runner, seen := range s.runnerLogs {
-		for _, rest := range seen.rests {
-			end := rest.at.Add(rest.length)
-			if started := s.routerStarted[rest.router]; started.After(rest.at) && started.Before(end) {
+		for _, cooldown := range seen.cooldowns {
+			end := cooldown.at.Add(cooldown.length)
+			if started := s.routerStarted[cooldown.router]; started.After(cooldown.at) && started.Before(end) {
 				continue
 			}
 			got := 0
 			for _, arrival := range seen.arrivals {
-				if arrival.router == rest.router && arrival.at.After(rest.at.Add(restGrace)) && arrival.at.Before(end) {
+				if arrival.router == cooldown.router && arrival.at.After(cooldown.at.Add(cooldownGrace)) && arrival.at.Before(end) {
 					got++
 				}
 			}
-			s.c.Assert(got <= restAllowed, qt.IsTrue,
-				qt.Commentf("%s asked router %d for %v of rest and got %d requests in that time", runner, rest.router, rest.length, got))
+			s.c.Assert(got <= allowedInCooldown, qt.IsTrue,
+				qt.Commentf("%s asked router %d for %v of rest and got %d requests in that time", runner, cooldown.router, cooldown.length, got))
 		}
 	}
 }
@@ -157,23 +157,23 @@
 	}
 }
 
-// rejectionWithRest returns the response of a runner that rejects a request and asks for a rest
+// rejectionWithCooldown returns the response of a runner that rejects a request and requests a cooldown
 // period.
-func rejectionWithRest(rest time.Duration) relay.Answer {
-	return relay.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Notice: notice.Notice{Cooldown: rest}}
+func rejectionWithCooldown(cooldown time.Duration) relay.Answer {
+	return relay.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Notice: notice.Notice{Cooldown: cooldown}}
 }
 
-// Runners that reject all requests and ask for rest periods must get almost none in those, while
+// Runners that reject all requests and request cooldowns must get almost none in those, while
 // others serve.
-func TestRestingRunnerGetsNoRequests(t *testing.T) {
-	const during, shedding, rest = 14 * time.Second, 8500 * time.Millisecond, 3 * time.Second
-	promises := rejectionWithRest(rest)
+func TestCoolingRunnerGetsNoRequests(t *testing.T) {
+	const during, shedding, cooldown = 14 * time.Second, 8500 * time.Millisecond, 3 * time.Second
+	promises := rejectionWithCooldown(cooldown)
 	promisesNothing := promises
 	promisesNothing.NotRun = false
 	for name, test := range map[string]struct {
-		answer  relay.Answer
-		resting int
-		fault   func(s *testSite)
+		answer      relay.Answer
+		coolingDown int
+		fault       func(s *testSite)
 		// least is how many of the 840 requests must be served.
 		least int
 	}{
@@ -195,17 +195,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inSite(t, func(s *testSite) {
-				resting := s.allRunners()[:test.resting]
+				coolingDown := s.allRunners()[:test.coolingDown]
 				served := 0
 				var rushed sync.WaitGroup
 				rushed.Go(func() { served = s.sendLoad(60, during) })
 				pause.For(s.ctx, time.Second)
-				s.setRejection(test.answer, resting...)
+				s.setRejection(test.answer, coolingDown...)
 				go test.fault(s)
 				pause.For(s.ctx, shedding)
-				s.setRejection(relay.Answer{}, resting...)
+				s.setRejection(relay.Answer{}, coolingDown...)
 				rushed.Wait()
-				s.assertRests()
+				s.assertCooldowns()
 				s.c.Assert(served >= test.least, qt.IsTrue, qt.Commentf("%d served", served))
 			})
 		})
--- a/request/relay/stop.go
+++ b/request/relay/stop.go
@@ -6,7 +6,7 @@
 type stops struct {
 	// waiting ends when requests without a runner are to be rejected.
 	waiting       context.Context
-	refuseWaiting context.CancelFunc
+	rejectWaiting context.CancelFunc
 	// cut ends when all remaining requests are to be ended.
 	cut    context.Context
 	cutAll context.CancelFunc
@@ -14,14 +14,14 @@
 
 func newStops() stops {
 	var made stops
-	made.waiting, made.refuseWaiting = context.WithCancel(context.Background())
+	made.waiting, made.rejectWaiting = context.WithCancel(context.Background())
 	made.cut, made.cutAll = context.WithCancel(context.Background())
 	return made
 }
 
 // RejectWaiting rejects the requests that wait for a runner, now and in the future, so that their
 // callers can use another router in time.
-func (r *Router) RejectWaiting() { r.stop.refuseWaiting() }
+func (r *Router) RejectWaiting() { r.stop.rejectWaiting() }
 
 // CancelAll ends all requests in progress: those whose response has not started get an error response,
 // the others are aborted.
--- a/request/relay/suspension_test.go
+++ b/request/relay/suspension_test.go
@@ -36,7 +36,7 @@
 func TestKeysExpireDuringSuspension(t *testing.T) {
 	withSuspendableClock(t, always(fine), func(c *qt.C, machine *suspendableClock, router *Router, _ *scriptedBackend) {
 		c.Assert(askAs(router, "/again/x", Credential{Key: "key-2"}, Size{Tokens: NoSize}).Code, qt.Equals, http.StatusOK)
-		machine.suspend(testConfirmationLife)
+		machine.suspend(testConfirmationTTL)
 		c.Assert(askAs(router, "/again/x", Credential{Key: "key-2"}, Size{Tokens: NoSize}).Code, qt.Equals, http.StatusServiceUnavailable)
 	})
 }
--- a/request/relay/tenancy.go
+++ b/request/relay/tenancy.go
@@ -22,13 +22,13 @@
 	// milliseconds, a change of leader 0.4 to 0.9 s. Requests with short deadlines wait for
 	// maxWaitShare of their time.
 	limitWait = time.Second
-	// maxTenantLogRate bounds the log lines per second about requests refused for their key or
+	// maxTenantLogRate bounds the log lines per second about requests rejected for their key or
 	// limit.
 	maxTenantLogRate = 20
 )
 
-// refusal is a response of the router itself to a request that was sent to no runner.
-type refusal struct {
+// rejection is a response of the router itself to a request that was sent to no runner.
+type tenantRejection struct {
 	status     int
 	retryAfter time.Duration
 	// outcome is the label in metrics and logs; message is the text for the caller.
@@ -39,12 +39,12 @@
 // isConfirmed reports whether the current document was confirmed as the newest recently enough to
 // accept its API keys.
 func (r *Router) isConfirmed(at time.Time) bool {
-	life := r.options.ConfirmationTTL
-	if life <= 0 {
+	ttl := r.options.ConfirmationTTL
+	if ttl <= 0 {
 		return true
 	}
 	confirmed := r.confirmed.Load()
-	return confirmed != nil && at.Sub(*confirmed) < life
+	return confirmed != nil && at.Sub(*confirmed) < ttl
 }
 
 // confirmedAgo returns the time since the last confirmation; negative if there was none.
@@ -63,29 +63,29 @@
 	}
 }
 
-// identify returns the tenant of a request, or a refusal. The tenant is nil where none is required.
-func (r *Router) identify(index *site.Index, route *site.Route, request *Request) (*site.Tenant, *refusal) {
+// identify returns the tenant of a request, or a rejection. The tenant is nil where none is required.
+func (r *Router) identify(index *site.Index, route *site.Route, request *Request) (*site.Tenant, *tenantRejection) {
 	if !index.Document.RequiresKeys || route.Public && request.Credential.Key == "" {
 		return nil, nil
 	}
 	if !r.isConfirmed(r.now()) {
-		return nil, &refusal{
+		return nil, &tenantRejection{
 			status: http.StatusServiceUnavailable, retryAfter: unconfirmedRetryAfter, outcome: "unconfirmed",
 			message: "this router cannot tell whether the key is still good, as it reaches no controller: try again soon",
 		}
 	}
 	if problem := request.Credential.Problem; problem != "" {
-		return nil, &refusal{status: http.StatusUnauthorized, outcome: "bad_key", message: problem}
+		return nil, &tenantRejection{status: http.StatusUnauthorized, outcome: "bad_key", message: problem}
 	}
 	tenant := index.TenantOf(request.Credential.Key)
 	if tenant == nil && !route.Public {
-		return nil, &refusal{
+		return nil, &tenantRejection{
 			status: http.StatusUnauthorized, outcome: "unknown_key",
 			message: "no tenant holds the key: ask the operators of the site for a new one",
 		}
 	}
 	if tenant != nil && tenant.Limit.Unit == site.UnitTokens && request.Size.Problem != "" {
-		return nil, &refusal{status: http.StatusBadRequest, outcome: "bad_size", message: request.Size.Problem}
+		return nil, &tenantRejection{status: http.StatusBadRequest, outcome: "bad_size", message: request.Size.Problem}
 	}
 	return tenant, nil
 }
@@ -105,9 +105,9 @@
 	fresh  limiter.LeaderGrant
 }
 
-// admit charges a request to its tenant's limit, or returns a refusal. It waits for the leader's
+// admit charges a request to its tenant's limit, or returns a rejection. It waits for the leader's
 // decision if the router's share of the limit is too small.
-func (r *Router) admit(ctx context.Context, tenant *site.Tenant, request *Request, ticket waiting.Ticket, digest poison.Digest) (admission, *refusal) {
+func (r *Router) admit(ctx context.Context, tenant *site.Tenant, request *Request, ticket waiting.Ticket, digest poison.Digest) (admission, *tenantRejection) {
 	if tenant == nil || !tenant.Limit.IsLimited() {
 		return admission{}, nil
 	}
@@ -132,16 +132,16 @@
 		var isSettled bool
 		if verdict, isSettled = r.limits.await(ctx, waiter, settled, min(limitWait, fraction(ticket.Deadline.Sub(r.now()), maxWaitShare))); !isSettled {
 			if ctx.Err() != nil {
-				return admission{}, &refusal{status: http.StatusServiceUnavailable, outcome: "caller_left", message: "the caller has left"}
+				return admission{}, &tenantRejection{status: http.StatusServiceUnavailable, outcome: "caller_left", message: "the caller has left"}
 			}
-			return admission{}, &refusal{
+			return admission{}, &tenantRejection{
 				status: http.StatusServiceUnavailable, retryAfter: unconfirmedRetryAfter, outcome: "limit_unknown",
 				message: "no controller could tell whether the tenant's limit has room: try again soon",
 			}
 		}
 	}
 	if !verdict.IsAdmitted {
-		return admission{}, &refusal{
+		return admission{}, &tenantRejection{
 			status: http.StatusTooManyRequests, retryAfter: verdict.RetryAfter, outcome: "over_limit",
 			message: "the tenant's limit is used up: send less, or ask the operators of the site to raise it",
 		}
@@ -165,15 +165,15 @@
 	}
 }
 
-// refuseTenant answers a request refused for its key or limit.
-func (r *Router) refuseTenant(writer http.ResponseWriter, request *Request, route *site.Route, tenant *site.Tenant, version uint64, why *refusal) {
+// rejectTenant answers a request rejected for its key or limit.
+func (r *Router) rejectTenant(writer http.ResponseWriter, request *Request, route *site.Route, tenant *site.Tenant, version uint64, why *tenantRejection) {
 	name := ""
 	if tenant != nil {
 		name = tenant.Name
 	}
 	r.metrics.requests.WithLabelValues(kindName(route.Kind), why.outcome).Inc()
 	r.metrics.tenant(name, why.outcome)
-	if suppressed, allowed := r.refusalLog.Allow(time.Now()); allowed {
+	if suppressed, allowed := r.rejectionLog.Allow(time.Now()); allowed {
 		r.limits.mutex.Lock()
 		held := r.limits.limiter.Held(r.now(), name)
 		r.limits.mutex.Unlock()
@@ -181,5 +181,5 @@
 			"route", route.Name, "outcome", why.outcome, "status", why.status, "tokens", request.Size.Tokens, "held", held,
 			"confirmed_ago", r.confirmedAgo(), "come_back_in", why.retryAfter, "age", r.age(request), "version", version, "not_logged", suppressed)
 	}
-	refuse(writer, why.status, why.retryAfter, why.message)
+	reject(writer, why.status, why.retryAfter, why.message)
 }
--- a/request/relay/tenancy_test.go
+++ b/request/relay/tenancy_test.go
@@ -35,11 +35,11 @@
 	return document
 }
 
-const testConfirmationLife = 4 * time.Second
+const testConfirmationTTL = 4 * time.Second
 
 func newTenantRouter(answer func(ctx context.Context, attempt *Attempt) (*Answer, error)) (*Router, *scriptedBackend) {
 	router, backend := newTestRouter(answer)
-	router.options.ConfirmationTTL = testConfirmationLife
+	router.options.ConfirmationTTL = testConfirmationTTL
 	router.adoptDocument(tenantDocument(2))
 	router.confirm(time.Now())
 	return router, backend
@@ -102,7 +102,7 @@
 		c := qt.New(t)
 		router, backend := newTenantRouter(always(fine))
 		key := Credential{Key: "key-2"}
-		pause.For(t.Context(), testConfirmationLife-time.Millisecond)
+		pause.For(t.Context(), testConfirmationTTL-time.Millisecond)
 		c.Assert(askAs(router, "/once/", key, Size{}).Code, qt.Equals, http.StatusOK)
 		pause.For(t.Context(), time.Millisecond)
 		refused := askAs(router, "/once/", key, Size{})
@@ -134,19 +134,19 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				router, _ := newTenantRouter(always(fine))
-				pause.For(t.Context(), testConfirmationLife)
+				pause.For(t.Context(), testConfirmationTTL)
 				asked := time.Now()
 				pause.For(t.Context(), time.Second)
 				router.adopt(&test.reply, &domainapi.WatchArguments{Term: 5}, asked)
 				c.Assert(router.isConfirmed(time.Now()), qt.Equals, test.isConfirmed)
-				pause.For(t.Context(), testConfirmationLife-time.Second)
+				pause.For(t.Context(), testConfirmationTTL-time.Second)
 				c.Assert(router.isConfirmed(time.Now()), qt.IsFalse)
 			})
 		})
 	}
 }
 
-func TestRevokedKeyIsRefused(t *testing.T) {
+func TestRevokedKeyIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		router, _ := newTenantRouter(always(fine))
@@ -228,7 +228,7 @@
 		c := qt.New(t)
 		router, _ := newTenantRouter(always(fine))
 		ctx, leave := context.WithCancel(t.Context())
-		answered := make(chan *refusal)
+		answered := make(chan *tenantRejection)
 		go func() {
 			tenant := &tenantDocument(2).Tenants[0]
 			ticket := waiting.Ticket{Tenant: tenant.Name, Deadline: time.Now().Add(5 * time.Second)}
--- a/request/relay/types.go
+++ b/request/relay/types.go
@@ -97,7 +97,7 @@
 	HidesKey bool
 	// ResumeAfter is the ID of the last event that the caller has; NoEvent for none.
 	ResumeAfter int64
-	// Begin reports whether the request may still be sent, as the runner may have asked for a rest
+	// Begin reports whether the request may still be sent, as the runner may have requested a cooldown
 	// period or announced that it is leaving since it was chosen. After returning true once it
 	// always does. Nil means always.
 	Begin func() bool
--- a/request/relay/watchdog.go
+++ b/request/relay/watchdog.go
@@ -76,7 +76,7 @@
 	w.timer.Reset(max(time.Millisecond, limit-silent))
 }
 
-// cancelZoneLost cancels a repeatable attempt because its zone is out of reach.
+// cancelZoneLost cancels a repeatable attempt because its zone is unreachable.
 func (w *watchdog) cancelZoneLost() {
 	if w.timer != nil {
 		w.cancel(errZoneLost)
--- a/request/relay/zones.go
+++ b/request/relay/zones.go
@@ -20,9 +20,9 @@
 	// zoneCheckInterval is the interval between checks of zone reachability: a quarter of the
 	// silence limit of a zone.
 	zoneCheckInterval = 50 * time.Millisecond
-	// quietCheckInterval is the interval while no response is expected from any zone. It limits the
+	// silenceCheckInterval is the interval while no response is expected from any zone. It limits the
 	// idle load of sites with many routers.
-	quietCheckInterval = 500 * time.Millisecond
+	silenceCheckInterval = 500 * time.Millisecond
 	// latencyInterval is the interval between updates of zone latencies. Each also connects to
 	// zones with too few measurements, so that timeouts are known soon after the start.
 	latencyInterval = time.Second
@@ -65,7 +65,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.isWanted(choice) {
-		// The runner asked for a rest period or announced that it is leaving since it was chosen.
+		// The runner requested a cooldown or announced that it is leaving since it was chosen.
 		w.recall()
 		return func() {}
 	}
@@ -121,7 +121,7 @@
 		now := r.now()
 		r.mutex.Lock()
 		r.probe(r.zones.watch.Step(now))
-		if now.Sub(r.routerCount.at) >= r.leaderQuiet() && now.Sub(askedAt) >= r.leaderSilence() && r.IsReady() {
+		if now.Sub(r.routerCount.at) >= r.leaderSilenceLimit() && now.Sub(askedAt) >= r.leaderSilence() && r.IsReady() {
 			askedAt = now
 			r.probeZones(now)
 		}
@@ -138,9 +138,9 @@
 // the hold time of a watch. The caller must hold r.mutex.
 func (r *Router) leaderSilence() time.Duration { return 2 * max(r.leaderHold, domainapi.MinHold) }
 
-// leaderQuiet returns the time without a leader after which all zones are probed, once per
+// leaderSilenceLimit returns the time without a leader after which all zones are probed, once per
 // leaderSilence: the hold time of a watch plus leaderAnswerTime. The caller must hold r.mutex.
-func (r *Router) leaderQuiet() time.Duration {
+func (r *Router) leaderSilenceLimit() time.Duration {
 	return max(r.leaderHold, domainapi.MinHold) + leaderAnswerTime
 }
 
@@ -149,8 +149,8 @@
 	wait := zoneCheckInterval
 	r.mutex.Lock()
 	if r.zones.watch.IsIdle() && !r.isOverloaded() {
-		untilQuiet := r.leaderQuiet() - r.now().Sub(r.routerCount.at)
-		wait = min(quietCheckInterval, max(zoneCheckInterval, untilQuiet))
+		untilSilent := r.leaderSilenceLimit() - r.now().Sub(r.routerCount.at)
+		wait = min(silenceCheckInterval, max(zoneCheckInterval, untilSilent))
 	}
 	r.mutex.Unlock()
 	due := r.now().Add(wait)
--- a/request/router/arrive.go
+++ b/request/router/arrive.go
@@ -9,7 +9,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// arrive refuses a new request, forwards it, claims its key or queues it.
+// arrive rejects a new request, forwards it, claims its key or queues it.
 func (c *Core) arrive(incoming structs.Request) {
 	if _, exists := c.requests[incoming.ID]; exists {
 		c.stats.DuplicateArrivals++
@@ -21,15 +21,15 @@
 	}
 	incoming.Priority = min(max(incoming.Priority, structs.PriorityBatch), structs.PriorityLive)
 	if problem := c.admissionError(incoming); problem != nil {
-		c.refuseUntracked(incoming.ID, *problem)
+		c.rejectUntracked(incoming.ID, *problem)
 		return
 	}
 	target := c.rows[incoming.Row]
 	if target == nil || !target.listed {
-		c.refuseUntracked(incoming.ID, notFound(incoming.Row))
+		c.rejectUntracked(incoming.ID, notFound(incoming.Row))
 		return
 	}
-	if c.refuseOfferIfBusy(incoming, target) {
+	if c.rejectOfferIfBusy(incoming, target) {
 		return
 	}
 	c.activate(target)
@@ -83,7 +83,7 @@
 	return admission.NewEstimator(c.options.Estimator).Service(incoming.MaxTokens)
 }
 
-// shedBatch refuses the newest waiting batch request of any row to admit a live one; it
+// shedBatch rejects the newest waiting batch request of any row to admit a live one; it
 // reports whether there was one.
 func (c *Core) shedBatch(priority structs.Priority) bool {
 	if priority != structs.PriorityLive {
@@ -103,11 +103,11 @@
 		return false
 	}
 	c.stats.Displaced++
-	c.refuseOverload(c.requests[newest.ID], "the request was displaced by a live request")
+	c.rejectOverload(c.requests[newest.ID], "the request was displaced by a live request")
 	return true
 }
 
-// endIfNotServed forwards or refuses a request for a row that this zone may not load or
+// endIfNotServed forwards or rejects a request for a row that this zone may not load or
 // has no runner for. It reports whether the request ended.
 func (c *Core) endIfNotServed(incoming structs.Request, target *row) bool {
 	lost := c.roleLost(target)
@@ -116,11 +116,11 @@
 	}
 	switch {
 	case target.MaxReplicas <= 0:
-		c.refuseUntracked(incoming.ID, *structs.NewError(structs.ErrorLimit,
+		c.rejectUntracked(incoming.ID, *structs.NewError(structs.ErrorLimit,
 			fmt.Sprintf("row %s may have no replica", target.Name),
 			"Raise max_replicas of the row."))
 	case lost && (incoming.Forwarded || len(target.elsewhere) == 0):
-		c.refuseUntracked(incoming.ID, c.noRunner(target))
+		c.rejectUntracked(incoming.ID, c.noRunner(target))
 	case len(target.elsewhere) == 0:
 		return false
 	case !incoming.Forwarded:
@@ -130,7 +130,7 @@
 			fmt.Sprintf("row %s has just moved to zone %s", target.Name, target.elsewhere[0]),
 			"Retry after the given delay.")
 		problem.RetryAfter = c.retryAfter(0)
-		c.refuseUntracked(incoming.ID, *problem)
+		c.rejectUntracked(incoming.ID, *problem)
 	}
 	return true
 }
@@ -140,9 +140,9 @@
 	c.emit(Forward{ID: id, Zones: zones})
 }
 
-// forwardFailed refuses a forwarded request that no zone answered completely.
+// forwardFailed rejects a forwarded request that no zone answered completely.
 func (c *Core) forwardFailed(event ForwardFailed) {
-	refusal := structs.Rejection{
+	rejection := structs.Rejection{
 		Error: structs.Error{
 			Kind:       structs.ErrorUnavailable,
 			Message:    "the zone that serves this request cannot be reached",
@@ -152,15 +152,15 @@
 		Execution: structs.ExecutionNotRun,
 	}
 	if event.Error != nil && event.Error.RetryAfter > 0 {
-		refusal.Error.RetryAfter = max(event.Error.RetryAfter, MinimumRetryAfter)
+		rejection.Error.RetryAfter = max(event.Error.RetryAfter, MinimumRetryAfter)
 	}
 	if event.Stage == Broken && event.Repeatable {
-		refusal.Execution = structs.ExecutionPartial
+		rejection.Execution = structs.ExecutionPartial
 	}
 	if event.Stage == Broken && !event.Repeatable {
-		refusal.Execution = structs.ExecutionUnknown
+		rejection.Execution = structs.ExecutionUnknown
 	}
-	c.emit(Reject{ID: event.ID, Rejection: refusal})
+	c.emit(Reject{ID: event.ID, Rejection: rejection})
 	c.stats.Rejected++
 }
 
@@ -186,23 +186,23 @@
 	}
 	if wait, ok := c.takeTokens(req); !ok {
 		c.stats.OverTokens++
-		c.refuse(req, structs.ErrorLimit, "the caller or the row has used its tokens",
+		c.reject(req, structs.ErrorLimit, "the caller or the row has used its tokens",
 			"Retry after the given delay, or have an operator raise the limit.", wait)
 		return
 	}
 	state := c.queueState(req.row, req.Request)
 	req.estimatedWait = req.row.estimator.Start(state)
-	patience := req.DeadlineAt.Sub(c.now)
-	if finish := req.row.estimator.Finish(state); finish >= patience {
+	maxWait := req.DeadlineAt.Sub(c.now)
+	if finish := req.row.estimator.Finish(state); finish >= maxWait {
 		c.stats.RejectedEarly++
-		c.refuse(req, structs.ErrorDeadline, "the request would be answered after its deadline",
-			"Retry after the given delay, or allow a later deadline.", max(req.estimatedWait, finish-patience))
+		c.reject(req, structs.ErrorDeadline, "the request would be answered after its deadline",
+			"Retry after the given delay, or allow a later deadline.", max(req.estimatedWait, finish-maxWait))
 		return
 	}
 	c.enqueue(req)
 }
 
-// enqueue adds the request to the queue of its row and refuses the request that the queue
+// enqueue adds the request to the queue of its row and rejects the request that the queue
 // displaces.
 func (c *Core) enqueue(req *request) {
 	req.phase = phaseQueued
@@ -228,28 +228,28 @@
 	case admission.QueuedDisplacing:
 		c.stats.Displaced++
 		req.row.estimator.ObserveArrival(c.now, req.Priority)
-		c.refuseOverload(c.requests[shed.ID], "the request was displaced by a live request")
+		c.rejectOverload(c.requests[shed.ID], "the request was displaced by a live request")
 	case admission.FullQueue:
-		c.refuseOverload(req, "the queue of the row is full")
+		c.rejectOverload(req, "the queue of the row is full")
 		return
 	case admission.FullCaller:
-		c.refuseOverload(req, "the caller has too many requests waiting for the row")
+		c.rejectOverload(req, "the caller has too many requests waiting for the row")
 		return
 	}
 	c.dispatchRow(req.row)
 }
 
-func (c *Core) refuseOverload(req *request, message string) {
+func (c *Core) rejectOverload(req *request, message string) {
 	state := c.queueState(req.row, req.Request)
-	c.refuse(req, structs.ErrorOverloaded, message, "Retry after the given delay.", req.row.estimator.Start(state))
+	c.reject(req, structs.ErrorOverloaded, message, "Retry after the given delay.", req.row.estimator.Start(state))
 }
 
-// endIfRowRemoved refuses a waiting request whose row was removed from the table.
+// endIfRowRemoved rejects a waiting request whose row was removed from the table.
 func (c *Core) endIfRowRemoved(req *request) bool {
 	if req.row.listed {
 		return false
 	}
-	c.refuseAs(req, notFound(req.Row), noRetry)
+	c.rejectAs(req, notFound(req.Row), noRetry)
 	return true
 }
 
--- a/request/router/attempt.go
+++ b/request/router/attempt.go
@@ -60,7 +60,7 @@
 		req.answer = append(req.answer, token.Text...)
 		if len(req.answer)+answerOverhead > c.options.AnswerLimit {
 			c.emit(CancelAttempt{Attempt: req.attempt})
-			c.refuseUnknown(req, "the answer exceeds the size limit for a request with a key")
+			c.rejectUnknown(req, "the answer exceeds the size limit for a request with a key")
 			return
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-// attemptFailed handles an attempt whose stream ended early. A refusal after the engine
+// attemptFailed handles an attempt whose stream ended early. A rejection after the engine
 // accepted the attempt counts as a broken stream.
 func (c *Core) attemptFailed(event AttemptFailed) {
 	req := c.attempts[event.Attempt]
@@ -110,7 +110,7 @@
 	}
 	if req.hasRun() {
 		req.mayHaveRun = true
-		c.refuseUnknown(req, "the stream broke or stalled after the request had started")
+		c.rejectUnknown(req, "the stream broke or stalled after the request had started")
 		return
 	}
 	req.phase = phaseCheckingStatus
@@ -181,14 +181,14 @@
 	case sameIncarnation && (status.State == structs.RunQueued || status.State == structs.RunRunning):
 		c.retryStatus(req)
 	default:
-		c.refuseUnknown(req, "the stream broke and the engine does not know whether the request ran to completion")
+		c.rejectUnknown(req, "the stream broke and the engine does not know whether the request ran to completion")
 	}
 }
 
 // retryStatus asks the engine again after a delay, up to StatusLimit times.
 func (c *Core) retryStatus(req *request) {
 	if req.statusAsks >= c.options.StatusLimit {
-		c.refuseUnknown(req, "the stream broke and the engine could not be asked whether the request ran")
+		c.rejectUnknown(req, "the stream broke and the engine could not be asked whether the request ran")
 		return
 	}
 	delay := routing.Backoff(c.options.Random, c.options.BackoffBase, c.options.BackoffLimit, req.statusAsks)
--- a/request/router/claim.go
+++ b/request/router/claim.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// ownsClaim reports whether the claim is held by this request in the current session of
+// ownsClaim reports whether the claim is held by this request in the current incarnation of
 // this router.
 func (c *Core) ownsClaim(req *request, claim *structs.Claim) bool {
 	own := structs.ClaimHolder{Daemon: c.options.Daemon, Session: c.options.Session}
@@ -78,7 +78,7 @@
 
 // claimGranted continues a request that holds its key. A reply that does not name the
 // reserved replica belongs to an earlier BeginClaim and is ignored. An expired request is
-// not sent, because engines remember refused IDs only for a limited time.
+// not sent, because engines remember rejected IDs only for a limited time.
 func (c *Core) claimGranted(req *request, claim *structs.Claim) {
 	if req.expired(c.now) {
 		req.phase = c.releaseReservation(req)
@@ -94,7 +94,7 @@
 	}
 }
 
-// claimNotAsked refuses a request whose home zone is unreachable. Its claim is released
+// claimNotAsked rejects a request whose home zone is unreachable. Its claim is released
 // only if the zone granted it before.
 func (c *Core) claimNotAsked(req *request, problem *structs.Error) {
 	req.phase = c.releaseReservation(req)
@@ -107,11 +107,11 @@
 	if home != c.options.Zone {
 		remedy += fmt.Sprintf(" A new request may start its key with %q instead.", string(c.options.Zone)+keySeparator)
 	}
-	c.refuse(req, structs.ErrorUnavailable, fmt.Sprintf("zone %s, the home of the key, cannot be reached from zone %s", home, c.options.Zone),
+	c.reject(req, structs.ErrorUnavailable, fmt.Sprintf("zone %s, the home of the key, cannot be reached from zone %s", home, c.options.Zone),
 		remedy, estimate)
 }
 
-// claimFailed refuses a request whose claim was not decided. The claim is released,
+// claimFailed rejects a request whose claim was not decided. The claim is released,
 // because the zone may have recorded it.
 func (c *Core) claimFailed(req *request, problem *structs.Error) {
 	req.claimHeld = true
@@ -122,11 +122,11 @@
 	}
 	switch structs.KindOf(asError(problem)) {
 	case structs.ErrorInvalid:
-		c.refuseAs(req, *problem, noRetry)
+		c.rejectAs(req, *problem, noRetry)
 	case structs.ErrorOverloaded:
-		c.refuseAs(req, *problem, estimate)
+		c.rejectAs(req, *problem, estimate)
 	default:
-		c.refuse(req, structs.ErrorUnavailable, "the idempotency key could not be claimed in its home zone",
+		c.reject(req, structs.ErrorUnavailable, "the idempotency key could not be claimed in its home zone",
 			"Retry after the given delay with the same key.", estimate)
 	}
 }
@@ -190,7 +190,7 @@
 func (c *Core) answerFromClaim(req *request, claim *structs.Claim) {
 	req.phase = c.releaseReservation(req)
 	if claim.Digest != RequestDigest(req.Request) {
-		c.refuse(req, structs.ErrorInvalid, "the key was used for another request", "Use a new key for a new request.", noRetry)
+		c.reject(req, structs.ErrorInvalid, "the key was used for another request", "Use a new key for a new request.", noRetry)
 		return
 	}
 	switch claim.State {
@@ -201,11 +201,11 @@
 		req.mayHaveRun = true
 		c.fetchAnswer(req, claim)
 	case structs.ClaimReleased:
-		c.refuse(req, structs.ErrorUnavailable, "the claim on this key has just been released",
+		c.reject(req, structs.ErrorUnavailable, "the claim on this key has just been released",
 			"Retry after the given delay with the same key.", 0)
 	default:
 		req.mayHaveRun = true
-		c.refuseUnknown(req, "it is unknown whether the request with this key ran")
+		c.rejectUnknown(req, "it is unknown whether the request with this key ran")
 	}
 }
 
@@ -215,7 +215,7 @@
 func (c *Core) fetchAnswer(req *request, claim *structs.Claim) {
 	req.claim = claim
 	if claim.Holder == "" || claim.HolderAddress == "" && claim.Holder != c.options.Daemon {
-		c.refuseWithoutAnswer(req, false)
+		c.rejectWithoutAnswer(req, false)
 		return
 	}
 	req.phase = phaseFetching
@@ -233,7 +233,7 @@
 		kept = false
 	}
 	if !kept {
-		c.refuseWithoutAnswer(req, event.Unreachable)
+		c.rejectWithoutAnswer(req, event.Unreachable)
 		return
 	}
 	c.stats.Replayed++
@@ -243,19 +243,19 @@
 	}
 }
 
-// refuseWithoutAnswer refuses a request whose key is claimed by another request and whose
+// rejectWithoutAnswer rejects a request whose key is claimed by another request and whose
 // answer is not available. The request is not executed.
-func (c *Core) refuseWithoutAnswer(req *request, unreachable bool) {
+func (c *Core) rejectWithoutAnswer(req *request, unreachable bool) {
 	const sameKey = "Retry after the given delay with the same key."
 	switch {
 	case req.claim.State == structs.ClaimHeld:
-		c.refuse(req, structs.ErrorConflict, "a request with this key is in progress", sameKey,
+		c.reject(req, structs.ErrorConflict, "a request with this key is in progress", sameKey,
 			req.row.estimator.Service(req.MaxTokens))
 	case unreachable:
-		c.refuse(req, structs.ErrorConflict, "the request with this key ran, and the router that stores its answer does not respond",
+		c.reject(req, structs.ErrorConflict, "the request with this key ran, and the router that stores its answer does not respond",
 			sameKey, unreachableHolderRetry)
 	default:
-		c.refuse(req, structs.ErrorConflict, "the request with this key ran, and its answer is no longer kept",
+		c.reject(req, structs.ErrorConflict, "the request with this key ran, and its answer is no longer kept",
 			"Use the answer that was given before, or send the request with a new key to run it again.", noRetry)
 	}
 }
--- a/request/router/core_test.go
+++ b/request/router/core_test.go
@@ -59,7 +59,7 @@
 	return found[0]
 }
 
-func TestArrivalIsRefusedImmediatelyWhenItCannotBeServed(t *testing.T) {
+func TestArrivalIsRejectedImmediatelyWhenItCannotBeServed(t *testing.T) {
 	tests := []struct {
 		about  string
 		before []Event
@@ -82,11 +82,11 @@
 				s.do(event)
 			}
 			s.arrive(test.change)
-			refusal := only[Reject](s).Rejection
-			s.c.Check(refusal.Error.Kind, qt.Equals, test.kind)
-			s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-			s.c.Check(refusal.Error.RetryAfter > 0, qt.Equals, test.retry)
-			s.c.Check(refusal.Error.Remedy, qt.Not(qt.Equals), "")
+			rejection := only[Reject](s).Rejection
+			s.c.Check(rejection.Error.Kind, qt.Equals, test.kind)
+			s.c.Check(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+			s.c.Check(rejection.Error.RetryAfter > 0, qt.Equals, test.retry)
+			s.c.Check(rejection.Error.Remedy, qt.Not(qt.Equals), "")
 			s.c.Check(s.core.Idle(), qt.IsTrue)
 		})
 	}
@@ -181,14 +181,14 @@
 				s.c.Assert(only[Replay](s).Answer, qt.DeepEquals, kept)
 				return
 			}
-			refusal := only[Reject](s).Rejection
-			s.c.Check(refusal.Execution, qt.Equals, test.execution)
-			s.c.Check(refusal.Error.RetryAfter > 0, qt.Equals, test.retry)
+			rejection := only[Reject](s).Rejection
+			s.c.Check(rejection.Execution, qt.Equals, test.execution)
+			s.c.Check(rejection.Error.RetryAfter > 0, qt.Equals, test.retry)
 		})
 	}
 }
 
-func TestAnswerNotFetchedByTheDeadlineIsRefusedAsDone(t *testing.T) {
+func TestAnswerNotFetchedByTheDeadlineIsRejectedAsDone(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(keyed)
 	claim := only[BeginClaim](s).Claim
@@ -197,9 +197,9 @@
 	only[FetchAnswer](s)
 	s.now, _ = s.core.NextDeadline()
 	s.do(Tick{})
-	refusal := only[Reject](s).Rejection
-	s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionDone)
-	s.c.Check(refusal.Error.RetryAfter > 0, qt.IsTrue)
+	rejection := only[Reject](s).Rejection
+	s.c.Check(rejection.Execution, qt.Equals, structs.ExecutionDone)
+	s.c.Check(rejection.Error.RetryAfter > 0, qt.IsTrue)
 	s.do(AnswerFetched{ID: "id", Answer: []byte("late")})
 	s.c.Check(s.effects, qt.HasLen, 0)
 }
@@ -266,12 +266,12 @@
 	s.c.Assert(s.core.Demand().Rows, qt.DeepEquals, []structs.RowDemand{{Row: "cold", Waiting: 1, Arrived: 1, Unserved: true}})
 	s.now = s.now.Add(4900 * time.Millisecond)
 	s.do(Tick{})
-	refusal := only[Reject](s).Rejection
-	s.c.Check(refusal.Error.Kind, qt.Equals, structs.ErrorDeadline)
-	s.c.Check(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+	rejection := only[Reject](s).Rejection
+	s.c.Check(rejection.Error.Kind, qt.Equals, structs.ErrorDeadline)
+	s.c.Check(rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 }
 
-func TestRequestIsRefusedInTheStepOfItsLastFailure(t *testing.T) {
+func TestRequestIsRejectedInTheStepOfItsLastFailure(t *testing.T) {
 	s := newScript(t, func(options *Options) { options.AttemptLimit = 2 })
 	s.arrive(nil)
 	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: RejectedByEngine})
@@ -279,9 +279,9 @@
 	s.now, _ = s.core.NextDeadline()
 	s.do(Tick{})
 	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: NotSent})
-	refusal := only[Reject](s).Rejection
-	s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-	s.c.Check(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+	rejection := only[Reject](s).Rejection
+	s.c.Check(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+	s.c.Check(rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 }
 
 // TestFullEngineGetsNoRequestBeforeItsRetryAfter also checks that the engine then gets
@@ -376,7 +376,7 @@
 	s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 }
 
-func TestColdLoadIsObservedEvenIfEveryRequestWasRefused(t *testing.T) {
+func TestColdLoadIsObservedEvenIfEveryRequestWasRejected(t *testing.T) {
 	s := newScript(t, nil)
 	s.arrive(func(r *structs.Request) { r.Row, r.DeadlineAt = "cold", s.now.Add(time.Second) })
 	s.c.Assert(s.core.Demand().Rows, qt.DeepEquals, []structs.RowDemand{{Row: "cold", Arrived: 1, Unserved: true}})
--- a/request/router/dispatch.go
+++ b/request/router/dispatch.go
@@ -33,7 +33,7 @@
 		if !ok {
 			return false
 		}
-		if c.refuseTooLate(waiting, next) {
+		if c.rejectTooLate(waiting, next) {
 			continue
 		}
 		next = c.popPreferred(waiting, next, choice)
--- a/request/router/doc.go
+++ b/request/router/doc.go
@@ -1,4 +1,4 @@
-// Package router implements the life cycle of a request as a pure state machine:
+// Package router implements the lifecycle of a request as a pure state machine:
 // claim, admission, selection of a replica, attempts, resumption, retries, and
 // exactly one terminal effect.
 //
@@ -8,10 +8,10 @@
 //
 // # Terminal effects
 //
-// Every Arrived leads to exactly one of Finish, Replay, Refuse or Forward, unless
+// Every Arrived leads to exactly one of Finish, Replay, Reject or Forward, unless
 // the caller disconnected, or another zone accepted the request after an Offer. A
 // Forward that could not be delivered is reported as ForwardFailed and ends in a
-// Refuse; a failed Offer is reported as OfferFailed, and the request is queued here.
+// Reject; a failed Offer is reported as OfferFailed, and the request is queued here.
 //
 // # Requests with an idempotency key
 //
--- a/request/router/effect.go
+++ b/request/router/effect.go
@@ -108,7 +108,7 @@
 
 // Offer sends the request to a router of another zone with Forwarded and IfReady set. The
 // driver tries Zones in order and reports OfferTaken once a zone accepts the request, or
-// OfferFailed once all have refused it or Budget has elapsed.
+// OfferFailed once all have rejected it or Budget has elapsed.
 type Offer struct {
 	ID     structs.RequestID
 	Zones  []structs.ZoneID
--- a/request/router/engine_test.go
+++ b/request/router/engine_test.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// sendAttempt simulates an adversarial engine, which refuses, loses, breaks, truncates,
+// sendAttempt simulates an adversarial engine, which rejects, loses, breaks, truncates,
 // repeats, skips and mixes up the attempts it receives.
 func (w *simulation) sendAttempt(send SendAttempt) {
 	id := send.Attempt.Request()
@@ -59,7 +59,7 @@
 			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: Broken}})
 		}
 		if fault == 12 && index > send.Generate.ResumeFrom {
-			// The engine refuses an attempt that it has started.
+			// The engine rejects an attempt that it has started.
 			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: RejectedByEngine}})
 			return
 		}
--- a/request/router/event.go
+++ b/request/router/event.go
@@ -27,7 +27,7 @@
 const (
 	// NotSent: nothing reached the other side; the request certainly did not run.
 	NotSent FailureStage = iota
-	// RejectedByEngine: the engine refused the attempt; the request certainly did not run.
+	// RejectedByEngine: the engine rejected the attempt; the request certainly did not run.
 	RejectedByEngine
 	// Broken: the connection ended after the request was sent; the request may have run.
 	Broken
@@ -45,7 +45,7 @@
 
 // ClaimReplied answers BeginClaim. Claim is the record in the home zone, with the runner
 // named last; New is true when it is held for this request. Error is set when the zone
-// refused or could not decide. NotAsked reports that this BeginClaim never reached the
+// rejected or could not decide. NotAsked reports that this BeginClaim never reached the
 // zone and never will.
 type ClaimReplied struct {
 	ID       structs.RequestID
@@ -109,9 +109,9 @@
 	Zone structs.ZoneID
 }
 
-// OfferFailed reports that no zone accepted the request of an Offer. Refused lists the
-// zones that refused it, Silent those that did not answer in time. MayHaveRun is set when
-// one of the silent zones received the request.
+// OfferFailed reports that no zone accepted the request of an Offer. Rejected lists the
+// zones that rejected it, TimedOut those that did not answer in time. MayHaveRun is set when
+// one of the latter received the request.
 type OfferFailed struct {
 	ID         structs.RequestID
 	Rejected   []structs.ZoneID
--- a/request/router/fairness_test.go
+++ b/request/router/fairness_test.go
@@ -24,10 +24,10 @@
 }
 
 // request sends a request with the given prompt and returns the attempts started.
-func (s *script) request(id structs.RequestID, row structs.RowName, patience time.Duration, prompt string) []SendAttempt {
+func (s *script) request(id structs.RequestID, row structs.RowName, maxWait time.Duration, prompt string) []SendAttempt {
 	return started(s.arrive(func(request *structs.Request) {
 		request.ID, request.Row, request.Prompt = id, row, prompt
-		request.DeadlineAt = s.now.Add(patience)
+		request.DeadlineAt = s.now.Add(maxWait)
 	}))
 }
 
@@ -114,7 +114,7 @@
 	qt.Assert(t, next[0].Attempt.Request(), qt.Equals, structs.RequestID("known"))
 }
 
-func TestRequestThatWouldMissItsDeadlineIsRefusedAtArrival(t *testing.T) {
+func TestRequestThatWouldMissItsDeadlineIsRejectedAtArrival(t *testing.T) {
 	s := newSingleRunnerScript(t)
 	running := s.request("1", "row", 20*time.Second, "prompt")
 	s.request("2", "row", 20*time.Second, "prompt")
@@ -123,10 +123,10 @@
 	s.request("3", "row", 20*time.Second, "prompt")
 	// It would start after 1.5 s and needs 3 s.
 	s.request("late", "row", 4*time.Second, "prompt")
-	refuse := only[Reject](s)
-	qt.Check(t, refuse.Rejection.Error.Kind, qt.Equals, structs.ErrorDeadline)
-	qt.Check(t, refuse.Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
-	qt.Check(t, refuse.Rejection.Error.RetryAfter >= 1500*time.Millisecond, qt.IsTrue)
+	reject := only[Reject](s)
+	qt.Check(t, reject.Rejection.Error.Kind, qt.Equals, structs.ErrorDeadline)
+	qt.Check(t, reject.Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+	qt.Check(t, reject.Rejection.Error.RetryAfter >= 1500*time.Millisecond, qt.IsTrue)
 	s.request("in time", "row", 6*time.Second, "prompt")
 	qt.Check(t, s.effects, qt.HasLen, 0)
 }
--- a/request/router/finish.go
+++ b/request/router/finish.go
@@ -8,11 +8,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// noRetry is the retry estimate of refusals that should not be retried.
+// noRetry is the retry estimate of rejections that should not be retried.
 const noRetry time.Duration = -1
 
 // retryJitter is the maximum random extension of RetryAfter, as a fraction, so that
-// refused callers do not retry simultaneously.
+// rejected callers do not retry simultaneously.
 const retryJitter = 0.1
 
 // retryAfter returns the RetryAfter for an estimate of when capacity becomes available.
@@ -24,9 +24,9 @@
 	return estimate + time.Duration(retryJitter*c.options.Random.Float64()*float64(estimate))
 }
 
-// refuse ends the request and its claim. estimate is when capacity becomes available, or
+// reject ends the request and its claim. estimate is when capacity becomes available, or
 // noRetry.
-func (c *Core) refuse(req *request, kind structs.ErrorKind, message, remedy string, estimate time.Duration) {
+func (c *Core) reject(req *request, kind structs.ErrorKind, message, remedy string, estimate time.Duration) {
 	execution := req.execution()
 	if c.mutation == mutationReportNotRun {
 		execution = structs.ExecutionNotRun
@@ -44,28 +44,28 @@
 	}
 }
 
-// refuseAs refuses the request with the kind, message and remedy of a problem.
-func (c *Core) refuseAs(req *request, problem structs.Error, estimate time.Duration) {
-	c.refuse(req, problem.Kind, problem.Message, problem.Remedy, estimate)
+// rejectAs rejects the request with the kind, message and remedy of a problem.
+func (c *Core) rejectAs(req *request, problem structs.Error, estimate time.Duration) {
+	c.reject(req, problem.Kind, problem.Message, problem.Remedy, estimate)
 }
 
-// refuseUntracked refuses a request that is not held; none of it ran.
-func (c *Core) refuseUntracked(id structs.RequestID, problem structs.Error) {
+// rejectUntracked rejects a request that is not held; none of it ran.
+func (c *Core) rejectUntracked(id structs.RequestID, problem structs.Error) {
 	c.stats.Rejected++
 	c.emit(Reject{ID: id, Rejection: structs.Rejection{Error: problem, Execution: structs.ExecutionNotRun}})
 }
 
-// refuseUnknown refuses a request with a key whose outcome is unknown.
-func (c *Core) refuseUnknown(req *request, message string) {
+// rejectUnknown rejects a request with a key whose outcome is unknown.
+func (c *Core) rejectUnknown(req *request, message string) {
 	c.stats.OutcomeUnknown++
-	c.refuse(req, structs.ErrorUnavailable, message,
+	c.reject(req, structs.ErrorUnavailable, message,
 		"Find out by other means whether it took effect; this key will not run again.", noRetry)
 }
 
-// giveUp refuses a request after failed attempts.
+// giveUp rejects a request after failed attempts.
 func (c *Core) giveUp(req *request, message string) {
 	if req.execution() == structs.ExecutionUnknown {
-		c.refuseUnknown(req, message)
+		c.rejectUnknown(req, message)
 		return
 	}
 	if c.mutation == mutationDelayFailure {
@@ -73,25 +73,25 @@
 		return
 	}
 	state := c.queueState(req.row, req.Request)
-	c.refuse(req, structs.ErrorUnavailable, message, "Retry after the given delay.", req.row.estimator.Start(state))
+	c.reject(req, structs.ErrorUnavailable, message, "Retry after the given delay.", req.row.estimator.Start(state))
 }
 
-// expire refuses a request whose deadline has passed.
+// expire rejects a request whose deadline has passed.
 func (c *Core) expire(req *request) {
 	c.stats.Expired++
 	if req.phase == phaseRunning {
 		c.emit(CancelAttempt{Attempt: req.attempt})
 	}
 	if req.phase == phaseFetching {
-		c.refuseWithoutAnswer(req, true)
+		c.rejectWithoutAnswer(req, true)
 		return
 	}
 	if req.execution() == structs.ExecutionUnknown {
-		c.refuseUnknown(req, "the deadline passed before the answer was complete")
+		c.rejectUnknown(req, "the deadline passed before the answer was complete")
 		return
 	}
 	state := c.queueState(req.row, req.Request)
-	c.refuse(req, structs.ErrorDeadline, "the deadline passed before the answer was complete",
+	c.reject(req, structs.ErrorDeadline, "the deadline passed before the answer was complete",
 		"Retry after the given delay, or allow a later deadline.", req.row.estimator.Start(state))
 }
 
--- a/request/router/home_test.go
+++ b/request/router/home_test.go
@@ -53,10 +53,10 @@
 				s.c.Assert(only[BeginClaim](s).Choice, qt.Equals, uint64(2))
 			}
 			s.do(ClaimReplied{ID: "id", Error: unreachable, NotAsked: true})
-			refusal := only[Reject](s).Rejection
-			s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-			s.c.Check(refusal.Error.Remedy, qt.Contains, test.remedy)
-			s.c.Check(refusal.Error.RetryAfter >= unreachable.RetryAfter, qt.IsTrue)
+			rejection := only[Reject](s).Rejection
+			s.c.Check(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+			s.c.Check(rejection.Error.Remedy, qt.Contains, test.remedy)
+			s.c.Check(rejection.Error.RetryAfter >= unreachable.RetryAfter, qt.IsTrue)
 			s.c.Check(s.effects, qt.HasLen, 1+test.releases)
 			s.c.Check(s.core.Idle(), qt.IsTrue)
 		})
@@ -119,9 +119,9 @@
 	claim.State, claim.Request = structs.ClaimFinished, "earlier"
 	s.do(ClaimReplied{ID: "id", Claim: &claim})
 	s.do(AnswerFetched{ID: only[FetchAnswer](s).ID})
-	refusal := only[Reject](s).Rejection
-	s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionDone)
-	s.c.Check(refusal.Error.Message, qt.Contains, "ran")
+	rejection := only[Reject](s).Rejection
+	s.c.Check(rejection.Execution, qt.Equals, structs.ExecutionDone)
+	s.c.Check(rejection.Error.Message, qt.Contains, "ran")
 	s.c.Check(s.effects, qt.HasLen, 1)
 }
 
--- a/request/router/offer.go
+++ b/request/router/offer.go
@@ -15,10 +15,10 @@
 	offerBudgetMin = 20 * time.Millisecond
 	// offerZoneLimit is the number of zones tried by one offer.
 	offerZoneLimit = 2
-	// refusalBackoff is how long a zone that refused an offer of a row gets no offers of
+	// rejectionBackoff is how long a zone that rejected an offer of a row gets no offers of
 	// that row; unresponsiveBackoff is how long a zone that did not answer gets no offers
 	// at all.
-	refusalBackoff      = 2 * time.Second
+	rejectionBackoff    = 2 * time.Second
 	unresponsiveBackoff = 10 * time.Second
 )
 
@@ -58,7 +58,7 @@
 	first := c.options.Random.IntN(len(target.elsewhere))
 	for index := range target.elsewhere {
 		zone := target.elsewhere[(first+index)%len(target.elsewhere)]
-		if c.now.Before(c.unresponsiveUntil[zone]) || c.now.Before(target.refusedUntil[zone]) {
+		if c.now.Before(c.unresponsiveUntil[zone]) || c.now.Before(target.rejectedUntil[zone]) {
 			continue
 		}
 		chosen = append(chosen, zone)
@@ -87,7 +87,7 @@
 	if req == nil || req.phase != phaseOffered {
 		return
 	}
-	c.recordRefusals(req.row, event.Rejected)
+	c.recordRejections(req.row, event.Rejected)
 	req.row.offered--
 	req.phase = phaseQueued
 	req.mayHaveRun = event.MayHaveRun
@@ -106,20 +106,20 @@
 	}
 }
 
-func (c *Core) recordRefusals(offered *row, zones []structs.ZoneID) {
+func (c *Core) recordRejections(offered *row, zones []structs.ZoneID) {
 	for _, zone := range zones {
-		if offered.refusedUntil == nil {
-			offered.refusedUntil = map[structs.ZoneID]time.Time{}
+		if offered.rejectedUntil == nil {
+			offered.rejectedUntil = map[structs.ZoneID]time.Time{}
 		}
-		offered.refusedUntil[zone] = c.now.Add(refusalBackoff)
+		offered.rejectedUntil[zone] = c.now.Add(rejectionBackoff)
 		if offered.warmZone == zone {
 			offered.warmZone = ""
 		}
 	}
 }
 
-// refuseOfferIfBusy refuses a request offered by another zone if it cannot start now.
-func (c *Core) refuseOfferIfBusy(incoming structs.Request, target *row) bool {
+// rejectOfferIfBusy rejects a request offered by another zone if it cannot start now.
+func (c *Core) rejectOfferIfBusy(incoming structs.Request, target *row) bool {
 	if !incoming.IfReady || c.mutation == mutationQueueOffered {
 		return false
 	}
@@ -127,17 +127,17 @@
 	if free > 0 && target.waiting() == 0 {
 		return false
 	}
-	c.refuseUntracked(incoming.ID, noCapacity(target.Name))
+	c.rejectUntracked(incoming.ID, noCapacity(target.Name))
 	return true
 }
 
-// endIfWaiting refuses an offered request that was queued because it found no replica.
+// endIfWaiting rejects an offered request that was queued because it found no replica.
 func (c *Core) endIfWaiting(req *request) {
 	if !req.IfReady || c.mutation == mutationQueueOffered || c.requests[req.ID] != req || req.phase != phaseQueued {
 		return
 	}
 	problem := noCapacity(req.Row)
-	c.refuseAs(req, problem, problem.RetryAfter)
+	c.rejectAs(req, problem, problem.RetryAfter)
 }
 
 func noCapacity(name structs.RowName) structs.Error {
--- a/request/router/offer_test.go
+++ b/request/router/offer_test.go
@@ -98,7 +98,7 @@
 	s.do(OfferFailed{ID: "first", Rejected: zones})
 	s.arriveCold("after", nil)
 	s.c.Assert(s.offers(), qt.Equals, 0)
-	s.now = s.now.Add(refusalBackoff)
+	s.now = s.now.Add(rejectionBackoff)
 	s.arriveCold("later", nil)
 	s.c.Assert(s.offers(), qt.Equals, 1)
 }
@@ -120,14 +120,14 @@
 	offered := func(r *structs.Request) { r.Forwarded, r.IfReady = true, true }
 	s := newOfferScript(t)
 	s.arriveCold("cold", offered)
-	refusal := only[Reject](s).Rejection
-	s.c.Assert(refusal.Error.Kind, qt.Equals, structs.ErrorUnavailable)
-	s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+	rejection := only[Reject](s).Rejection
+	s.c.Assert(rejection.Error.Kind, qt.Equals, structs.ErrorUnavailable)
+	s.c.Assert(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 	s.c.Assert(s.core.Demand().Rows, qt.HasLen, 0)
 	for s.effects = nil; ; {
 		id := structs.RequestID(string(rune('a' + len(s.core.requests))))
 		s.arrive(func(r *structs.Request) { r.ID = id; offered(r) })
-		if _, refused := s.effects[0].(Reject); refused {
+		if _, rejected := s.effects[0].(Reject); rejected {
 			break
 		}
 		only[SendAttempt](s)
--- a/request/router/options.go
+++ b/request/router/options.go
@@ -17,7 +17,7 @@
 	Daemon structs.DaemonID
 	// Address is where other daemons reach this one; claims record it.
 	Address string
-	// Session distinguishes runs of this daemon in its claims.
+	// Session identifies this incarnation of the daemon in its claims.
 	Session structs.SessionID
 	// Zones lists all zones of the site; keys are distributed over them.
 	Zones []structs.ZoneID
@@ -77,7 +77,7 @@
 	DefaultAnswerTTL    = 24 * time.Hour
 )
 
-// MinimumRetryAfter is the shortest RetryAfter of a refusal.
+// MinimumRetryAfter is the shortest RetryAfter of a rejection.
 const MinimumRetryAfter = 100 * time.Millisecond
 
 // pollInterval is the interval between Ticks while requests are waiting.
--- a/request/router/promptness_test.go
+++ b/request/router/promptness_test.go
@@ -7,10 +7,10 @@
 )
 
 // lateDetectionBound limits how long a request that is known to start too late may wait:
-// the next review at a Tick refuses it.
+// the next review at a Tick rejects it.
 const lateDetectionBound = reviewInterval + pollInterval
 
-// checkNoDelay checks after each step that no refusal is delayed. Signs of a delay are a
+// checkNoDelay checks after each step that no rejection is delayed. Signs of a delay are a
 // request that waits only for its deadline, and a failure reported by a Tick that ends no
 // attempt of the request.
 func (w *simulation) checkNoDelay(event Event, effects []Effect) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// checkKnownLate checks that a waiting request is refused once it is estimated to start
+// checkKnownLate checks that a waiting request is rejected once it is estimated to start
 // too late even at the head of the queue.
 func (w *simulation) checkKnownLate(req *request) {
 	target := w.requests[req.ID]
--- a/request/router/report.go
+++ b/request/router/report.go
@@ -79,15 +79,15 @@
 
 // deactivate releases the queue of a row without requests; its service time estimates are
 // kept. A row with a pending cold load stays active for a while, so that the load is
-// observed even if every request was refused.
+// observed even if every request was rejected.
 func (c *Core) deactivate(idle *row) {
-	patience := coldObservationFactor * idle.estimator.ColdLoad()
-	if !idle.coldSince.IsZero() && c.now.Sub(idle.coldSince) < patience {
+	maxWait := coldObservationFactor * idle.estimator.ColdLoad()
+	if !idle.coldSince.IsZero() && c.now.Sub(idle.coldSince) < maxWait {
 		return
 	}
 	idle.coldSince = time.Time{}
 	idle.queue = nil
-	idle.refusedUntil = nil
+	idle.rejectedUntil = nil
 	delete(c.active, idle.Name)
 	if !idle.listed {
 		delete(c.rows, idle.Name)
--- a/request/router/review.go
+++ b/request/router/review.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// reviewWaiting refuses the waiting requests that are expected to miss their deadline.
+// reviewWaiting rejects the waiting requests that are expected to miss their deadline.
 func (c *Core) reviewWaiting() {
 	for _, candidate := range c.activeRows() {
 		if candidate.waiting() == 0 || c.now.Before(candidate.reviewAt) || c.mutation == mutationNoReview {
@@ -38,13 +38,13 @@
 		return by <= 0
 	})
 	for _, found := range late {
-		c.refuseEarly(found.request, found.retryAfter)
+		c.rejectEarly(found.request, found.retryAfter)
 	}
 }
 
-// refuseTooLate refuses a request that would miss its deadline even if it started now, so
+// rejectTooLate rejects a request that would miss its deadline even if it started now, so
 // that its slot goes to another waiting request. It reports whether it did.
-func (c *Core) refuseTooLate(waiting *row, next *request) bool {
+func (c *Core) rejectTooLate(waiting *row, next *request) bool {
 	if waiting.waiting() < 2 || next.attempts > 0 || !waiting.estimator.Observed() || c.mutation == mutationNoReview {
 		return false
 	}
@@ -52,12 +52,12 @@
 	if by <= 0 {
 		return false
 	}
-	c.refuseEarly(next, max(by, waiting.estimator.Start(c.queueState(waiting, next.Request))))
+	c.rejectEarly(next, max(by, waiting.estimator.Start(c.queueState(waiting, next.Request))))
 	return true
 }
 
-func (c *Core) refuseEarly(late *request, retryAfter time.Duration) {
+func (c *Core) rejectEarly(late *request, retryAfter time.Duration) {
 	c.stats.RejectedEarly++
-	c.refuse(late, structs.ErrorDeadline, "the request would be answered after its deadline",
+	c.reject(late, structs.ErrorDeadline, "the request would be answered after its deadline",
 		"Retry after the given delay, or allow a later deadline.", retryAfter)
 }
--- a/request/router/review_test.go
+++ b/request/router/review_test.go
@@ -27,10 +27,10 @@
 // loadSimulation drives a router with live requests at its capacity until the given time.
 type loadSimulation struct {
 	*script
-	until   time.Duration
-	running map[time.Duration][]AttemptID
-	ended   map[structs.RequestID]time.Duration
-	refused map[structs.RequestID]bool
+	until    time.Duration
+	running  map[time.Duration][]AttemptID
+	ended    map[structs.RequestID]time.Duration
+	rejected map[structs.RequestID]bool
 }
 
 // step processes all events due at the given time.
@@ -77,19 +77,19 @@
 			r.ended[effect.ID] = at
 		case Reject:
 			r.ended[effect.ID] = at
-			r.refused[effect.ID] = true
+			r.rejected[effect.ID] = true
 		}
 	}
 }
 
-// TestBatchRequestDuringBusyPeriod checks that the last of many batch requests is refused
+// TestBatchRequestDuringBusyPeriod checks that the last of many batch requests is rejected
 // early while live requests take nearly all turns, and served when they stop.
 func TestBatchRequestDuringBusyPeriod(t *testing.T) {
 	tests := []struct {
-		about   string
-		until   time.Duration
-		refused bool
-		before  time.Duration
+		about    string
+		until    time.Duration
+		rejected bool
+		before   time.Duration
 	}{
 		{"continuing busy period", time.Hour, true, batchArrivesAt + deadlineAfter/2},
 		{"busy period just ended", batchArrivesAt, false, batchArrivesAt + deadlineAfter/2},
@@ -99,20 +99,20 @@
 			r := &loadSimulation{
 				script: newScript(t, func(options *Options) { options.Routing = routing.Options{MaxBatch: 1, QueueSlack: 1} }),
 				until:  test.until, running: map[time.Duration][]AttemptID{},
-				ended: map[structs.RequestID]time.Duration{}, refused: map[structs.RequestID]bool{},
+				ended: map[structs.RequestID]time.Duration{}, rejected: map[structs.RequestID]bool{},
 			}
 			for at := time.Duration(0); at <= batchArrivesAt+deadlineAfter; at += stepInterval {
 				r.step(at)
 			}
 			last := structs.RequestID(fmt.Sprint("batch-", batchArrivesAt, "-", batchCount-1))
-			qt.Check(t, r.refused[last], qt.Equals, test.refused)
+			qt.Check(t, r.rejected[last], qt.Equals, test.rejected)
 			qt.Check(t, r.ended[last] < test.before, qt.IsTrue, qt.Commentf("%v", r.ended[last]))
 		})
 	}
 }
 
 // TestTurnGoesToARequestThatCanMeetItsDeadline checks that a request that would
-// miss its deadline is refused when its turn comes, also between reviews.
+// miss its deadline is rejected when its turn comes, also between reviews.
 func TestTurnGoesToARequestThatCanMeetItsDeadline(t *testing.T) {
 	s := newSingleRunnerScript(t)
 	first := s.request("1", "row", time.Minute, "prompt")
@@ -127,8 +127,8 @@
 	sent := s.finish(second[0].Attempt)
 	qt.Assert(t, sent, qt.HasLen, 1)
 	qt.Check(t, sent[0].Attempt.Request(), qt.Equals, structs.RequestID("next"))
-	refuse := only[Reject](s)
-	qt.Check(t, refuse.ID, qt.Equals, structs.RequestID("late"))
-	qt.Check(t, refuse.Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
-	qt.Check(t, refuse.Rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+	reject := only[Reject](s)
+	qt.Check(t, reject.ID, qt.Equals, structs.RequestID("late"))
+	qt.Check(t, reject.Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+	qt.Check(t, reject.Rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 }
--- a/request/router/roles_test.go
+++ b/request/router/roles_test.go
@@ -38,16 +38,16 @@
 					s.c.Assert(only[Forward](s).Zones, qt.DeepEquals, []structs.ZoneID{"b", "c"})
 					return
 				}
-				refusal := only[Reject](s).Rejection
-				s.c.Assert(refusal.Error.Remedy, qt.Contains, "runner")
-				s.c.Assert(refusal.Error.RetryAfter > 0, qt.IsTrue)
-				s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+				rejection := only[Reject](s).Rejection
+				s.c.Assert(rejection.Error.Remedy, qt.Contains, "runner")
+				s.c.Assert(rejection.Error.RetryAfter > 0, qt.IsTrue)
+				s.c.Assert(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 			})
 		}
 	}
 }
 
-func TestWaitingRequestsOfALostRoleAreForwardedOrRefused(t *testing.T) {
+func TestWaitingRequestsOfALostRoleAreForwardedOrRejected(t *testing.T) {
 	s := newOfferScript(t)
 	s.arriveCold("first", nil)
 	s.arriveCold("queued", nil)
--- a/request/router/row.go
+++ b/request/router/row.go
@@ -41,10 +41,10 @@
 	virtualTime float64
 	// offered counts the requests that are offered to other zones.
 	offered int
-	// warmZone is the zone that last accepted a request of the row; zones in refusedUntil
+	// warmZone is the zone that last accepted a request of the row; zones in rejectedUntil
 	// get no offer of the row before the given time.
-	warmZone     structs.ZoneID
-	refusedUntil map[structs.ZoneID]time.Time
+	warmZone      structs.ZoneID
+	rejectedUntil map[structs.ZoneID]time.Time
 	// coldSince is the time of the first demand without a ready replica.
 	coldSince time.Time
 	// reviewAt is when the waiting requests are next checked against the estimate.
--- a/request/router/simulation_test.go
+++ b/request/router/simulation_test.go
@@ -279,7 +279,7 @@
 		w.recordEnd(effect.ID, "replay")
 		w.checkAnswer(w.requests[effect.ID], effect.Answer)
 	case Reject:
-		w.checkRefusal(effect)
+		w.checkRejection(effect)
 	case Offer:
 		w.offer(effect)
 	case Forward:
@@ -290,7 +290,7 @@
 	}
 }
 
-// offer makes the other zone accept the request, refuse it or time out, possibly after
+// offer makes the other zone accept the request, reject it or time out, possibly after
 // running it.
 func (w *simulation) offer(effect Offer) {
 	if w.requests[effect.ID].request.Forwarded || !w.requests[effect.ID].request.Repeatable() {
@@ -315,19 +315,19 @@
 	}
 }
 
-func (w *simulation) checkRefusal(refuse Reject) {
-	w.recordEnd(refuse.ID, "refuse "+string(refuse.Rejection.Execution))
-	problem := refuse.Rejection.Error
-	if refuse.Rejection.Execution == structs.ExecutionNotRun {
-		w.requests[refuse.ID].notRun = true
-	}
-	useless := problem.Kind == structs.ErrorNotFound || problem.Kind == structs.ErrorInvalid || refuse.Rejection.Execution == structs.ExecutionUnknown ||
-		refuse.Rejection.Execution == structs.ExecutionDone && strings.Contains(problem.Message, "no longer kept")
+func (w *simulation) checkRejection(reject Reject) {
+	w.recordEnd(reject.ID, "refuse "+string(reject.Rejection.Execution))
+	problem := reject.Rejection.Error
+	if reject.Rejection.Execution == structs.ExecutionNotRun {
+		w.requests[reject.ID].notRun = true
+	}
+	useless := problem.Kind == structs.ErrorNotFound || problem.Kind == structs.ErrorInvalid || reject.Rejection.Execution == structs.ExecutionUnknown ||
+		reject.Rejection.Execution == structs.ExecutionDone && strings.Contains(problem.Message, "no longer kept")
 	if problem.RetryAfter <= 0 && !useless {
-		w.violate("retry-after", "%s: %s without RetryAfter", refuse.ID, problem.Message)
+		w.violate("retry-after", "%s: %s without RetryAfter", reject.ID, problem.Message)
 	}
 	if problem.Remedy == "" {
-		w.violate("remedy", "%s: %s without remedy", refuse.ID, problem.Message)
+		w.violate("remedy", "%s: %s without remedy", reject.ID, problem.Message)
 	}
 }
 
--- a/request/router/stall.go
+++ b/request/router/stall.go
@@ -14,11 +14,11 @@
 // A stalled attempt of a repeatable request is cancelled and resumed on another
 // engine, if attempts and budget allow. Otherwise, and for a request with a key, the
 // engine is asked for the status without cancelling, and awaited while it reports
-// progress. Without progress, a repeatable request is refused unless the budget now
-// allows a retry. A request with a key that has started is refused as
+// progress. Without progress, a repeatable request is rejected unless the budget now
+// allows a retry. A request with a key that has started is rejected as
 // outcome_unknown; one that has not is cancelled and the status requested again. Once
 // the engine confirms that it certainly did not run, it is retried under the same
-// claim, or refused.
+// claim, or rejected.
 
 // stallPerPromptByte is added to the stall timeout of the first token for each byte of
 // the prompt.
--- a/request/router/stall_test.go
+++ b/request/router/stall_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestSilentEngineWithoutRetriesIsAskedAndGivenUp checks that a request that cannot be
-// retried is refused once its engine makes no progress, not at its deadline.
+// retried is rejected once its engine makes no progress, not at its deadline.
 func TestSilentEngineWithoutRetriesIsAskedAndGivenUp(t *testing.T) {
 	spent := map[string]func(*Options){
 		"attempts": func(options *Options) { options.AttemptLimit = 1 },
@@ -128,9 +128,9 @@
 					s.do(withStatus(reply, status))
 				}
 				s.c.Assert(only[CancelAttempt](s).Attempt, qt.Equals, sent.Attempt)
-				refusal := only[Reject](s).Rejection
-				s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionPartial)
-				s.c.Assert(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+				rejection := only[Reject](s).Rejection
+				s.c.Assert(rejection.Execution, qt.Equals, structs.ExecutionPartial)
+				s.c.Assert(rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
 				s.c.Assert(s.core.Idle(), qt.IsTrue)
 			})
 		}
@@ -228,20 +228,20 @@
 }
 
 // TestSilentEngineWithKeyWithoutRetries checks that a request that certainly did not run
-// and cannot be retried is refused as not run immediately.
+// and cannot be retried is rejected as not run immediately.
 func TestSilentEngineWithKeyWithoutRetries(t *testing.T) {
 	s, _, reply := stalledKeyedRequest(t, 0, func(options *Options) { options.AttemptLimit = 1 })
 	s.do(withStatus(reply, structs.RequestStatus{State: structs.RunQueued, Incarnation: 7}))
 	fenced := withStatus(reply, structs.RequestStatus{State: structs.RunCancelled, Incarnation: 7})
 	fenced.Peek = false
 	s.do(fenced)
-	refusal := only[Reject](s).Rejection
-	s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-	s.c.Assert(refusal.Error.RetryAfter > 0, qt.IsTrue)
+	rejection := only[Reject](s).Rejection
+	s.c.Assert(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+	s.c.Assert(rejection.Error.RetryAfter > 0, qt.IsTrue)
 	s.c.Assert(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimReleased)
 }
 
-// TestSilentEngineWithKeyThatHasStarted checks that the request is refused immediately,
+// TestSilentEngineWithKeyThatHasStarted checks that the request is rejected immediately,
 // because it can only end as outcome_unknown.
 func TestSilentEngineWithKeyThatHasStarted(t *testing.T) {
 	tests := []struct {
--- a/request/router/tokens_test.go
+++ b/request/router/tokens_test.go
@@ -47,10 +47,10 @@
 				s.arrive(ten("first"))
 				test.end(s, only[SendAttempt](s))
 				s.arrive(ten("second"))
-				refusal := only[Reject](s).Rejection
-				s.c.Check(refusal.Error.Kind, qt.Equals, structs.ErrorLimit)
-				s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-				s.c.Check(refusal.Error.RetryAfter >= test.wait && refusal.Error.RetryAfter <= test.wait*11/10, qt.IsTrue, qt.Commentf("%v", refusal.Error.RetryAfter))
+				rejection := only[Reject](s).Rejection
+				s.c.Check(rejection.Error.Kind, qt.Equals, structs.ErrorLimit)
+				s.c.Check(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+				s.c.Check(rejection.Error.RetryAfter >= test.wait && rejection.Error.RetryAfter <= test.wait*11/10, qt.IsTrue, qt.Commentf("%v", rejection.Error.RetryAfter))
 				s.now = s.now.Add(test.wait)
 				s.arrive(ten("third"))
 				s.c.Check(only[SendAttempt](s).Attempt.Request(), qt.Equals, structs.RequestID("third"))
--- a/request/router/view.go
+++ b/request/router/view.go
@@ -144,7 +144,7 @@
 		}
 		if lost && (req.Forwarded || len(current.elsewhere) == 0) {
 			problem := c.noRunner(current)
-			c.refuseAs(req, problem, problem.RetryAfter)
+			c.rejectAs(req, problem, problem.RetryAfter)
 			continue
 		}
 		if !req.Repeatable() || req.Forwarded || req.mayHaveRun || req.attempts > 0 {
--- a/request/router/viewsource.go
+++ b/request/router/viewsource.go
@@ -37,9 +37,9 @@
 // when this controller cannot help. After a full poll without changes the next controller
 // is asked, because this one may be partitioned from its group.
 func (s *ViewSource) Take(view structs.ZoneView) (structs.ZoneView, bool) {
-	news := view.HasChanges(s.reader.Next().SinceTable)
+	hasChanges := view.HasChanges(s.reader.Next().SinceTable)
 	adopted, helps := s.reader.Take(view)
-	if !helps || !news {
+	if !helps || !hasChanges {
 		s.Failed()
 	}
 	return adopted, helps
--- a/request/router/viewsource_test.go
+++ b/request/router/viewsource_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestViewSourceChoosesTheController(t *testing.T) {
-	news := structs.ZoneView{Index: 12, Placement: &structs.Placement{Partial: true}}
+	hasChanges := structs.ZoneView{Index: 12, Placement: &structs.Placement{Partial: true}}
 	edit := structs.ZoneView{Index: 12, Table: structs.TableDelta{Revision: 5}}
 	tests := []struct {
 		about  string
@@ -17,7 +17,7 @@
 		helps  bool
 		next   int
 	}{
-		{"placement changed", news, true, 0},
+		{"placement changed", hasChanges, true, 0},
 		{"table changed", edit, true, 0},
 		{"a full poll without changes", structs.ZoneView{Index: 10, Table: structs.TableDelta{Revision: 4}}, true, 1},
 		{"a controller that is behind", structs.ZoneView{Index: 9}, false, 1},
--- a/request/routing/expected.go
+++ b/request/routing/expected.go
@@ -29,8 +29,8 @@
 
 // peerLoad is the known load of other routers, as used for one choice.
 type peerLoad struct {
-	now        time.Time
-	reportLife time.Duration
+	now       time.Time
+	reportTTL time.Duration
 	// reportedAt is the time of the report that lastFreshness belongs to. One report of
 	// the leader usually covers all runners.
 	reportedAt    time.Time
@@ -45,7 +45,7 @@
 
 // peerLoad sums up the reported load of the candidates of a row.
 func (b *Balancer) peerLoad(now time.Time, wanted *row) peerLoad {
-	sum := peerLoad{now: now, reportLife: b.options.ReportTTL}
+	sum := peerLoad{now: now, reportTTL: b.options.ReportTTL}
 	capacity := 0.0
 	for _, candidate := range wanted.subset {
 		target := candidate.runner
@@ -79,7 +79,7 @@
 		p.reportedAt = target.reportedAt
 		age := p.now.Sub(target.reportedAt)
 		p.lastFreshness = 0
-		if age < p.reportLife {
+		if age < p.reportTTL {
 			p.lastFreshness = math.Exp(-age.Seconds() / reportDecayTime.Seconds())
 		}
 	}
@@ -144,8 +144,8 @@
 }
 
 // isWarm reports whether the runner has answered within the given time, so that a connection is probably open.
-func (r *runner) isWarm(now time.Time, life time.Duration) bool {
-	return !r.answeredAt.IsZero() && now.Sub(r.answeredAt) <= life
+func (r *runner) isWarm(now time.Time, ttl time.Duration) bool {
+	return !r.answeredAt.IsZero() && now.Sub(r.answeredAt) <= ttl
 }
 
 // pendingAt estimates how many tokens sent by this router the runner has not processed yet.
--- a/request/routing/load_choice_test.go
+++ b/request/routing/load_choice_test.go
@@ -168,7 +168,7 @@
 func TestRejectionStartsCooldown(t *testing.T) {
 	c := qt.New(t)
 	balancer := newBalancer(1, Options{})
-	turnAway := func(now time.Time) bool {
+	reject := func(now time.Time) bool {
 		choice, found := balancer.Pick(now, "row", nil, "")
 		if found {
 			choice.Sent(now, nil)
@@ -178,17 +178,17 @@
 	}
 	now := start
 	for _, length := range []time.Duration{minCooldown, 2 * minCooldown, 4 * minCooldown, maxCooldown, maxCooldown} {
-		c.Assert(turnAway(now), qt.IsTrue)
-		c.Assert(turnAway(now.Add(length-time.Millisecond)), qt.IsFalse)
+		c.Assert(reject(now), qt.IsTrue)
+		c.Assert(reject(now.Add(length-time.Millisecond)), qt.IsFalse)
 		now = now.Add(length)
 	}
 	// Unloading and reloading the model ends the cooldown.
-	c.Assert(turnAway(now), qt.IsTrue)
+	c.Assert(reject(now), qt.IsTrue)
 	without := placement(1)
 	without.Replicas = nil
 	balancer.SetPlacement(without)
 	balancer.SetPlacement(placement(1))
-	c.Assert(turnAway(now), qt.IsTrue)
+	c.Assert(reject(now), qt.IsTrue)
 	c.Assert(balancer.rows["row"].subset[0].cooldown.duration, qt.Equals, minCooldown)
 }
 
--- a/request/routing/runner.go
+++ b/request/routing/runner.go
@@ -79,8 +79,8 @@
 }
 
 // load returns the number of requests on the runner as known to this router.
-func (r *runner) load(now time.Time, life time.Duration) int {
-	if r.others > 0 && now.Sub(r.reportedAt) < life {
+func (r *runner) load(now time.Time, ttl time.Duration) int {
+	if r.others > 0 && now.Sub(r.reportedAt) < ttl {
 		return r.inFlight + r.others
 	}
 	return r.inFlight
