--- a/request/waiting/doc.go
+++ b/request/waiting/doc.go
@@ -1,4 +1,4 @@
 // Package waiting describes how urgent a request is, how long it can wait and how much work
-// it is. Queueing, refusals, placement planning and the order of resumed streams use the same
+// it is. Queueing, rejections, placement planning and the order of resumed streams use the same
 // Ticket.
 package waiting
--- a/request/zonewatch/doc.go
+++ b/request/zonewatch/doc.go
@@ -1,6 +1,6 @@
 // Package zonewatch detects which zones of a site a router can reach.
 //
-// A zone may be cut off as a whole: its runners then neither answer nor refuse, or all refuse
+// A zone may be partitioned as a whole: its runners then neither answer nor refuse, or all refuse
 // connections. A router sees this in its own traffic long before a leader does, and a router
 // in a lost zone reaches no leader at all. A failed connect, or silence of a zone with open
 // requests, raises a suspicion, which is checked by probe connects to a few other runners of
--- a/request/zonewatch/suspicion.go
+++ b/request/zonewatch/suspicion.go
@@ -86,7 +86,7 @@
 	return w.suspect(now, known.zone, CauseConnect, id)
 }
 
-// LeaderSilent records that the leader has been silent for longer than usual. This router may be cut off
+// LeaderSilent records that the leader has been silent for longer than usual. This router may be partitioned
 // and have too few requests to notice. It returns probes for all zones that were not heard from just now.
 func (w *Watch) LeaderSilent(now time.Time) []Probe {
 	var probes []Probe
--- a/request/zonewatch/watch_test.go
+++ b/request/zonewatch/watch_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// A router in a zone that is cut off keeps using its own zone and detects the loss of the others together.
+// A router in a zone that is partitioned keeps using its own zone and detects the loss of the others together.
 func TestIsolatedZoneKeepsOwnRunners(t *testing.T) {
 	s := newSite(t)
 	s.run(3 * time.Second)
