--- a/config/config_test.go
+++ b/config/config_test.go
@@ -79,7 +79,7 @@
 	want := scheduler.DefaultSettings()
 	want.Objective, want.ReserveBytes = structs.ObjectiveIdle, 1
 	want.LatencyColdStartWorth, want.IdleColdStartWorth = 2, 3
-	want.MinimumKeepAlive, want.MaximumKeepAlive = 4, 5
+	want.MinKeepAlive, want.MaxKeepAlive = 4, 5
 	c.Check(site.PlanSettings(), qt.Equals, want)
 }
 
--- a/config/planner.go
+++ b/config/planner.go
@@ -38,8 +38,8 @@
 	replace(&settings.ReserveBytes, s.Planner.ReserveBytes)
 	replace(&settings.LatencyColdStartWorth, s.Planner.LatencyColdStartWorth)
 	replace(&settings.IdleColdStartWorth, s.Planner.IdleColdStartWorth)
-	replace(&settings.MinimumKeepAlive, s.Planner.MinimumKeepAlive)
-	replace(&settings.MaximumKeepAlive, s.Planner.MaximumKeepAlive)
+	replace(&settings.MinKeepAlive, s.Planner.MinimumKeepAlive)
+	replace(&settings.MaxKeepAlive, s.Planner.MaximumKeepAlive)
 	return settings
 }
 
@@ -62,10 +62,10 @@
 			"is less than idle_cold_start_worth, so rows with objective idle are kept longer than those with latency",
 			"Give latency the larger worth.")
 	}
-	k.within(key+"minimum_keep_alive", settings.MinimumKeepAlive, time.Millisecond, longestMinimumKeep)
-	k.within(key+"maximum_keep_alive", settings.MaximumKeepAlive, time.Second, longestMaximumKeep)
-	if settings.MinimumKeepAlive > settings.MaximumKeepAlive {
-		k.add(key+"minimum_keep_alive", settings.MinimumKeepAlive, "is longer than maximum_keep_alive",
+	k.within(key+"minimum_keep_alive", settings.MinKeepAlive, time.Millisecond, longestMinimumKeep)
+	k.within(key+"maximum_keep_alive", settings.MaxKeepAlive, time.Second, longestMaximumKeep)
+	if settings.MinKeepAlive > settings.MaxKeepAlive {
+		k.add(key+"minimum_keep_alive", settings.MinKeepAlive, "is longer than maximum_keep_alive",
 			"Shorten it, or raise maximum_keep_alive.")
 	}
 }
--- a/daemon/daemondrain.go
+++ b/daemon/daemondrain.go
@@ -85,7 +85,7 @@
 func drainedRefusal() structs.Rejection {
 	problem := structs.NewError(structs.ErrorUnavailable, "this router is being drained by an operator",
 		"Send the request to another router.")
-	problem.RetryAfter = router.MinimumRetryAfter
+	problem.RetryAfter = router.MinRetryAfter
 	return structs.Rejection{Error: *problem, Execution: structs.ExecutionNotRun}
 }
 
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -135,7 +135,7 @@
 			"Send the request to another router, with the same key if there is one."),
 		Execution: structs.ExecutionNotRun,
 	}
-	refusal.Error.RetryAfter = router.MinimumRetryAfter
+	refusal.Error.RetryAfter = router.MinRetryAfter
 	switch {
 	case open.sent && open.request.Repeatable():
 		refusal.Execution = structs.ExecutionPartial
--- a/daemon/engines.go
+++ b/daemon/engines.go
@@ -55,10 +55,10 @@
 		engines:     engines,
 		timing:      timing,
 		reports:     map[structs.RunnerID]controller.ReportSeen{},
-		shares:      controller.NewReportShares(0, timing.ReportInterval, controller.MinimumSharedRunners),
+		shares:      controller.NewReportShares(0, timing.ReportInterval, controller.MinSharedRunners),
 		schedule:    controller.NewReportSchedule(),
 		digests:     map[structs.RunnerID]uint64{},
-		minimum:     controller.MinimumSharedRunners,
+		minimum:     controller.MinSharedRunners,
 	}
 }
 
--- a/daemon/reportrelay_test.go
+++ b/daemon/reportrelay_test.go
@@ -15,7 +15,7 @@
 func TestRouterReadsTheReportsOfAZoneWithManyRunners(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newStreamSite(t, streamSiteOptions{zones: 1, absent: controller.MinimumSharedRunners})
+		s := newStreamSite(t, streamSiteOptions{zones: 1, absent: controller.MinSharedRunners})
 		s.applyRows(1)
 		observer := s.daemons[0].leader.observer
 		relayed := func() bool {
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -182,6 +182,6 @@
 			"Send the request to another router, or come back after the time given."),
 		Execution: structs.ExecutionNotRun,
 	}
-	refusal.Error.RetryAfter = router.MinimumRetryAfter
+	refusal.Error.RetryAfter = router.MinRetryAfter
 	return refusal
 }
--- a/kit/simulate/zonecontroller.go
+++ b/kit/simulate/zonecontroller.go
@@ -53,9 +53,9 @@
 func plannerSettings() scheduler.Settings {
 	settings := scheduler.DefaultSettings()
 	settings.RequestsPerReplica = 4
-	settings.MinimumResidence = time.Second
-	settings.MinimumKeepAlive = 2 * time.Second
-	settings.MaximumKeepAlive = 8 * time.Second
+	settings.MinResidence = time.Second
+	settings.MinKeepAlive = 2 * time.Second
+	settings.MaxKeepAlive = 8 * time.Second
 	return settings
 }
 
--- a/placement/controller/reportshares.go
+++ b/placement/controller/reportshares.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// MinimumSharedRunners is the number of runners from which on a zone's routers read the
+	// MinSharedRunners is the number of runners from which on a zone's routers read the
 	// engine reports; for fewer the leader reads them itself.
-	MinimumSharedRunners = 32
+	MinSharedRunners = 32
 	// routerLiveIntervals is for how many report intervals after its last message a router
 	// counts as live, and relayValidIntervals for how many that message is valid.
 	routerLiveIntervals = 6
--- a/placement/domainnode/lost.go
+++ b/placement/domainnode/lost.go
@@ -19,7 +19,7 @@
 		lost[instance] = true
 		if !l.lost[instance] {
 			level.Info(l.logger).Log("msg", "A runner is taken for lost, as routers could not reach it.", "runner", instance,
-				"address", status.Heartbeat.Address, "routers", status.Complaints, "silent", status.Silent)
+				"address", status.Heartbeat.Address, "routers", status.UnreachableReports, "silent", status.Silent)
 		}
 	}
 	for instance := range l.lost {
--- a/placement/domainnode/orders.go
+++ b/placement/domainnode/orders.go
@@ -75,7 +75,7 @@
 func (l *leadership) sendOrder(ctx context.Context, order residency.Order) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	outcome := residency.OutcomeRefused
+	outcome := residency.OutcomeRejected
 	began := l.now()
 	if l.isValid() && !l.node.stopping.Load() {
 		l.node.lastOrder.Store(&began)
--- a/placement/fleet/registry.go
+++ b/placement/fleet/registry.go
@@ -227,9 +227,9 @@
 	Recalled bool
 	// Lost runners could not be reached by several routers since their last heartbeat. Complaints
 	// is the number of these routers, Silent the time since the heartbeat.
-	Lost       bool
-	Complaints int
-	Silent     time.Duration
+	Lost               bool
+	UnreachableReports int
+	Silent             time.Duration
 }
 
 // MayServe reports whether the runner may get new requests and commands.
@@ -252,7 +252,7 @@
 		r.listed = append(r.listed, Status{
 			Heartbeat: known.heartbeat, Leaving: known.leaving, EndsAt: known.endsAt, Cold: now.Before(known.coldUntil),
 			Recalled: known.recalled, Lost: known.suspicion.isLost(silent, silentZones[known.heartbeat.Zone]),
-			Complaints: len(known.suspicion.reporters), Silent: silent,
+			UnreachableReports: len(known.suspicion.reporters), Silent: silent,
 		})
 	}
 	return r.listed
--- a/placement/residency/simulated_test.go
+++ b/placement/residency/simulated_test.go
@@ -117,7 +117,7 @@
 	case order.Adapter == "":
 		delete(r.models, order.Model)
 	case !held:
-		return OutcomeRefused
+		return OutcomeRejected
 	case order.Operation == Load:
 		adapters[order.Adapter] = true
 	default:
--- a/placement/residency/types.go
+++ b/placement/residency/types.go
@@ -45,8 +45,8 @@
 	// OutcomeConflict: another order is under way, or Expected doesn't match. This order is not
 	// executed.
 	OutcomeConflict
-	// OutcomeRefused: the runner has refused the order for good.
-	OutcomeRefused
+	// OutcomeRejected: the runner has refused the order for good.
+	OutcomeRejected
 	// OutcomeGone: another runner answered at the address.
 	OutcomeGone
 	// OutcomeUnknown: no answer arrived; the order may still be executed.
--- a/placement/scheduler/evict.go
+++ b/placement/scheduler/evict.go
@@ -96,7 +96,7 @@
 	if !replica.idle() || victim.demand.Waiting > 0 || victim.usableCount <= victim.minimum {
 		return false
 	}
-	if p.snapshot.Now.Sub(replica.Since) < p.settings.MinimumResidence {
+	if p.snapshot.Now.Sub(replica.Since) < p.settings.MinResidence {
 		return false
 	}
 	if victim.Priority > row.priority() && p.idleFor(victim) < p.keepAlive(victim) {
--- a/placement/scheduler/keepalive.go
+++ b/placement/scheduler/keepalive.go
@@ -107,5 +107,5 @@
 }
 
 func clampKeepAlive(keep time.Duration, settings Settings) time.Duration {
-	return min(max(keep, settings.MinimumKeepAlive), settings.MaximumKeepAlive)
+	return min(max(keep, settings.MinKeepAlive), settings.MaxKeepAlive)
 }
--- a/placement/scheduler/keepalive_test.go
+++ b/placement/scheduler/keepalive_test.go
@@ -20,7 +20,7 @@
 	// The gaps within one session; the gap after it was not observed yet.
 	fewSamples := observed(30*time.Second, minInterarrivalSamples)
 	qt.Check(t, fewSamples.KeepAlive(24*time.Hour, settings) >= time.Hour, qt.IsTrue)
-	qt.Check(t, fewSamples.KeepAlive(10*time.Second, settings), qt.Equals, settings.MinimumKeepAlive)
+	qt.Check(t, fewSamples.KeepAlive(10*time.Second, settings), qt.Equals, settings.MinKeepAlive)
 	// Unobserved gaps become less likely with more samples.
 	manySamples := observed(30*time.Second, interarrivalDecayAt-1)
 	idle := 2 * time.Minute
--- a/placement/scheduler/plan_test.go
+++ b/placement/scheduler/plan_test.go
@@ -123,7 +123,7 @@
 func secondDemandWaits(s *Snapshot)    { s.Demand[1].OldestWait = time.Second }
 func storeBudgetUsed(s *Snapshot)      { s.StoreLoadsInFlight = 8 }
 func storeBudgetOne(s *Snapshot)       { s.StoreLoadBudget = 1 }
-func longKeepAlive(s *Snapshot)        { s.Settings.MinimumKeepAlive = time.Hour }
+func longKeepAlive(s *Snapshot)        { s.Settings.MinKeepAlive = time.Hour }
 func deleted(s *Snapshot)              { delete(s.Table.(testTable).rows, "a") }
 
 // steps maps "row@runner" to the reason of a load or an unload.
@@ -246,7 +246,7 @@
 
 func TestKeepAliveFollowsInterarrivalsAndColdCost(t *testing.T) {
 	settings := DefaultSettings()
-	settings.MinimumKeepAlive = time.Second
+	settings.MinKeepAlive = time.Second
 	const high, low = 480 * time.Second, 16 * time.Second
 	for _, test := range []struct {
 		name     string
@@ -255,9 +255,9 @@
 		want     time.Duration
 	}{
 		{"costly start, usual gap", 3 * time.Minute, high, 256 * time.Second},
-		{"cheap start, usual gap", 3 * time.Minute, low, settings.MinimumKeepAlive},
+		{"cheap start, usual gap", 3 * time.Minute, low, settings.MinKeepAlive},
 		{"cheap start, short gap", 6 * time.Second, low, 8 * time.Second},
-		{"costly start, long gap", 3 * time.Hour, high, settings.MinimumKeepAlive},
+		{"costly start, long gap", 3 * time.Hour, high, settings.MinKeepAlive},
 		{"no samples, costly start", 0, high, high},
 		{"no samples, cheap start", 0, low, low},
 	} {
--- a/placement/scheduler/snapshot.go
+++ b/placement/scheduler/snapshot.go
@@ -89,11 +89,11 @@
 	// RequestsPerReplica is the number of waiting and running requests that one replica is
 	// expected to serve; more replicas are loaded only above it.
 	RequestsPerReplica int
-	// MinimumResidence is how long a ready replica is protected from eviction.
-	MinimumResidence time.Duration
-	// MinimumKeepAlive and MaximumKeepAlive bound how long an idle replica is kept.
-	MinimumKeepAlive time.Duration
-	MaximumKeepAlive time.Duration
+	// MinResidence is how long a ready replica is protected from eviction.
+	MinResidence time.Duration
+	// MinKeepAlive and MaximumKeepAlive bound how long an idle replica is kept.
+	MinKeepAlive time.Duration
+	MaxKeepAlive time.Duration
 	// LatencyColdStartWorth and IdleColdStartWorth are, for the two objectives, the seconds
 	// of idle runner time that one second of cold start is worth.
 	LatencyColdStartWorth float64
@@ -112,9 +112,9 @@
 	return Settings{
 		Objective:             structs.ObjectiveLatency,
 		RequestsPerReplica:    32,
-		MinimumResidence:      10 * time.Second,
-		MinimumKeepAlive:      5 * time.Second,
-		MaximumKeepAlive:      96 * time.Hour,
+		MinResidence:          10 * time.Second,
+		MinKeepAlive:          5 * time.Second,
+		MaxKeepAlive:          96 * time.Hour,
 		LatencyColdStartWorth: 5000,
 		IdleColdStartWorth:    1,
 		MemoryBytesPerSecond:  20 << 30,
--- a/placement/scheduler/unload.go
+++ b/placement/scheduler/unload.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		resident := p.snapshot.Now.Sub(replica.Since)
-		extra := row.usableCount > max(1, row.wantedReplicas) && resident > p.settings.MinimumKeepAlive && len(replica.adapters()) == 0
+		extra := row.usableCount > max(1, row.wantedReplicas) && resident > p.settings.MinKeepAlive && len(replica.adapters()) == 0
 		if extra || !p.worthKeeping(replica) {
 			p.unload(replica, ReasonIdle)
 		}
--- a/request/relay/fleet_test.go
+++ b/request/relay/fleet_test.go
@@ -128,7 +128,7 @@
 type noEngines struct{}
 
 func (noEngines) Order(context.Context, domainnode.Holder, residency.Order) (residency.Outcome, notice.Notice) {
-	return residency.OutcomeRefused, notice.Notice{}
+	return residency.OutcomeRejected, notice.Notice{}
 }
 
 func (noEngines) Report(context.Context, fleet.Heartbeat) (residency.Report, notice.Notice, error) {
--- a/request/router/arrive.go
+++ b/request/router/arrive.go
@@ -61,11 +61,11 @@
 	switch {
 	case c.draining:
 		problem := structs.NewError(structs.ErrorUnavailable, "this router is shutting down", "Send the request to another router.")
-		problem.RetryAfter = MinimumRetryAfter
+		problem.RetryAfter = MinRetryAfter
 		return problem
 	case !incoming.DeadlineAt.After(c.now):
 		problem := structs.NewError(structs.ErrorDeadline, "the deadline has passed already", "Send the request with a later deadline.")
-		problem.RetryAfter = MinimumRetryAfter
+		problem.RetryAfter = MinRetryAfter
 		return problem
 	case len(c.requests) >= c.options.TotalLimit && !c.shedBatch(incoming.Priority):
 		problem := structs.NewError(structs.ErrorOverloaded, "this router has reached its request limit", "Retry after the given delay, or use another router.")
@@ -152,7 +152,7 @@
 		Execution: structs.ExecutionNotRun,
 	}
 	if event.Error != nil && event.Error.RetryAfter > 0 {
-		rejection.Error.RetryAfter = max(event.Error.RetryAfter, MinimumRetryAfter)
+		rejection.Error.RetryAfter = max(event.Error.RetryAfter, MinRetryAfter)
 	}
 	if event.Stage == Broken && event.Repeatable {
 		rejection.Execution = structs.ExecutionPartial
--- a/request/router/claim.go
+++ b/request/router/claim.go
@@ -99,7 +99,7 @@
 func (c *Core) claimNotAsked(req *request, problem *structs.Error) {
 	req.phase = c.releaseReservation(req)
 	home := HomeZone(c.options.Zones, req.IdempotencyKey)
-	estimate := MinimumRetryAfter
+	estimate := MinRetryAfter
 	if problem != nil {
 		estimate = max(estimate, problem.RetryAfter)
 	}
--- a/request/router/core_test.go
+++ b/request/router/core_test.go
@@ -268,7 +268,7 @@
 	s.do(Tick{})
 	rejection := only[Reject](s).Rejection
 	s.c.Check(rejection.Error.Kind, qt.Equals, structs.ErrorDeadline)
-	s.c.Check(rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+	s.c.Check(rejection.Error.RetryAfter >= MinRetryAfter, qt.IsTrue)
 }
 
 func TestRequestIsRejectedInTheStepOfItsLastFailure(t *testing.T) {
@@ -281,7 +281,7 @@
 	s.do(AttemptFailed{Attempt: only[SendAttempt](s).Attempt, Stage: NotSent})
 	rejection := only[Reject](s).Rejection
 	s.c.Check(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
-	s.c.Check(rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+	s.c.Check(rejection.Error.RetryAfter >= MinRetryAfter, qt.IsTrue)
 }
 
 // TestFullEngineGetsNoRequestBeforeItsRetryAfter also checks that the engine then gets
--- a/request/router/finish.go
+++ b/request/router/finish.go
@@ -20,7 +20,7 @@
 	if estimate < 0 || c.mutation == mutationNoRetryAfter {
 		return 0
 	}
-	estimate = max(estimate, MinimumRetryAfter)
+	estimate = max(estimate, MinRetryAfter)
 	return estimate + time.Duration(retryJitter*c.options.Random.Float64()*float64(estimate))
 }
 
--- a/request/router/offer.go
+++ b/request/router/offer.go
@@ -143,6 +143,6 @@
 func noCapacity(name structs.RowName) structs.Error {
 	problem := structs.NewError(structs.ErrorUnavailable,
 		"no ready replica with free capacity for row "+string(name)+" in this zone", "Queue the request in its own zone.")
-	problem.RetryAfter = MinimumRetryAfter
+	problem.RetryAfter = MinRetryAfter
 	return *problem
 }
--- a/request/router/options.go
+++ b/request/router/options.go
@@ -77,8 +77,8 @@
 	DefaultAnswerTTL    = 24 * time.Hour
 )
 
-// MinimumRetryAfter is the shortest RetryAfter of a rejection.
-const MinimumRetryAfter = 100 * time.Millisecond
+// MinRetryAfter is the shortest RetryAfter of a rejection.
+const MinRetryAfter = 100 * time.Millisecond
 
 // pollInterval is the interval between Ticks while requests are waiting.
 const pollInterval = 100 * time.Millisecond
--- a/request/router/review_test.go
+++ b/request/router/review_test.go
@@ -130,5 +130,5 @@
 	reject := only[Reject](s)
 	qt.Check(t, reject.ID, qt.Equals, structs.RequestID("late"))
 	qt.Check(t, reject.Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
-	qt.Check(t, reject.Rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+	qt.Check(t, reject.Rejection.Error.RetryAfter >= MinRetryAfter, qt.IsTrue)
 }
--- a/request/router/stall_test.go
+++ b/request/router/stall_test.go
@@ -130,7 +130,7 @@
 				s.c.Assert(only[CancelAttempt](s).Attempt, qt.Equals, sent.Attempt)
 				rejection := only[Reject](s).Rejection
 				s.c.Assert(rejection.Execution, qt.Equals, structs.ExecutionPartial)
-				s.c.Assert(rejection.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+				s.c.Assert(rejection.Error.RetryAfter >= MinRetryAfter, qt.IsTrue)
 				s.c.Assert(s.core.Idle(), qt.IsTrue)
 			})
 		}
