--- a/agreement/raft/config.go
+++ b/agreement/raft/config.go
@@ -15,9 +15,9 @@
 	DefaultMaxUncommittedEntries = 1 << 14
 )
 
-// minimumLeaseTicks is the minimum difference between the election timeout and the
+// minLeaseTicks is the minimum difference between the election timeout and the
 // heartbeat interval, so that a lease can outlast the interval.
-const minimumLeaseTicks = 2
+const minLeaseTicks = 2
 
 // leaseDriftDivisor sets the lease margin for clock drift: 1/leaseDriftDivisor of
 // ElectionTicks.
@@ -85,7 +85,7 @@
 		return errInvalid("raft node has no random source", "Set Config.Random to a seeded source.")
 	case c.HeartbeatTicks < 1:
 		return errInvalid("heartbeat interval is below one tick", "Set Config.HeartbeatTicks to 1 or more.")
-	case c.ElectionTicks < c.HeartbeatTicks+minimumLeaseTicks:
+	case c.ElectionTicks < c.HeartbeatTicks+minLeaseTicks:
 		return errInvalid("election timeout is too close to the heartbeat interval",
 			"Set Config.ElectionTicks to several times HeartbeatTicks.")
 	case min(c.MaxMessageEntries, c.MaxMessageBytes, c.MaxInflightMessages, c.MaxUncommittedEntries) < 1:
--- a/placement/fleet/failing.go
+++ b/placement/fleet/failing.go
@@ -11,7 +11,7 @@
 	// requests.
 	minFailures  = 4
 	minReporters = 3
-	// failureRatio is the least share of failed attempts for an ejection. A runner that loses one
+	// failureRatio is the minimum share of failed attempts for an ejection. A runner that loses one
 	// answer in ten still serves most callers; at two in five, a slightly more loaded runner serves
 	// them better.
 	failureRatio = 0.4
--- a/placement/fleet/publisher.go
+++ b/placement/fleet/publisher.go
@@ -33,7 +33,7 @@
 	wholeRevision uint64
 	wholeAt       time.Time
 	firstHeardAt  map[string]uint64
-	// partialFrom is the least revision from which partial views can be computed.
+	// partialFrom is the lowest revision from which partial views can be computed.
 	partialFrom uint64
 	// spare is the runner slice that the last Publish released.
 	spare []Runner
--- a/placement/fleet/registry.go
+++ b/placement/fleet/registry.go
@@ -225,7 +225,7 @@
 	EndsAt time.Time
 	// Recalled runners have not sent a heartbeat since leadership began.
 	Recalled bool
-	// Lost runners could not be reached by several routers since their last heartbeat. Complaints
+	// Lost runners have been unreachable for several routers since their last heartbeat. UnreachableReports
 	// is the number of these routers, Silent the time since the heartbeat.
 	Lost               bool
 	UnreachableReports int
--- a/placement/fleet/zonesilence.go
+++ b/placement/fleet/zonesilence.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// minZoneRunners is the least number of runners in a zone for its silence to be significant.
+	// minZoneRunners is the minimum number of runners in a zone for its silence to be significant.
 	minZoneRunners = 3
 	// A zone is silent after zoneSilenceFactor times the mean time between heartbeats of any of its
 	// runners, at least minZoneSilence: runners that were started together send heartbeats
--- a/placement/pace/prompts.go
+++ b/placement/pace/prompts.go
@@ -18,7 +18,7 @@
 	relativeQuantile = 0.4
 	absoluteQuantile = 0.15
 	// minSpread and minTokens are the minimum ratio and difference of two mean prompt lengths that
-	// are compared. A first event takes about ten milliseconds beside the prompt, and varies by as
+	// are compared. A first event takes about ten milliseconds besides the prompt, and varies by as
 	// much.
 	minSpread = 1.5
 	minTokens = 500
--- a/placement/quota/divider.go
+++ b/placement/quota/divider.go
@@ -172,9 +172,9 @@
 
 // ApplyReturns credits the returns in a router's query. Queries are numbered, and a repeated one is not
 // credited again.
-func (d *Divider) ApplyReturns(at time.Time, asker RouterProcess, query uint64, wants []Want) {
+func (d *Divider) ApplyReturns(at time.Time, process RouterProcess, query uint64, wants []Want) {
 	isReturn := func(want Want) bool { return len(want.Returned) > 0 }
-	if !slices.ContainsFunc(wants, isReturn) || !d.isNewQuery(asker, query) {
+	if !slices.ContainsFunc(wants, isReturn) || !d.isNewQuery(process, query) {
 		return
 	}
 	for _, want := range wants {
--- a/placement/quota/pace.go
+++ b/placement/quota/pace.go
@@ -7,7 +7,7 @@
 	// rest of the window's amount may be spent at once. With 1, a tenant over its limit gets its
 	// whole rate in every second, and the burst once per window.
 	sustainedShare = 1.0
-	// minBurstTime is the least burst capacity, as time at the limit's rate. It lets limits without
+	// minBurstTime is the minimum burst capacity, as time at the limit's rate. It lets limits without
 	// a burst admit requests that arrive together, and lowers the sustained rate accordingly.
 	minBurstTime = time.Second
 	// uncontendedShare is the part of the burst capacity above which every request is admitted.
--- a/placement/quota/rejections.go
+++ b/placement/quota/rejections.go
@@ -5,7 +5,7 @@
 const (
 	// maxRejections bounds the remembered rejections per tenant.
 	maxRejections = 4096
-	// maxAwayShare is the greatest part of a caller's remaining time that it may wait before a
+	// maxAwayShare is the largest part of a caller's remaining time that it may wait before a
 	// retry. The remaining time is estimated from it.
 	maxAwayShare = 1.0 / 3
 )
--- a/placement/quota/returned.go
+++ b/placement/quota/returned.go
@@ -38,21 +38,21 @@
 	return amount
 }
 
-// RouterProcess identifies a router process.
+// RouterProcess identifies an incarnation of a router.
 type RouterProcess struct {
 	Router  string
 	Session uint64
 }
 
-// maxAskers bounds the remembered processes. Returns of further ones are ignored.
-const maxAskers = 1 << 16
+// maxProcesses bounds the remembered processes. Returns of further ones are ignored.
+const maxProcesses = 1 << 16
 
 // isNewQuery reports whether a query is not a repetition, whose returns must not count again.
-func (d *Divider) isNewQuery(asker RouterProcess, query uint64) bool {
-	last, isKnown := d.lastQueries[asker]
-	if query <= last || !isKnown && len(d.lastQueries) >= maxAskers {
+func (d *Divider) isNewQuery(process RouterProcess, query uint64) bool {
+	last, isKnown := d.lastQueries[process]
+	if query <= last || !isKnown && len(d.lastQueries) >= maxProcesses {
 		return false
 	}
-	d.lastQueries[asker] = query
+	d.lastQueries[process] = query
 	return true
 }
--- a/placement/residency/burst_failures_test.go
+++ b/placement/residency/burst_failures_test.go
@@ -101,7 +101,7 @@
 	c.Assert(w.inTimeShare() >= 0.7, qt.IsTrue, qt.Commentf("%v", w))
 }
 
-// storesBusy returns the number of loads from the store under way.
+// storesBusy returns the number of loads from the store in progress.
 func (w *burstWorld) storesBusy() int {
 	busy := 0
 	for _, r := range w.runners {
--- a/placement/residency/burstworld_test.go
+++ b/placement/residency/burstworld_test.go
@@ -195,7 +195,7 @@
 	w.orders = nil
 }
 
-// fits reports whether the runner has memory for a model beside what it holds and loads.
+// fits reports whether the runner has memory for a model besides what it holds and loads.
 func (w *burstWorld) fits(r *burstRunner, name string) bool {
 	used := 8 * 60.0
 	if name != "" {
--- a/placement/residency/capacity.go
+++ b/placement/residency/capacity.go
@@ -280,7 +280,7 @@
 // models with several replicas shift their requests elsewhere.
 const minCapacityShare = 0.5
 
-// availableCapacity returns the requests per second for the model that the runners can serve beside
+// availableCapacity returns the requests per second for the model that the runners can serve besides
 // their other load. demand is the rate of the model, shared by replicas with the given total
 // capacity.
 func (p *Planner) availableCapacity(runners []*runner, demand, total float64) float64 {
--- a/placement/residency/cost.go
+++ b/placement/residency/cost.go
@@ -29,7 +29,7 @@
 		return cost, "", true
 	}
 	for _, leaving := range found.candidates {
-		if leaving.isInUse && !wanted.isDue || wanted.isPreload && !p.hasOtherSource(r, leaving.name) {
+		if leaving.isInUse && !wanted.isDue || wanted.isPrewarm && !p.hasOtherSource(r, leaving.name) {
 			continue
 		}
 		if victim == "" {
--- a/placement/residency/forecast.go
+++ b/placement/residency/forecast.go
@@ -64,7 +64,7 @@
 }
 
 // readyIn returns the time until a model that is not being loaded yet is ready, and adds the model
-// to the backlog. free lists the remaining times of the loads under way from its weight store.
+// to the backlog. free lists the remaining times of the loads in progress from its weight store.
 func (p *Planner) readyIn(now time.Time, wanted need, before *backlog, free []time.Duration) (time.Duration, bool) {
 	service := wanted.row.Service
 	store := p.store(service)
@@ -113,7 +113,7 @@
 	return readyIn
 }
 
-// storesFree returns the remaining times of the loads under way from the weight store of each
+// storesFree returns the remaining times of the loads in progress from the weight store of each
 // service, in ascending order.
 func (p *Planner) storesFree(now time.Time) map[string][]time.Duration {
 	free := make(map[string][]time.Duration)
--- a/placement/residency/limited_test.go
+++ b/placement/residency/limited_test.go
@@ -43,7 +43,7 @@
 			}
 			var loaded []string
 			for _, order := range orders {
-				// Other models may be preloaded.
+				// Other models may be prewarmed.
 				if order.Model == "m0" {
 					loaded = append(loaded, order.Instance)
 				}
--- a/placement/residency/needs.go
+++ b/placement/residency/needs.go
@@ -30,8 +30,8 @@
 	// from the weight store, or the replica only protects against the loss of a zone and must not
 	// delay requests that wait for the store.
 	isFromCopy bool
-	// isPreload is set if there is no demand for the model yet.
-	isPreload bool
+	// isPrewarm is set if there is no demand for the model yet.
+	isPrewarm bool
 	// zones lists the zones in which the model is to be loaded; nil for any.
 	zones []string
 	// obstacle is the reason why the plan did not load the model.
@@ -76,7 +76,7 @@
 		}
 		listed = append(listed, *each)
 	}
-	listed = append(listed, p.preloadNeeds(now, listed)...)
+	listed = append(listed, p.prewarmNeeds(now, listed)...)
 	slices.SortFunc(listed, byRank)
 	return listed
 }
@@ -96,7 +96,7 @@
 	return cmp.Or(cmp.Compare(b.rank(), a.rank()), cmp.Compare(a.priority, b.priority), strings.Compare(a.row.Model, b.row.Model))
 }
 
-// isCopyQuicker reports whether the loads of the model under way take longer than the horizon, and
+// isCopyQuicker reports whether the loads of the model in progress take longer than the horizon, and
 // a load from a copy would end sooner. For shorter loads, a second replica of a cold model would
 // only evict another model.
 func (p *Planner) isCopyQuicker(now time.Time, row Row) bool {
@@ -149,7 +149,7 @@
 	redundantGain = 0.1
 )
 
-// overload returns the number of requests within the horizon that are late for want of replicas,
+// overload returns the number of requests within the horizon that are late for lack of replicas,
 // including those being loaded: requests beyond their capacity, and late ones at overloaded or slow
 // runners. It is not limited to what one replica more would serve, so that a model with one replica
 // for 130 requests per second comes before one with two for 30. A model in demand with a single
--- a/placement/residency/placement.go
+++ b/placement/residency/placement.go
@@ -72,8 +72,8 @@
 	r.reserved = ""
 	order := p.send(now, r, Load, model, "")
 	p.beginLoad(now, r, wanted.row, fromStore)
-	if wanted.isPreload {
-		p.preloadedAt[wanted.row] = now
+	if wanted.isPrewarm {
+		p.prewarmedAt[wanted.row] = now
 	}
 	return order, true
 }
@@ -142,7 +142,7 @@
 		return placement{obstacle: ObstacleRoom}
 	}
 	cost += p.blockedCopyCost(r, model)
-	if wanted.isPreload {
+	if wanted.isPrewarm {
 		cost += p.soleCopies(r) * soleCopyCost
 	}
 	if !wanted.isWaitedFor && cost >= wanted.gain {
--- a/placement/residency/planner.go
+++ b/placement/residency/planner.go
@@ -29,8 +29,8 @@
 	routerZones map[string]string
 	// runnersAt is the time at which a runner was last added.
 	runnersAt time.Time
-	// preloadedAt is the time of the last preload of each model.
-	preloadedAt map[Row]time.Time
+	// prewarmedAt is the time of the last prewarm of each model.
+	prewarmedAt map[Row]time.Time
 	// observedFrom is the time of the first report of demand.
 	observedFrom time.Time
 	// stores limit the loads from the weight stores, by service.
@@ -50,7 +50,7 @@
 	judged     []Judgement
 	// slowness is the last known slowness at each endpoint.
 	slowness map[endpoint]float64
-	// questions is the number of polls allowed, as of pollAllowanceAt.
+	// pollAllowance is the number of polls allowed, as of pollAllowanceAt.
 	pollAllowance   float64
 	pollAllowanceAt time.Time
 	// snapshot is the state that the current plan is based on.
@@ -81,7 +81,7 @@
 
 		recalledStores: make(map[string]recalledStore),
 		awaitedCopies:  make(map[Row]time.Time),
-		preloadedAt:    make(map[Row]time.Time),
+		prewarmedAt:    make(map[Row]time.Time),
 
 		paces:          pace.NewLearner(),
 		pauses:         make(pauses),
--- a/placement/residency/planner_test.go
+++ b/placement/residency/planner_test.go
@@ -230,11 +230,11 @@
 	p.SetRunners(start, statuses)
 	asked := make(map[string]bool)
 	ask := func(at time.Time) int {
-		pollAllowance := p.RunnersToPoll(at)
-		for _, each := range pollAllowance {
+		polledRunners := p.RunnersToPoll(at)
+		for _, each := range polledRunners {
 			asked[each.Heartbeat.Instance] = true
 		}
-		return len(pollAllowance)
+		return len(polledRunners)
 	}
 	c.Assert(ask(start), qt.Equals, 4)
 	c.Assert(ask(start), qt.Equals, 0)
--- a/placement/residency/preload.go
+++ b/placement/residency/preload.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// preloadDelay is the time without a new runner before models are preloaded. A model that seems
+	// prewarmDelay is the time without a new runner before models are prewarmed. A model that seems
 	// absent may be at a runner that has not sent a heartbeat yet.
-	preloadDelay = 2 * time.Second
-	// preloadInterval is the minimum time between two preloads of a model. Each preload may evict
+	prewarmDelay = 2 * time.Second
+	// prewarmInterval is the minimum time between two prewarms of a model. Each prewarm may evict
 	// another copy if the disks together have no room for every model.
-	preloadInterval = 10 * time.Minute
-	// preloadGain is the gain of a preload: the first request, which would be late without it.
-	preloadGain = 1
+	prewarmInterval = 10 * time.Minute
+	// prewarmGain is the gain of a prewarm: the first request, which would be late without it.
+	prewarmGain = 1
 	// soleCopyCost is the cost of occupying a runner, for each model of which it has the only copy.
-	// It is low enough that a runner with some tens of such copies can still preload.
+	// It is low enough that a runner with some tens of such copies can still prewarm.
 	soleCopyCost = 0.005
 )
 
-// preloadNeeds returns loads of absent models, at most one for each service, while the service has
-// no other need and its weight store is idle. Without a preload, the first request would wait for a
-// whole load from the store. A leader that has not heard from all runners yet preloads nothing.
-func (p *Planner) preloadNeeds(now time.Time, wanted []need) []need {
+// prewarmNeeds returns loads of absent models, at most one for each service, while the service has
+// no other need and its weight store is idle. Without a prewarm, the first request would wait for a
+// whole load from the store. A leader that has not heard from all runners yet prewarms nothing.
+func (p *Planner) prewarmNeeds(now time.Time, wanted []need) []need {
 	isRecalled := func(r *runner) bool { return r.status.Recalled }
-	if now.Sub(p.runnersAt) < preloadDelay || slices.ContainsFunc(p.snapshot.sorted, isRecalled) {
+	if now.Sub(p.runnersAt) < prewarmDelay || slices.ContainsFunc(p.snapshot.sorted, isRecalled) {
 		return nil
 	}
-	var preloads []need
+	var prewarms []need
 	for i := range p.document.Document.Services {
 		service := &p.document.Document.Services[i]
 		isWanted := func(each need) bool { return each.row.Service == service.Name }
@@ -37,19 +37,19 @@
 		if store == nil || store.InProgress() > 0 || slices.ContainsFunc(wanted, isWanted) {
 			continue
 		}
-		if row, found := p.nextPreload(now, service); found {
-			preloads = append(preloads, need{row: row, gain: preloadGain, isPreload: true})
+		if row, found := p.nextPrewarm(now, service); found {
+			prewarms = append(prewarms, need{row: row, gain: prewarmGain, isPrewarm: true})
 		}
 	}
-	return preloads
+	return prewarms
 }
 
-// nextPreload returns the first model of the service that may be preloaded.
-func (p *Planner) nextPreload(now time.Time, service *site.Service) (Row, bool) {
+// nextPrewarm returns the first model of the service that may be prewarmed.
+func (p *Planner) nextPrewarm(now time.Time, service *site.Service) (Row, bool) {
 	for i := range service.Engine.Models {
 		row := Row{Service: service.Name, Model: service.Engine.Models[i].Name}
-		last, isLoaded := p.preloadedAt[row]
-		if p.snapshot.isAbsent(row) && (!isLoaded || now.Sub(last) >= preloadInterval) {
+		last, isLoaded := p.prewarmedAt[row]
+		if p.snapshot.isAbsent(row) && (!isLoaded || now.Sub(last) >= prewarmInterval) {
 			return row, true
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // hasOtherSource reports whether another runner holds the model or has a copy of it. Only such
-// models are evicted for a preload.
+// models are evicted for a prewarm.
 func (p *Planner) hasOtherSource(r *runner, model string) bool {
 	row := r.rowOf(model)
 	return len(p.holdersExcept(r, row)) > 0 || len(runnersExcept(p.snapshot.copies[row], r)) > 0
--- a/placement/residency/preload_test.go
+++ b/placement/residency/preload_test.go
@@ -10,9 +10,9 @@
 	"github.com/lotusferry/lotusferry/placement/fleet"
 )
 
-// newPreloadPlanner returns a planner of two runners that hold one model each and have copies of
+// newPrewarmPlanner returns a planner of two runners that hold one model each and have copies of
 // all models but m19. Runner r0 has the only copy of m0, and r1 that of m18.
-func newPreloadPlanner() *Planner {
+func newPrewarmPlanner() *Planner {
 	return newStorePlanner(2, func(i int, heartbeat *fleet.Heartbeat) {
 		heartbeat.Models = []fleet.LoadedModel{{Name: fmt.Sprint("m", i)}}
 		for model := range 19 {
@@ -23,22 +23,22 @@
 	})
 }
 
-// Guards against evicting the last replica of a model without another copy for a preload.
-func TestAbsentModelIsPreloaded(t *testing.T) {
+// Guards against evicting the last replica of a model without another copy for a prewarm.
+func TestAbsentModelIsPrewarmed(t *testing.T) {
 	c := qt.New(t)
-	p := newPreloadPlanner()
-	c.Assert(p.Plan(start.Add(preloadDelay-time.Millisecond)), qt.HasLen, 0, qt.Commentf("further runners may still be added"))
-	at := start.Add(preloadDelay)
+	p := newPrewarmPlanner()
+	c.Assert(p.Plan(start.Add(prewarmDelay-time.Millisecond)), qt.HasLen, 0, qt.Commentf("further runners may still be added"))
+	at := start.Add(prewarmDelay)
 	orders := p.Plan(at)
 	c.Assert(orders, qt.HasLen, 1)
 	c.Assert(orders[0].Operation, qt.Equals, Unload)
 	c.Assert(orders[0].Model, qt.Equals, "m1")
 }
 
-func TestNoPreloadBesideOtherNeeds(t *testing.T) {
+func TestNoPrewarmBesideOtherNeeds(t *testing.T) {
 	c := qt.New(t)
-	p := newPreloadPlanner()
-	at := start.Add(preloadDelay)
+	p := newPrewarmPlanner()
+	at := start.Add(prewarmDelay)
 	waitForModels(p, at, 18, 1)
 	orders := p.Plan(at)
 	c.Assert(orders, qt.HasLen, 1)
@@ -48,9 +48,9 @@
 }
 
 // The copies of runners recalled from the previous leader are unknown.
-func TestNoPreloadByNewLeader(t *testing.T) {
+func TestNoPrewarmByNewLeader(t *testing.T) {
 	c := qt.New(t)
-	p := newPreloadPlanner()
+	p := newPrewarmPlanner()
 	heartbeat := fleet.Heartbeat{Instance: "r2", Service: "s", Address: "r2"}
 	statuses := []fleet.Status{{Heartbeat: heartbeat, Recalled: true}}
 	for _, r := range p.sorted() {
--- a/placement/residency/runner.go
+++ b/placement/residency/runner.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// isOccupied reports whether an order about a model is under way. The runner takes no other order
+// isOccupied reports whether an order about a model is in progress. The runner takes no other order
 // until it has ended.
 func (r *runner) isOccupied() bool {
 	for _, held := range r.holdings {
--- a/placement/residency/store.go
+++ b/placement/residency/store.go
@@ -79,10 +79,10 @@
 	return limiter
 }
 
-// followStores updates the limiters with the loads under way. A runner that executes an order of a
+// followStores updates the limiters with the loads in progress. A runner that executes an order of a
 // previous leader may be loading a model and counts as well.
 func (p *Planner) followStores(now time.Time) {
-	underWay := make(map[string][]weightstore.Load)
+	inProgress := make(map[string][]weightstore.Load)
 	runners := make(map[string]int)
 	for _, r := range p.snapshot.sorted {
 		engine := p.engineOf(r)
@@ -92,7 +92,7 @@
 		runners[r.status.Heartbeat.Service]++
 		service, instance := r.status.Heartbeat.Service, r.status.Heartbeat.Instance
 		if r.isBusy {
-			underWay[service] = append(underWay[service], weightstore.Load{Key: weightstore.Key{Instance: instance}})
+			inProgress[service] = append(inProgress[service], weightstore.Load{Key: weightstore.Key{Instance: instance}})
 		}
 		for name, held := range r.holdings {
 			model := engine.ModelByName(name)
@@ -100,14 +100,14 @@
 				continue
 			}
 			load := weightstore.Load{Key: weightstore.Key{Instance: instance, Model: name}, Nominal: model.LoadTime}
-			underWay[service] = append(underWay[service], load)
+			inProgress[service] = append(inProgress[service], load)
 		}
 	}
 	for i := range p.document.Document.Services {
 		service := p.document.Document.Services[i].Name
 		if store := p.store(service); store != nil {
 			store.SetInitialLimit(p.firstLoads(service, runners[service]))
-			store.Update(now, underWay[service], p.isLoaded)
+			store.Update(now, inProgress[service], p.isLoaded)
 		}
 	}
 	for service := range p.stores {
@@ -153,7 +153,7 @@
 	return true
 }
 
-// hasFreeSlot reports whether the store has a slot for the need beside the loads under way and the
+// hasFreeSlot reports whether the store has a slot for the need besides the loads in progress and the
 // reserved slots. Some slots are reserved for urgent needs, which may also exceed the learned
 // limit.
 func hasFreeSlot(now time.Time, store *weightstore.Limiter, wanted need, reserved int) bool {
--- a/placement/residency/types.go
+++ b/placement/residency/types.go
@@ -42,10 +42,10 @@
 	OutcomeAccepted Outcome = iota + 1
 	// OutcomeHeld: the runner is already in the requested state.
 	OutcomeHeld
-	// OutcomeConflict: another order is under way, or Expected doesn't match. This order is not
+	// OutcomeConflict: another order is in progress, or Expected doesn't match. This order is not
 	// executed.
 	OutcomeConflict
-	// OutcomeRejected: the runner has refused the order for good.
+	// OutcomeRejected: the runner has rejected the order for good.
 	OutcomeRejected
 	// OutcomeGone: another runner answered at the address.
 	OutcomeGone
--- a/placement/scheduler/adapterprewarm.go
+++ b/placement/scheduler/adapterprewarm.go
@@ -19,7 +19,7 @@
 	adapterPrewarmInterval = time.Minute
 )
 
-// planAdapterPrewarm prewarms one adapter beside a ready base, where the expected saving
+// planAdapterPrewarm prewarms one adapter on a runner with a ready base, where the expected saving
 // is worth its memory. Successive plans start at different bases and adapters, so that
 // each is considered in time. Like planPrewarm it uses free memory only, and leaves
 // one store read for requests.
@@ -79,7 +79,7 @@
 	return bases
 }
 
-// prewarmAdapter loads the adapter beside the base if it is absent, fits and is worth
+// prewarmAdapter loads the adapter on the runner of its base if it is absent, fits and is worth
 // its memory, and reports whether it did.
 func (p *planner) prewarmAdapter(adapter *rowState, base *replicaState, runnersWithReserve int) bool {
 	runner := base.runner
--- a/placement/scheduler/adapterprewarm_test.go
+++ b/placement/scheduler/adapterprewarm_test.go
@@ -27,7 +27,7 @@
 	s.Runners[0].MemoryBytes = 120
 }
 
-// otherAdapterReady adds another adapter that became ready beside the base that long ago.
+// otherAdapterReady adds another adapter that became ready on the runner of its base that long ago.
 func otherAdapterReady(ago time.Duration) setup {
 	return func(s *Snapshot) {
 		s.setRow("u", func(r *structs.Row) { r.Base, r.Kind, r.MemoryBytes = "a", structs.RowAdapter, 1 })
--- a/placement/scheduler/plan_test.go
+++ b/placement/scheduler/plan_test.go
@@ -98,7 +98,7 @@
 	s.Table = table
 }
 
-func minimumInOtherZone(s *Snapshot) {
+func minInOtherZone(s *Snapshot) {
 	s.setRow("a", func(r *structs.Row) { r.MinReplicas = 1 })
 }
 
@@ -152,9 +152,9 @@
 	{"second replica is kept slightly below capacity", []setup{places("a", 0, structs.ReplicaReady, 0), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 30)}, noSteps, noSteps},
 	{"second replica is unloaded far below capacity", []setup{places("a", 0, structs.ReplicaReady, 1), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 1)}, noSteps, steps{"a@r2": ReasonIdle}},
 	{"unloading replica counts toward the limit", []setup{limits("a", 1), places("a", 0, structs.ReplicaUnloading, 0), wants("a", 1, 0)}, noSteps, noSteps},
-	{"minimum belongs to another zone", []setup{minimumInOtherZone}, noSteps, noSteps},
+	{"minimum belongs to another zone", []setup{minInOtherZone}, noSteps, noSteps},
 	{"idle replica is unloaded if the minimum belongs to another zone", []setup{
-		minimumInOtherZone, places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Hour),
+		minInOtherZone, places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Hour),
 	}, noSteps, steps{"a@r1": ReasonIdle}},
 	{"minimum", []setup{minimum}, steps{"a@r1": ReasonMinimum}, noSteps},
 	{"runner with cached checkpoint is preferred", []setup{secondRunnerCachesA(structs.TierDisk), wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
@@ -325,7 +325,7 @@
 	snapshot.want("t", 1, 0)
 	for _, load := range Plan(snapshot).Loads {
 		used[load.Runner]++
-		if load.Row == "t" { // An adapter is placed beside its base.
+		if load.Row == "t" { // An adapter is placed with its base.
 			used[load.Runner]--
 		}
 	}
--- a/placement/scheduler/snapshot.go
+++ b/placement/scheduler/snapshot.go
@@ -91,7 +91,7 @@
 	RequestsPerReplica int
 	// MinResidence is how long a ready replica is protected from eviction.
 	MinResidence time.Duration
-	// MinKeepAlive and MaximumKeepAlive bound how long an idle replica is kept.
+	// MinKeepAlive and MaxKeepAlive bound how long an idle replica is kept.
 	MinKeepAlive time.Duration
 	MaxKeepAlive time.Duration
 	// LatencyColdStartWorth and IdleColdStartWorth are, for the two objectives, the seconds
--- a/placement/weightstore/limiter.go
+++ b/placement/weightstore/limiter.go
@@ -180,10 +180,10 @@
 
 // Update sets the loads in progress. For loads that are no longer in progress, isReady
 // reports whether the model was loaded; the others were aborted.
-func (l *Limiter) Update(now time.Time, underWay []Load, isReady func(Key) bool) {
+func (l *Limiter) Update(now time.Time, inProgress []Load, isReady func(Key) bool) {
 	l.integrate(now)
-	current := make(map[Key]bool, len(underWay))
-	for _, load := range underWay {
+	current := make(map[Key]bool, len(inProgress))
+	for _, load := range inProgress {
 		current[load.Key] = true
 		if _, isKnown := l.loads[load.Key]; !isKnown {
 			l.track(now, load)
--- a/placement/weightstore/limiter_test.go
+++ b/placement/weightstore/limiter_test.go
@@ -61,11 +61,11 @@
 func (s *simulatedStore) observe(l *Limiter, length time.Duration) {
 	for end := s.now.Add(length); s.now.Before(end); {
 		s.advance()
-		var underWay []Load
+		var inProgress []Load
 		for key := range s.remaining {
-			underWay = append(underWay, Load{Key: key, Nominal: nominal})
+			inProgress = append(inProgress, Load{Key: key, Nominal: nominal})
 		}
-		l.Update(s.now, underWay, func(key Key) bool { return s.done[key] })
+		l.Update(s.now, inProgress, func(key Key) bool { return s.done[key] })
 	}
 }
 
@@ -271,25 +271,25 @@
 			c := qt.New(t)
 			l := New(5*time.Second, 100)
 			l.SetInitialLimit(7)
-			var underWay []Load
+			var inProgress []Load
 			for i := range 7 {
 				load := Load{Key: Key{Instance: fmt.Sprint("r", i)}, Nominal: nominal}
 				l.Begin(start, load)
-				underWay = append(underWay, load)
+				inProgress = append(inProgress, load)
 			}
 			at := start.Add(nominal)
 			if isFixed {
-				underWay = underWay[1:]
+				inProgress = inProgress[1:]
 			}
-			l.Update(at, underWay, func(Key) bool { return true })
+			l.Update(at, inProgress, func(Key) bool { return true })
 			c.Assert(l.Limit() >= 7, qt.IsTrue)
 			at = start.Add(2 * nominal)
-			l.Update(at, underWay, func(Key) bool { return true })
+			l.Update(at, inProgress, func(Key) bool { return true })
 			limit, isCrowded := l.Learned()
 			c.Assert(isCrowded, qt.IsTrue)
 			c.Assert(limit <= 4, qt.IsTrue, qt.Commentf("%d", limit))
 			at = start.Add(4 * nominal)
-			l.Update(at, underWay, func(Key) bool { return true })
+			l.Update(at, inProgress, func(Key) bool { return true })
 			c.Assert(l.Limit() <= 2, qt.IsTrue, qt.Commentf("%d", l.Limit()))
 		})
 	}
--- a/request/relay/acquire.go
+++ b/request/relay/acquire.go
@@ -89,7 +89,7 @@
 // work returns what the request needs from a runner and which runners to avoid.
 func (x *exchange) work() routing.Work {
 	work := routing.Work{
-		Prefixes: x.prefixes, Prompt: x.request.Size.Uncached(0), Avoid: x.avoid, Excluded: x.barred,
+		Prefixes: x.prefixes, Prompt: x.request.Size.Uncached(0), Avoid: x.avoid, Excluded: x.excluded,
 	}
 	if x.regions != nil {
 		work.Zones = x.regions.zones
--- a/request/relay/candidates.go
+++ b/request/relay/candidates.go
@@ -101,7 +101,7 @@
 	r.addCandidates(changed)
 }
 
-// rebuildCandidates determines anew which runners are candidates. The caller must hold r.mutex.
+// rebuildCandidates determines again which runners are candidates. The caller must hold r.mutex.
 func (r *Router) rebuildCandidates() {
 	var wanted, unwanted []string
 	for _, instance := range r.fleet.Instances() {
@@ -123,7 +123,7 @@
 		r.zones.watch.Remove(id)
 		r.forgetAddress(r.candidates.runners[instance])
 		delete(r.candidates.runners, instance)
-		delete(r.lastHeard, id)
+		delete(r.lastDataAt, id)
 		r.runnerLimits.forget(id)
 	}
 	r.metrics.limitedRunners.Set(float64(r.runnerLimits.belief.Len()))
--- a/request/relay/exchange.go
+++ b/request/relay/exchange.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// minAttemptTime is the least remaining time with which another attempt is made.
+	// minAttemptTime is the minimum remaining time with which another attempt is made.
 	minAttemptTime = 20 * time.Millisecond
 	// lastAnswerTime is subtracted from the time given to a runner, at most one lastAnswerShare-th
 	// of what is left. The runner then reports the timeout itself, and the connection can be kept.
@@ -24,7 +24,7 @@
 	lastAnswerShare = 10
 	// maxBuffered bounds the bytes of a response that are read before its header is sent.
 	maxBuffered = 1 << 20
-	// minRetryAfter is the least Retry-After given to a caller.
+	// minRetryAfter is the minimum Retry-After given to a caller.
 	minRetryAfter = 200 * time.Millisecond
 	// maxRejections bounds the runners that may reject one request.
 	maxRejections = 3
@@ -94,10 +94,10 @@
 	sent     int
 	arrivals int
 	prefixes []uint64
-	// avoid is the runner of the last attempt, barred one that rejected the request twice and is
+	// avoid is the runner of the last attempt, excluded one that rejected the request twice and is
 	// not tried again.
-	avoid  structs.RunnerID
-	barred structs.RunnerID
+	avoid    structs.RunnerID
+	excluded structs.RunnerID
 	// rejectedBy lists the runners that rejected the request, at most maxRejections.
 	rejectedBy []structs.RunnerID
 	// digest identifies the content of the request.
@@ -386,10 +386,10 @@
 }
 
 // noteRejection records that a runner rejected the request. A runner that rejects it a second time
-// is barred.
+// is excluded.
 func (x *exchange) noteRejection(runner structs.RunnerID) {
 	if slices.Contains(x.rejectedBy, runner) {
-		x.barred = runner
+		x.excluded = runner
 	}
 	x.rejectedBy = append(x.rejectedBy, runner)
 }
--- a/request/relay/follow.go
+++ b/request/relay/follow.go
@@ -22,11 +22,11 @@
 	watchTimeout = 2500 * time.Millisecond
 	// watchMargin is added to the leader's hold time for the timeout of a watch.
 	watchMargin = 600 * time.Millisecond
-	// reportInterval is the interval between regular reports, minReportInterval the least between
+	// reportInterval is the interval between regular reports, minReportInterval the minimum between
 	// triggered ones.
 	reportInterval    = 250 * time.Millisecond
 	minReportInterval = 10 * time.Millisecond
-	// loadAge is the average age of the leader's load figures on arrival: half a report interval,
+	// loadAge is the average age of the leader's load reports on arrival: half a report interval,
 	// half an interval of the leader's aggregation, and network latency.
 	loadAge = reportInterval/2 + 75*time.Millisecond
 )
--- a/request/relay/metrics.go
+++ b/request/relay/metrics.go
@@ -132,7 +132,7 @@
 	m.leaderHeardAt.Set(float64(at.UnixMilli()) / 1000)
 }
 
-// heardLoads records the time of the latest load figures.
+// heardLoads records the time of the latest load reports.
 func (m *metrics) heardLoads(at time.Time) { m.loadsAt.Set(float64(at.UnixMilli()) / 1000) }
 
 const (
--- a/request/relay/notices.go
+++ b/request/relay/notices.go
@@ -47,7 +47,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	runner := choice.Runner()
-	r.noteHeard(runner)
+	r.recordData(runner)
 	if answer.tellsLimit() {
 		r.noteLimit(runner, sent, answer.Notice.Limit)
 	}
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -320,8 +320,8 @@
 		})
 		go func() {
 			time.Sleep(time.Second)
-			router.heardFrom("e1")
-			router.heardFrom("e2")
+			router.observeData("e1")
+			router.observeData("e2")
 		}()
 		began := time.Now()
 		recorder, _ := ask(router, t.Context(), "/stream/x", "m")
--- a/request/relay/rest_test.go
+++ b/request/relay/rest_test.go
@@ -100,18 +100,18 @@
 	})
 }
 
-// A request barred from its runner must not block later ones that the runner can serve.
-func TestBarredRequestDoesNotBlockOthers(t *testing.T) {
+// A request that excludes its runner must not block later ones that the runner can serve.
+func TestExcludedRequestDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		seen := &rejectingRunners{began: time.Now(), full: map[string]int{"p1": 2}}
 		router, backend := newTestRouter(seen.answer)
 		router.adoptDocument(longObjectiveDocument())
 		router.adoptView(plainView("p1"))
-		barred := make(chan int, 1)
+		excluded := make(chan int, 1)
 		go func() {
 			recorder, _ := ask(router, t.Context(), "/once/x", "")
-			barred <- recorder.Code
+			excluded <- recorder.Code
 		}()
 		// It has been rejected twice, and the second cooldown is over.
 		time.Sleep(400 * time.Millisecond)
@@ -120,7 +120,7 @@
 		recorder, _ := ask(router, t.Context(), "/once/y", "")
 		c.Assert(recorder.Code, qt.Equals, http.StatusOK)
 		c.Assert(time.Since(began), qt.Equals, time.Duration(0))
-		c.Assert(<-barred, qt.Equals, http.StatusServiceUnavailable)
+		c.Assert(<-excluded, qt.Equals, http.StatusServiceUnavailable)
 	})
 }
 
--- a/request/relay/router.go
+++ b/request/relay/router.go
@@ -74,8 +74,8 @@
 	notices      notices
 	// attemptCounts counts the outcomes of attempts since the last report.
 	attemptCounts map[structs.RunnerID]*fleet.Attempts
-	// lastHeard is the time of the last data from each runner.
-	lastHeard map[structs.RunnerID]time.Time
+	// lastDataAt is the time of the last data from each runner.
+	lastDataAt map[structs.RunnerID]time.Time
 	// paces are the stream timings to be reported.
 	paces []residency.Pace
 	// suspects are the requests that may crash runners.
@@ -95,10 +95,10 @@
 	// within idleConnTime is still open.
 	newConnTime  = 4 * time.Millisecond
 	idleConnTime = 8 * time.Second
-	// selectionSharpness controls how strongly the expected latency decides between replicas. Lower
+	// selectionCostExponent controls how strongly the expected latency decides between replicas. Lower
 	// values overload slow replicas; higher values make all routers select the same ones.
-	selectionSharpness = 3
-	// loadTTL is how long the load figures of the leader are used: about the length of a stream,
+	selectionCostExponent = 3
+	// loadTTL is how long the load reports of the leader are used: about the length of a stream,
 	// and several watch intervals.
 	loadTTL = 2 * time.Second
 )
@@ -130,7 +130,7 @@
 		balancer: routing.New(routing.Options{
 			Daemon: structs.DaemonID(options.Name), Zone: options.Zone, MaxBatch: defaultBatch, ReportTTL: loadTTL,
 			BreakerFailures: 2, BreakerDelay: 500 * time.Millisecond, BreakerDelayLimit: 4 * time.Second,
-			EjectionTime: 2 * time.Second, ColdTime: newConnTime, WarmTime: idleConnTime, UseFailing: true, CostExponent: selectionSharpness,
+			EjectionTime: 2 * time.Second, ColdTime: newConnTime, WarmTime: idleConnTime, UseFailing: true, CostExponent: selectionCostExponent,
 		}, random),
 		rows:    make(map[residency.Row]*rowState),
 		queue:   fairqueue.New[*waiter](),
@@ -140,8 +140,8 @@
 		unreachable:   make(map[string]bool),
 		attemptCounts: make(map[structs.RunnerID]*fleet.Attempts),
 
-		lastHeard: make(map[structs.RunnerID]time.Time),
-		known:     make(chan struct{}),
+		lastDataAt: make(map[structs.RunnerID]time.Time),
+		known:      make(chan struct{}),
 
 		limits:       newLimits(random.Uint64()),
 		rejectionLog: asynclog.NewLimiter(maxTenantLogRate),
@@ -279,16 +279,16 @@
 	r.wakeReport()
 }
 
-// heardFrom records that a runner sent data.
-func (r *Router) heardFrom(instance structs.RunnerID) {
+// observeData records that a runner sent data.
+func (r *Router) observeData(instance structs.RunnerID) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.noteHeard(instance)
+	r.recordData(instance)
 }
 
-// noteHeard is heardFrom for callers that hold r.mutex.
-func (r *Router) noteHeard(instance structs.RunnerID) {
-	r.lastHeard[instance] = time.Now()
+// recordData is observeData for callers that hold r.mutex.
+func (r *Router) recordData(instance structs.RunnerID) {
+	r.lastDataAt[instance] = time.Now()
 	r.zones.watch.ObserveData(r.now(), instance)
 }
 
@@ -318,5 +318,5 @@
 func (r *Router) isBusy(instance structs.RunnerID, since time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.lastHeard[instance].After(since) || r.balancer.IsCrowded(time.Now(), instance)
+	return r.lastDataAt[instance].After(since) || r.balancer.IsCrowded(time.Now(), instance)
 }
--- a/request/relay/runnerlimits.go
+++ b/request/relay/runnerlimits.go
@@ -136,7 +136,7 @@
 	return time.Duration(float64(requests) / l.rate * float64(time.Second))
 }
 
-// minWait returns the least wait of a request with the given number of this router's requests
+// minWait returns the minimum wait of a request with the given number of this router's requests
 // ahead, assuming full token buckets and no other traffic.
 func (l rowLimit) minWait(ahead int) time.Duration {
 	return l.timeFor(max(0, ahead+1-l.runners*ratelimit.Burst))
--- a/request/relay/stop.go
+++ b/request/relay/stop.go
@@ -8,14 +8,14 @@
 	waiting       context.Context
 	rejectWaiting context.CancelFunc
 	// cut ends when all remaining requests are to be ended.
-	cut    context.Context
-	cutAll context.CancelFunc
+	cut       context.Context
+	cancelAll context.CancelFunc
 }
 
 func newStops() stops {
 	var made stops
 	made.waiting, made.rejectWaiting = context.WithCancel(context.Background())
-	made.cut, made.cutAll = context.WithCancel(context.Background())
+	made.cut, made.cancelAll = context.WithCancel(context.Background())
 	return made
 }
 
@@ -25,4 +25,4 @@
 
 // CancelAll ends all requests in progress: those whose response has not started get an error response,
 // the others are aborted.
-func (r *Router) CancelAll() { r.stop.cutAll() }
+func (r *Router) CancelAll() { r.stop.cancelAll() }
--- a/request/relay/streamtiming.go
+++ b/request/relay/streamtiming.go
@@ -15,7 +15,7 @@
 	// long streams end.
 	earlyReportGaps  = 8
 	earlyReportAfter = 500 * time.Millisecond
-	// minGaps is the least number of gaps for a meaningful median.
+	// minGaps is the minimum number of gaps for a meaningful median.
 	minGaps = 4
 	// maxGaps bounds the gaps kept of a stream.
 	maxGaps = 48
--- a/request/relay/watchdog.go
+++ b/request/relay/watchdog.go
@@ -85,7 +85,7 @@
 
 // noteActivity records that the runner sent data for the attempt.
 func (w *watchdog) noteActivity() {
-	w.exchange.router.heardFrom(w.runner)
+	w.exchange.router.observeData(w.runner)
 	w.resetSilence()
 }
 
--- a/request/relay/zones.go
+++ b/request/relay/zones.go
@@ -167,7 +167,7 @@
 	return true
 }
 
-// wakeUp ends the quiet interval.
+// wakeUp ends the idle interval.
 func (z *zones) wakeUp() {
 	wake.Up(z.wake)
 }
--- a/request/routing/balancer.go
+++ b/request/routing/balancer.go
@@ -39,14 +39,14 @@
 	}
 }
 
-// Pick chooses a replica of the row that has room and reports whether there is one.
+// Pick chooses a replica of the row that has capacity and reports whether there is one.
 // The prefixes are the PrefixHashes of the prompt. The runner avoid is chosen only
-// if no other one has room.
+// if no other one has capacity.
 func (b *Balancer) Pick(now time.Time, name structs.RowName, prefixes []uint64, avoid structs.RunnerID) (Choice, bool) {
 	return b.PickFor(now, name, &Work{Prefixes: prefixes, Avoid: avoid})
 }
 
-// PickFor chooses a replica of the row for the work and reports whether one has room.
+// PickFor chooses a replica of the row for the work and reports whether one has capacity.
 func (b *Balancer) PickFor(now time.Time, name structs.RowName, work *Work) (Choice, bool) {
 	wanted := b.rows[name]
 	if wanted == nil || len(wanted.subset) == 0 {
@@ -100,7 +100,7 @@
 	return !candidate.runner.failing && !now.Before(candidate.ejectedUntil) && candidate.breaker.allows(now) && b.isAvailable(now, candidate, work)
 }
 
-// isAvailable reports whether the replica's runner accepts requests and has room.
+// isAvailable reports whether the replica's runner accepts requests and has capacity.
 // Unlike isUsable it ignores failures of the replica itself.
 func (b *Balancer) isAvailable(now time.Time, candidate *replica, work *Work) bool {
 	target := candidate.runner
@@ -110,7 +110,7 @@
 	if !target.requested.allows(now) || !work.allows(target) || work.Avoid != "" && target.info.ID == work.Avoid {
 		return false
 	}
-	return target.mayReceive() && target.hasRoom(now, &b.options) && target.breaker.allows(now)
+	return target.mayReceive() && target.hasCapacity(now, &b.options) && target.breaker.allows(now)
 }
 
 // SetFailing sets whether other routers see the runner fail many of its requests.
@@ -149,7 +149,7 @@
 		limit := target.maxBatch + b.options.QueueSlack
 		load := target.load(now, b.options.ReportTTL)
 		slots += max(1, limit-(load-target.inFlight))
-		if target.hasRoom(now, &b.options) {
+		if target.hasCapacity(now, &b.options) {
 			free += max(1, limit-load)
 		}
 	}
--- a/request/routing/balancer_test.go
+++ b/request/routing/balancer_test.go
@@ -33,7 +33,7 @@
 	return balancer
 }
 
-// fill sends attempts until no replica has room and counts them by runner.
+// fill sends attempts until no replica has capacity and counts them by runner.
 func fill(balancer *Balancer, limit int) map[structs.RunnerID]int {
 	counts := map[structs.RunnerID]int{}
 	for range limit {
--- a/request/routing/failing_test.go
+++ b/request/routing/failing_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A runner marked as failing gets requests only if no other runner has room.
+// A runner marked as failing gets requests only if no other runner has capacity.
 func TestFailingRunnerIsPickedLast(t *testing.T) {
 	options := Options{MaxBatch: 4, QueueSlack: 1, UseFailing: true}
 	t.Run("picked when the others are full", func(t *testing.T) {
--- a/request/routing/load_choice_test.go
+++ b/request/routing/load_choice_test.go
@@ -205,7 +205,7 @@
 	c.Assert(second.Cooldown(start), qt.Equals, time.Duration(0))
 }
 
-func TestBarredRunnerIsNeverPicked(t *testing.T) {
+func TestExcludedRunnerIsNeverPicked(t *testing.T) {
 	c := qt.New(t)
 	balancer := newBalancer(1, Options{UseFailing: true})
 	_, found := balancer.PickFor(start, "row", &Work{Avoid: "runner-0"})
--- a/request/routing/load_test.go
+++ b/request/routing/load_test.go
@@ -277,7 +277,7 @@
 	return loadModels - 1
 }
 
-// send lets the policy choose a runner and retries later if none has room.
+// send lets the policy choose a runner and retries later if none has capacity.
 func (l *load) send(now float64, s *stream) {
 	s.runner = l.policy.choose(now, s)
 	if s.runner < 0 {
--- a/request/routing/runner.go
+++ b/request/routing/runner.go
@@ -86,10 +86,10 @@
 	return r.inFlight
 }
 
-// hasRoom reports whether the runner may get one more attempt. A router without any
+// hasCapacity reports whether the runner may get one more attempt. A router without any
 // attempt on a full runner may send one, so that other routers cannot starve it; the
 // engine queues the excess.
-func (r *runner) hasRoom(now time.Time, options *Options) bool {
+func (r *runner) hasCapacity(now time.Time, options *Options) bool {
 	limit := r.maxBatch + options.QueueSlack
 	load := r.load(now, options.ReportTTL)
 	if load < limit {
--- a/request/routing/work.go
+++ b/request/routing/work.go
@@ -15,7 +15,7 @@
 	Lengths []int64
 	// Prompt is the number of tokens of the prompt; 0 if unknown.
 	Prompt int64
-	// Avoid is a runner that is chosen only if no other one has room. Excluded is never
+	// Avoid is a runner that is chosen only if no other one has capacity. Excluded is never
 	// chosen.
 	Avoid    structs.RunnerID
 	Excluded structs.RunnerID
