--- a/placement/fleet/failing.go
+++ b/placement/fleet/failing.go
@@ -11,7 +11,7 @@
 	// requests.
 	minFailures  = 4
 	minReporters = 3
-	// failureRatio is the least share of failed attempts for an ejection. A runner that loses one
+	// failureRatio is the minimum share of failed attempts for an ejection. A runner that loses one
 	// answer in ten still serves most callers; at two in five, a slightly more loaded runner serves
 	// them better.
 	failureRatio = 0.4
@@ -34,7 +34,7 @@
 }
 
 // OutlierDetector detects runners that fail many requests although their heartbeats arrive. It combines the
-// reports of all routers, since each router sees only a few attempts. Create one with NewFailing
+// reports of all routers, since each router sees only a few attempts. Create one with NewOutlierDetector
 // when leadership begins. Its methods are not safe for concurrent use.
 type OutlierDetector struct{ runners map[string]*attemptStats }
 
@@ -48,7 +48,7 @@
 	ejection     time.Duration
 }
 
-// NewOutlierDetector returns a Failing without any reports.
+// NewOutlierDetector returns an OutlierDetector without any reports.
 func NewOutlierDetector() *OutlierDetector {
 	return &OutlierDetector{runners: make(map[string]*attemptStats)}
 }
--- a/placement/fleet/registry.go
+++ b/placement/fleet/registry.go
@@ -140,9 +140,9 @@
 	owner := known
 	_, latest := SplitIncarnation(known.heartbeat.Instance)
 	for _, other := range r.addresses[known.heartbeat.Address] {
-		_, born := SplitIncarnation(other.heartbeat.Instance)
-		if latest > 0 && born > latest && !other.hasEnded() {
-			owner, latest = other, born
+		_, startTime := SplitIncarnation(other.heartbeat.Instance)
+		if latest > 0 && startTime > latest && !other.hasEnded() {
+			owner, latest = other, startTime
 		}
 	}
 	for _, other := range r.addresses[known.heartbeat.Address] {
@@ -225,7 +225,7 @@
 	EndsAt time.Time
 	// Recalled runners have not sent a heartbeat since leadership began.
 	Recalled bool
-	// Lost runners could not be reached by several routers since their last heartbeat. Complaints
+	// Lost runners have been unreachable for several routers since their last heartbeat. UnreachableReports
 	// is the number of these routers, Silent the time since the heartbeat.
 	Lost               bool
 	UnreachableReports int
--- a/placement/quota/divider.go
+++ b/placement/quota/divider.go
@@ -172,9 +172,9 @@
 
 // ApplyReturns credits the returns in a router's query. Queries are numbered, and a repeated one is not
 // credited again.
-func (d *Divider) ApplyReturns(at time.Time, asker RouterProcess, query uint64, wants []Want) {
+func (d *Divider) ApplyReturns(at time.Time, process RouterProcess, query uint64, wants []Want) {
 	isReturn := func(want Want) bool { return len(want.Returned) > 0 }
-	if !slices.ContainsFunc(wants, isReturn) || !d.isNewQuery(asker, query) {
+	if !slices.ContainsFunc(wants, isReturn) || !d.isNewQuery(process, query) {
 		return
 	}
 	for _, want := range wants {
@@ -266,7 +266,7 @@
 		known.expire(at)
 		known.sweep(at)
 		usages = append(usages, Usage{Tenant: name, Used: known.used, Most: known.maxGranted, Lent: known.leasedSum, Drawn: known.drawn,
-			Asked: known.counts.asked, Refused: known.counts.refused, Promised: known.counts.booked})
+			Asked: known.counts.asked, Refused: known.counts.rejected, Promised: known.counts.booked})
 		known.drawn, known.counts = 0, counts{}
 	}
 	slices.SortFunc(usages, func(a, b Usage) int { return strings.Compare(a.Tenant, b.Tenant) })
--- a/placement/residency/placement.go
+++ b/placement/residency/placement.go
@@ -14,7 +14,7 @@
 const (
 	ObstacleNone Obstacle = iota
 	// ObstacleBusy: every runner executes an order, reserves its memory for another model, is
-	// backing off, or has not reported its number of orders or its copies yet.
+	// cooling down, or has not reported its number of orders or its copies yet.
 	ObstacleBusy
 	// ObstacleStore: the weight store has no slot for a further load.
 	ObstacleStore
@@ -72,8 +72,8 @@
 	r.reserved = ""
 	order := p.send(now, r, Load, model, "")
 	p.beginLoad(now, r, wanted.row, fromStore)
-	if wanted.isPreload {
-		p.preloadedAt[wanted.row] = now
+	if wanted.isPrewarm {
+		p.prewarmedAt[wanted.row] = now
 	}
 	return order, true
 }
@@ -125,9 +125,9 @@
 	if r.holdings[row.Model] != nil || !r.isIn(wanted.zones) {
 		return placement{}
 	}
-	if r.status.Recalled || r.isBackingOff(now) {
+	if r.status.Recalled || r.isCoolingDown(now) {
 		// The copies of a recalled runner are unknown until its first heartbeat, and a runner that
-		// is backing off takes no requests.
+		// is cooling down takes no requests.
 		return placement{obstacle: ObstacleBusy}
 	}
 	isReserved := r.reserved != "" && now.Before(r.reservedUntil)
@@ -142,7 +142,7 @@
 		return placement{obstacle: ObstacleRoom}
 	}
 	cost += p.blockedCopyCost(r, model)
-	if wanted.isPreload {
+	if wanted.isPrewarm {
 		cost += p.soleCopies(r) * soleCopyCost
 	}
 	if !wanted.isWaitedFor && cost >= wanted.gain {
--- a/placement/weightstore/limiter.go
+++ b/placement/weightstore/limiter.go
@@ -20,7 +20,7 @@
 }
 
 const (
-	// initialConcurrency is the initial concurrency limit, unless set by Expect.
+	// initialConcurrency is the initial concurrency limit, unless set by SetInitialLimit.
 	initialConcurrency = 4
 	// rampUpFactor multiplies the proven concurrency to get the next limit, until the
 	// store is first found saturated. Excess loads take longer, but the total throughput
@@ -119,7 +119,7 @@
 }
 
 // Learned returns the learned limit, and whether the store was ever found saturated, for
-// use with Recall. It returns 0 and false if nothing has been learned.
+// use with RestoreLearned. It returns 0 and false if nothing has been learned.
 func (l *Limiter) Learned() (limit int, isSaturated bool) {
 	if !l.isLearned {
 		return 0, false
@@ -180,10 +180,10 @@
 
 // Update sets the loads in progress. For loads that are no longer in progress, isReady
 // reports whether the model was loaded; the others were aborted.
-func (l *Limiter) Update(now time.Time, underWay []Load, isReady func(Key) bool) {
+func (l *Limiter) Update(now time.Time, inProgress []Load, isReady func(Key) bool) {
 	l.integrate(now)
-	current := make(map[Key]bool, len(underWay))
-	for _, load := range underWay {
+	current := make(map[Key]bool, len(inProgress))
+	for _, load := range inProgress {
 		current[load.Key] = true
 		if _, isKnown := l.loads[load.Key]; !isKnown {
 			l.track(now, load)
--- a/request/relay/watchdog.go
+++ b/request/relay/watchdog.go
@@ -76,7 +76,7 @@
 	w.timer.Reset(max(time.Millisecond, limit-silent))
 }
 
-// cancelZoneLost cancels a repeatable attempt because its zone is out of reach.
+// cancelZoneLost cancels a repeatable attempt because its zone is unreachable.
 func (w *watchdog) cancelZoneLost() {
 	if w.timer != nil {
 		w.cancel(errZoneLost)
@@ -85,7 +85,7 @@
 
 // noteActivity records that the runner sent data for the attempt.
 func (w *watchdog) noteActivity() {
-	w.exchange.router.heardFrom(w.runner)
+	w.exchange.router.observeData(w.runner)
 	w.resetSilence()
 }
 
--- a/request/router/options.go
+++ b/request/router/options.go
@@ -17,7 +17,7 @@
 	Daemon structs.DaemonID
 	// Address is where other daemons reach this one; claims record it.
 	Address string
-	// Session distinguishes runs of this daemon in its claims.
+	// Session identifies this incarnation of the daemon in its claims.
 	Session structs.SessionID
 	// Zones lists all zones of the site; keys are distributed over them.
 	Zones []structs.ZoneID
@@ -55,7 +55,7 @@
 	StallCeiling time.Duration
 	// StatusLimit limits the status requests for one attempt.
 	StatusLimit int
-	// AnswerLimit limits the answer of a request with a key, in bytes. AnswerLife is how
+	// AnswerLimit limits the answer of a request with a key, in bytes. AnswerTTL is how
 	// long the key stays claimed, and the longest time that the answer can be replayed.
 	AnswerLimit int
 	AnswerTTL   time.Duration
@@ -77,7 +77,7 @@
 	DefaultAnswerTTL    = 24 * time.Hour
 )
 
-// MinRetryAfter is the shortest RetryAfter of a refusal.
+// MinRetryAfter is the shortest RetryAfter of a rejection.
 const MinRetryAfter = 100 * time.Millisecond
 
 // pollInterval is the interval between Ticks while requests are waiting.
