--- a/kit/experiment/workload/arrival.go
+++ b/kit/experiment/workload/arrival.go
@@ -8,45 +8,44 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Class names a kind of call.
+// Class identifies a kind of call.
 type Class string
 
 // The classes of the generated workloads.
 const (
-	// ClassEditor is a call of a developer who waits in an editor.
+	// ClassEditor is an interactive call from a developer's editor.
 	ClassEditor Class = "editor"
-	// ClassSearch is a search that a developer waits for.
+	// ClassSearch is an interactive search by a developer.
 	ClassSearch Class = "search"
-	// ClassReview is a call of an overnight review batch.
+	// ClassReview is a call in a nightly code review batch.
 	ClassReview Class = "review"
-	// ClassGate is a weighbridge clerk's query while lorries wait.
+	// ClassGate is an interactive query from a weighbridge.
 	ClassGate Class = "gate"
-	// ClassCertificate is the draft of a certificate of origin.
+	// ClassCertificate drafts a certificate of origin.
 	ClassCertificate Class = "certificate"
-	// ClassPicking is the summary of a picking record.
+	// ClassPicking summarizes a harvest picking record.
 	ClassPicking Class = "picking"
 )
 
-// Arrival is one call.
+// Arrival is a single call in a workload.
 type Arrival struct {
-	// At is when the call reaches a router.
+	// At is the arrival time at the router, measured from the start of the workload.
 	At time.Duration
-	// Zone and Router name that router; routers of a zone are numbered from 0.
-	Zone   structs.ZoneID
-	Router int
-	Row    structs.RowName
-	Class  Class
-	// Priority is that of the request.
+	// Zone and Router identify the router; Router is its zero-based index in the zone.
+	Zone     structs.ZoneID
+	Router   int
+	Row      structs.RowName
+	Class    Class
 	Priority structs.Priority
-	// PromptTokens and OutputTokens are the sizes of prompt and answer.
+	// PromptTokens and OutputTokens are the prompt and output lengths in tokens.
 	PromptTokens int
 	OutputTokens int
-	// Deadline is how long after At the whole answer is of use.
+	// Deadline is the time allowed, from At, for the complete response.
 	Deadline time.Duration
 }
 
-// Sort puts arrivals into the order of time; equal times are ordered by zone,
-// router and row, so that equal workloads stay equal.
+// Sort sorts arrivals in place by time, then by zone, router and row, so that
+// the order is deterministic.
 func Sort(arrivals []Arrival) {
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int {
 		return cmp.Or(
@@ -56,15 +55,14 @@
 	})
 }
 
-// Shape is what a generator needs to know of a site.
+// Shape describes the zones, routers and rows of a site.
 type Shape struct {
-	Zones []structs.ZoneID
-	// RoutersPerZone is how many routers each zone has.
+	Zones          []structs.ZoneID
 	RoutersPerZone int
 	Rows           []structs.Row
 }
 
-// rowsOf returns the names of the rows of the role.
+// rowsOf returns the names of the rows with the given role.
 func (s Shape) rowsOf(role structs.RunnerRole) []structs.RowName {
 	var names []structs.RowName
 	for _, row := range s.Rows {
--- a/kit/experiment/workload/doc.go
+++ b/kit/experiment/workload/doc.go
@@ -1,7 +1,7 @@
-// Package workload generates the calls of a site over days, from a seed, and
-// reads and writes them as recorded traces.
+// Package workload generates synthetic, seeded request workloads and reads and
+// writes request traces.
 //
-// A generated workload is open loop: the calls do not depend on how they are
-// served. All times are since the start of the workload, which is a Monday at
-// midnight of the site's own time.
+// Generated workloads are open loop: arrival times do not depend on service
+// times. All times are relative to the start of the workload, which is midnight
+// on a Monday in the site's local time.
 package workload
--- a/kit/experiment/workload/generate.go
+++ b/kit/experiment/workload/generate.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// callSize says how large the calls of a class are and how long they may take.
+// callSize holds the priority, median token counts and deadline of a call class.
 type callSize struct {
 	priority structs.Priority
 	prompt   int
@@ -24,20 +24,20 @@
 	ClassPicking:     {structs.PriorityStandard, 1500, 200, 15 * time.Minute},
 }
 
-// generator gathers the arrivals of one workload.
+// generator accumulates the arrivals of a workload.
 type generator struct {
 	shape    Shape
 	random   *rand.Rand
 	arrivals []Arrival
 }
 
-// add adds a call at any router of the zone.
+// add appends a call at a random router of the zone.
 func (g *generator) add(at time.Duration, zone structs.ZoneID, row structs.RowName, class Class) {
 	size := callSizes[class]
 	g.arrivals = append(g.arrivals, Arrival{
 		At: at, Zone: zone, Router: g.random.IntN(g.shape.RoutersPerZone), Row: row, Class: class,
-		Priority: size.priority, PromptTokens: tokens(g.random, size.prompt),
-		OutputTokens: tokens(g.random, size.output), Deadline: size.deadline,
+		Priority: size.priority, PromptTokens: sampleTokens(g.random, size.prompt),
+		OutputTokens: sampleTokens(g.random, size.output), Deadline: size.deadline,
 	})
 }
 
@@ -45,7 +45,7 @@
 	return g.shape.Zones[g.random.IntN(len(g.shape.Zones))]
 }
 
-// finish orders the arrivals and drops those after the last day.
+// finish returns the arrivals within the given number of days, sorted.
 func (g *generator) finish(days int) []Arrival {
 	kept := g.arrivals[:0]
 	for _, arrival := range g.arrivals {
@@ -57,7 +57,8 @@
 	return kept
 }
 
-// burst adds calls for one row at the routers of all zones within the spread.
+// burst adds count calls for one row, at random routers of all zones and at
+// times uniform in [at, at+spread).
 func (g *generator) burst(at time.Duration, count int, spread time.Duration, row structs.RowName, class Class) {
 	for range count {
 		offset := time.Duration(g.random.Float64() * float64(spread))
@@ -65,11 +66,11 @@
 	}
 }
 
-// Generate returns the workload of the named site, "padano" or "meknes", over
-// the days. Equal arguments give equal workloads. Another name is refused with
-// structs.ErrorInvalid.
+// Generate returns the workload of the named site, "padano" or "meknes", for
+// the given number of days. The result is deterministic for equal arguments.
+// Any other site gives an error of kind structs.ErrorInvalid.
 func Generate(site string, shape Shape, days int, seed uint64) ([]Arrival, error) {
-	g := &generator{shape: shape, random: randomOf(seed)}
+	g := &generator{shape: shape, random: newRand(seed)}
 	switch site {
 	case "padano":
 		g.padano(days)
@@ -82,7 +83,7 @@
 	return g.finish(days), nil
 }
 
-func randomOf(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, workloadStream)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, workloadStream)) }
 
-// workloadStream keeps the workload's randomness apart from that of faults.
+// workloadStream is the PCG stream of the workload, distinct from that of fault injection.
 const workloadStream = 11
--- a/kit/experiment/workload/random.go
+++ b/kit/experiment/workload/random.go
@@ -14,13 +14,13 @@
 	day         = 24 * time.Hour
 	daysPerWeek = 7
 
-	// The days off, as weekday counts them.
+	// Weekend days, as returned by weekday.
 	saturday = 5
 	sunday   = 6
 )
 
-// popularity draws rows with a long tail: the n-th most popular row has a share
-// proportional to n^-exponent. Which row is popular is decided by the seed.
+// popularity samples rows from a Zipf distribution: the n-th most popular row has
+// probability proportional to n^-exponent. The ranking is a random permutation.
 type popularity struct {
 	rows       []structs.RowName
 	cumulative []float64
@@ -37,17 +37,17 @@
 	return p
 }
 
-func (p popularity) draw(random *rand.Rand) structs.RowName {
+func (p popularity) sample(random *rand.Rand) structs.RowName {
 	point := random.Float64() * p.cumulative[len(p.cumulative)-1]
 	return p.rows[min(sort.SearchFloat64s(p.cumulative, point), len(p.rows)-1)]
 }
 
-// hourly holds the relative intensity of each hour of a day.
-type hourly [24]float64
+// hourlyWeights holds the relative arrival rate for each hour of the day.
+type hourlyWeights [24]float64
 
-// drawDay returns the times within one day of a Poisson number of events with
-// the mean, spread by the hourly intensity, in order.
-func (h hourly) drawDay(random *rand.Rand, mean float64) []time.Duration {
+// sampleDay returns the sorted event times of one day, sampled from a Poisson
+// process with the given mean count and hourly rates.
+func (h hourlyWeights) sampleDay(random *rand.Rand, mean float64) []time.Duration {
 	total := 0.0
 	for _, weight := range h {
 		total += weight
@@ -63,7 +63,7 @@
 	return times
 }
 
-// poisson draws the number of events with the mean, by counting exponential gaps.
+// poisson samples a Poisson count with the given mean by summing exponential gaps.
 func poisson(random *rand.Rand, mean float64) int {
 	count := 0
 	for sum := random.ExpFloat64(); sum < mean; sum += random.ExpFloat64() {
@@ -72,24 +72,24 @@
 	return count
 }
 
-// logNormal draws a positive value with the median and the spread, which is the
-// standard deviation of the logarithm.
+// logNormal samples a log-normal value. The spread is the standard deviation of
+// the logarithm.
 func logNormal(random *rand.Rand, median, spread float64) float64 {
 	return median * math.Exp(random.NormFloat64()*spread)
 }
 
-func logNormalTime(random *rand.Rand, median time.Duration, spread float64) time.Duration {
+func logNormalDuration(random *rand.Rand, median time.Duration, spread float64) time.Duration {
 	return time.Duration(logNormal(random, float64(median), spread))
 }
 
-// tokens draws a number of tokens, at least one and at most eight times the median.
-func tokens(random *rand.Rand, median int) int {
+// sampleTokens samples a token count between one and eight times the median.
+func sampleTokens(random *rand.Rand, median int) int {
 	const spread, longest = 0.6, 8
 	drawn := int(logNormal(random, float64(median), spread))
 	return min(max(drawn, 1), longest*median)
 }
 
-// geometric draws a count of at least one with the mean.
+// geometric samples a geometric count of at least one with the given mean.
 func geometric(random *rand.Rand, mean float64) int {
 	count := 1
 	for random.Float64() < 1-1/mean {
@@ -98,5 +98,6 @@
 	return count
 }
 
-// weekday returns 0 for Monday to 6 for Sunday.
+// weekday returns the day of the week of a day number, from 0 for Monday to 6 for
+// Sunday.
 func weekday(number int) int { return number % daysPerWeek }
--- a/kit/experiment/workload/trace.go
+++ b/kit/experiment/workload/trace.go
@@ -14,15 +14,15 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// traceHeader names the columns of a recorded trace. Times are in seconds.
+// traceHeader lists the CSV columns of a trace.
 var traceHeader = []string{
 	"at_seconds", "zone", "router", "row", "class", "priority", "prompt_tokens", "output_tokens", "deadline_seconds",
 }
 
-// maxTraceSeconds bounds the times of a trace to a year.
+// maxTraceSeconds is the largest time accepted in a trace, one leap year.
 const maxTraceSeconds = 366 * 24 * 3600
 
-// WriteTrace writes arrivals as CSV with a header line.
+// WriteTrace writes arrivals to w as CSV with a header line. Times are in seconds.
 func WriteTrace(w io.Writer, arrivals []Arrival) error {
 	writer := csv.NewWriter(w)
 	if err := writer.Write(traceHeader); err != nil {
@@ -45,15 +45,15 @@
 	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
 }
 
-// ReadTrace reads what WriteTrace wrote, for a site of the shape, and orders it.
-// A record that is malformed or names a zone, router or row that the site lacks
-// is refused with structs.ErrorInvalid and its line.
+// ReadTrace reads a trace in the format of WriteTrace and returns its arrivals
+// sorted. A record that is malformed or names a zone, router or row that is not in
+// shape gives an error of kind structs.ErrorInvalid with the line number.
 func ReadTrace(r io.Reader, shape Shape) ([]Arrival, error) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = len(traceHeader)
 	header, err := reader.Read()
 	if err != nil || !slices.Equal(header, traceHeader) {
-		return nil, badTrace(1, "the header is not as expected")
+		return nil, newTraceError(1, "the header is not as expected")
 	}
 	parser := newTraceParser(shape)
 	var arrivals []Arrival
@@ -64,11 +64,11 @@
 		}
 		line, _ := reader.FieldPos(0)
 		if err != nil {
-			return nil, badTrace(line, err.Error())
+			return nil, newTraceError(line, err.Error())
 		}
 		arrival, problem := parser.parse(record)
 		if problem != "" {
-			return nil, badTrace(line, problem)
+			return nil, newTraceError(line, problem)
 		}
 		arrivals = append(arrivals, arrival)
 	}
@@ -76,7 +76,7 @@
 	return arrivals, nil
 }
 
-func badTrace(line int, problem string) error {
+func newTraceError(line int, problem string) error {
 	return structs.NewError(structs.ErrorInvalid, fmt.Sprintf("line %d of the trace: %s", line, problem),
 		"Correct the line, or record the trace again.")
 }
@@ -94,7 +94,8 @@
 	return p
 }
 
-// parse returns the arrival of a record, or what is wrong with it.
+// parse returns the arrival in a record, or a description of the problem if the
+// record is invalid.
 func (p traceParser) parse(record []string) (Arrival, string) {
 	a := Arrival{Zone: structs.ZoneID(record[1]), Row: structs.RowName(record[3]), Class: Class(record[4])}
 	var ok [6]bool
@@ -128,7 +129,7 @@
 	return time.Duration(math.Round(value * float64(time.Second))), true
 }
 
-func parseCount(text string, most int) (int, bool) {
+func parseCount(text string, maxCount int) (int, bool) {
 	value, err := strconv.Atoi(text)
-	return value, err == nil && value >= 0 && value <= most
+	return value, err == nil && value >= 0 && value <= maxCount
 }
--- a/kit/experiment/workload/workload_test.go
+++ b/kit/experiment/workload/workload_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// testShape has three zones and forty rows of each role.
+// testShape returns a shape with three zones and forty rows of each role.
 func testShape() Shape {
 	shape := Shape{Zones: []structs.ZoneID{"a", "b", "c"}, RoutersPerZone: 3}
 	for _, role := range []structs.RunnerRole{"answers", "search", "summaries", "records"} {
@@ -29,7 +29,7 @@
 	return arrivals
 }
 
-func TestTheSeedDecidesTheWorkload(t *testing.T) {
+func TestGenerateIsDeterministicPerSeed(t *testing.T) {
 	for _, site := range []string{"padano", "meknes"} {
 		first := generate(t, site, 1, 7)
 		qt.Assert(t, generate(t, site, 1, 7), qt.DeepEquals, first)
@@ -37,7 +37,8 @@
 	}
 }
 
-// countOf counts the arrivals of the class between two hours of a day.
+// countOf returns the number of arrivals of the class in the hours [from, to) of
+// a day.
 func countOf(arrivals []Arrival, class Class, day, from, to int) int {
 	count := 0
 	for _, a := range arrivals {
@@ -49,7 +50,7 @@
 	return count
 }
 
-func TestSitesHaveTheirHours(t *testing.T) {
+func TestGenerateFollowsDailyAndWeeklyPattern(t *testing.T) {
 	padano := generate(t, "padano", 7, 1)
 	qt.Check(t, countOf(padano, ClassEditor, 0, 9, 18) > 20*countOf(padano, ClassEditor, 0, 0, 6), qt.IsTrue)
 	qt.Check(t, countOf(padano, ClassEditor, 1, 0, 24) > 4*countOf(padano, ClassEditor, 6, 0, 24), qt.IsTrue)
@@ -60,7 +61,7 @@
 	qt.Check(t, countOf(meknes, ClassPicking, 2, 16, 21) > countOf(meknes, ClassPicking, 2, 6, 11), qt.IsTrue)
 }
 
-func TestPopularityHasALongTail(t *testing.T) {
+func TestRowPopularityIsLongTailed(t *testing.T) {
 	calls := map[structs.RowName]int{}
 	for _, a := range generate(t, "padano", 7, 1) {
 		if a.Class == ClassEditor {
@@ -82,7 +83,7 @@
 }
 
 func TestBurstsReachRoutersOfAllZones(t *testing.T) {
-	g := &generator{shape: testShape(), random: randomOf(3)}
+	g := &generator{shape: testShape(), random: newRand(3)}
 	g.burst(time.Hour, 60, 4*time.Second, "answers-A", ClassEditor)
 	routers := map[structs.ZoneID]map[int]bool{"a": {}, "b": {}, "c": {}}
 	for _, a := range g.finish(1) {
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestTraceIsReadAsItWasWritten(t *testing.T) {
+func TestTraceRoundTrip(t *testing.T) {
 	arrivals := generate(t, "meknes", 1, 1)
 	var file bytes.Buffer
 	qt.Assert(t, WriteTrace(&file, arrivals), qt.IsNil)
@@ -103,7 +104,7 @@
 	qt.Assert(t, read, qt.DeepEquals, arrivals)
 }
 
-func TestBadTracesAreRefusedWithTheirLine(t *testing.T) {
+func TestReadTraceReportsLineOfInvalidRecord(t *testing.T) {
 	header := strings.Join(traceHeader, ",") + "\n"
 	good := "1.5,a,0,answers-A,editor,2,10,20,12\n"
 	for _, test := range []struct{ name, text, want string }{
