--- a/kit/experiment/report/doc.go
+++ b/kit/experiment/report/doc.go
@@ -1,3 +1,3 @@
-// Package report sums up the runs of an experiment over its seeds, compares them
-// with the targets, and writes them as JSON and as one HTML page with plots.
+// Package report aggregates experiment runs over their seeds, checks the results
+// against targets, and writes them as JSON and as an HTML page with plots.
 package report
--- a/kit/experiment/report/page.go
+++ b/kit/experiment/report/page.go
@@ -10,7 +10,7 @@
 	shared "github.com/lotusferry/lotusferry/kit/report"
 )
 
-// pageGroup is a Group with its plots.
+// pageGroup is a Group with its plots as inline SVG.
 type pageGroup struct {
 	Group
 	Plots []template.HTML
@@ -31,10 +31,10 @@
 <style>body{font-family:sans-serif;margin:2em;max-width:80em}table{border-collapse:collapse}
 td,th{border:1px solid #999;padding:.3em .6em;text-align:right}td:first-child,th:first-child{text-align:left}
 .missed{color:#a00}code{background:#eee;padding:.2em}</style></head><body>
-<h1>Placing replicas: {{.Days}} days of virtual time</h1>
-<p>Repeat it with <code>{{.Command}}</code></p>
-<p>Figures are means over the seeds, with the least and the greatest. A <em>cold wait</em> is over all live calls:
-from arrival to first token when no replica was ready, 0 when one was. <em>Cold starts</em> are the cold calls alone.</p>
+<h1>Replica placement: {{.Days}} days of simulated time</h1>
+<p>Reproduce with <code>{{.Command}}</code></p>
+<p>Values are means over the seeds, with minimum and maximum. <em>Cold wait</em> covers all live calls: the time
+from arrival to first token if no replica was ready, otherwise 0. <em>Cold start</em> covers only the cold calls.</p>
 <p>Violations: {{len .Violations}}{{range .Violations}}<br><span class="missed">{{.Invariant}}: {{.Detail}}</span>{{end}}</p>
 {{range .PageGroups}}<h2>{{.Site}}, faults {{onOff .Faults}}</h2>
 <table><tr><th>policy</th><th>cold share</th><th>cold wait p50 (s)</th><th>p99</th><th>p99.9</th><th>cold start p50 (s)</th><th>p99</th><th>p99.9</th>
@@ -50,7 +50,7 @@
 {{end}}{{end}}</body></html>
 `))
 
-// WriteHTML writes the page.
+// WriteHTML writes the report to w as an HTML page.
 func (r Report) WriteHTML(w io.Writer) error {
 	view := struct {
 		Report
@@ -63,12 +63,12 @@
 		}
 		view.PageGroups = append(view.PageGroups, pageGroup{group, plots})
 	}
-	return errors.Wrap(page.Execute(w, view), "write the page")
+	return errors.Wrap(page.Execute(w, view), "write HTML report")
 }
 
 func (r Report) plots(group Group) ([]template.HTML, error) {
 	var plots []template.HTML
-	for _, measure := range tails {
+	for _, measure := range coldWaitMetrics {
 		plot, err := r.tradeOff(group, measure)
 		if err != nil {
 			return nil, err
@@ -86,8 +86,8 @@
 	return append(plots, wait, idle), nil
 }
 
-// WriteFolder writes report.json and report.html into the folder, which it makes
-// if need be.
+// WriteFolder writes report.json and report.html to the folder, creating it if
+// necessary.
 func (r Report) WriteFolder(folder string) error {
 	return shared.WriteFolder(folder, r, r.WriteHTML)
 }
--- a/kit/experiment/report/plot.go
+++ b/kit/experiment/report/plot.go
@@ -20,19 +20,20 @@
 	barWidth   = 1 * vg.Centimeter
 )
 
-// tail is a measure of cold starts.
-type tail struct {
-	title  string
-	figure func(experiment.Run) float64
+// metric is a per-run value with its axis label.
+type metric struct {
+	title string
+	value func(experiment.Run) float64
 }
 
-var tails = []tail{
+var coldWaitMetrics = []metric{
 	{"mean cold wait over live calls (s)", func(r experiment.Run) float64 { return r.ColdWait.Mean }},
 	{"p99 cold wait over live calls (s)", func(r experiment.Run) float64 { return r.ColdWait.P99 }},
 }
 
-// tradeOff plots each run's idle hours against its cold starts.
-func (r Report) tradeOff(group Group, measure tail) (template.HTML, error) {
+// tradeOff returns a scatter plot of the metric against idle accelerator hours,
+// with one point per run.
+func (r Report) tradeOff(group Group, measure metric) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = "Trade-off, each seed"
 	p.X.Label.Text = "idle accelerator hours"
@@ -42,7 +43,7 @@
 		var points plotter.XYs
 		for _, run := range r.Runs {
 			if run.Site == group.Site && run.Faults == group.Faults && run.Policy == summary.Policy {
-				points = append(points, plotter.XY{X: run.IdleHours, Y: measure.figure(run)})
+				points = append(points, plotter.XY{X: run.IdleHours, Y: measure.value(run)})
 			}
 		}
 		scatter, err := plotter.NewScatter(points)
@@ -57,7 +58,7 @@
 	return shared.SVG(p, plotWidth, plotHeight)
 }
 
-// bars plots one figure of each policy.
+// bars returns a bar chart of one value per policy.
 func bars(group Group, title, unit string, figure func(Summary) float64) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
--- a/kit/experiment/report/report_test.go
+++ b/kit/experiment/report/report_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusferry/lotusferry/kit/experiment"
 )
 
-func runOf(site string, policy experiment.Policy, seed uint64, p99, idle float64) experiment.Run {
+func newRun(site string, policy experiment.Policy, seed uint64, p99, idle float64) experiment.Run {
 	return experiment.Run{
 		Site: site, Policy: policy, Seed: seed, IdleHours: idle, GateInTime: 1,
 		ColdWait: experiment.Quantiles{P99: p99}, ColdStart: experiment.Quantiles{P99: p99},
@@ -20,9 +20,9 @@
 
 func TestTargetsCompareMeansOverSeeds(t *testing.T) {
 	runs := []experiment.Run{
-		runOf("padano", experiment.PolicyLotusferry, 1, 1, 100), runOf("padano", experiment.PolicyLotusferry, 2, 3, 100),
-		runOf("padano", experiment.PolicyLRU, 1, 4, 90), runOf("padano", experiment.PolicyLRU, 2, 4, 90),
-		runOf("padano", experiment.PolicyOracle, 1, 0, 10),
+		newRun("padano", experiment.PolicyLotusferry, 1, 1, 100), newRun("padano", experiment.PolicyLotusferry, 2, 3, 100),
+		newRun("padano", experiment.PolicyLRU, 1, 4, 90), newRun("padano", experiment.PolicyLRU, 2, 4, 90),
+		newRun("padano", experiment.PolicyOracle, 1, 0, 10),
 	}
 	got := New("command", 1, runs).Groups[0]
 	qt.Assert(t, got.Policies, qt.HasLen, 3)
@@ -35,18 +35,18 @@
 	qt.Assert(t, met, qt.DeepEquals, []bool{true, true, false, false, false})
 }
 
-func TestGateTargetTakesTheWorstSeed(t *testing.T) {
-	late := runOf("meknes", experiment.PolicyLotusferry, 2, 1, 10)
+func TestGateTargetUsesWorstSeed(t *testing.T) {
+	late := newRun("meknes", experiment.PolicyLotusferry, 2, 1, 10)
 	late.GateInTime = 0.998
-	runs := []experiment.Run{runOf("meknes", experiment.PolicyLotusferry, 1, 1, 10), late, runOf("meknes", experiment.PolicyKeepAlive, 1, 1, 30)}
+	runs := []experiment.Run{newRun("meknes", experiment.PolicyLotusferry, 1, 1, 10), late, newRun("meknes", experiment.PolicyKeepAlive, 1, 1, 30)}
 	targets := New("command", 1, runs).Groups[0].Targets
 	qt.Assert(t, targets, qt.HasLen, 2)
 	qt.Assert(t, targets[0].Met, qt.IsTrue)
 	qt.Assert(t, targets[1].Met, qt.IsFalse)
 }
 
-func TestThePageHasCommandPlotsAndViolations(t *testing.T) {
-	run := runOf("padano", experiment.PolicyLRU, 1, 4, 90)
+func TestWriteHTMLIncludesCommandPlotsAndViolations(t *testing.T) {
+	run := newRun("padano", experiment.PolicyLRU, 1, 4, 90)
 	run.Violations = []experiment.Violation{{Invariant: "store", Detail: "9 reads"}}
 	result := New("lotusferrylab experiment --days 1", 1, []experiment.Run{run})
 	var page bytes.Buffer
@@ -59,7 +59,7 @@
 
 func TestWriteFolderWritesBothFiles(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "new")
-	result := New("command", 1, []experiment.Run{runOf("padano", experiment.PolicyLRU, 1, 4, 90)})
+	result := New("command", 1, []experiment.Run{newRun("padano", experiment.PolicyLRU, 1, 4, 90)})
 	qt.Assert(t, result.WriteFolder(folder), qt.IsNil)
 	for _, name := range []string{"report.json", "report.html"} {
 		data, err := os.ReadFile(filepath.Join(folder, name))
--- a/kit/experiment/report/summary.go
+++ b/kit/experiment/report/summary.go
@@ -6,14 +6,14 @@
 	"github.com/lotusferry/lotusferry/kit/experiment"
 )
 
-// Spread is a figure over the seeds of a group.
+// Spread holds the mean, minimum and maximum of a value over seeds.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	Min  float64 `json:"min"`
 	Max  float64 `json:"max"`
 }
 
-// Summary is of one policy over all seeds of a group.
+// Summary aggregates the runs of one policy over all seeds of a group.
 type Summary struct {
 	Policy        experiment.Policy `json:"policy"`
 	Runs          int               `json:"runs"`
@@ -31,18 +31,18 @@
 	Violations    int               `json:"violations"`
 }
 
-// Group is the runs of one site with faults on or off.
+// Group holds the results for one site, with fault injection on or off.
 type Group struct {
 	Site     string    `json:"site"`
 	Faults   bool      `json:"faults"`
 	Policies []Summary `json:"policies"`
-	// Targets are checked where the policies that they compare were run.
+	// Targets holds only targets whose policies were run.
 	Targets []Target `json:"targets"`
 }
 
-// Report is what is written.
+// Report holds the aggregated results of an experiment.
 type Report struct {
-	// Command repeats the experiment.
+	// Command is the command line that reproduces the experiment.
 	Command    string                 `json:"command"`
 	Days       int                    `json:"days"`
 	Groups     []Group                `json:"groups"`
@@ -50,7 +50,8 @@
 	Violations []experiment.Violation `json:"violations"`
 }
 
-// New sums up the runs.
+// New returns a report that groups the runs by site and fault setting and
+// aggregates them by policy.
 func New(command string, days int, runs []experiment.Run) Report {
 	r := Report{Command: command, Days: days, Runs: runs, Violations: []experiment.Violation{}}
 	for _, run := range runs {
@@ -72,18 +73,19 @@
 	return r
 }
 
-// summarize sums up the runs that differ from the model only in the seed.
-func summarize(runs []experiment.Run, model experiment.Run) Summary {
-	var same []experiment.Run
-	s := Summary{Policy: model.Policy}
+// summarize aggregates the runs that have the site, fault setting and policy of
+// the reference run.
+func summarize(runs []experiment.Run, reference experiment.Run) Summary {
+	var matching []experiment.Run
+	s := Summary{Policy: reference.Policy}
 	for _, run := range runs {
-		if run.Site == model.Site && run.Faults == model.Faults && run.Policy == model.Policy {
-			same = append(same, run)
+		if run.Site == reference.Site && run.Faults == reference.Faults && run.Policy == reference.Policy {
+			matching = append(matching, run)
 			s.Violations += len(run.Violations)
 		}
 	}
-	s.Runs = len(same)
-	spread := func(figure func(experiment.Run) float64) Spread { return spreadOf(same, figure) }
+	s.Runs = len(matching)
+	spread := func(figure func(experiment.Run) float64) Spread { return newSpread(matching, figure) }
 	s.ColdShare = spread(func(r experiment.Run) float64 { return r.ColdShare })
 	s.ColdWaitP50 = spread(func(r experiment.Run) float64 { return r.ColdWait.P50 })
 	s.ColdWaitP99 = spread(func(r experiment.Run) float64 { return r.ColdWait.P99 })
@@ -98,7 +100,7 @@
 	return s
 }
 
-func spreadOf(runs []experiment.Run, figure func(experiment.Run) float64) Spread {
+func newSpread(runs []experiment.Run, figure func(experiment.Run) float64) Spread {
 	s := Spread{Min: figure(runs[0]), Max: figure(runs[0])}
 	for _, run := range runs {
 		value := figure(run)
--- a/kit/experiment/report/target.go
+++ b/kit/experiment/report/target.go
@@ -6,17 +6,17 @@
 	"github.com/lotusferry/lotusferry/kit/experiment"
 )
 
-// Target compares a figure of lotusferry with a bound.
+// Target is the comparison of a result of the lotusferry policy with a bound.
 type Target struct {
 	Name     string  `json:"name"`
 	Measured float64 `json:"measured"`
 	Bound    float64 `json:"bound"`
 	Met      bool    `json:"met"`
-	// Detail gives the figures behind the comparison.
+	// Detail describes the compared values.
 	Detail string `json:"detail"`
 }
 
-// The bounds of the targets.
+// Bounds and units of the targets.
 const (
 	padanoColdBound  = 0.5
 	padanoIdleBound  = 1.0
@@ -28,14 +28,14 @@
 )
 
 func targets(group Group) []Target {
-	own, ok := group.find(experiment.PolicyLotusferry)
+	own, ok := group.summary(experiment.PolicyLotusferry)
 	if !ok {
 		return nil
 	}
 	var list []Target
 	compare := func(name string, policy experiment.Policy, bound float64, unit string, figure func(Summary) float64) {
-		if other, found := group.find(policy); found {
-			list = append(list, atMost(name, figure(own), figure(other), bound, unit))
+		if other, found := group.summary(policy); found {
+			list = append(list, newRatioTarget(name, figure(own), figure(other), bound, unit))
 		}
 	}
 	wait := func(s Summary) float64 { return s.ColdWaitP99.Mean }
@@ -59,8 +59,9 @@
 	return list
 }
 
-// atMost compares a ratio with its bound. When the other figure is 0, only 0 will do.
-func atMost(name string, own, other, bound float64, unit string) Target {
+// newRatioTarget returns a target that requires own/other to be at most bound.
+// If other is 0, own must be 0 too.
+func newRatioTarget(name string, own, other, bound float64, unit string) Target {
 	t := Target{Name: name, Bound: bound, Detail: fmt.Sprintf("%.2f %s of %.2f %s, at most", own, unit, other, unit)}
 	if other > 0 {
 		t.Measured = own / other
@@ -72,7 +73,7 @@
 	return t
 }
 
-func (g Group) find(policy experiment.Policy) (Summary, bool) {
+func (g Group) summary(policy experiment.Policy) (Summary, bool) {
 	for _, summary := range g.Policies {
 		if summary.Policy == policy {
 			return summary, true
