--- a/kit/simulate/claimdesk.go
+++ b/kit/simulate/claimservice.go
@@ -10,36 +10,36 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// claimDesk takes in the claim operations for a zone on its leader, in one life of
+// claimService handles claim operations on the leader of a zone, in one lifetime of
 // its process.
-type claimDesk struct {
+type claimService struct {
 	daemon  *daemon
 	renewed map[structs.RequestID]time.Time
-	// waiting holds the operations that are proposed, by their index in the log.
+	// waiting holds the proposed operations by log index.
 	waiting map[uint64]waitingClaim
 }
 
-// waitingClaim is an operation that was proposed in a term.
+// waitingClaim is an operation proposed in a term.
 type waitingClaim struct {
 	term   uint64
 	answer func(zone.Result)
 }
 
-// claimProposal carries a claim operation of a router. answer sends the result back.
+// claimProposal carries a router's claim operation; answer returns its result.
 type claimProposal struct {
 	operation zone.ClaimOperation
 	answer    func(zone.Result)
 }
 
-// claimRenewal carries the requests whose claims' holder lives.
+// claimRenewal lists the requests whose claim holder is alive.
 type claimRenewal struct{ requests []structs.RequestID }
 
-func newClaimDesk(d *daemon) *claimDesk {
-	return &claimDesk{daemon: d, renewed: map[structs.RequestID]time.Time{}, waiting: map[uint64]waitingClaim{}}
+func newClaimService(d *daemon) *claimService {
+	return &claimService{daemon: d, renewed: map[structs.RequestID]time.Time{}, waiting: map[uint64]waitingClaim{}}
 }
 
-// leads reports whether the desk's member leads its zone and trusts its lease.
-func (c *claimDesk) leads() bool {
+// leads reports whether the member leads its zone and its lease is valid.
+func (c *claimService) leads() bool {
 	m := c.daemon.zoneMember
 	if m.node == nil {
 		return false
@@ -48,7 +48,7 @@
 	return m.leads() && m.node.LeaseValid()
 }
 
-func (c *claimDesk) propose(proposal claimProposal) {
+func (c *claimService) propose(proposal claimProposal) {
 	if !c.leads() {
 		proposal.answer(zone.Result{Error: structs.NewError(structs.ErrorNotLeader, "this member does not lead", "Ask another one.")})
 		return
@@ -69,9 +69,9 @@
 	}
 }
 
-// renew takes in a renewal, if the member leads: one that a stale leader took would
-// be unknown to the real one.
-func (c *claimDesk) renew(requests []structs.RequestID) {
+// renew records a renewal if the member leads. The real leader would not know of a
+// renewal taken by a stale one.
+func (c *claimService) renew(requests []structs.RequestID) {
 	if !c.leads() {
 		return
 	}
@@ -80,17 +80,17 @@
 	}
 }
 
-// renewals tells when each request's claim was last renewed.
-func (c *claimDesk) renewals() map[structs.RequestID]time.Time {
+// renewals returns when each claim was last renewed, without the lapsed ones.
+func (c *claimService) renewals() map[structs.RequestID]time.Time {
 	now := c.daemon.now()
 	lapsed := func(_ structs.RequestID, at time.Time) bool { return now.Sub(at) > 2*requestClaimLease }
 	maps.DeleteFunc(c.renewed, lapsed)
 	return maps.Clone(c.renewed)
 }
 
-// decided answers the operation that was committed at the index, if it is the one
-// that was proposed there.
-func (c *claimDesk) decided(entry raft.Entry, result zone.Result) {
+// decided answers the operation committed at the index if it is the one that was
+// proposed there.
+func (c *claimService) decided(entry raft.Entry, result zone.Result) {
 	waiting, known := c.waiting[entry.Index]
 	delete(c.waiting, entry.Index)
 	if known && waiting.term == entry.Term && len(result.Batch) == 1 {
@@ -98,14 +98,16 @@
 	}
 }
 
-// claimsDecided hands a committed command to the desk of the member that applied it.
+// claimsDecided passes a committed command to the claim service of the member that
+// applied it.
 func (s *tableSite) claimsDecided(m *member, entry raft.Entry, outcome zoneOutcome) {
 	if d := s.daemonAt(string(m.machine.Address)); d.claims != nil && outcome.err == nil {
 		d.claims.decided(entry, outcome.result)
 	}
 }
 
-// renewals is what the controller is told of claims; nil in a site without requests.
+// renewals returns the claim renewals for the controller; nil in a site without
+// requests.
 func (c *zoneController) renewals() map[structs.RequestID]time.Time {
 	if c.daemon.claims == nil || c.daemon.site.mutated(mutationNoResolution) {
 		return nil
@@ -113,8 +115,8 @@
 	return c.daemon.claims.renewals()
 }
 
-// inquire asks an engine about a request whose router is silent; a mutation answers
-// in the engine's stead.
+// inquire asks an engine about a request whose router is unresponsive. With
+// mutationResolveBlind it reports an unknown state without asking.
 func (c *zoneController) inquire(inquiry controller.Inquiry) {
 	d := c.daemon
 	observe := func(status structs.RequestStatus) {
--- a/kit/simulate/controlfaults.go
+++ b/kit/simulate/controlfaults.go
@@ -7,18 +7,18 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// controlFailed reports whether the zone's control may not have worked at some time
-// between since and now. A group that has been without the same one member all that
-// time, and for long enough to have chosen another leader, works.
-func (l *lateness) controlFailed(zone structs.ZoneID, since time.Duration) bool {
+// controlFailed reports whether a fault may have disrupted the zone's control plane
+// between since and now. A group that lost a single member, the same one throughout
+// and long enough ago to have elected another leader, counts as working.
+func (l *progressChecker) controlFailed(zone structs.ZoneID, since time.Duration) bool {
 	now := l.site.scheduler.Now()
 	missing := 0
 	for _, fault := range l.faults {
-		if !fault.strikesControl(zone) || now < fault.At || since >= l.over(fault) {
+		if !fault.affectsControl(zone) || now < fault.At || since >= l.recoveryEnd(fault) {
 			continue
 		}
 		settled := since >= fault.At+l.site.pace.settle && now < fault.At+fault.For
-		if !fault.takesOneMember() || !settled {
+		if !fault.affectsOneMember() || !settled {
 			return true
 		}
 		missing++
@@ -26,9 +26,9 @@
 	return missing > 1
 }
 
-// strikesControl reports whether the fault is one of the zone's own control. Cuts
-// between zones are none, and neither are engines that die or leave.
-func (f Fault) strikesControl(zone structs.ZoneID) bool {
+// affectsControl reports whether the fault affects the zone's own control plane.
+// Cuts between zones and engine failures do not.
+func (f Fault) affectsControl(zone structs.ZoneID) bool {
 	switch f.Kind {
 	case FaultCutZone, FaultCutOneWay, FaultReclaim, FaultEngineCrash, FaultStoreSlow,
 		FaultEditBurst, FaultRace, FaultLostAnswers:
@@ -39,9 +39,9 @@
 	return !requestOnlyFaults[f.Kind] && strings.HasPrefix(f.Target, string(zone))
 }
 
-// takesOneMember reports whether the fault takes one member from its group and leaves
-// the others alone.
-func (f Fault) takesOneMember() bool {
+// affectsOneMember reports whether the fault removes one member from its group and
+// leaves the others intact.
+func (f Fault) affectsOneMember() bool {
 	switch f.Kind {
 	case FaultCutMachine, FaultPause, FaultSilentLeader:
 		return true
--- a/kit/simulate/daemon.go
+++ b/kit/simulate/daemon.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// restartDelay is how long a process stays down after it stopped by itself.
+	// restartDelay is the downtime of a process that terminated itself.
 	restartDelay = time.Second
 )
 
-// daemon is the service of a control machine: a member of its zone's group with
-// the controller, and on some machines a member of the global group.
+// daemon is the service of a control machine: a member of its zone's group with the
+// controller, and on some machines also a member of the global group.
 type daemon struct {
 	site    *tableSite
 	number  int
 	machine *Machine
-	// startedAt and startedWall are the two clocks when the process started.
+	// startedAt and startedWall are the monotonic and wall time at process start.
 	startedAt   time.Duration
 	startedWall time.Time
 
-	// claims takes in claim operations; nil in a site without requests.
-	claims       *claimDesk
+	// claims handles claim operations; nil in a site without requests.
+	claims       *claimService
 	zoneMember   *member
 	globalMember *member
 	controller   *zoneController
 	global       *globalService
 }
 
-// now is the process's own time: like Go's time.Now, it does not see a step of
-// the wall clock once the process runs.
+// now returns the process's time. Like time.Now, it ignores steps of the wall clock
+// after process start.
 func (d *daemon) now() time.Time {
 	return d.startedWall.Add(d.machine.Clock.Monotonic() - d.startedAt)
 }
@@ -44,7 +44,7 @@
 	state := newZoneMachine(d.machine.Zone)
 	d.controller.state = state.state
 	if d.site.requests != nil {
-		d.claims = newClaimDesk(d)
+		d.claims = newClaimService(d)
 	}
 	d.zoneMember.start(d.number, state)
 	if d.globalMember != nil {
@@ -79,7 +79,7 @@
 	return []*member{d.zoneMember, d.globalMember}
 }
 
-// member returns the daemon's member of the group, or nil.
+// member returns the daemon's member of the group, or nil if it has none.
 func (d *daemon) member(group groupName) *member {
 	for _, m := range d.members() {
 		if m.group == group {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// tick delivers ticks to the nodes.
+// tick advances the raft nodes and schedules the next tick.
 func (d *daemon) tick() {
 	for _, m := range d.members() {
 		if m.node != nil {
@@ -102,7 +102,8 @@
 	}
 }
 
-// join asks the groups to take in members that do not vote yet.
+// join requests group membership for members that do not vote yet, and schedules the
+// next attempt.
 func (d *daemon) join() {
 	for _, m := range d.members() {
 		if m.node == nil || m.node.Status().Membership.HasVoter(m.store.identity) {
@@ -127,7 +128,7 @@
 		}
 	case joinRequest:
 		if m := d.member(content.group); m != nil {
-			m.takeIn(content.identity)
+			m.addVoter(content.identity)
 		}
 	case reportMessage:
 		d.controller.observeReport(content.report)
@@ -136,7 +137,7 @@
 	case demandMessage:
 		d.controller.observeDemand(content.report)
 	case demandCall:
-		d.takeDemand(from, content)
+		d.handleDemand(from, content)
 	case viewRequest:
 		d.answerView(from, content)
 	case claimProposal:
@@ -153,10 +154,11 @@
 	}
 }
 
-// demandMessage carries a router's demand.
+// demandMessage carries a router's demand report.
 type demandMessage struct{ report structs.DemandReport }
 
-// votes reports whether the machine's members all vote.
+// votes reports whether all members of the machine are voters by a committed
+// membership.
 func (d *daemon) votes() bool {
 	for _, m := range d.members() {
 		if m.node == nil {
@@ -170,7 +172,7 @@
 	return true
 }
 
-// isLeader reports whether the daemon leads the group now, as far as it knows.
+// isLeader reports whether the daemon believes that it leads the group.
 func (d *daemon) isLeader(group groupName) bool {
 	m := d.member(group)
 	return m != nil && m.node != nil && m.node.Role() == raft.Leader
--- a/kit/simulate/demandsource.go
+++ b/kit/simulate/demandsource.go
@@ -6,11 +6,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// mostWaiting bounds the requests that wait for one row in a zone.
-const mostWaiting = 16
+// maxWaiting bounds the requests that wait for one row in a zone.
+const maxWaiting = 16
 
-// demandSource stands for the routers of a zone: it reports demand that changes
-// now and then.
+// demandSource simulates the routers of a zone by reporting demand that changes at
+// random.
 type demandSource struct {
 	site    *tableSite
 	random  *rand.Rand
@@ -29,11 +29,11 @@
 
 func (s *demandSource) address() Address { return Address(string(s.zone) + "/router") }
 
-// change gives a row a new demand; half of the rows have none.
+// change draws a new demand for the row, zero in half of the cases.
 func (s *demandSource) change(row structs.RowName) {
 	s.waiting[row] = 0
 	if s.random.IntN(2) == 0 {
-		s.waiting[row] = 1 + s.random.IntN(mostWaiting)
+		s.waiting[row] = 1 + s.random.IntN(maxWaiting)
 	}
 }
 
--- a/kit/simulate/disk.go
+++ b/kit/simulate/disk.go
@@ -7,36 +7,36 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// backgroundSync is how often a disk that lies about syncs really writes.
+// backgroundSync is the interval at which a lying disk really syncs.
 const backgroundSync = 8 * time.Second
 
-// Record is one write to a Disk. Records that replace the whole content of their
-// file set Replaces.
+// Record is one write to a Disk. If Replaces is set, it replaces the whole content
+// of its file.
 type Record struct {
 	File     string
 	Replaces bool
 	Value    any
 }
 
-// Disk keeps records in files. What was written is durable only once synced: a
-// crash keeps some prefix of the rest, and the last record of it may be torn,
-// which the reader sees as the end.
+// Disk keeps records in files. Writes are durable only after a sync. A crash keeps a
+// random prefix of the unsynced writes; the last one of it may be torn, which
+// readers see as the end of the file.
 type Disk struct {
 	scheduler *Scheduler
 	random    *rand.Rand
 	files     map[string][]Record
 	pending   []Record
-	// Full makes every write fail; SyncDelay is what a sync costs.
+	// Full makes every write fail; SyncDelay is the duration of a sync.
 	Full      bool
 	SyncDelay time.Duration
 	// Lying makes Sync return without making anything durable.
 	Lying    bool
 	lastSync time.Duration
-	// Generation counts the disks that the machine has had.
+	// Generation numbers the disks that the machine has had, from 1.
 	Generation uint64
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk(scheduler *Scheduler, random *rand.Rand, syncDelay time.Duration) *Disk {
 	return &Disk{
 		scheduler:  scheduler,
@@ -47,7 +47,8 @@
 	}
 }
 
-// Write adds a record that the next Sync makes durable.
+// Write appends a record, which the next Sync makes durable. It fails with
+// ErrorUnavailable if the disk is full.
 func (d *Disk) Write(record Record) error {
 	if d.Full {
 		return structs.NewError(structs.ErrorUnavailable, "the simulated disk is full", "Free space on the disk.")
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// Sync makes all writes so far durable, unless the disk lies.
+// Sync makes all earlier writes durable, unless the disk is lying.
 func (d *Disk) Sync() {
 	if d.Lying && d.scheduler.Now()-d.lastSync < backgroundSync {
 		return
@@ -68,8 +69,8 @@
 	d.pending = nil
 }
 
-// Crash loses the writes that are not durable, but for a prefix chosen at
-// random; the last record of the prefix may be torn and is then lost as well.
+// Crash drops the writes that are not durable, except for a random prefix, and
+// returns how many were lost. A torn last record counts as lost.
 func (d *Disk) Crash() (lost int) {
 	if d.Lying {
 		lost = len(d.pending)
@@ -92,7 +93,7 @@
 	return lost
 }
 
-// Replace puts in an empty disk.
+// Replace replaces the disk by an empty one.
 func (d *Disk) Replace() {
 	d.files = map[string][]Record{}
 	d.pending = nil
--- a/kit/simulate/editrecords.go
+++ b/kit/simulate/editrecords.go
@@ -10,16 +10,18 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// intentID names what an operator wants to do; all resends are of one intent.
+// intentID identifies an operator's intended change; all resends of an edit share
+// it.
 type intentID struct{ operator, number int }
 
-// editRecords are the checkers' own table: it is changed by accepted edits alone.
+// editRecords is the checkers' own copy of the table, changed only by accepted
+// edits.
 type editRecords struct {
 	intents map[structs.EditID]intentID
 	// answers holds the first answer to each intent.
 	answers map[intentID]structs.EditResult
 	rows    map[structs.RowName]structs.Row
-	// versions are the rows after each accepted edit, by rising revision.
+	// versions holds the rows after each accepted edit, by rising revision.
 	versions []tableVersion
 }
 
@@ -43,8 +45,8 @@
 	return r.versions[after-1].rows
 }
 
-// highestSince returns the highest limit that the row has had in the table since
-// it was at the revision.
+// highestSince returns the highest replica limit of the row in the table since the
+// revision.
 func (r *editRecords) highestSince(name structs.RowName, revision uint64) int {
 	after := sort.Search(len(r.versions), func(i int) bool { return r.versions[i].revision > revision })
 	highest := 0
@@ -56,10 +58,10 @@
 	return highest
 }
 
-// maxReplicas returns the limit of a row; 0 when there is no such row.
+// maxReplicas returns the replica limit of a row, or 0 if there is none.
 func (r *editRecords) maxReplicas(name structs.RowName) int { return r.rows[name].MaxReplicas }
 
-// conflicts reports whether the edit was made against other rows than there are.
+// conflicts reports whether the edit is based on outdated revisions of its rows.
 func (r *editRecords) conflicts(edit structs.Edit) bool {
 	return slices.ContainsFunc(edit.Changes, func(change structs.RowChange) bool {
 		return r.rows[change.Row.Name].Revision != change.BaseRevision
@@ -83,7 +85,7 @@
 	r.versions = append(r.versions, version)
 }
 
-// editComposed notes an edit that an operator is about to send.
+// editComposed records an edit that an operator is about to send.
 func (l *ledger) editComposed(intent intentID, edit structs.Edit) {
 	l.site.counts.EditsSent++
 	l.site.trace.Note("edit", string(edit.ID), describeChanges(edit))
@@ -101,7 +103,7 @@
 	return text
 }
 
-// editCommitted judges the answer that the table gave to an edit.
+// editCommitted checks the table's result of a committed edit.
 func (l *ledger) editCommitted(edit structs.Edit, result table.Result) {
 	if result.Edit == nil {
 		l.judge.Report(checkerFailure, "edit %s was refused: %v", edit.ID, result.Error)
@@ -132,10 +134,10 @@
 	l.site.trace.Note("accepted", string(edit.ID), fmt.Sprintf("revision %d", result.Edit.Revision))
 	l.edits.accept(edit, result.Edit.Revision)
 	l.limits.update(l)
-	l.site.lateness.editAccepted(result.Edit.Revision)
+	l.site.progress.editAccepted(result.Edit.Revision)
 }
 
-// editAnswered judges what a member tells an operator.
+// editAnswered checks a member's answer to an operator.
 func (l *ledger) editAnswered(operator waitingOperator, id structs.EditID, result table.Result) {
 	if result.Edit == nil {
 		return
--- a/kit/simulate/emulatedengine.go
+++ b/kit/simulate/emulatedengine.go
@@ -10,9 +10,9 @@
 // engineMemory is the accelerator memory of a simulated engine, in bytes.
 const engineMemory int64 = 24 << 30
 
-// emulatedEngine drives one emulated engine in virtual time: it gives the engine
-// its inputs, advances it whenever its next event is due, and hands what comes of
-// that to onOutputs, which ends with planWake.
+// emulatedEngine drives one emulated engine in virtual time: it passes inputs to the
+// engine, advances it when its next event is due, and passes the outputs to
+// onOutputs, which calls planWake last.
 type emulatedEngine struct {
 	scheduler   *Scheduler
 	trace       *Trace
@@ -22,9 +22,9 @@
 	onOutputs   func([]emulator.EngineOutput)
 	incarnation structs.Incarnation
 	call        emulator.CallID
-	// wake is the time of the next planned Advance; 0 means none.
+	// wake is the time of the next scheduled Advance; 0 means none.
 	wake time.Duration
-	// seen counts the replica changes that newReplicaChanges has returned.
+	// seen is the number of replica changes that newReplicaChanges has returned.
 	seen int
 }
 
@@ -32,8 +32,8 @@
 	return emulatedEngine{scheduler: site.scheduler, trace: site.trace, id: id, zone: zone, incarnation: 1}
 }
 
-// begin makes the engine by the options, to which it adds what all simulated
-// engines have in common.
+// begin creates the engine from the options and the settings that all simulated
+// engines share.
 func (e *emulatedEngine) begin(options emulator.EngineOptions, onOutputs func([]emulator.EngineOutput)) {
 	options.Runner = e.id
 	options.Zone = e.zone
@@ -52,28 +52,27 @@
 	e.onOutputs(e.engine.Step(e.scheduler.wallTime(), input))
 }
 
-// nextCall returns a call ID that this engine has not had yet.
+// nextCall returns a call ID that is unused on this engine.
 func (e *emulatedEngine) nextCall() emulator.CallID {
 	e.call++
 	return e.call
 }
 
-// restart brings a dead engine back, empty and as the next incarnation.
+// restart starts a dead engine again, empty and with the next incarnation.
 func (e *emulatedEngine) restart() {
 	e.incarnation++
 	e.onOutputs(e.engine.Restart(e.scheduler.wallTime(), e.incarnation))
 	e.trace.Note("engine-restart", string(e.id), formatCount(int(e.incarnation)))
 }
 
-// newReplicaChanges returns what the engine recorded of its replicas since the
-// last call.
+// newReplicaChanges returns the replica changes recorded since the last call.
 func (e *emulatedEngine) newReplicaChanges() []emulator.ReplicaChange {
 	changes := e.engine.Records().ReplicaChanges[e.seen:]
 	e.seen += len(changes)
 	return changes
 }
 
-// planWake plans the next Advance, unless an earlier one is planned already.
+// planWake schedules the next Advance unless an earlier one is scheduled.
 func (e *emulatedEngine) planWake() {
 	next, found := e.engine.NextEvent()
 	if !found || e.engine.Dead() {
--- a/kit/simulate/enginehost.go
+++ b/kit/simulate/enginehost.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// storeFailureRate is the share of fetches from the weight store that fail.
+	// storeFailureRate is the share of failing fetches from the weight store.
 	storeFailureRate = 0.1
-	storeFetchLeast  = 200 * time.Millisecond
-	storeFetchMost   = 2500 * time.Millisecond
+	minStoreFetch    = 200 * time.Millisecond
+	maxStoreFetch    = 2500 * time.Millisecond
 )
 
 // engineHost runs one emulated engine on the simulated network.
 type engineHost struct {
 	streamingEngine
 	site *tableSite
-	// orders holds the orders under way, by the call that carried them.
-	orders map[emulator.CallID]sentBy
+	// orders holds the orders in progress by call ID.
+	orders map[emulator.CallID]pendingOrder
 	// listed is the state of the engine's machine in the machine list, and
-	// leavingSince when it was first listed as leaving; 0 means that it is not.
+	// leavingSince the time at which it was first listed as leaving; 0 means that it
+	// is not.
 	listed       structs.MachineState
 	leavingSince time.Duration
-	// outage is how long the engine stays away when it dies.
+	// outage is the downtime of the engine after it dies.
 	outage time.Duration
 }
 
-type sentBy struct {
+type pendingOrder struct {
 	address Address
 	order   structs.Order
 }
@@ -41,11 +42,11 @@
 		streamingEngine: newStreamingEngine(&site.simulatedSite, random, id, zone),
 		site:            site,
 		listed:          structs.MachineLive,
-		orders:          map[emulator.CallID]sentBy{},
+		orders:          map[emulator.CallID]pendingOrder{},
 	}
-	host.reached = host.requestReached
+	host.onRequest = host.requestReached
 	if site.requests != nil {
-		host.said = site.requests.records.engineSaid
+		host.onStatus = site.requests.records.statusAnswered
 	}
 	options := emulator.EngineOptions{
 		ReportLag: site.pace.report,
@@ -56,20 +57,20 @@
 		options.MaxBatch = requestMaxBatch
 		options.DecodeBase = requestDecodeBase
 	}
-	host.begin(options, host.take)
+	host.begin(options, host.handleOutputs)
 	site.network.Attach(host.address(), zone, host.receive)
 	host.report()
 	return host
 }
 
-// fetchTime stands for the weight store.
+// fetchTime simulates a fetch from the weight store: its duration and whether it
+// succeeds.
 func (h *engineHost) fetchTime(structs.RowName, int64) (time.Duration, bool) {
-	duration := between(h.random, storeFetchLeast, storeFetchMost)
+	duration := between(h.random, minStoreFetch, maxStoreFetch)
 	duration = time.Duration(float64(duration) * h.site.storeSlowness)
 	return duration, h.random.Float64() >= storeFailureRate
 }
 
-// receive takes an order.
 func (h *engineHost) receive(from Address, message any) {
 	content, ok := message.(orderMessage)
 	if !ok {
@@ -81,11 +82,11 @@
 		given = h.refence(order)
 	}
 	call := h.nextCall()
-	h.orders[call] = sentBy{from, order}
+	h.orders[call] = pendingOrder{from, order}
 	h.step(emulator.EngineInput{Kind: emulator.InputOrder, Call: call, Order: given})
 }
 
-// refence makes a stale order look newer than all others.
+// refence gives an order that is not newer than the engine's fence the next fence.
 func (h *engineHost) refence(order structs.Order) structs.Order {
 	newest := h.engine.Step(h.scheduler.wallTime(), emulator.EngineInput{Kind: emulator.InputReport})
 	for _, output := range newest {
@@ -97,13 +98,13 @@
 	return order
 }
 
-// report sends a report to all controllers of the zone, and plans the next one.
+// report sends a report to all controllers of the zone and schedules the next one.
 func (h *engineHost) report() {
 	h.step(emulator.EngineInput{Kind: emulator.InputReport})
 	h.scheduler.After(h.site.pace.report, h.report)
 }
 
-func (h *engineHost) take(outputs []emulator.EngineOutput) {
+func (h *engineHost) handleOutputs(outputs []emulator.EngineOutput) {
 	hasDied := false
 	for _, output := range outputs {
 		h.answerCalls(output)
@@ -116,7 +117,7 @@
 			h.broadcast(*output.Report)
 		}
 	}
-	h.tellLedger()
+	h.recordReplicaChanges()
 	h.site.ledger.overcommitted(h)
 	h.planWake()
 	if hasDied {
@@ -124,7 +125,7 @@
 	}
 }
 
-// answer tells the ledger and the sender what became of an order.
+// answer passes the reply to an order to the ledger and the sender.
 func (h *engineHost) answer(output emulator.EngineOutput) {
 	sent := h.orders[output.Call]
 	delete(h.orders, output.Call)
@@ -141,23 +142,23 @@
 	}
 }
 
-// tellLedger passes on the engine's own records of its replicas.
-func (h *engineHost) tellLedger() {
+// recordReplicaChanges passes the engine's replica changes to the ledger.
+func (h *engineHost) recordReplicaChanges() {
 	for _, change := range h.newReplicaChanges() {
 		h.site.ledger.replicaChanged(h, change)
 	}
 }
 
-// requestReached checks that a leaving runner gets no new work, while its zone's
-// control works.
+// requestReached checks that a leaving runner receives no new requests while its
+// zone's control plane works.
 func (h *engineHost) requestReached(request structs.GenerateRequest) {
-	if h.leavingSince == 0 || h.site.lateness.controlFailed(h.zone, h.leavingSince) {
+	if h.leavingSince == 0 || h.site.progress.controlFailed(h.zone, h.leavingSince) {
 		return
 	}
 	h.site.requests.records.reachedLeaving(h.id, request, h.scheduler.Now()-h.leavingSince)
 }
 
-// crash kills the engine; it comes back empty after the outage.
+// crash kills the engine, which restarts empty after the outage.
 func (h *engineHost) crash(outage time.Duration) {
 	if h.engine.Dead() {
 		return
@@ -166,8 +167,7 @@
 	h.step(emulator.EngineInput{Kind: emulator.InputCrash})
 }
 
-// died resets all connections of an engine that was crashed or died of itself, and
-// plans its return.
+// died resets all connections of a dead engine and schedules its restart.
 func (h *engineHost) died() {
 	h.resetStreams()
 	h.site.ledger.engineDied(h)
--- a/kit/simulate/fault.go
+++ b/kit/simulate/fault.go
@@ -2,64 +2,69 @@
 
 import "time"
 
-// FaultKind names what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of fault. Each lasts for Fault.For and is healed then.
+// The kinds of fault. Each lasts for Fault.For and then heals.
 const (
-	// FaultCrash kills a machine after Amount further steps of its work; it starts again from its disk.
+	// FaultCrash kills a machine after Amount further steps; it restarts from its
+	// disk.
 	FaultCrash FaultKind = "crash"
-	// FaultPause stops a machine's processes; they go on believing what they believed.
+	// FaultPause suspends a machine's processes, which keep their state.
 	FaultPause FaultKind = "pause"
-	// FaultDrift lets a machine's clock run at the rate Amount.
+	// FaultDrift makes a machine's clock run at the rate Amount.
 	FaultDrift FaultKind = "drift"
-	// FaultClockStep moves a machine's wall clock by Amount seconds.
+	// FaultClockStep shifts a machine's wall clock by Amount seconds.
 	FaultClockStep FaultKind = "clock-step"
-	// FaultCutZone cuts a zone off from all others.
+	// FaultCutZone isolates a zone from all others.
 	FaultCutZone FaultKind = "cut-zone"
-	// FaultCutOneWay drops what Target's zone sends to Peer's.
+	// FaultCutOneWay drops messages from Target's zone to Peer's.
 	FaultCutOneWay FaultKind = "cut-one-way"
-	// FaultCutMachine cuts a machine off from its fellows in both directions.
+	// FaultCutMachine isolates a machine from the other control machines in both
+	// directions.
 	FaultCutMachine FaultKind = "cut-machine"
-	// FaultSilentLeader cuts off the machine that leads zone Target then; its orders
-	// to engines are held back and arrive late.
+	// FaultSilentLeader isolates the current leader of zone Target; its orders to
+	// engines are delayed.
 	FaultSilentLeader FaultKind = "silent-leader"
-	// FaultReplaceDisk crashes a machine and gives it an empty disk.
+	// FaultReplaceDisk crashes a machine and replaces its disk by an empty one.
 	FaultReplaceDisk FaultKind = "replace-disk"
 	// FaultReplaceTwice replaces the disk of Target and, as soon as Target's new
 	// member votes, that of Peer.
 	FaultReplaceTwice FaultKind = "replace-twice"
 	// FaultDiskFull makes every write of a machine fail.
 	FaultDiskFull FaultKind = "disk-full"
-	// FaultDiskSlow makes a sync take Amount seconds.
+	// FaultDiskSlow makes each sync take Amount seconds.
 	FaultDiskSlow FaultKind = "disk-slow"
-	// FaultStorm makes the network lose, duplicate and reorder a share Amount of the messages.
+	// FaultStorm makes the network lose, duplicate and reorder a share Amount of the
+	// messages.
 	FaultStorm FaultKind = "storm"
-	// FaultEngineCrash kills an engine; it comes back empty as another incarnation.
+	// FaultEngineCrash kills an engine, which restarts empty with the next
+	// incarnation.
 	FaultEngineCrash FaultKind = "engine-crash"
-	// FaultEngineCut cuts an engine off from its zone's controllers.
+	// FaultEngineCut isolates an engine from its zone's controllers.
 	FaultEngineCut FaultKind = "engine-cut"
-	// FaultLoadingDeath kills, while an engine of zone Target loads, that engine or
-	// the zone's leader; Peer says which.
+	// FaultLoadingDeath kills, while an engine of zone Target loads, either that
+	// engine or the zone's leader, as Peer says.
 	FaultLoadingDeath FaultKind = "loading-death"
-	// FaultReclaim lists an engine's machine as leaving and takes it away Amount
-	// seconds later; another one takes its place when the fault is over.
+	// FaultReclaim lists an engine's machine as leaving and removes it Amount
+	// seconds later; a new one replaces it when the fault ends.
 	FaultReclaim FaultKind = "reclaim"
 	// FaultStoreSlow makes fetches from the weight store take Amount times as long.
 	FaultStoreSlow FaultKind = "store-slow"
-	// FaultRestartSite crashes all machines, each for at most the fault's time.
+	// FaultRestartSite crashes all machines, each for at most the duration of the
+	// fault.
 	FaultRestartSite FaultKind = "restart-site"
-	// FaultEditBurst makes operators edit without pausing; FaultRace also makes them
-	// edit the same row as they first saw it.
+	// FaultEditBurst makes operators edit without pauses; FaultRace also makes them
+	// edit the same row from the version they first read.
 	FaultEditBurst FaultKind = "edit-burst"
 	FaultRace      FaultKind = "race"
-	// FaultLostAnswers loses a share Amount of the answers to edits.
+	// FaultLostAnswers drops a share Amount of the answers to edits.
 	FaultLostAnswers FaultKind = "lost-answers"
-	// FaultTransfer asks the leader of the group Target to hand over leadership.
+	// FaultTransfer asks the leader of the group Target to transfer leadership.
 	FaultTransfer FaultKind = "transfer"
 )
 
-// Fault is one thing that goes wrong, planned before the run from the seed.
+// Fault is one planned fault, derived from the seed before the run.
 type Fault struct {
 	Kind   FaultKind     `json:"kind"`
 	At     time.Duration `json:"at_nanoseconds"`
--- a/kit/simulate/globalservice.go
+++ b/kit/simulate/globalservice.go
@@ -7,17 +7,17 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// zoneSetupInterval is how often the global leader looks whether all zones are in
-// the table, as an operator would at first.
+// zoneSetupInterval is how often the global leader adds missing zones to the table,
+// as an operator would at setup.
 const zoneSetupInterval = time.Second
 
-// globalService answers zones and operators on a member of the global group.
+// globalService serves zones and operators on a member of the global group.
 type globalService struct {
 	daemon *daemon
 	state  *tableMachine
 	// waiting holds the operators that wait for the result of an edit.
 	waiting map[structs.EditID][]waitingOperator
-	// reads holds the operators that wait for a read, by its number.
+	// reads holds the operators that wait for a read, by read number.
 	reads    map[uint64]waitingOperator
 	lastRead uint64
 }
@@ -35,7 +35,7 @@
 	}
 }
 
-// loop adds the zones to the table while this member leads.
+// loop adds missing zones to the table while this member leads.
 func (g *globalService) loop() {
 	m := g.daemon.globalMember
 	if m.node != nil && m.leads() {
@@ -81,11 +81,11 @@
 		delta := g.state.state.Delta(content.zone, content.since)
 		g.reply(from, deltaAnswer{delta})
 	case zoneStatement:
-		g.takeStatement(from, content)
+		g.handleStatement(from, content)
 	case rowsRequest:
-		g.takeRead(from, content)
+		g.handleRead(from, content)
 	case editRequest:
-		g.takeEdit(from, content)
+		g.handleEdit(from, content)
 	}
 	if m.node != nil {
 		m.pump()
@@ -96,8 +96,8 @@
 	g.daemon.site.network.Send(g.daemon.machine.Address, to, message)
 }
 
-// takeStatement proposes what a zone says, or passes it on to the leader.
-func (g *globalService) takeStatement(from Address, statement zoneStatement) {
+// handleStatement proposes a zone's statement, or forwards it to the leader.
+func (g *globalService) handleStatement(from Address, statement zoneStatement) {
 	m := g.daemon.globalMember
 	if !m.leads() {
 		leader := m.node.Leader()
@@ -127,8 +127,8 @@
 	return 0
 }
 
-// takeRead asks for a linearizable read.
-func (g *globalService) takeRead(from Address, request rowsRequest) {
+// handleRead starts a linearizable read.
+func (g *globalService) handleRead(from Address, request rowsRequest) {
 	m := g.daemon.globalMember
 	g.lastRead++
 	if g.daemon.site.mutated(mutationStaleReads) {
@@ -142,7 +142,7 @@
 	g.reads[g.lastRead] = waitingOperator{from, request.number}
 }
 
-// readReady answers the read that was waited for.
+// readReady answers a pending read.
 func (g *globalService) readReady(context uint64) {
 	waiting, ok := g.reads[context]
 	if !ok {
@@ -154,7 +154,7 @@
 	})
 }
 
-func (g *globalService) takeEdit(from Address, request editRequest) {
+func (g *globalService) handleEdit(from Address, request editRequest) {
 	m := g.daemon.globalMember
 	edit := request.edit
 	if !m.leads() || !g.propose(table.Command{Edit: &table.EditCommand{Edit: edit, At: g.daemon.now()}}) {
--- a/kit/simulate/grantsteps.go
+++ b/kit/simulate/grantsteps.go
@@ -10,11 +10,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// checkerGrantSteps guards that each committed command of the table and of a zone
+// checkerGrantSteps checks that each committed command of the table or a zone
 // changes grants and replicas by a transition of spec/grants.pml.
 const checkerGrantSteps = "grant-steps"
 
-// The transitions of spec/grants.pml, under the names that they have there.
+// The transitions of spec/grants.pml, by their names there.
 const (
 	stepNoteHeld     = "NoteHeld"
 	stepSplitRow     = "SplitRow"
@@ -29,21 +29,21 @@
 	stepNoteHeld, stepSplitRow, stepApplyRelease, stepAdopt, stepSendRelease, stepLoad, stepUnload,
 }
 
-// specGrant is Grant of spec/grants.pml. A frozen one has a positive limit.
+// specGrant is Grant of spec/grants.pml. A frozen grant has a positive limit.
 type specGrant struct {
 	limit, held int
 	frozen      bool
 	sequence    uint64
 }
 
-// specRow is what spec/grants.pml knows of one row, by the number of the zone.
+// specRow is the state of one row in spec/grants.pml; slices are indexed by zone.
 type specRow struct {
 	maxReplicas int
 	frozen      bool
 	granted     []specGrant
 	adopted     []specGrant
 	replicas    []int
-	// issued lists what was granted to each zone, by rising table revision.
+	// issued lists the grants of each zone by rising table revision.
 	issued [][]issuedGrant
 }
 
@@ -52,7 +52,7 @@
 	grant    specGrant
 }
 
-// releaseKey is a release that a zone may have sent.
+// releaseKey identifies a release that a zone may have sent.
 type releaseKey struct {
 	row      structs.RowName
 	zone     structs.ZoneID
@@ -60,9 +60,9 @@
 	limit    int
 }
 
-// grantSteps replays the committed commands against spec/grants.pml. It knows the
-// states from before a command as the specification has them, and what the code
-// made of them, and asks for a transition that leads from one to the other.
+// grantSteps replays the committed commands against spec/grants.pml. For each
+// command it checks that a transition leads from the specified state before it to
+// the state that the code produced.
 type grantSteps struct {
 	ledger *ledger
 	rows   map[structs.RowName]*specRow
@@ -93,16 +93,16 @@
 	s.ledger.reportStep(checkerGrantSteps, format, values...)
 }
 
-// reportStep reports a step that the specification does not have. With a mutation
-// it stays silent unless it is the one checker that is listened to: a mutation is to
-// show that what comes of a broken step is seen as well.
+// reportStep reports a step that the specification does not allow. With a mutation
+// it reports only if this is the selected checker, so that the other checkers must
+// detect the consequences.
 func (l *ledger) reportStep(checker, format string, values ...any) {
 	if l.site.plan.mutation == "" || l.site.plan.only == checker {
 		l.judge.Report(checker, format, values...)
 	}
 }
 
-// tableCommitted judges what a command made of the grants.
+// tableCommitted checks how a committed table command changed the grants.
 func (s *grantSteps) tableCommitted(state *table.State, outcome tableOutcome) {
 	command := outcome.command
 	isApplied := outcome.result.Error == nil
@@ -111,7 +111,7 @@
 		s.edits[command.Edit.Edit.ID] = true
 	}
 	if release := command.Release; release != nil && isApplied {
-		s.takeRelease(*release)
+		s.checkRelease(*release)
 	}
 	for _, name := range simulatedRows {
 		row := s.rows[name]
@@ -150,8 +150,7 @@
 	return &copied
 }
 
-// begin takes the steps that are free of choice: the new limit or the release, and
-// NoteHeld.
+// begin applies the deterministic steps: the new limit or the release, and NoteHeld.
 func (r *specRow) begin(command table.Command, name structs.RowName) {
 	if command.Edit != nil {
 		for _, change := range command.Edit.Edit.Changes {
@@ -195,7 +194,7 @@
 	r.noteHeld()
 }
 
-// mayRegrant reports whether the command lets SplitRow happen to the row.
+// mayRegrant reports whether the command allows SplitRow on the row.
 func mayRegrant(command table.Command, name structs.RowName) bool {
 	switch {
 	case command.Edit != nil:
@@ -208,8 +207,8 @@
 	return command.Zone != nil
 }
 
-// reaches reports whether the row's grants may have become what they are: nothing
-// happened, or SplitRow took some choice of the next limits.
+// reaches reports whether the row's grants can have become after: unchanged, or by
+// SplitRow with some choice of the next limits.
 func (r *specRow) reaches(after []specGrant, maySplit bool) bool {
 	isSame := true
 	for zone := range after {
@@ -223,7 +222,7 @@
 	return isSame || maySplit && r.splits(after, nil, r.maxReplicas)
 }
 
-// splits tries all next limits that sum to what is left.
+// splits tries all next limits that sum to left.
 func (r *specRow) splits(after []specGrant, next []int, left int) bool {
 	if len(next) == len(after)-1 {
 		return r.splitRow(after, append(slices.Clone(next), left))
@@ -236,9 +235,9 @@
 	return false
 }
 
-// splitRow is SplitRow: what zones hold grows towards the next limits as far as
-// there is room. With two zones at most one lacks anything when room is short, so
-// who gets it is no choice; with more it is left open.
+// splitRow is SplitRow: the held counts grow towards the next limits as far as there
+// is room. With two zones, at most one of them lacks replicas when room runs out, so
+// the split is determined; with more it is left open.
 func (r *specRow) splitRow(after []specGrant, next []int) bool {
 	room := max(r.maxReplicas-r.held(), 0)
 	lacking, grown := 0, 0
@@ -254,7 +253,7 @@
 	return grown == min(room, lacking)
 }
 
-// observe reads the row's grants from the table. One that is all zero is not listed.
+// observe reads the row's grants from the table, which omits all-zero ones.
 func (s *grantSteps) observe(state *table.State, name structs.RowName, before *specRow) []specGrant {
 	after := make([]specGrant, len(before.granted))
 	for zone := range after {
@@ -271,8 +270,8 @@
 	return after
 }
 
-// checkSequences demands that a changed grant has the sequence of this command. One
-// that did not change may have it too: its part of the minimum may have moved.
+// checkSequences checks that a changed grant has the sequence of this command. An
+// unchanged one may have it too, since its share of the minimum may have moved.
 func (s *grantSteps) checkSequences(state *table.State, name structs.RowName, before *specRow, after []specGrant) {
 	for zone, grant := range after {
 		former := before.granted[zone]
@@ -300,7 +299,7 @@
 	}
 }
 
-// issue notes what is granted from this table revision on.
+// issue records the grants issued as of this table revision.
 func (r *specRow) issue(revision uint64) {
 	for zone, grant := range r.granted {
 		list := r.issued[zone]
@@ -310,7 +309,7 @@
 	}
 }
 
-// issuedAt returns what was granted to a zone at a table revision.
+// issuedAt returns the grant of a zone at a table revision.
 func (r *specRow) issuedAt(zone int, revision uint64) specGrant {
 	list := r.issued[zone]
 	after := sort.Search(len(list), func(i int) bool { return list[i].revision > revision })
@@ -320,9 +319,9 @@
 	return list[after-1].grant
 }
 
-// takeRelease checks that the zone may have sent the release: it was down to it
+// checkRelease checks that the zone may have sent the release: it was down to it
 // under the grant that the release names.
-func (s *grantSteps) takeRelease(release structs.GrantRelease) {
+func (s *grantSteps) checkRelease(release structs.GrantRelease) {
 	key := releaseKey{release.Row, release.Zone, release.Sequence, release.Limit}
 	if !s.sent[key] {
 		s.report("zone %s may not have sent the release %+v", release.Zone, release)
@@ -330,7 +329,7 @@
 	s.taken[stepSendRelease]++
 }
 
-// zoneCommitted judges what a command made of a zone's grants and replicas.
+// zoneCommitted checks how a committed zone command changed grants and replicas.
 func (s *grantSteps) zoneCommitted(id structs.ZoneID, state *zone.State, command zone.Command) {
 	number := slices.Index(simulatedZones, id)
 	for _, name := range simulatedRows {
@@ -338,7 +337,7 @@
 		if command.Adopt != nil || command.AdoptPart != nil {
 			s.adopt(id, name, state)
 		}
-		s.follow(id, name, state.CountOf(name), command)
+		s.checkReplicaCount(id, name, state.CountOf(name), command)
 		adopted, replicas := row.adopted[number], row.replicas[number]
 		down := adopted.limit
 		if adopted.frozen {
@@ -351,8 +350,8 @@
 	}
 }
 
-// adopt is Adopt: the zone has what was granted at its table revision, which is no
-// older than what it had.
+// adopt is Adopt: the zone's grant is the one issued at its table revision, which
+// does not go back.
 func (s *grantSteps) adopt(id structs.ZoneID, name structs.RowName, state *zone.State) {
 	row, number := s.rows[name], slices.Index(simulatedZones, id)
 	message := row.issuedAt(number, state.TableRevision())
@@ -372,9 +371,9 @@
 	row.adopted[number] = message
 }
 
-// follow is Load and Unload: a replica more needs room under the adopted grant, and
-// only a reservation makes one.
-func (s *grantSteps) follow(id structs.ZoneID, name structs.RowName, count int, command zone.Command) {
+// checkReplicaCount is Load and Unload: an additional replica needs room under the
+// adopted grant, and only a reservation adds one.
+func (s *grantSteps) checkReplicaCount(id structs.ZoneID, name structs.RowName, count int, command zone.Command) {
 	row, number := s.rows[name], slices.Index(simulatedZones, id)
 	former, adopted := row.replicas[number], row.adopted[number]
 	switch {
--- a/kit/simulate/homegroup.go
+++ b/kit/simulate/homegroup.go
@@ -5,22 +5,22 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// homeGroup is a zone's group as routers see it: the home of claims.
+// homeGroup is the group of a claim's home zone, as seen by routers.
 type homeGroup interface {
-	// next returns the member that a router asks next.
+	// next returns the member to ask next.
 	next() groupMember
-	// failed notes that the member did not answer, or does not lead.
+	// failed records that the member did not answer or does not lead.
 	failed(member groupMember)
-	// heldClaims lists the claims that nobody has ended.
+	// heldClaims returns the claims that have not ended.
 	heldClaims() []structs.Claim
 }
 
 // groupMember is a member of a homeGroup.
 type groupMember interface {
 	address() Address
-	// propose takes a claim operation; answer is called once it is committed, or with
-	// an ErrorNotLeader by a member that does not lead, and never if neither happens.
+	// propose submits a claim operation. answer is called after the commit, with
+	// ErrorNotLeader if the member does not lead, or never.
 	propose(operation zone.ClaimOperation, answer func(zone.Result))
-	// renew takes in that the holder of the requests' claims lives.
+	// renew records that the holder of the requests' claims is alive.
 	renew(requests []structs.RequestID)
 }
--- a/kit/simulate/judge.go
+++ b/kit/simulate/judge.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Judge collects what the checkers report. The first violation ends the seed.
+// Judge collects the violations that checkers report. The first one ends the seed.
 type Judge struct {
 	scheduler *Scheduler
 	trace     *Trace
 	violation *Violation
-	// only, when set, is the one checker that is listened to.
+	// only, if set, is the only checker whose reports count.
 	only string
 }
 
-// Report records a violation of the invariant that the checker guards.
+// Report records a violation of the checker's invariant.
 func (j *Judge) Report(checker, format string, arguments ...any) {
 	if j.violation != nil || j.only != "" && checker != j.only {
 		return
--- a/kit/simulate/ledger.go
+++ b/kit/simulate/ledger.go
@@ -32,7 +32,7 @@
 	checkerRunaway     = "runaway"
 )
 
-// tableCheckers are those of the table scenario.
+// tableCheckers lists the checkers of the table scenario.
 var tableCheckers = []string{
 	checkerElection, checkerLog, checkerLease, checkerReplicas, checkerGrant, checkerMemory,
 	checkerReservation, checkerFence, checkerWinner, checkerResend, checkerInForce, checkerLate,
@@ -40,13 +40,12 @@
 	checkerInvariants, checkerConvergence, checkerFailure, checkerRunaway,
 }
 
-// invariantInterval is how many committed commands lie between two looks at a
+// invariantInterval is the number of committed commands between two checks of a
 // state machine's own invariants.
 const invariantInterval = 16
 
-// ledger holds the checkers' own records of a simulated site. They are made from
-// what was committed, answered and loaded, and never from what the code under
-// test remembers of it.
+// ledger holds the checkers' records of a simulated site. They come from what was
+// committed, answered and loaded, never from the state of the code under test.
 type ledger struct {
 	site    *tableSite
 	judge   *Judge
@@ -55,8 +54,8 @@
 	zones   map[structs.ZoneID]*zoneRecord
 	engines map[structs.RunnerID]*engineRecord
 	limits  *limitRecords
-	// grantSteps and orderSteps hold the code against the specification; taken counts
-	// the transitions.
+	// grantSteps and orderSteps compare the code with the specification; taken
+	// counts the transitions.
 	grantSteps *grantSteps
 	orderSteps *orderSteps
 	taken      map[string]int
@@ -68,12 +67,12 @@
 	notedGrants    uint64
 }
 
-// logRecord is what one group committed, and who led it.
+// logRecord holds the committed entries and the leaders of one group.
 type logRecord struct {
 	entries map[uint64]uint64
 	leaders map[uint64]raft.NodeID
 	newest  uint64
-	// newestTerm is the newest term that had a leader.
+	// newestTerm is the newest term with a leader.
 	newestTerm uint64
 }
 
@@ -105,7 +104,7 @@
 	return record
 }
 
-// becameLeader checks that a term has one leader.
+// becameLeader checks that a term has only one leader.
 func (l *ledger) becameLeader(group groupName, term uint64, id raft.NodeID) {
 	record := l.log(group)
 	if other, ok := record.leaders[term]; ok && other != id {
@@ -118,8 +117,8 @@
 	}
 }
 
-// applied checks that all members apply the same entry at an index, and hands a
-// command that is new to the other checkers.
+// applied checks that all members apply the same entry at an index, and passes a new
+// command to the other checkers.
 func (l *ledger) applied(m *member, entry raft.Entry, result any) {
 	record := l.log(m.group)
 	digest := digestEntry(entry)
@@ -188,7 +187,7 @@
 	l.noteGrants()
 }
 
-// noteGrants traces the grants that the last command changed.
+// noteGrants traces the grants changed by the last command.
 func (l *ledger) noteGrants() {
 	revision := l.newestTable.Revision()
 	for _, name := range simulatedRows {
@@ -202,8 +201,8 @@
 	l.notedGrants = revision
 }
 
-// leaderActs checks that a zone's leader who trusts its lease is the newest
-// leader, and that the table in force never goes back.
+// leaderActs checks that a zone leader with a valid lease is the newest leader and
+// that the table in force never goes back.
 func (l *ledger) leaderActs(m *member, revision uint64) {
 	term := m.node.Term()
 	if newest := l.log(m.group).newestTerm; newest > term {
@@ -215,10 +214,10 @@
 		l.judge.Report(checkerInForce, "zone %s acted on table revision %d after %d", m.machine.Zone, revision, record.acted)
 	}
 	record.acted = revision
-	l.site.lateness.leaderActed(m.machine.Zone)
+	l.site.progress.leaderActed(m.machine.Zone)
 }
 
-// tableRead checks that a read shows every edit that was accepted before it.
+// tableRead checks that a read reflects every edit accepted before it.
 func (l *ledger) tableRead(floor, revision uint64) {
 	if revision < floor {
 		l.judge.Report(checkerRead, "a read shows table revision %d, an edit at %d was accepted before", revision, floor)
--- a/kit/simulate/limitrecords.go
+++ b/kit/simulate/limitrecords.go
@@ -2,24 +2,24 @@
 
 import "github.com/lotusferry/lotusferry/structs"
 
-// limitRecords follow how many replicas of each row there may be. A zone that has
-// not yet heard of a lowered limit goes on under the older one, so the bound of a
-// row is the highest limit that is in the table or in force in some zone.
+// limitRecords tracks the bound on the replicas of each row. A zone that has not
+// learned of a lowered limit continues under the older one, so the bound is the
+// highest limit in the table or in force in any zone.
 //
-// A replica counts from the moment when a zone's log reserved it until the log
-// forgot it, or for as long as an engine holds it, whichever is longer.
+// A replica counts from its reservation in a zone's log until its removal there, or
+// while an engine holds it, whichever is longer.
 type limitRecords struct {
 	bounds map[structs.RowName]int
-	// fell is the step at which the bound of a row last went down.
-	fell map[structs.RowName]uint64
-	step uint64
+	// loweredAt is the step at which the bound of a row last decreased.
+	loweredAt map[structs.RowName]uint64
+	step      uint64
 }
 
 func newLimitRecords() *limitRecords {
-	return &limitRecords{bounds: map[structs.RowName]int{}, fell: map[structs.RowName]uint64{}}
+	return &limitRecords{bounds: map[structs.RowName]int{}, loweredAt: map[structs.RowName]uint64{}}
 }
 
-// update looks at all bounds again, after an accepted edit or an adoption.
+// update recomputes all bounds after an accepted edit or an adoption.
 func (r *limitRecords) update(l *ledger) {
 	r.step++
 	for _, row := range simulatedRows {
@@ -28,13 +28,13 @@
 			bound = max(bound, record.rows[row].MaxReplicas)
 		}
 		if bound < r.bounds[row] {
-			r.fell[row] = r.step
+			r.loweredAt[row] = r.step
 		}
 		r.bounds[row] = bound
 	}
 }
 
-// reserved notes a reservation that a zone's log committed.
+// reserved records a committed reservation of a zone's log.
 func (l *ledger) reserved(zone structs.ZoneID, number structs.OrderNumber, replica placement) {
 	l.limits.step++
 	record := l.zones[zone]
@@ -43,28 +43,28 @@
 	l.checkGrowth(zone, replica.row)
 }
 
-// loaded notes a replica that an engine has begun to load. It counts already
-// unless the zone's log does not record it.
+// loaded records a replica that an engine began to load. It counts anew only if the
+// zone's log does not record it.
 func (l *ledger) loaded(h *engineHost, row structs.RowName) {
 	if _, recorded := l.zones[h.zone].replicas[placement{row, h.id}]; !recorded {
 		l.checkGrowth(h.zone, row)
 	}
 }
 
-// census counts the replicas of a row.
-type census struct {
+// replicaCount counts the replicas of a row.
+type replicaCount struct {
 	total  int
 	inZone int
-	// fresh are those reserved since the row's bound last went down.
-	fresh int
+	// sinceLowered counts those reserved since the row's bound last decreased.
+	sinceLowered int
 }
 
-func (l *ledger) count(zone structs.ZoneID, row structs.RowName) census {
-	var counted census
+func (l *ledger) count(zone structs.ZoneID, row structs.RowName) replicaCount {
+	var counted replicaCount
 	for name, record := range l.zones {
 		for replica, step := range record.replicas {
 			if replica.row == row {
-				counted.add(name == zone, step > l.limits.fell[row])
+				counted.add(name == zone, step > l.limits.loweredAt[row])
 			}
 		}
 	}
@@ -76,19 +76,18 @@
 	return counted
 }
 
-func (c *census) add(inZone, fresh bool) {
+func (c *replicaCount) add(inZone, fresh bool) {
 	c.total++
 	if inZone {
 		c.inZone++
 	}
 	if fresh {
-		c.fresh++
+		c.sinceLowered++
 	}
 }
 
-// orderDecided judges an order that a zone's leader, who knows the table at the
-// revision, has just decided on. The replica of a load counts since it was
-// reserved; what was lowered since then must keep the engine from beginning.
+// orderDecided checks an order decided by a zone leader that knows the table at the
+// revision. A load must respect the limits lowered since its reservation.
 func (l *ledger) orderDecided(zone structs.ZoneID, revision uint64, order structs.Order) {
 	l.checkLeaving(order)
 	engine := l.engines[order.Runner]
@@ -103,22 +102,22 @@
 	}
 }
 
-// checkGrowth judges a row whose replicas have just become more in a zone.
+// checkGrowth checks a row whose replicas increased in a zone.
 //
-// What a lowered limit left over is counted until it is unloaded: no zone may let
-// the replicas of all zones become more than the highest limit that the table has
-// had since the revision that the zone has in force. A zone that does not know of
-// a lowered limit yet may go on, within its grant; but of the replicas reserved
-// since the limit fell there must never be more than the limit.
+// Replicas above a lowered limit count until they are unloaded: no zone may raise
+// the total above the highest limit that the table has had since the revision in
+// force in the zone. A zone that has not learned of a lowered limit may continue
+// within its grant, but the replicas reserved since the limit was lowered must not
+// exceed it.
 func (l *ledger) checkGrowth(zone structs.ZoneID, row structs.RowName) {
 	counted := l.count(zone, row)
 	if bound := l.edits.highestSince(row, l.zones[zone].revision); counted.total > bound {
 		l.judge.Report(checkerReplicas, "zone %s makes replica %d of %s while it knows that the table allows %d",
 			zone, counted.total, row, bound)
 	}
-	if bound := l.limits.bounds[row]; counted.fresh > bound {
+	if bound := l.limits.bounds[row]; counted.sinceLowered > bound {
 		l.judge.Report(checkerReplicas, "zone %s makes new replica %d of %s, the table allows %d in all zones",
-			zone, counted.fresh, row, bound)
+			zone, counted.sinceLowered, row, bound)
 	}
 	if held := l.held(zone, row); counted.inZone > held {
 		l.judge.Report(checkerGrant, "zone %s makes replica %d of %s there, its grant allows %d",
--- a/kit/simulate/loadrecords.go
+++ b/kit/simulate/loadrecords.go
@@ -8,30 +8,31 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// zoneRecord is what a zone's group committed, as far as the checkers need it.
+// zoneRecord holds what a zone's group committed, as far as the checkers need it.
 type zoneRecord struct {
 	// revision and rows are the table in force.
 	revision uint64
 	rows     map[structs.RowName]structs.Row
 	// acted is the newest revision that a leader acted on.
 	acted uint64
-	// orders are the orders that the log recorded, by number.
+	// orders holds the orders recorded in the log by number.
 	orders map[structs.OrderNumber]orderRecord
-	// replicas are those that the log records, with the step that reserved them.
+	// replicas maps the replicas recorded in the log to the step of their
+	// reservation.
 	replicas     map[placement]uint64
 	incarnations map[structs.RunnerID]structs.Incarnation
 }
 
-// placement names a replica by its row and runner.
+// placement identifies a replica by row and runner.
 type placement struct {
 	row    structs.RowName
 	runner structs.RunnerID
 }
 
-// orderRecord is an order that a zone's log recorded.
+// orderRecord is an order recorded in a zone's log.
 type orderRecord struct{ placement }
 
-// engineRecord is what an engine holds, by its own records.
+// engineRecord is the state of an engine by the engine's own records.
 type engineRecord struct {
 	zone   structs.ZoneID
 	loaded map[structs.RowName]bool
@@ -49,7 +50,7 @@
 	}
 }
 
-// zoneCommitted follows a zone's log.
+// zoneCommitted records and checks a committed zone command.
 func (l *ledger) zoneCommitted(m *member, index uint64, outcome zoneOutcome) {
 	if outcome.err != nil {
 		l.judge.Report(checkerFailure, "a committed zone command cannot be decoded: %v", outcome.err)
@@ -87,7 +88,7 @@
 	}
 }
 
-// registered forgets the replicas of a runner that came back empty.
+// registered removes the replicas of a runner that restarted empty.
 func (z *zoneRecord) registered(info structs.RunnerInfo) {
 	if info.Incarnation <= z.incarnations[info.ID] {
 		return
@@ -102,8 +103,8 @@
 
 func (z *zoneRecord) renumber(from, to structs.OrderNumber) { z.orders[to] = z.orders[from] }
 
-// adopted checks that a zone's table in force only goes forward and is the table
-// as it was at that revision.
+// adopted checks that a zone's table in force never goes back and equals the table
+// at that revision.
 func (l *ledger) adopted(m *member, revision uint64) {
 	record := l.zones[m.machine.Zone]
 	if revision < record.revision {
@@ -112,7 +113,7 @@
 	if revision <= record.revision {
 		return
 	}
-	l.site.lateness.adopted(m.machine.Zone, record.revision, revision)
+	l.site.progress.adopted(m.machine.Zone, record.revision, revision)
 	record.revision = revision
 	state := m.state.(*zoneMachine).state
 	rows := state.Rows()
@@ -162,8 +163,8 @@
 	}
 }
 
-// replicaChanged follows the engine's own records and checks the replica limit
-// whenever the replicas of a row grow in number.
+// replicaChanged records an engine's replica change and checks the replica limit
+// when a load begins.
 func (l *ledger) replicaChanged(h *engineHost, change emulator.ReplicaChange) {
 	l.site.trace.Note("replica", string(h.id), fmt.Sprintf("%s %s", change.Row, change.State))
 	l.orderSteps.replicaChanged(h, change.Row, change.State)
@@ -183,7 +184,7 @@
 	}
 }
 
-// held is how many replicas of the row the zone may have by the global group.
+// held returns how many replicas of the row the global group grants to the zone.
 func (l *ledger) held(zone structs.ZoneID, row structs.RowName) int {
 	if l.newestTable == nil {
 		return 0
@@ -196,15 +197,15 @@
 	return 0
 }
 
-// overcommitted reports loads that an engine refused for lack of memory: the
-// zone's reservations must never lead to one.
+// overcommitted checks that no engine refused a load for lack of memory:
+// reservations must prevent that.
 func (l *ledger) overcommitted(h *engineHost) {
 	if violations := h.engine.Records().Violations; len(violations) > 0 {
-		l.judge.Report(checkerMemory, "engine %s was ordered beyond its memory: %s", h.id, violations[0].Detail)
+		l.judge.Report(checkerMemory, "engine %s received a load beyond its memory: %s", h.id, violations[0].Detail)
 	}
 }
 
-// checkLeaving checks that a runner which is listed as leaving gets no new work.
+// checkLeaving checks that a runner listed as leaving gets no new work.
 func (l *ledger) checkLeaving(order structs.Order) {
 	for _, host := range l.site.engines {
 		if host.id != order.Runner || host.leavingSince == 0 || order.Kind == structs.OrderUnload {
@@ -217,7 +218,7 @@
 	}
 }
 
-// engineDied forgets what an engine held.
+// engineDied resets the record of an engine.
 func (l *ledger) engineDied(h *engineHost) {
 	l.engines[h.id] = &engineRecord{zone: h.zone, loaded: map[structs.RowName]bool{}}
 	l.site.trace.Note("engine-died", string(h.id), "")
--- a/kit/simulate/machine.go
+++ b/kit/simulate/machine.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// syncDelay is what a sync costs on a healthy disk.
+	// syncDelay is the duration of a sync on a healthy disk.
 	syncDelay = 2 * time.Millisecond
-	// deferredLimit bounds the messages that wait for a paused process.
+	// deferredLimit bounds the messages queued for a paused process.
 	deferredLimit = 4096
 )
 
-// service is what runs on a machine while its process lives.
+// service is the process on a machine.
 type service interface {
-	// start is called when the process starts, with the disk as it is then.
+	// start is called when the process starts, with the current disk.
 	start()
 	// receive handles one message.
 	receive(from Address, message any)
-	// stopped is called when the process has died.
+	// stopped is called after the process has died.
 	stopped()
 }
 
-// Machine is a simulated computer with a disk, a clock and one process, which
-// may crash at any step, hang, and start again.
+// Machine is a simulated computer with a disk, a clock and one process, which may
+// crash at any step, pause and restart.
 type Machine struct {
 	scheduler *Scheduler
 	trace     *Trace
@@ -39,17 +39,19 @@
 	service service
 	alive   bool
 	paused  bool
-	// life counts the lives of the process, so that timers of an earlier one are dropped.
+	// life numbers the lifetimes of the process, so that timers of earlier ones are
+	// dropped.
 	life uint64
-	// deferred holds what came while the process was paused.
+	// deferred holds the work that arrived while the process was paused.
 	deferred []func()
-	// fuse is how many steps are left until an armed crash; 0 means none is armed.
-	fuse    int
-	outage  time.Duration
-	crashes int
+	// stepsToCrash is the number of steps until an armed crash; 0 means that none is
+	// armed.
+	stepsToCrash int
+	outage       time.Duration
+	crashes      int
 }
 
-// newMachine makes a machine that is off.
+// newMachine returns a stopped machine.
 func newMachine(scheduler *Scheduler, trace *Trace, random *rand.Rand, address Address, zone structs.ZoneID) *Machine {
 	return &Machine{
 		scheduler: scheduler,
@@ -62,7 +64,7 @@
 	}
 }
 
-// Start starts the process from what is on the disk.
+// Start starts the process from the content of the disk.
 func (m *Machine) Start() {
 	if m.alive {
 		return
@@ -73,8 +75,8 @@
 	m.service.start()
 }
 
-// Crash kills the process; unsynced writes are lost. The machine starts again
-// after the outage.
+// Crash kills the process and drops unsynced writes. The machine restarts after the
+// outage.
 func (m *Machine) Crash(outage time.Duration) {
 	if !m.alive {
 		return
@@ -82,7 +84,7 @@
 	m.alive = false
 	m.paused = false
 	m.deferred = nil
-	m.fuse = 0
+	m.stepsToCrash = 0
 	m.crashes++
 	lost := m.Disk.Crash()
 	m.trace.Note("crash", string(m.Address), "lost writes: "+formatCount(lost))
@@ -95,32 +97,33 @@
 	})
 }
 
-// ArmCrash lets the process crash after so many further steps, or when limit has passed.
+// ArmCrash makes the process crash after the given number of steps, or when limit
+// has passed.
 func (m *Machine) ArmCrash(steps int, limit, outage time.Duration) {
-	m.fuse = max(steps, 1)
+	m.stepsToCrash = max(steps, 1)
 	m.outage = outage
 	life := m.life
 	m.scheduler.After(limit, func() {
-		if m.life == life && m.fuse > 0 {
+		if m.life == life && m.stepsToCrash > 0 {
 			m.Crash(outage)
 		}
 	})
 }
 
-// step marks a point at which the process can crash, and reports whether it did.
+// step marks a possible crash point and reports whether the process crashed.
 func (m *Machine) step() (crashed bool) {
-	if m.fuse == 0 {
+	if m.stepsToCrash == 0 {
 		return false
 	}
-	m.fuse--
-	if m.fuse > 0 {
+	m.stepsToCrash--
+	if m.stepsToCrash > 0 {
 		return false
 	}
 	m.Crash(m.outage)
 	return true
 }
 
-// Pause stops the process without ending it.
+// Pause suspends the process.
 func (m *Machine) Pause() {
 	if m.alive {
 		m.paused = true
@@ -128,7 +131,7 @@
 	}
 }
 
-// Resume lets a paused process go on; what came meanwhile is handled now.
+// Resume continues a paused process, which first handles the deferred work.
 func (m *Machine) Resume() {
 	if !m.paused {
 		return
@@ -146,7 +149,7 @@
 	}
 }
 
-// after runs the function once the duration has passed by the machine's clock,
+// after runs the function once the duration has passed on the machine's clock,
 // unless the process has died by then.
 func (m *Machine) after(duration time.Duration, run func()) {
 	life := m.life
@@ -157,7 +160,7 @@
 	})
 }
 
-// deliver hands a message to the process.
+// deliver passes a message to the process.
 func (m *Machine) deliver(from Address, message any) {
 	if !m.alive || m.paused && len(m.deferred) >= deferredLimit {
 		return
--- a/kit/simulate/machine_test.go
+++ b/kit/simulate/machine_test.go
@@ -12,7 +12,7 @@
 	return NewDisk(scheduler, rand.New(rand.NewPCG(1, 1)), syncDelay)
 }
 
-func TestDiskKeepsWhatWasSynced(t *testing.T) {
+func TestDiskKeepsSyncedWrites(t *testing.T) {
 	c := qt.New(t)
 	lostAny, keptAny := false, false
 	disk := newTestDisk(&Scheduler{})
@@ -35,7 +35,7 @@
 	c.Assert(lostAny && keptAny, qt.IsTrue)
 }
 
-func TestDiskLyingLosesSyncedWrites(t *testing.T) {
+func TestLyingDiskLosesSyncedWrites(t *testing.T) {
 	c := qt.New(t)
 	disk := newTestDisk(&Scheduler{})
 	disk.Lying = true
@@ -52,7 +52,7 @@
 	c.Assert(disk.Write(Record{File: "log"}), qt.IsNotNil)
 }
 
-func TestSchedulerRunsInOrderOfTimeThenOfPlanning(t *testing.T) {
+func TestSchedulerOrdersByTimeThenInsertion(t *testing.T) {
 	c := qt.New(t)
 	scheduler := &Scheduler{}
 	var order []int
@@ -103,18 +103,18 @@
 	c.Assert(got, qt.DeepEquals, map[Address]int{"a": 3, "b": 1})
 }
 
-// echoService counts what it is told.
-type echoService struct{ started, received, ended int }
+// countingService counts its calls.
+type countingService struct{ started, received, ended int }
 
-func (e *echoService) start()               { e.started++ }
-func (e *echoService) receive(Address, any) { e.received++ }
-func (e *echoService) stopped()             { e.ended++ }
+func (e *countingService) start()               { e.started++ }
+func (e *countingService) receive(Address, any) { e.received++ }
+func (e *countingService) stopped()             { e.ended++ }
 
 func TestMachinePausesCrashesAndRestarts(t *testing.T) {
 	c := qt.New(t)
 	scheduler := &Scheduler{}
 	machine := newMachine(scheduler, NewTrace(scheduler), rand.New(rand.NewPCG(1, 1)), "a", "zone-x")
-	service := &echoService{}
+	service := &countingService{}
 	machine.service = service
 	machine.Start()
 	fired := 0
@@ -133,6 +133,6 @@
 	c.Assert(machine.step(), qt.IsTrue)
 	machine.deliver("b", 1)
 	scheduler.Run(10 * time.Second)
-	c.Assert(*service, qt.Equals, echoService{started: 2, received: 1, ended: 1})
-	c.Assert(fired, qt.Equals, 1, qt.Commentf("a timer of an earlier life fired"))
+	c.Assert(*service, qt.Equals, countingService{started: 2, received: 1, ended: 1})
+	c.Assert(fired, qt.Equals, 1, qt.Commentf("a timer of an earlier process fired"))
 }
--- a/kit/simulate/member.go
+++ b/kit/simulate/member.go
@@ -8,23 +8,24 @@
 	"github.com/lotusferry/lotusferry/agreement/raft"
 )
 
-// The pace of the simulated groups.
+// Raft timing of the simulated groups.
 const (
 	electionTicks  = 10
 	heartbeatTicks = 2
-	// missedTicksLimit bounds the ticks that a process makes up for after a pause.
+	// missedTicksLimit bounds the ticks that a process catches up on after a pause.
 	missedTicksLimit = 4 * electionTicks
 )
 
-// replicated is the state machine of a group.
-type replicated interface {
+// stateMachine is the replicated state machine of a group.
+type stateMachine interface {
 	// apply executes a command and returns its result.
 	apply(index uint64, command []byte) any
 	snapshot() ([]byte, error)
 	restore(data []byte) error
 }
 
-// memberObserver is told what a member does, for the checkers and the services.
+// memberObserver is notified of what a member does, for the checkers and the
+// services.
 type memberObserver interface {
 	memberApplied(m *member, entry raft.Entry, result any)
 	memberRestored(m *member, snapshot raft.Snapshot)
@@ -33,36 +34,36 @@
 	memberFailed(m *member, doing string, err error)
 }
 
-// member runs one raft node of one group on a machine: it is the shell that the
-// daemon's package group is outside of the simulator.
+// member runs one raft node of a group on a machine. It replaces the daemon's
+// package group in the simulator.
 type member struct {
-	machine  *Machine
-	network  *Network
-	observer memberObserver
-	group    groupName
-	founders raft.Membership
-	// identities maps a node to the machine that it lives on.
+	machine           *Machine
+	network           *Network
+	observer          memberObserver
+	group             groupName
+	initialMembership raft.Membership
+	// identities maps a node to the address of its machine.
 	identities func(raft.NodeID) Address
-	// tick is the time between two ticks of the node.
+	// tick is the interval between ticks of the node.
 	tick time.Duration
-	// snapshotEntries is how much the log grows between two snapshots.
+	// snapshotEntries is the log growth between snapshots.
 	snapshotEntries uint64
-	// keepIdentity makes a machine with an empty disk come back as what it was.
+	// keepIdentity makes a machine with an empty disk reuse its former identity.
 	keepIdentity bool
 
 	store       *store
 	node        *raft.Node
-	state       replicated
+	state       stateMachine
 	applied     uint64
 	appliedTerm uint64
-	// busy is set while a sync is under way, compacting while the log is compacted:
-	// messages wait in held meanwhile, because the node must not move past the
-	// snapshot before it has compacted its log.
+	// busy is set during a sync, compacting during a log compaction. Messages that
+	// arrive during a compaction are deferred, because the node must not advance
+	// past the snapshot before it has compacted its log.
 	busy       bool
 	compacting bool
-	held       []raft.Message
+	deferred   []raft.Message
 	ticked     time.Duration
-	// leading is the term in which the node was last seen leading.
+	// leading is the newest term in which the node was seen to lead.
 	leading uint64
 }
 
@@ -74,10 +75,10 @@
 // machineOf returns the number of the machine that an identity lives on.
 func machineOf(id raft.NodeID) int { return int(id>>8) - 1 }
 
-// start makes the node from what is on the disk.
-func (m *member) start(machineNumber int, state replicated) {
+// start creates the node from the content of the disk.
+func (m *member) start(machineNumber int, state stateMachine) {
 	m.state = state
-	m.busy, m.compacting, m.held = false, false, nil
+	m.busy, m.compacting, m.deferred = false, false, nil
 	m.applied, m.appliedTerm, m.leading = 0, 0, 0
 	opened, found := openStore(m.machine.Disk, string(m.group))
 	m.store = opened
@@ -107,8 +108,8 @@
 	m.pump()
 }
 
-// initialise writes the identity of a new disk. Only the first disk of a founder
-// knows the group; a later one joins under an identity that was never used.
+// initialise writes the identity of a new disk. Only the first disk of an initial
+// member knows the membership; a later one joins under an unused identity.
 func (m *member) initialise(machineNumber int) {
 	generation := m.machine.Disk.Generation
 	if m.keepIdentity {
@@ -117,7 +118,7 @@
 	m.store.identity = identity(machineNumber, generation)
 	first := batch{}
 	if generation == 1 {
-		first.snapshot = &raft.Snapshot{Membership: copyMembership(m.founders)}
+		first.snapshot = &raft.Snapshot{Membership: copyMembership(m.initialMembership)}
 	}
 	if err := m.store.write(first); err == nil {
 		m.machine.Disk.Sync()
@@ -134,16 +135,16 @@
 	return true
 }
 
-// running reports whether the member has a node.
+// running reports whether the member has a node and its machine is alive.
 func (m *member) running() bool { return m.node != nil && m.machine.alive }
 
 // leads reports whether the node leads and has applied an entry of its own term,
-// so that it knows every command of earlier terms.
+// which implies that it has applied all commands of earlier terms.
 func (m *member) leads() bool {
 	return m.node.Role() == raft.Leader && m.appliedTerm == m.node.Term()
 }
 
-// catchUp delivers the ticks that have passed by the machine's clock.
+// catchUp delivers the ticks due by the machine's clock.
 func (m *member) catchUp() {
 	now := m.machine.Clock.Monotonic()
 	if earliest := now - missedTicksLimit*m.tick; m.ticked < earliest {
@@ -155,13 +156,13 @@
 	}
 }
 
-// step gives a message to the node.
+// step passes a message to the node.
 func (m *member) step(message raft.Message) {
 	if m.node == nil || message.To != m.store.identity {
 		return
 	}
 	if m.compacting {
-		m.held = append(m.held, message)
+		m.deferred = append(m.deferred, message)
 		return
 	}
 	m.catchUp()
@@ -172,7 +173,7 @@
 	m.pump()
 }
 
-// pump carries out what the node hands out, until a sync must be waited for.
+// pump processes the node's Ready values until it has to wait for a sync.
 func (m *member) pump() {
 	for m.node != nil && !m.busy && m.node.HasReady() {
 		ready := m.node.Ready()
@@ -183,8 +184,8 @@
 	m.noteLeadership()
 }
 
-// persist makes a Ready durable and then finishes it; it returns false when that
-// has to wait or the process died.
+// persist makes a Ready durable and then finishes it. It returns false if it has to
+// wait for the disk or the process died.
 func (m *member) persist(ready raft.Ready) bool {
 	if ready.HardState != nil || ready.Snapshot != nil || len(ready.Entries) > 0 {
 		if err := m.store.write(m.batchOf(ready)); err != nil {
@@ -214,7 +215,7 @@
 	return made
 }
 
-// sync waits for the disk and then goes on with what follows.
+// sync waits for the disk and then calls then.
 func (m *member) sync(then func()) {
 	m.busy = true
 	m.machine.after(m.machine.Disk.SyncDelay, func() {
@@ -229,8 +230,8 @@
 	})
 }
 
-// finish does what follows the durability of a Ready; false means that the
-// process died.
+// finish sends messages and applies entries of a durable Ready. It returns false if
+// the process died.
 func (m *member) finish(ready raft.Ready) bool {
 	for _, message := range ready.Messages {
 		m.send(message)
@@ -255,8 +256,8 @@
 	return m.machine.alive
 }
 
-// noteRead serves a read whose index is applied; one that is not is dropped, as
-// if its request were lost.
+// noteRead serves a read whose index is applied and drops any other, as if its
+// request were lost.
 func (m *member) noteRead(read raft.ReadState) {
 	if read.Index <= m.applied {
 		m.observer.memberRead(m, read.Context)
@@ -281,7 +282,7 @@
 	m.observer.memberApplied(m, entry, result)
 }
 
-// compact takes a snapshot when the log has grown.
+// compact takes a snapshot once the log has grown enough.
 func (m *member) compact() {
 	if m.busy || m.applied < m.store.snapshot.Index+m.snapshotEntries {
 		return
@@ -306,14 +307,14 @@
 		if err := m.node.Compact(copySnapshot(snapshot)); err != nil {
 			m.observer.memberFailed(m, "compact the log", err)
 		}
-		m.stepHeld()
+		m.stepDeferred()
 	})
 }
 
-// stepHeld gives the node the messages that came while its log was compacted.
-func (m *member) stepHeld() {
-	held := m.held
-	m.compacting, m.held = false, nil
+// stepDeferred passes the messages deferred during a compaction to the node.
+func (m *member) stepDeferred() {
+	held := m.deferred
+	m.compacting, m.deferred = false, nil
 	for _, message := range held {
 		if err := m.node.Step(message); err != nil {
 			m.observer.memberFailed(m, "step a message", err)
@@ -329,8 +330,8 @@
 	m.observer.memberBecameLeader(m)
 }
 
-// propose appends a command to the group's log; ok is false when the node does
-// not lead or takes no more.
+// propose appends a command to the group's log; ok is false if the node does not
+// lead or rejects the proposal.
 func (m *member) propose(command []byte) (index uint64, ok bool) {
 	index, _, err := m.node.Propose(command)
 	if err != nil {
@@ -339,10 +340,10 @@
 	return index, true
 }
 
-// takeIn moves the group towards having the identity as a voter, one change of
-// the membership at a time: first it replaces the machine's former identity by a
-// learner, then, once that has the log, it lets the learner vote.
-func (m *member) takeIn(joining raft.NodeID) {
+// addVoter makes the identity a voter by one membership change at a time: it first
+// replaces the machine's former identity by a learner and promotes the learner once
+// it has caught up.
+func (m *member) addVoter(joining raft.NodeID) {
 	if m.node == nil || m.node.Role() != raft.Leader {
 		return
 	}
@@ -362,7 +363,7 @@
 		next.Voters = slices.DeleteFunc(next.Voters, isFormer)
 		next.Learners = append(slices.DeleteFunc(next.Learners, isFormer), joining)
 	}
-	// A refusal means that it is too early; the machine asks again.
+	// An error means that it is too early; the machine asks again.
 	if _, _, err := m.node.ProposeMembership(next); err == nil {
 		m.machine.trace.Note("membership", string(m.machine.Address), string(m.group))
 	}
--- a/kit/simulate/message.go
+++ b/kit/simulate/message.go
@@ -7,19 +7,18 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// groupName names a raft group: the global group, or a zone's by the zone.
+// groupName names a raft group: the global group, or a zone's group by its zone.
 type groupName string
 
-// globalGroup is the name of the global group.
 const globalGroup groupName = "global"
 
-// raftMessage carries one message of a group's nodes.
+// raftMessage carries a message between the nodes of a group.
 type raftMessage struct {
 	group   groupName
 	message raft.Message
 }
 
-// joinRequest asks a group's leader to take a new identity of a machine in.
+// joinRequest asks a group's leader to add a new identity of a machine.
 type joinRequest struct {
 	group    groupName
 	identity raft.NodeID
@@ -28,7 +27,6 @@
 // orderMessage carries a fenced order to an engine.
 type orderMessage struct{ order structs.Order }
 
-// orderAnswer is the engine's answer to an order.
 type orderAnswer struct {
 	order structs.Order
 	reply structs.OrderReply
@@ -37,17 +35,16 @@
 // reportMessage carries an engine's report to a controller.
 type reportMessage struct{ report structs.EngineReport }
 
-// deltaRequest asks a member of the global group for what changed since a revision.
+// deltaRequest asks a member of the global group for the changes since a revision.
 type deltaRequest struct {
 	zone  structs.ZoneID
 	since uint64
 }
 
-// deltaAnswer carries the changes.
 type deltaAnswer struct{ delta structs.TableDelta }
 
-// zoneStatement carries what a zone tells the global group: releases, wishes and
-// the adopted revision.
+// zoneStatement carries a zone's releases, wishes and adopted revision to the global
+// group.
 type zoneStatement struct {
 	zone     structs.ZoneID
 	releases []structs.GrantRelease
@@ -55,31 +52,29 @@
 	inForce  uint64
 }
 
-// rowsRequest asks a member of the global group for the table.
+// rowsRequest asks a member of the global group to read the table.
 type rowsRequest struct{ number uint64 }
 
-// rowsAnswer carries the table.
 type rowsAnswer struct {
 	number   uint64
 	revision uint64
 	rows     []structs.Row
 }
 
-// editRequest carries an operator's edit.
 type editRequest struct {
 	number uint64
 	edit   structs.Edit
 }
 
-// editAnswer carries the result of an edit, or why there is none.
+// editAnswer carries the result of an edit, or the reason why there is none.
 type editAnswer struct {
 	number uint64
 	result *structs.EditResult
 	refuse *structs.Error
 }
 
-// copyRaftMessage copies what the sender's node might go on using, as encoding
-// for the network would.
+// copyRaftMessage copies what the sender's node may still modify, as encoding for
+// the network would.
 func copyRaftMessage(message raft.Message) raft.Message {
 	message.Entries = slices.Clone(message.Entries)
 	if message.Snapshot != nil {
--- a/kit/simulate/mutation.go
+++ b/kit/simulate/mutation.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // The mutations of the table scenario. Each disables one safeguard in the
-// simulator's shell; the code that decides stays as it is.
+// simulator's shell, not in the deciding code.
 const (
 	mutationNoFence        = "no-fence"
 	mutationNoSync         = "no-sync"
@@ -28,65 +28,67 @@
 	return slices.Concat(orderMutations(), editMutations(), zoneMutations())
 }
 
-// orderMutations disable what keeps orders and replicas within what was decided.
+// orderMutations returns the mutations of safeguards on orders and replicas.
 func orderMutations() []MutationInfo {
 	return []MutationInfo{
 		{
 			Name:     mutationNoFence,
-			Sentence: "Engines carry out orders that are older than one they accepted.",
+			Sentence: "Engines execute orders older than one they accepted.",
 			Checkers: []string{checkerFence, checkerReplicas, checkerReservation},
 			Scenario: tableScenarioName + planSeparator + "silent-leader",
 		},
 		{
 			Name:     mutationNoSync,
-			Sentence: "Disks say that a write is synced when it is not.",
+			Sentence: "Disks report writes as synced that are not.",
 			Checkers: []string{checkerLog, checkerElection, checkerInForce, checkerFailure, checkerRunaway},
 		},
 		{
 			Name:     mutationOrderUnapplied,
-			Sentence: "A load order leaves before its reservation is in the zone's log.",
+			Sentence: "A load order is sent before its reservation is in the zone's log.",
 			Checkers: []string{checkerReservation, checkerReplicas},
 		},
 		{
 			Name:     mutationIgnoreGrants,
-			Sentence: "A zone takes the table's whole replica limit for its own share.",
+			Sentence: "A zone uses the table's whole replica limit as its own share.",
 			Checkers: []string{checkerReplicas, checkerGrant},
 		},
 		{
 			Name:     mutationEarlyRelease,
-			Sentence: "A zone gives back a lowered grant before it has unloaded down to it.",
+			Sentence: "A zone releases a lowered grant before it has unloaded down to it.",
 			Checkers: []string{checkerReplicas, checkerGrant, checkerInvariants},
 		},
 	}
 }
 
-// editMutations disable what keeps edits and reads of the table in one order.
+// editMutations returns the mutations of safeguards on the order of table edits and
+// reads.
 func editMutations() []MutationInfo {
 	return []MutationInfo{
 		{
 			Name:     mutationNewEditID,
-			Sentence: "An operator's client makes a new edit ID for every resend.",
+			Sentence: "An operator's client uses a new edit ID for every resend.",
 			Checkers: []string{checkerResend, checkerLinearizable},
 		},
 		{
 			Name:     mutationForgetAnswers,
-			Sentence: "The table judges an edit again when it is resent.",
+			Sentence: "The table evaluates a resent edit again.",
 			Checkers: []string{checkerResend, checkerLinearizable},
 		},
 		{
 			Name:     mutationTakeAnyVersion,
-			Sentence: "The table takes edits that were made against older versions of their rows, resends among them.",
+			Sentence: "The table accepts edits based on older versions of their rows, including resends.",
 			Checkers: []string{checkerWinner, checkerResend, checkerLinearizable},
 		},
 		{
 			Name:     mutationStaleReads,
-			Sentence: "A member answers reads of the table at once, from what it has applied.",
+			Sentence: "A member serves table reads at once from its applied state.",
 			Checkers: []string{checkerRead, checkerLinearizable},
 		},
 	}
 }
 
-// zoneMutations disable what keeps a zone's group and its leader to what they know.
+// zoneMutations returns the mutations of safeguards in a zone's group and its
+// leader.
 func zoneMutations() []MutationInfo {
 	return []MutationInfo{
 		{
@@ -96,38 +98,38 @@
 		},
 		{
 			Name:     mutationIgnoreLease,
-			Sentence: "A zone's leader sends orders without looking at its lease.",
+			Sentence: "A zone's leader sends orders without checking its lease.",
 			Checkers: []string{checkerLease},
 		},
 		{
 			Name:     mutationAdoptOlder,
-			Sentence: "A zone takes the rows of an older table revision for the newest ones.",
+			Sentence: "A zone adopts the rows of an older table revision as the newest ones.",
 			Checkers: []string{checkerInForce},
 		},
 		{
 			Name:     mutationIgnoreFrozen,
-			Sentence: "A zone begins loads although its grant is frozen.",
+			Sentence: "A zone starts loads although its grant is frozen.",
 			Checkers: []string{checkerReplicas},
 		},
 		{
 			Name:     mutationInflateMemory,
-			Sentence: "A zone takes its runners for having half as much memory again.",
+			Sentence: "A zone overestimates the memory of its runners by half.",
 			Checkers: []string{checkerMemory},
 		},
 		{
 			Name:     mutationIgnoreLeaving,
-			Sentence: "A zone's leader takes runners that are listed as leaving for live ones.",
+			Sentence: "A zone's leader treats runners listed as leaving as live.",
 			Checkers: []string{checkerLeaving},
 			Scenario: tableScenarioName + planSeparator + "reclaimed",
 		},
 		{
 			Name:     mutationSlowDeltas,
-			Sentence: "A zone's leader asks for table changes only now and then.",
+			Sentence: "A zone's leader rarely requests table changes.",
 			Checkers: []string{checkerLate, checkerConvergence},
 		},
 		{
 			Name:     mutationNeedGlobal,
-			Sentence: "A zone's leader decides nothing while no other zone answers it.",
+			Sentence: "A zone's leader makes no decisions while no other zone answers it.",
 			Checkers: []string{checkerAlone},
 			Scenario: tableScenarioName + planSeparator + "zone-cut",
 		},
--- a/kit/simulate/network.go
+++ b/kit/simulate/network.go
@@ -7,24 +7,24 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Address names a party on the simulated network ("zone-a/controller-1").
+// Address identifies a party on the simulated network ("zone-a/controller-1").
 type Address string
 
-// Quality says how badly the network treats messages.
+// Quality describes the impairments of the network.
 type Quality struct {
 	// Loss, Duplicate and Straggle are probabilities. A straggler is delayed by up
-	// to StraggleDelay, so that messages sent later overtake it.
+	// to StraggleDelay, so that later messages can overtake it.
 	Loss      float64
 	Duplicate float64
 	Straggle  float64
-	// MinDelay and MaxDelay bound the ordinary one-way delay.
+	// MinDelay and MaxDelay bound the regular one-way delay.
 	MinDelay      time.Duration
 	MaxDelay      time.Duration
 	StraggleDelay time.Duration
 }
 
-// Network carries messages between parties with delay, loss, reordering,
-// duplication and cuts. A message sent before a cut still arrives.
+// Network carries messages between parties with delay, loss, reordering, duplication
+// and cuts. A cut does not affect messages already sent.
 type Network struct {
 	scheduler *Scheduler
 	random    *rand.Rand
@@ -42,7 +42,7 @@
 
 type zoneRoute struct{ from, to structs.ZoneID }
 
-// NewNetwork makes a network of the given quality.
+// NewNetwork returns a network of the given quality.
 func NewNetwork(scheduler *Scheduler, random *rand.Rand, trace *Trace, quality Quality) *Network {
 	return &Network{
 		scheduler: scheduler,
@@ -56,28 +56,30 @@
 	}
 }
 
-// Attach connects a party that lives in the zone. Attaching again replaces the receiver.
+// Attach connects a party in the zone, replacing any earlier receiver of the
+// address.
 func (n *Network) Attach(address Address, zone structs.ZoneID, receive func(from Address, message any)) {
 	n.zones[address] = zone
 	n.receivers[address] = receive
 }
 
-// SetQuality changes the quality from now on.
 func (n *Network) SetQuality(quality Quality) { n.quality = quality }
 
-// Cut drops what from sends to to until the matching Heal. Cuts add up.
+// Cut drops messages between the addresses in this direction until the matching
+// Heal. Cuts are counted.
 func (n *Network) Cut(from, to Address) { n.cuts[route{from, to}]++ }
 
-// Heal ends one Cut.
+// Heal undoes one Cut.
 func (n *Network) Heal(from, to Address) { n.cuts[route{from, to}]-- }
 
-// CutZones drops what one zone sends to the other until the matching HealZones.
+// CutZones drops messages between the zones in this direction until the matching
+// HealZones.
 func (n *Network) CutZones(from, to structs.ZoneID) { n.zoneCuts[zoneRoute{from, to}]++ }
 
-// HealZones ends one CutZones.
+// HealZones undoes one CutZones.
 func (n *Network) HealZones(from, to structs.ZoneID) { n.zoneCuts[zoneRoute{from, to}]-- }
 
-// Reachable reports whether a message sent now from one party to the other is carried.
+// Reachable reports whether no cut drops a message sent now between the parties.
 func (n *Network) Reachable(from, to Address) bool {
 	if n.cuts[route{from, to}] > 0 {
 		return false
@@ -85,13 +87,13 @@
 	return n.zoneCuts[zoneRoute{n.zones[from], n.zones[to]}] <= 0
 }
 
-// Send carries a message. The receiver must not change it.
+// Send sends a message, which the receiver must not modify.
 func (n *Network) Send(from, to Address, message any) {
 	n.SendAfter(0, from, to, message)
 }
 
-// SendAfter carries a message that the sending machine holds back for some time
-// first. Whether a cut drops it is decided now.
+// SendAfter sends a message that the sending machine first holds back. Cuts and
+// losses are decided at the time of the call.
 func (n *Network) SendAfter(held time.Duration, from, to Address, message any) {
 	n.sent++
 	if !n.Reachable(from, to) || n.chance(n.quality.Loss) {
@@ -113,7 +115,7 @@
 	})
 }
 
-// delay draws the delay of one message on a network of the quality.
+// delay returns a random message delay for the quality.
 func (n *Network) delay(quality Quality) time.Duration {
 	delay := quality.MinDelay
 	if quality.MaxDelay > quality.MinDelay {
@@ -125,7 +127,7 @@
 	return delay
 }
 
-// between draws a duration of at least least and less than most.
+// between returns a random duration in [least, most).
 func between(random *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(random.Int64N(int64(most-least)))
 }
--- a/kit/simulate/operator.go
+++ b/kit/simulate/operator.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// hurriedLeast and hurriedMost bound the pause of an operator in a hurry.
-	hurriedLeast = 20 * time.Millisecond
-	hurriedMost  = 60 * time.Millisecond
-	// answerLoss is the share of answers that are lost on an operator's own machine.
+	// minHurriedPause and maxHurriedPause bound the pause between edits during a
+	// burst.
+	minHurriedPause = 20 * time.Millisecond
+	maxHurriedPause = 60 * time.Millisecond
+	// answerLoss is the share of answers lost on an operator's own machine.
 	answerLoss = 0.25
-	// answerTimeout is when an operator asks again; attempts bounds how often.
-	answerTimeout  = 1200 * time.Millisecond
-	editAttempts   = 12
-	readAttempts   = 6
-	mostReplicas   = 5
-	refusedBackoff = 100 * time.Millisecond
+	// answerTimeout is the time until an operator asks again; editAttempts and
+	// readAttempts bound the attempts.
+	answerTimeout   = 1200 * time.Millisecond
+	editAttempts    = 12
+	readAttempts    = 6
+	maxReplicaLimit = 5
+	refusedBackoff  = 100 * time.Millisecond
 )
 
-// tableOperator edits the table again and again: it reads the rows, changes one
-// and sends the edit, and resends it when the answer does not come.
+// tableOperator edits the table repeatedly: it reads the rows, sends an edit of one,
+// and resends it if no answer arrives.
 type tableOperator struct {
 	site    *tableSite
 	random  *rand.Rand
 	number  int
 	address Address
 
-	// request numbers the questions, so that late answers are told apart.
+	// request numbers the requests, so that late answers are ignored.
 	request  uint64
 	attempts int
 	target   int
 	rows     []structs.Row
-	// floor is the table revision that the next read must show at least.
+	// floor is the minimum table revision that the next read must reflect.
 	floor    uint64
 	edit     structs.Edit
 	intent   intentID
 	intents  int
 	editing  bool
 	finished bool
-	// asked is when the open question was last sent; call records the open edit.
+	// asked is when the pending request was last sent; call records the pending
+	// edit.
 	asked time.Duration
 	call  *tableCall
 }
@@ -57,15 +60,15 @@
 		target:  number,
 	}
 	site.network.Attach(o.address, zone, o.receive)
-	o.think()
+	o.scheduleEdit()
 	return o
 }
 
-// think waits and then begins the next edit.
-func (o *tableOperator) think() {
-	least, most := o.site.pace.thinkLeast, o.site.pace.thinkMost
+// scheduleEdit begins the next edit after a pause.
+func (o *tableOperator) scheduleEdit() {
+	least, most := o.site.pace.minThinkTime, o.site.pace.maxThinkTime
 	if o.site.hurried > 0 {
-		least, most = hurriedLeast, hurriedMost
+		least, most = minHurriedPause, maxHurriedPause
 	}
 	o.site.scheduler.After(between(o.random, least, most), o.begin)
 }
@@ -76,7 +79,7 @@
 		return
 	}
 	o.attempts = 0
-	// Half of the time the operator trusts the rows that are already on the screen.
+	// Half of the edits are based on the rows read before, which may be stale.
 	isTrusting := o.random.IntN(2) == 0
 	if len(o.rows) > 0 && isTrusting {
 		o.compose()
@@ -87,14 +90,14 @@
 	o.ask()
 }
 
-// ask sends the question that is open, to one member of the global group.
+// ask sends the pending request to one member of the global group.
 func (o *tableOperator) ask() {
 	limit := readAttempts
 	if o.editing {
 		limit = editAttempts
 	}
 	if o.attempts >= limit {
-		o.think()
+		o.scheduleEdit()
 		return
 	}
 	o.attempts++
@@ -109,13 +112,13 @@
 	}
 	o.site.scheduler.After(answerTimeout, func() {
 		if o.request == number {
-			o.askAnother()
+			o.askOtherMember()
 		}
 	})
 }
 
-// askAnother turns to another member with the same question.
-func (o *tableOperator) askAnother() {
+// askOtherMember resends the pending request to another member.
+func (o *tableOperator) askOtherMember() {
 	o.target += 1 + o.random.IntN(len(o.site.globals)-1)
 	if o.editing {
 		o.site.counts.EditsResent++
@@ -137,12 +140,12 @@
 		}
 	case editAnswer:
 		if content.number == o.request && o.editing {
-			o.takeAnswer(content)
+			o.handleAnswer(content)
 		}
 	}
 }
 
-func (o *tableOperator) takeAnswer(answer editAnswer) {
+func (o *tableOperator) handleAnswer(answer editAnswer) {
 	if answer.refuse != nil && answer.refuse.Kind == structs.ErrorNotLeader {
 		o.request++
 		o.target++
@@ -153,16 +156,16 @@
 	isLost := o.random.Float64() < max(answerLoss, o.site.answerLoss)
 	if answer.result != nil && o.attempts < editAttempts && isLost {
 		o.site.trace.Note("answer-lost", string(o.address), string(o.edit.ID))
-		o.askAnother()
+		o.askOtherMember()
 		return
 	}
 	if answer.result != nil {
 		o.call.answered(o.site.scheduler.Now(), *answer.result)
 	}
-	o.think()
+	o.scheduleEdit()
 }
 
-// compose makes the next edit from the rows that were read.
+// compose builds the next edit from the rows that were read and sends it.
 func (o *tableOperator) compose() {
 	o.intents++
 	o.intent = intentID{operator: o.number, number: o.intents}
@@ -185,7 +188,7 @@
 	o.ask()
 }
 
-// pickRow prefers the first row, so that operators race for it.
+// pickRow returns a random row, preferably the first, so that operators race for it.
 func (o *tableOperator) pickRow() structs.RowName {
 	if o.random.IntN(3) == 0 || o.site.racing > 0 {
 		return simulatedRows[0]
@@ -193,14 +196,14 @@
 	return simulatedRows[o.random.IntN(len(simulatedRows))]
 }
 
-// change makes a change of one row: a new limit most of the time.
+// change returns a change of one row, in most cases a new limit.
 func (o *tableOperator) change(name structs.RowName) structs.RowChange {
 	row, found := findRow(o.rows, name)
 	change := structs.RowChange{Row: row, BaseRevision: row.Revision}
 	if !found {
 		change.Row = newSimulatedRow(name)
 	}
-	change.Row.MaxReplicas = o.random.IntN(mostReplicas + 1)
+	change.Row.MaxReplicas = o.random.IntN(maxReplicaLimit + 1)
 	change.Row.MinReplicas = min(o.random.IntN(2), change.Row.MaxReplicas)
 	change.Row.Weight = 1 + o.random.IntN(100)
 	if found && o.random.IntN(6) == 0 {
--- a/kit/simulate/ordersteps.go
+++ b/kit/simulate/ordersteps.go
@@ -5,11 +5,11 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// checkerOrderSteps guards that reservations, what leaders do about them, and what
-// engines do with orders are transitions of spec/orders.pml.
+// checkerOrderSteps checks that reservations, the actions of leaders on them and the
+// handling of orders by engines are transitions of spec/orders.pml.
 const checkerOrderSteps = "order-steps"
 
-// The transitions of spec/orders.pml, under the names that they have there.
+// The transitions of spec/orders.pml, by their names there.
 const (
 	stepReserve             = "Reserve"
 	stepTransition          = "Transition"
@@ -29,7 +29,7 @@
 	stepTakeOrder, stepReport, stepRestartEngine, stepSendOrder, stepFollowRecord,
 }
 
-// specRecord is Record of spec/orders.pml; the zero value is an absent one.
+// specRecord is Record of spec/orders.pml; the zero value is an absent record.
 type specRecord struct {
 	state           structs.ReplicaState
 	order, reserved structs.OrderNumber
@@ -66,8 +66,8 @@
 	s.ledger.reportStep(checkerOrderSteps, format, values...)
 }
 
-// zoneCommitted takes the transition that the command stands for, and compares what
-// it makes of the records with what the code made of them.
+// zoneCommitted applies the transition of the command and compares the resulting
+// records with those of the code.
 func (s *orderSteps) zoneCommitted(id structs.ZoneID, state *zone.State, number structs.OrderNumber, command zone.Command) {
 	switch {
 	case command.Reserve != nil:
@@ -90,7 +90,7 @@
 	}
 }
 
-// reserve is Reserve; what it reserves fits beside the runner's other records.
+// reserve is Reserve; the reservation must fit beside the runner's other records.
 func (s *orderSteps) reserve(at placement, number structs.OrderNumber, state *zone.State) {
 	if known, isThere := s.records[at]; isThere {
 		s.report("%s on %s is reserved while %+v is recorded", at.row, at.runner, known)
@@ -143,7 +143,8 @@
 	s.taken[stepRemove]++
 }
 
-// register is RegisterIncarnation; a runner that has not restarted keeps its records.
+// register is RegisterIncarnation; a runner that has not restarted keeps its
+// records.
 func (s *orderSteps) register(info structs.RunnerInfo) {
 	if info.Incarnation <= s.incarnations[info.ID] {
 		return
@@ -171,9 +172,9 @@
 
 func (s *orderSteps) newEpoch() { s.taken[stepNewEpoch]++ }
 
-// view is what a leader sees of one record: the macros shown, overtaken and passed
-// of the specification.
-type view struct {
+// recordView is what a leader knows of one record: the macros shown, overtaken and
+// passed of the specification.
+type recordView struct {
 	record                          specRecord
 	state                           structs.ReplicaState
 	order                           structs.OrderNumber
@@ -181,11 +182,11 @@
 	isShown, isOvertaken, hasPassed bool
 }
 
-func (s *orderSteps) view(c *zoneController, epoch structs.Epoch, at placement) view {
+func (s *orderSteps) view(c *zoneController, epoch structs.Epoch, at placement) recordView {
 	replica, _ := c.state.Replica(at.runner, at.row)
 	runner, _ := c.state.Runner(at.runner)
 	report := c.reports[at.runner].Report
-	seen := view{
+	seen := recordView{
 		record: specRecord{replica.State, replica.Order, replica.Reserved},
 		mayFollow: report.Runner == at.runner && report.Incarnation == runner.Incarnation &&
 			report.Fence.Epoch <= epoch,
@@ -201,11 +202,11 @@
 	return seen
 }
 
-// proposed is FollowRecord: what a leader records follows from the last report. It
-// may begin to unload at any time.
+// proposed is FollowRecord: a leader's change of a record must follow from the last
+// report, except that it may begin to unload at any time.
 func (s *orderSteps) proposed(c *zoneController, epoch structs.Epoch, command zone.Command) {
 	var at placement
-	var isDue func(view) bool
+	var isDue func(recordView) bool
 	switch {
 	case command.Transition != nil && command.Transition.To == structs.ReplicaReady:
 		at = placement{command.Transition.Row, command.Transition.Runner}
@@ -225,22 +226,22 @@
 	s.taken[stepFollowRecord]++
 }
 
-func readyIsDue(v view) bool {
+func readyIsDue(v recordView) bool {
 	return v.record.state == structs.ReplicaLoading && v.isShown && v.state == structs.ReplicaReady
 }
 
-func removeIsDue(v view) bool {
+func removeIsDue(v recordView) bool {
 	isFailed := v.record.state == structs.ReplicaLoading && !v.isShown && v.hasPassed && !v.isOvertaken
 	return isFailed || v.record.state == structs.ReplicaUnloading && !v.isShown && v.hasPassed
 }
 
-func touchIsDue(v view) bool {
+func touchIsDue(v recordView) bool {
 	isLost := v.record.state == structs.ReplicaLoading && !v.isShown && v.isOvertaken
 	return isLost || v.record.state == structs.ReplicaUnloading && v.isOvertaken && v.isShown && v.order < v.record.order
 }
 
-// sent is SendOrder: an order is for what the leader's log records and the last
-// report does not show as done or out of date.
+// sent is SendOrder: an order must be for a state that the leader's log records and
+// that the last report does not show as done or outdated.
 func (s *orderSteps) sent(c *zoneController, epoch structs.Epoch, order structs.Order) {
 	if order.Kind != structs.OrderLoad && order.Kind != structs.OrderUnload {
 		return
@@ -258,17 +259,17 @@
 	s.taken[stepSendOrder]++
 }
 
-func loadIsDue(v view) bool {
+func loadIsDue(v recordView) bool {
 	return v.record.state == structs.ReplicaLoading && !v.isShown && !v.hasPassed
 }
 
-func unloadIsDue(v view) bool {
+func unloadIsDue(v recordView) bool {
 	isGone := !v.isShown && v.hasPassed
 	isUnderWay := v.isShown && v.hasPassed && v.order >= v.record.order
 	return v.record.state == structs.ReplicaUnloading && !isGone && !isUnderWay && !v.isOvertaken
 }
 
-// engine returns the engine as the specification has it; a restart empties it.
+// engine returns the specified state of the engine, which a restart empties.
 func (s *orderSteps) engine(h *engineHost) *specEngine {
 	known := s.engines[h.id]
 	if known != nil && known.incarnation == h.incarnation {
@@ -282,8 +283,8 @@
 	return known
 }
 
-// answered is TakeOrder: the engine carries out an order for its incarnation that is
-// newer than all it accepted, and does nothing about any other.
+// answered is TakeOrder: the engine executes an order for its incarnation that is
+// newer than all it accepted, and ignores any other.
 func (s *orderSteps) answered(h *engineHost, order structs.Order, reply structs.OrderReply) {
 	engine := s.engine(h)
 	isOwn := order.Incarnation == engine.incarnation
@@ -309,7 +310,7 @@
 	s.engine(h).states[row] = state
 }
 
-// reported is Report: it shows the fence that the engine has or had.
+// reported is Report: the reported fence is the engine's present or an earlier one.
 func (s *orderSteps) reported(h *engineHost, report structs.EngineReport) {
 	engine := s.engine(h)
 	isFuture := report.Incarnation > engine.incarnation ||
--- a/kit/simulate/lateness.go
+++ b/kit/simulate/progresschecker.go
@@ -8,39 +8,40 @@
 
 const (
 	// inForceBound is how long an accepted edit may take to be in force in every
-	// zone that can be reached, and how long a zone that was cut off may take to
-	// catch up.
+	// reachable zone, and how long a zone may take to catch up after a cut.
 	inForceBound = 7 * time.Second
-	// aloneGrace is how long after a cut a zone must act on its own, and aloneBound
-	// how long it may pause in that.
-	aloneGrace    = 5 * time.Second
-	aloneBound    = 3 * time.Second
-	watchInterval = time.Second
+	// isolationGrace is how long after a cut a zone must act on its own, and
+	// isolationBound its longest pause then.
+	isolationGrace = 5 * time.Second
+	isolationBound = 3 * time.Second
+	watchInterval  = time.Second
 )
 
-// lateness checks that accepted edits come into force in time and that a zone
-// which is cut off goes on alone. Both are judged only while nothing else fails.
-type lateness struct {
+// progressChecker checks that accepted edits come into force in time and that an
+// isolated zone continues to act. It judges both only in the absence of other
+// faults.
+type progressChecker struct {
 	site   *tableSite
 	faults []Fault
-	// pending are the edits accepted of late, oldest first, and due is the newest
-	// revision accepted so long ago that it must be in force.
+	// pending holds the recently accepted edits, oldest first; due is the newest
+	// revision that must be in force by now.
 	pending []acceptedEdit
 	due     uint64
 	// acted is when each zone's leader last acted.
 	acted map[structs.ZoneID]time.Duration
-	// rejoining maps a zone whose cut has just healed to what it has to catch up with.
+	// rejoining maps each zone whose cut has healed to the edit it has to catch up
+	// with.
 	rejoining map[structs.ZoneID]acceptedEdit
 }
 
-// acceptedEdit is a table revision and when it was there first.
+// acceptedEdit is a table revision and the time of its acceptance.
 type acceptedEdit struct {
 	revision uint64
 	at       time.Duration
 }
 
-func newLateness(site *tableSite, faults []Fault) *lateness {
-	l := &lateness{
+func newProgressChecker(site *tableSite, faults []Fault) *progressChecker {
+	l := &progressChecker{
 		site:      site,
 		faults:    faults,
 		acted:     map[structs.ZoneID]time.Duration{},
@@ -55,20 +56,20 @@
 	return l
 }
 
-func (l *lateness) editAccepted(revision uint64) {
+func (l *progressChecker) editAccepted(revision uint64) {
 	l.pending = append(l.pending, acceptedEdit{revision, l.site.scheduler.Now()})
 }
 
-func (l *lateness) leaderActed(zone structs.ZoneID) { l.acted[zone] = l.site.scheduler.Now() }
+func (l *progressChecker) leaderActed(zone structs.ZoneID) { l.acted[zone] = l.site.scheduler.Now() }
 
-func (l *lateness) healed(zone structs.ZoneID) {
+func (l *progressChecker) healed(zone structs.ZoneID) {
 	l.rejoining[zone] = acceptedEdit{l.site.ledger.newestAccepted, l.site.scheduler.Now()}
 }
 
-// adopted measures how long a zone took to bring edits into force.
-func (l *lateness) adopted(zone structs.ZoneID, from, to uint64) {
+// adopted records how long a zone took to bring edits into force.
+func (l *progressChecker) adopted(zone structs.ZoneID, from, to uint64) {
 	now := l.site.scheduler.Now()
-	look := l.look(now)
+	look := l.faultStatusAt(now)
 	if waited, ok := l.rejoining[zone]; ok && to >= waited.revision {
 		delete(l.rejoining, zone)
 		if look.isQuiet {
@@ -85,8 +86,8 @@
 	}
 }
 
-// watch looks at all zones again and again until the operators stop.
-func (l *lateness) watch() {
+// watch checks all zones periodically until the operators stop.
+func (l *progressChecker) watch() {
 	if l.site.quiet {
 		return
 	}
@@ -95,12 +96,12 @@
 		l.due = l.pending[0].revision
 		l.pending = l.pending[1:]
 	}
-	look := l.look(now)
+	look := l.faultStatusAt(now)
 	for _, zone := range l.site.zones {
 		switch {
 		case !look.isQuiet:
 		case zone == look.cut:
-			l.checkAlone(zone, now, look.since)
+			l.checkIsolated(zone, now, look.since)
 		case !look.isChanging:
 			l.checkInForce(zone)
 		}
@@ -108,40 +109,41 @@
 	l.site.scheduler.After(watchInterval, l.watch)
 }
 
-func (l *lateness) checkInForce(zone structs.ZoneID) {
+func (l *progressChecker) checkInForce(zone structs.ZoneID) {
 	if inForce := l.site.ledger.zones[zone].revision; inForce < l.due {
 		l.site.judge.Report(checkerLate, "zone %s has table revision %d in force, an edit at %d was accepted over %v ago",
 			zone, inForce, l.due, inForceBound)
 	}
 }
 
-func (l *lateness) checkAlone(zone structs.ZoneID, now, since time.Duration) {
-	if now-since > aloneGrace && now-l.acted[zone] > aloneBound {
+func (l *progressChecker) checkIsolated(zone structs.ZoneID, now, since time.Duration) {
+	if now-since > isolationGrace && now-l.acted[zone] > isolationBound {
 		l.site.judge.Report(checkerAlone, "zone %s has been cut off for %v and its leader last acted %v ago",
 			zone, now-since, now-l.acted[zone])
 	}
 }
 
-// outlook is what is known of the faults at some time.
-type outlook struct {
-	// cut is the zone that is cut off, if there is one, and since is since when.
+// faultStatus summarizes the faults at some time.
+type faultStatus struct {
+	// cut is the isolated zone, if there is one, and since the start of its
+	// isolation.
 	cut   structs.ZoneID
 	since time.Duration
 	// isChanging is set shortly after a cut began or healed.
 	isChanging bool
-	// isQuiet is set when no other fault happened of late.
+	// isQuiet is set if there was no other fault recently.
 	isQuiet bool
 }
 
-func (l *lateness) look(now time.Duration) outlook {
-	result := outlook{isQuiet: true}
+func (l *progressChecker) faultStatusAt(now time.Duration) faultStatus {
+	result := faultStatus{isQuiet: true}
 	for _, fault := range l.faults {
 		switch fault.Kind {
 		case FaultEditBurst, FaultRace, FaultLostAnswers:
 		case FaultCutZone:
 			result.addCut(fault, now, l.site.pace.settle)
 		default:
-			if now >= fault.At && now < l.over(fault) {
+			if now >= fault.At && now < l.recoveryEnd(fault) {
 				result.isQuiet = false
 			}
 		}
@@ -149,8 +151,8 @@
 	return result
 }
 
-// addCut takes in a zone's cut; of two at a time nothing can be said.
-func (o *outlook) addCut(fault Fault, now, settle time.Duration) {
+// addCut adds a zone cut. Two cuts at a time allow no judgement.
+func (o *faultStatus) addCut(fault Fault, now, settle time.Duration) {
 	heals := fault.At + fault.For
 	switch {
 	case now < fault.At || now >= heals+inForceBound:
@@ -164,14 +166,14 @@
 	}
 }
 
-// over is when the site has got over the fault.
-func (l *lateness) over(fault Fault) time.Duration {
+// recoveryEnd returns when the site must have recovered from the fault.
+func (l *progressChecker) recoveryEnd(fault Fault) time.Duration {
 	end := fault.At + fault.For + crashLimit + l.site.pace.settle
 	switch fault.Kind {
 	case FaultReplaceTwice:
-		end += repairPatience + fault.For + l.site.pace.settle
+		end += repairTimeout + fault.For + l.site.pace.settle
 	case FaultLoadingDeath:
-		end += loadingPatience
+		end += loadingTimeout
 	}
 	return end
 }
--- a/kit/simulate/replay.go
+++ b/kit/simulate/replay.go
@@ -9,16 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// replayVersion is the format of replay files that this package writes and reads.
+// replayVersion is the version of the replay file format.
 const replayVersion = 1
 
-// replayFile is the content of a replay file.
 type replayFile struct {
 	Version   int       `json:"version"`
 	Violation Violation `json:"violation"`
 }
 
-// WriteReplay writes a replay file of the violation as JSON.
+// WriteReplay writes the violation as a JSON replay file.
 func WriteReplay(writer io.Writer, violation Violation) error {
 	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
@@ -26,18 +25,18 @@
 	return errors.Wrap(err, "write the replay file")
 }
 
-// Replay runs the seed and the faults of a replay file again. The error is an
-// ErrorInvalid when the file cannot be read, and an ErrorConflict with the result
-// when the run no longer gives the recorded trace.
+// Replay runs the seed and the faults of a replay file again. It returns an
+// ErrorInvalid if the file cannot be read, and an ErrorConflict with the result if
+// the run does not reproduce the recorded trace.
 func Replay(reader io.Reader) (Result, error) {
 	var file replayFile
 	if err := json.NewDecoder(reader).Decode(&file); err != nil {
 		return Result{}, structs.NewError(structs.ErrorInvalid,
-			fmt.Sprintf("the replay file is not readable: %v", err), "Give a file that WriteReplay wrote.")
+			fmt.Sprintf("the replay file cannot be decoded: %v", err), "Give a file that WriteReplay wrote.")
 	}
 	if file.Version != replayVersion {
 		return Result{}, structs.NewError(structs.ErrorInvalid,
-			fmt.Sprintf("the replay file has version %d", file.Version), "Use the release that wrote it.")
+			fmt.Sprintf("unsupported replay file version %d", file.Version), "Use the release that wrote it.")
 	}
 	recorded := file.Violation
 	result, err := Run(recorded.options())
@@ -46,12 +45,12 @@
 	}
 	if len(result.Violations) == 0 || result.Violations[0].TraceHash != recorded.TraceHash {
 		return result, structs.NewError(structs.ErrorConflict,
-			"the run differs from the recorded one", "Check out the commit that wrote the replay file.")
+			"the run does not reproduce the recorded trace", "Check out the commit that wrote the replay file.")
 	}
 	return result, nil
 }
 
-// options are those of the run that found the violation.
+// options returns the options that reproduce the violation.
 func (v Violation) options() Options {
 	faults := v.Faults
 	if faults == nil {
--- a/kit/simulate/replicatedhome.go
+++ b/kit/simulate/replicatedhome.go
@@ -5,8 +5,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// replicatedHome is a zone's replicated group as one router sees it: it asks the
-// member that last led, as far as it knows.
+// replicatedHome is a zone's replicated group as seen by one router, which asks the
+// last known leader first.
 type replicatedHome struct {
 	site    *tableSite
 	daemons []*daemon
@@ -17,7 +17,7 @@
 	return &replicatedHome{site: site, daemons: site.daemonsOf(zone)}
 }
 
-// daemonsOf lists the control machines of a zone.
+// daemonsOf returns the control machines of a zone.
 func (s *tableSite) daemonsOf(zone structs.ZoneID) []*daemon {
 	var found []*daemon
 	for _, d := range s.daemons {
@@ -38,8 +38,7 @@
 	}
 }
 
-// heldClaims implements homeGroup: the claims by the state of the leader, if there
-// is one.
+// heldClaims implements homeGroup by the state of the leader, if there is one.
 func (h *replicatedHome) heldClaims() []structs.Claim {
 	leader := h.site.leaderOf(groupName(h.daemons[0].machine.Zone))
 	if leader == nil {
@@ -48,7 +47,7 @@
 	return leader.controller.state.HeldClaims()
 }
 
-// claimMember is a control machine as the home of claims.
+// claimMember is a control machine as a member of a homeGroup.
 type claimMember struct{ daemon *daemon }
 
 func (m claimMember) address() Address { return m.daemon.machine.Address }
--- a/kit/simulate/requestanswers.go
+++ b/kit/simulate/requestanswers.go
@@ -9,30 +9,33 @@
 )
 
 const (
-	// answerStoreBytes is more than a router keeps in a run.
+	// answerStoreBytes exceeds what a router stores in a run.
 	answerStoreBytes = 64 << 20
-	// syncLeast and syncMost bound the time until an answer is on a router's disk.
-	syncLeast = 2 * time.Millisecond
-	syncMost  = 15 * time.Millisecond
-	// fetchTimeout bounds asking another router for an answer, as in the daemon.
+	// minAnswerSync and maxAnswerSync bound the time until an answer is on a
+	// router's disk.
+	minAnswerSync = 2 * time.Millisecond
+	maxAnswerSync = 15 * time.Millisecond
+	// fetchTimeout bounds fetching an answer from another router, as in the daemon.
 	fetchTimeout = time.Second
-	// lateResend bounds how long after the end of its answer a caller sends a request again.
+	// lateResend bounds the time from the end of an answer to a resend of the
+	// request.
 	lateResend = 5 * time.Second
 )
 
-// routerDisk is what outlasts a router's process: the answers that it keeps.
+// routerDisk is the state that survives a restart of a router: its stored answers.
 type routerDisk struct {
 	store answerstore.Store
-	// number tells the disks of a router apart.
+	// number distinguishes the disks of a router.
 	number int
 }
 
-// replaceDisk gives the router an empty disk.
+// replaceDisk replaces the router's disk by an empty one.
 func (h *routerHost) replaceDisk() {
 	h.disk = routerDisk{store: answerstore.NewMemory(answerStoreBytes), number: h.disk.number + 1}
 }
 
-// keepAnswer takes an answer in and calls saved once it is on disk, in this life.
+// keepAnswer stores an answer and calls saved once it is on disk, unless the process
+// has ended by then.
 func (h *routerHost) keepAnswer(effect router.FinishClaim, saved func()) {
 	if len(effect.Answer) == 0 {
 		saved()
@@ -41,7 +44,7 @@
 	answer := answerstore.Answer{Key: effect.Claim.Key, Request: effect.ID, Data: effect.Answer, ExpiresAt: effect.Claim.ExpiresAt}
 	h.fresh[answer.Key] = answer
 	h.site.records.answerHeld(h, effect)
-	h.site.scheduler.After(h.site.between(syncLeast, syncMost), h.inLife(func() {
+	h.site.scheduler.After(h.site.between(minAnswerSync, maxAnswerSync), h.ifSameProcess(func() {
 		if err := h.disk.store.Put(answer, h.site.now()); err != nil {
 			h.site.judge.Report(checkerShell, "an answer cannot be kept: %v", err)
 		}
@@ -50,7 +53,8 @@
 	}))
 }
 
-// findAnswer returns the answer that this life of the router finds under the key.
+// findAnswer returns the answer that this router process finds under the key, or
+// nil.
 func (h *routerHost) findAnswer(claim structs.Claim) []byte {
 	answer, found := h.fresh[claim.Key]
 	if !found && !h.site.mutated(mutationForgetDisk) {
@@ -62,17 +66,17 @@
 	return answer.Data
 }
 
-// fetchAnswer asks the claim's holder for its answer.
+// fetchAnswer requests the answer from the claim's holder.
 func (h *routerHost) fetchAnswer(effect router.FetchAnswer) {
 	fetched := router.AnswerFetched{ID: effect.ID}
 	if h.site.mutated(mutationNoAsk) && effect.Claim.State == structs.ClaimHeld {
-		h.site.scheduler.After(commitMost, h.inLife(func() { h.step(fetched) }))
+		h.site.scheduler.After(maxCommitDelay, h.ifSameProcess(func() { h.step(fetched) }))
 		return
 	}
 	holder := h.site.routerNamed(effect.Claim.Holder)
 	if holder == h {
 		fetched.Answer = h.findAnswer(effect.Claim)
-		h.site.scheduler.After(commitLeast, h.inLife(func() { h.step(fetched) }))
+		h.site.scheduler.After(minCommitDelay, h.ifSameProcess(func() { h.step(fetched) }))
 		return
 	}
 	done := false
@@ -83,11 +87,11 @@
 			h.step(fetched)
 		}
 	}
-	failed := h.inLife(func() { reply(nil, true) })
+	failed := h.ifSameProcess(func() { reply(nil, true) })
 	h.site.scheduler.After(fetchTimeout, failed)
 	running := func() bool { return holder.core != nil }
 	h.site.dial(h.address(), holder.address(), running, func(link *connection) {
-		link.down.end.receive = func(message any) { h.inLife(func() { reply(message.([]byte), false) })() }
+		link.down.end.receive = func(message any) { h.ifSameProcess(func() { reply(message.([]byte), false) })() }
 		link.up.end.receive = func(any) {
 			if holder.core != nil {
 				link.down.send(holder.findAnswer(effect.Claim))
@@ -97,24 +101,25 @@
 	}, failed)
 }
 
-// answerEnded brings about what waits for the end of an answer in the zone's log:
-// the router dies before its caller sends the request again.
+// answerEnded triggers an armed FaultKeeperDies or FaultKeeperDiskLost once the
+// zone's log has the end of the answer: the router dies before its caller resends
+// the request.
 func (h *routerHost) answerEnded(id structs.RequestID) {
-	if h.dieAtEnd == "" {
+	if h.crashAtFinish == "" {
 		return
 	}
 	h.site.counts.Requests.KeepersDied++
-	if h.dieAtEnd == FaultKeeperDiskLost {
+	if h.crashAtFinish == FaultKeeperDiskLost {
 		h.replaceDisk()
 	}
-	h.dieAtEnd = ""
+	h.crashAtFinish = ""
 	caller := h.site.records.origin[id].caller
 	h.crash(false)
 	h.site.scheduler.After(h.site.between(time.Millisecond, lateResend), caller.resendAfterEnd)
 }
 
-// resendAfterEnd sends the request again although its whole answer has come, to a
-// router of any zone, as a caller does that lost the answer.
+// resendAfterEnd resends the request after its complete answer, to a router of any
+// zone, as a caller that lost the answer does.
 func (c *requestCaller) resendAfterEnd() {
 	chosen := c.site.routers[c.site.random.IntN(len(c.site.routers))]
 	if c.gone || len(c.submissions) >= submissionLimit || !chosen.listening() || chosen.drain {
--- a/kit/simulate/requestcaller.go
+++ b/kit/simulate/requestcaller.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// arrivalMean is the mean time between two callers at ordinary load.
+	// arrivalMean is the mean time between arrivals at regular load.
 	arrivalMean = 180 * time.Millisecond
-	// submissionLimit bounds how often a caller sends its request.
+	// submissionLimit bounds the submissions of a request.
 	submissionLimit = 4
-	// reconnectDelay is how long a caller waits before it looks for another router.
+	// reconnectDelay is the pause before a caller tries another router.
 	reconnectDelay = 150 * time.Millisecond
-	// brokenDelay is how long a caller waits after its answer broke off.
+	// brokenDelay is the pause of a caller after a broken answer.
 	brokenDelay = 250 * time.Millisecond
-	// connectPatience is how long a caller looks for a router that listens.
-	connectPatience = 10 * time.Second
+	// connectTimeout is how long a caller tries to find a listening router.
+	connectTimeout = 10 * time.Second
 
-	keyedShare   = 0.45
-	goneShare    = 0.08
-	resendShare  = 0.25
-	afterShare   = 0.2
-	batchShare   = 0.3
-	liveShare    = 0.3
-	sharedShare  = 0.3
-	leastTokens  = 6
-	tokenSpread  = 24
-	shortestTime = 2 * time.Second
-	longestTime  = 16 * time.Second
+	keyedShare  = 0.45
+	goneShare   = 0.08
+	resendShare = 0.25
+	afterShare  = 0.2
+	batchShare  = 0.3
+	liveShare   = 0.3
+	sharedShare = 0.3
+	minTokens   = 6
+	tokenSpread = 24
+	minDeadline = 2 * time.Second
+	maxDeadline = 16 * time.Second
 )
 
-// callerAddress is where all callers sit.
+// callerAddress is the network address of all callers.
 const callerAddress Address = "callers"
 
-// requestCaller is one caller with one piece of work: it sends its request until
-// it has the answer, its patience ends, or it goes away.
+// requestCaller is a caller with one request, which it sends until it has the
+// answer, its time limit expires, or it disconnects.
 type requestCaller struct {
 	site   *requestSite
 	number int
@@ -50,13 +50,13 @@
 
 	maxTokens   int
 	priority    structs.Priority
-	patience    time.Duration
+	timeLimit   time.Duration
 	submissions []*submission
 	gone        bool
 	satisfied   bool
 }
 
-// submission is one time that a caller sent its request, with what came back.
+// submission is one attempt of a caller to send its request, with the response.
 type submission struct {
 	caller     *requestCaller
 	number     int
@@ -67,16 +67,16 @@
 	deadlineAt time.Duration
 	text       strings.Builder
 	tokens     int
-	// ending says how it ended; empty while it is open.
+	// ending is how the submission ended; empty while it is open.
 	ending  string
 	refusal *structs.Refusal
-	// decidedAt is when a router gave it up, answeredAt when it told so.
+	// decidedAt is when a router refused it, answeredAt when it said so.
 	decidedAt time.Duration
-	// afterEnd is set when the caller had the whole answer to an earlier one.
+	// afterEnd is set if the caller already had the complete answer.
 	afterEnd bool
-	// stopping is set when its router began a planned stop meanwhile.
+	// stopping is set if its router began a planned stop meanwhile.
 	stopping bool
-	// requests are the IDs under which routers knew it.
+	// requests holds its request IDs on routers.
 	requests []structs.RequestID
 }
 
@@ -93,8 +93,8 @@
 	return fmt.Sprintf("caller-%d/%d", s.caller.number, s.number)
 }
 
-// arriveNext plans the next caller.
-func (s *requestSite) arriveNext() {
+// scheduleArrival schedules the next caller.
+func (s *requestSite) scheduleArrival() {
 	mean := float64(arrivalMean) / s.load
 	s.scheduler.After(time.Duration(s.random.ExpFloat64()*mean)+1, func() {
 		if s.scheduler.Now() >= s.loadEnd {
@@ -104,7 +104,7 @@
 		for extra := s.batchLoad - 1; extra > 0; extra-- {
 			s.newCaller(structs.PriorityBatch)
 		}
-		s.arriveNext()
+		s.scheduleArrival()
 	})
 }
 
@@ -126,9 +126,9 @@
 		zone:      requestZones[s.random.IntN(len(requestZones))],
 		name:      fmt.Sprintf("member-%d", s.random.IntN(requestCallersPerZone)),
 		row:       s.rows[s.random.IntN(len(s.rows))],
-		maxTokens: leastTokens + s.random.IntN(tokenSpread),
+		maxTokens: minTokens + s.random.IntN(tokenSpread),
 		priority:  priority,
-		patience:  s.between(shortestTime, longestTime),
+		timeLimit: s.between(minDeadline, maxDeadline),
 	}
 	caller.prompt = fmt.Sprintf("work %d of %s", number, caller.name)
 	if s.chance(sharedShare) {
@@ -140,15 +140,15 @@
 	s.callers = append(s.callers, caller)
 	caller.submit()
 	if caller.key != "" && s.chance(resendShare) {
-		s.scheduler.After(s.between(time.Millisecond, caller.patience), caller.resend)
+		s.scheduler.After(s.between(time.Millisecond, caller.timeLimit), caller.resend)
 	}
 	if s.chance(goneShare) {
-		s.scheduler.After(s.between(time.Millisecond, caller.patience), caller.goAway)
+		s.scheduler.After(s.between(time.Millisecond, caller.timeLimit), caller.disconnect)
 	}
 }
 
-// drawKey makes a key: some name their home zone, and callers of different names
-// use the same keys.
+// drawKey returns an idempotency key. Some name their home zone, and callers of
+// different names share keys.
 func (s *requestSite) drawKey(number int) string {
 	key := fmt.Sprintf("key-%d", number)
 	if s.chance(0.5) {
@@ -157,8 +157,8 @@
 	return key
 }
 
-// resend sends the request again though an earlier one may be in progress, to a
-// router of any zone.
+// resend sends the request again to a router of any zone, even if an earlier
+// submission is in progress.
 func (c *requestCaller) resend() {
 	if c.gone || len(c.submissions) >= submissionLimit {
 		return
@@ -177,7 +177,7 @@
 		return
 	}
 	if !chosen.listening() || chosen.drain {
-		if c.site.scheduler.Now() < c.site.loadEnd+connectPatience {
+		if c.site.scheduler.Now() < c.site.loadEnd+connectTimeout {
 			c.site.scheduler.After(reconnectDelay, c.submit)
 		}
 		return
@@ -188,7 +188,7 @@
 // send makes a submission to a router.
 func (c *requestCaller) send(chosen *routerHost) *submission {
 	now := c.site.scheduler.Now()
-	made := &submission{caller: c, number: len(c.submissions) + 1, router: chosen.id, sentAt: now, deadlineAt: now + c.patience}
+	made := &submission{caller: c, number: len(c.submissions) + 1, router: chosen.id, sentAt: now, deadlineAt: now + c.timeLimit}
 	made.prompt = c.prompt
 	c.submissions = append(c.submissions, made)
 	c.site.submitted++
@@ -204,7 +204,8 @@
 	return made
 }
 
-// reach hands the request to the router, or breaks the connection if it died.
+// reach passes the request to the router, or closes the connection if the router is
+// down.
 func (s *submission) reach(chosen *routerHost) {
 	if chosen.core == nil {
 		s.link.closeServer()
@@ -220,13 +221,13 @@
 func (s *submission) receive(message any) {
 	switch content := message.(type) {
 	case structs.Token:
-		s.takeToken(content)
+		s.handleToken(content)
 	case terminal:
-		s.takeTerminal(content)
+		s.handleTerminal(content)
 	}
 }
 
-func (s *submission) takeToken(token structs.Token) {
+func (s *submission) handleToken(token structs.Token) {
 	want := emulator.ExpectedToken(s.caller.row, s.prompt, s.tokens)
 	padding := token.Finish != "" && token.Text == ""
 	if token.Text != want && !padding {
@@ -236,7 +237,7 @@
 	s.tokens++
 }
 
-func (s *submission) takeTerminal(ending terminal) {
+func (s *submission) handleTerminal(ending terminal) {
 	if s.ending != "" {
 		s.caller.site.judge.Report(checkerTerminal, "%s ended twice: %s, then again", s.name(), s.ending)
 		return
@@ -256,7 +257,7 @@
 	}
 }
 
-// checkWhole compares an answer said to be whole with the stand-in's.
+// checkWhole checks that a complete answer equals the emulator's expected one.
 func (s *submission) checkWhole(finish structs.FinishReason) {
 	caller := s.caller
 	var want strings.Builder
@@ -276,11 +277,11 @@
 	}
 	s.ending = how
 	s.caller.site.records.ended(s)
-	s.caller.goOn(s)
+	s.caller.retryIfNeeded(s)
 }
 
-// goOn decides whether to send the request again.
-func (c *requestCaller) goOn(ended *submission) {
+// retryIfNeeded resends the request if its ending calls for it.
+func (c *requestCaller) retryIfNeeded(ended *submission) {
 	delay := brokenDelay
 	switch ended.ending {
 	case endingWhole, endingReplay:
@@ -302,14 +303,14 @@
 		}
 	}
 	c.site.scheduler.After(delay, func() {
-		if c.site.scheduler.Now() < c.site.loadEnd+connectPatience {
+		if c.site.scheduler.Now() < c.site.loadEnd+connectTimeout {
 			c.submit()
 		}
 	})
 }
 
-// goAway closes the connections of a caller that waits no more.
-func (c *requestCaller) goAway() {
+// disconnect closes the connections of a caller that gives up.
+func (c *requestCaller) disconnect() {
 	c.gone = true
 	for _, open := range c.submissions {
 		if open.ending == "" {
--- a/kit/simulate/requestclaims.go
+++ b/kit/simulate/requestclaims.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// claimCallTimeout bounds holding a claim, claimResend separates the tries.
+	// claimCallTimeout bounds the acquisition of a claim; claimResend is the retry
+	// interval.
 	claimCallTimeout = 4 * time.Second
 	claimResend      = 500 * time.Millisecond
-	// redirectPause is how long a router waits before it asks the next member of a
-	// group instead of one that does not lead.
+	// redirectPause is the pause before a router asks the next group member after
+	// one that does not lead.
 	redirectPause = 50 * time.Millisecond
 )
 
-// beginClaim holds the claim in the log of the key's home zone; a try without an
-// answer is resent.
+// beginClaim acquires the claim in the log of the key's home zone, with retries.
 func (h *routerHost) beginClaim(effect router.BeginClaim) {
 	claim := effect.Claim
 	done := false
 	reply := h.once(&done, effect.ID)
 	if h.site.mutated(mutationNoClaim) {
-		h.site.scheduler.After(commitMost, h.inLife(func() { reply(router.ClaimReplied{Claim: &claim, New: true}) }))
+		h.site.scheduler.After(maxCommitDelay, h.ifSameProcess(func() { reply(router.ClaimReplied{Claim: &claim, New: true}) }))
 		return
 	}
 	home := h.homes[claim.Home]
-	unavailable := structs.NewError(structs.ErrorUnavailable, "the home zone does not answer", "Come back.")
+	unavailable := structs.NewError(structs.ErrorUnavailable, "the home zone does not answer", "Try again later.")
 	if !h.canReach(home.next()) {
-		h.site.scheduler.After(dialTimeout, h.inLife(func() { reply(router.ClaimReplied{Error: unavailable, NotAsked: true}) }))
+		h.site.scheduler.After(dialTimeout, h.ifSameProcess(func() { reply(router.ClaimReplied{Error: unavailable, NotAsked: true}) }))
 		return
 	}
 	begin := &zone.ClaimBeginCommand{
@@ -45,10 +45,10 @@
 		}
 		reply(router.ClaimReplied{Claim: result.Claim, New: result.ClaimNew, Error: result.Error})
 	})
-	h.site.scheduler.After(claimCallTimeout, h.inLife(func() { reply(router.ClaimReplied{Error: unavailable}) }))
+	h.site.scheduler.After(claimCallTimeout, h.ifSameProcess(func() { reply(router.ClaimReplied{Error: unavailable}) }))
 }
 
-// once returns a function that hands the first of several answers to the core.
+// once returns a function that passes only the first of several answers to the core.
 func (h *routerHost) once(done *bool, id structs.RequestID) func(router.ClaimReplied) {
 	return func(replied router.ClaimReplied) {
 		if *done {
@@ -65,7 +65,8 @@
 	return network.Reachable(h.address(), member.address()) && network.Reachable(member.address(), h.address())
 }
 
-// finishClaim keeps the answer and repeats the claim's end until the zone has it.
+// finishClaim stores the answer and sends the end of the claim until the zone has
+// it.
 func (h *routerHost) finishClaim(effect router.FinishClaim) {
 	h.finishing++
 	h.keepAnswer(effect, func() { h.recordEnd(effect) })
@@ -91,8 +92,8 @@
 	})
 }
 
-// propose sends an operation to a zone's group again and again until done is set
-// or this life of the router is over. A try that a cut holds up arrives later.
+// propose sends an operation to a zone's group repeatedly until done is set or the
+// router's process ends. An attempt delayed by a cut arrives later.
 func (h *routerHost) propose(home homeGroup, operation zone.ClaimOperation, done *bool, answer func(zone.Result)) {
 	if *done {
 		return
@@ -109,7 +110,7 @@
 		case result.Error != nil && result.Error.Kind == structs.ErrorNotLeader:
 			redirected = true
 			home.failed(member)
-			h.site.scheduler.After(redirectPause, h.inLife(again))
+			h.site.scheduler.After(redirectPause, h.ifSameProcess(again))
 		default:
 			answer(result)
 		}
@@ -118,7 +119,7 @@
 		member.propose(operation, func(result zone.Result) { link.down.send(result) })
 	}
 	link.up.send(operation)
-	h.site.scheduler.After(claimResend, h.inLife(func() {
+	h.site.scheduler.After(claimResend, h.ifSameProcess(func() {
 		if !redirected && !*done {
 			home.failed(member)
 			again()
--- a/kit/simulate/requestconnection.go
+++ b/kit/simulate/requestconnection.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// dialTimeout is how long a party waits for a connection before it gives up.
+	// dialTimeout bounds the wait for a connection.
 	dialTimeout = time.Second
-	// resendInterval is how often a connection tries to get past a cut.
+	// resendInterval is the retry interval of a connection during a cut.
 	resendInterval = 200 * time.Millisecond
 )
 
-// connection carries messages between a client and a server in both directions,
-// in order, like TCP: during a cut they wait.
+// connection carries messages in order between a client and a server in both
+// directions. Like with TCP, messages wait during a cut.
 type connection struct {
 	up   pipe
 	down pipe
 }
 
-// connectionEnd is what a connection's end needs to hear.
+// connectionEnd holds the callbacks of one end of a connection.
 type connectionEnd struct {
 	receive func(message any)
 	// ended is called when the other end closed the connection or its process died.
 	ended func()
 }
 
-// endMessage follows the last message of a connection that one end closed.
+// endMessage follows the last message when one end closes the connection.
 type endMessage struct{}
 
-// newConnection connects two parties. Both ends are set before the first message.
+// newConnection connects two parties. Set the callbacks of both ends before sending.
 func newConnection(network *Network, client, server Address) *connection {
 	return &connection{
 		up:   pipe{network: network, from: client, to: server},
@@ -48,8 +48,8 @@
 	c.down.sealed = true
 }
 
-// vanish ends both sides without a word, as when a machine loses its power.
-func (c *connection) vanish() {
+// drop ends both directions without notice, as a power loss does.
+func (c *connection) drop() {
 	c.up.closed = true
 	c.down.closed = true
 }
@@ -61,7 +61,7 @@
 	end      connectionEnd
 	waiting  []any
 	busy     bool
-	// sealed takes no more messages, closed delivers none.
+	// sealed accepts no more messages, closed delivers none.
 	sealed bool
 	closed bool
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// carry delivers the first waiting message once the network lets it through.
+// carry delivers the first queued message once the network permits it.
 func (p *pipe) carry() {
 	scheduler := p.network.scheduler
 	if p.closed {
@@ -115,8 +115,8 @@
 	}
 }
 
-// latency draws the delay of one message. Callers sit next to their routers:
-// storms of the site's network do not touch them.
+// latency returns a random message delay. Callers are next to their routers, so
+// storms do not affect them.
 func (n *Network) latency(from, to Address) time.Duration {
 	if from == callerAddress || to == callerAddress {
 		return n.delay(calmNetwork)
@@ -124,8 +124,8 @@
 	return n.delay(n.quality)
 }
 
-// dial connects a client to a server: opened is called with the connection, or
-// failed when nothing of the server could be reached.
+// dial connects a client to a server. It calls opened with the connection, or failed
+// if the server is not reachable.
 func (s *requestSite) dial(client, server Address, listening func() bool, opened func(*connection), failed func()) {
 	reachable := s.network.Reachable(client, server) && s.network.Reachable(server, client)
 	if !reachable {
--- a/kit/simulate/requestcontrol.go
+++ b/kit/simulate/requestcontrol.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// controlTimeout bounds a router's call to a controller.
+	// controlTimeout bounds a router's request to a controller.
 	controlTimeout = 2500 * time.Millisecond
-	// demandPause is the shortest time between two urgent reports of demand.
+	// demandPause is the delay of an urgent demand report, which limits their rate.
 	demandPause = 25 * time.Millisecond
 )
 
-// viewRequest asks a controller for what changed since the revisions.
+// viewRequest asks a controller for the changes since the revisions.
 type viewRequest struct {
 	number  int
 	request structs.ViewRequest
 }
 
-// viewAnswer carries the view that a viewRequest of the number asked for.
+// viewAnswer answers the viewRequest of the number.
 type viewAnswer struct {
 	number int
 	view   structs.ZoneView
 }
 
 // demandCall carries a router's demand report, demandAnswer the epoch of the leader
-// that took it.
+// that accepted it.
 type demandCall struct {
 	number int
 	report structs.DemandReport
@@ -38,28 +38,28 @@
 	epoch  structs.Epoch
 }
 
-// controlClient is what a router, in one life, knows of its calls to the
-// controllers of its zone.
+// controlClient is the state of a router process's requests to the controllers of
+// its zone.
 type controlClient struct {
 	source *router.ViewSource
-	// polls counts the requests for a view; pollStarted is when the long poll began
-	// that the latest belongs to, and polling is set while it has no answer.
+	// polls counts the view requests; pollStarted is the start of the long poll that
+	// the latest belongs to, and polling is set while it is unanswered.
 	polls       int
 	pollStarted time.Duration
 	polling     bool
 
 	schedule *router.DemandSchedule
-	// demands counts the reports of demand; reporting is set while the latest, of the
-	// scope and made at the time, has no answer.
+	// demands counts the demand reports; reporting is set while the latest, with its
+	// scope and time, is unanswered.
 	demands   int
 	reporting bool
 	scope     router.DemandScope
 	madeAt    time.Time
-	// hurrying is set while an urgent report is planned.
-	hurrying bool
+	// urgentPlanned is set while an urgent report is scheduled.
+	urgentPlanned bool
 }
 
-// followControllers begins to ask for views and to report demand.
+// followControllers starts polling for views and reporting demand.
 func (h *routerHost) followControllers() {
 	controllers := len(h.site.controlled.daemonsOf(h.zone))
 	h.control = &controlClient{
@@ -70,7 +70,7 @@
 	h.demandLoop()
 }
 
-// beginPoll begins a long poll, which is made of short ones.
+// beginPoll starts a long poll, which consists of short ones.
 func (h *routerHost) beginPoll() {
 	h.control.pollStarted = h.site.scheduler.Now()
 	h.poll()
@@ -83,7 +83,7 @@
 	number := control.polls
 	asked := h.site.controlled.daemonsOf(h.zone)[control.source.Controller()]
 	h.site.network.Send(h.address(), asked.machine.Address, viewRequest{number, control.source.Next()})
-	h.site.scheduler.After(controlTimeout, h.inLife(func() {
+	h.site.scheduler.After(controlTimeout, h.ifSameProcess(func() {
 		if control.polling && control.polls == number {
 			control.source.Failed()
 			h.beginPoll()
@@ -91,8 +91,8 @@
 	}))
 }
 
-// viewAnswered takes a controller's answer: news, or the next part or the end of the
-// long poll.
+// viewAnswered handles a controller's answer: it adopts a changed view and continues
+// or restarts the long poll.
 func (h *routerHost) viewAnswered(answer viewAnswer) {
 	control := h.control
 	if !control.polling || answer.number != control.polls {
@@ -103,17 +103,17 @@
 	ended := h.site.scheduler.Now()-control.pollStarted >= router.ViewPoll
 	pause := h.site.controlled.pace.view
 	if !answer.view.IsNews(since) && !ended {
-		h.site.scheduler.After(pause, h.inLife(h.poll))
+		h.site.scheduler.After(pause, h.ifSameProcess(h.poll))
 		return
 	}
 	if adopted, helps := control.source.Take(answer.view); helps {
 		h.viewed = h.viewed || adopted.Index > 0 && !control.source.ReadsParts()
 		h.step(router.ViewChanged{View: adopted})
 	}
-	h.site.scheduler.After(pause, h.inLife(h.beginPoll))
+	h.site.scheduler.After(pause, h.ifSameProcess(h.beginPoll))
 }
 
-// answerView answers a router from what this controller has applied.
+// answerView answers a router from the state applied by this controller.
 func (d *daemon) answerView(from Address, request viewRequest) {
 	m := d.zoneMember
 	if m.node == nil {
@@ -124,13 +124,14 @@
 	d.site.network.Send(d.machine.Address, from, viewAnswer{request.number, view})
 }
 
-// demandLoop reports the router's demand again and again.
+// demandLoop reports the router's demand periodically.
 func (h *routerHost) demandLoop() {
 	h.reportDemand()
-	h.site.scheduler.After(h.site.controlled.pace.demand, h.inLife(h.demandLoop))
+	h.site.scheduler.After(h.site.controlled.pace.demand, h.ifSameProcess(h.demandLoop))
 }
 
-// reportDemand sends the report that is due to all controllers; the leader takes it.
+// reportDemand sends a due report to all controllers of the zone; the leader handles
+// it.
 func (h *routerHost) reportDemand() {
 	control := h.control
 	if control.reporting {
@@ -151,15 +152,16 @@
 	}
 }
 
-// reportUrgent plans a report at once when requests wait for a row without a replica.
+// reportUrgent schedules an early report if requests wait for a row without a
+// replica.
 func (h *routerHost) reportUrgent() {
 	control := h.control
-	if control.hurrying || !h.core.DemandUrgent() {
+	if control.urgentPlanned || !h.core.DemandUrgent() {
 		return
 	}
-	control.hurrying = true
-	h.site.scheduler.After(demandPause, h.inLife(func() {
-		control.hurrying = false
+	control.urgentPlanned = true
+	h.site.scheduler.After(demandPause, h.ifSameProcess(func() {
+		control.urgentPlanned = false
 		h.reportDemand()
 	}))
 }
@@ -172,8 +174,8 @@
 	}
 }
 
-// takeDemand takes a router's report if this controller leads.
-func (d *daemon) takeDemand(from Address, call demandCall) {
+// handleDemand handles a router's report if this controller leads.
+func (d *daemon) handleDemand(from Address, call demandCall) {
 	if !d.isLeader(groupName(d.machine.Zone)) {
 		return
 	}
--- a/kit/simulate/requestcounts.go
+++ b/kit/simulate/requestcounts.go
@@ -1,41 +1,41 @@
 package simulate
 
-// RequestCounts are what the requests scenario counted over all seeds.
+// RequestCounts are the totals of the requests scenario over all seeds.
 type RequestCounts struct {
-	// Submitted counts each time that a caller sent a request; the next five are
-	// its endings as the caller saw them.
+	// Submitted counts the submissions of requests; the next five count their
+	// endings as seen by the callers.
 	Submitted int `json:"submitted"`
 	Whole     int `json:"whole"`
 	Replayed  int `json:"replayed"`
 	Refused   int `json:"refused"`
 	Broken    int `json:"broken"`
 	Gone      int `json:"gone"`
-	// NotRun and Unknown count the refusals that said so.
+	// NotRun and Unknown count the refusals by their reported execution state.
 	NotRun  int `json:"not_run"`
 	Unknown int `json:"outcome_unknown"`
-	// Lost counts submissions without any ending.
+	// Lost counts the submissions without an ending.
 	Lost int `json:"lost"`
-	// Attempts and Retries count what routers sent to engines, Stalls the attempts
-	// that they gave up because their engine was silent.
+	// Attempts and Retries count the attempts that routers sent to engines, Stalls
+	// those abandoned because the engine was unresponsive.
 	Attempts int `json:"attempts"`
 	Retries  int `json:"retries"`
 	Stalls   int `json:"stalls"`
-	// Offered counts the requests offered to routers of other zones, OffersTaken those
-	// that they executed.
+	// Offered counts the requests offered to routers of other zones, OffersTaken
+	// those executed there.
 	Offered     int `json:"offered"`
 	OffersTaken int `json:"offers_taken"`
-	// Keys counts the idempotency keys that were used, KeysRun those whose request ran.
+	// Keys counts the idempotency keys in use, KeysRun those whose request ran.
 	Keys    int `json:"keys"`
 	KeysRun int `json:"keys_run"`
-	// Live and LiveWhole count the live requests and those with a whole answer by
+	// Live and LiveWhole count the live requests and those with a complete answer by
 	// their deadline.
 	Live      int `json:"live"`
 	LiveWhole int `json:"live_whole"`
 	// KeepersDied counts the routers that died right after the end of an answer that
-	// they keep, AnswersGone the refusals that said so of an answer.
+	// they store, AnswersGone the refusals because of a lost answer.
 	KeepersDied int `json:"keepers_died"`
 	AnswersGone int `json:"answers_gone"`
-	// ClaimsHeld counts the claims that nobody has ended by the end.
+	// ClaimsHeld counts the claims that had not ended when the seed did.
 	ClaimsHeld int `json:"claims_held"`
 }
 
--- a/kit/simulate/requestengine.go
+++ b/kit/simulate/requestengine.go
@@ -10,11 +10,11 @@
 
 const (
 	requestReportLag   = 300 * time.Millisecond
-	requestLoadLeast   = 300 * time.Millisecond
-	requestLoadMost    = 1500 * time.Millisecond
+	minRequestLoad     = 300 * time.Millisecond
+	maxRequestLoad     = 1500 * time.Millisecond
 	engineRestartDelay = 1500 * time.Millisecond
-	// noticeDelay is how long the zone's group takes to learn of a change.
-	noticeDelay = 600 * time.Millisecond
+	// propagationDelay is how long the zone's group takes to learn of a change.
+	propagationDelay = 600 * time.Millisecond
 )
 
 // answerEngine runs one emulated engine that answers requests.
@@ -22,7 +22,7 @@
 	streamingEngine
 	site    *requestSite
 	leaving bool
-	// leftAt is when the runner was first known to leave, in virtual time.
+	// leftAt is when the runner began to leave, in virtual time.
 	leftAt time.Duration
 	order  structs.OrderNumber
 	ready  map[structs.RowName]bool
@@ -35,8 +35,8 @@
 		site:            site,
 		ready:           map[structs.RowName]bool{},
 	}
-	host.said = site.records.engineSaid
-	host.reached = func(request structs.GenerateRequest) {
+	host.onStatus = site.records.statusAnswered
+	host.onRequest = func(request structs.GenerateRequest) {
 		if host.leaving {
 			site.records.reachedLeaving(id, request, site.scheduler.Now()-host.leftAt)
 		}
@@ -45,15 +45,15 @@
 		MaxBatch: requestMaxBatch, DecodeBase: requestDecodeBase, ReportLag: requestReportLag,
 		Random: host.random,
 		FetchTime: func(structs.RowName, int64) (time.Duration, bool) {
-			return between(host.random, requestLoadLeast, requestLoadMost), true
+			return between(host.random, minRequestLoad, maxRequestLoad), true
 		},
-	}, host.take)
+	}, host.handleOutputs)
 	site.network.Attach(host.address(), zone, nil)
 	host.load()
 	return host
 }
 
-// load asks for every row that the zone serves.
+// load orders the load of every row that the zone serves.
 func (h *answerEngine) load() {
 	h.announce()
 	for _, row := range requestRows {
@@ -82,7 +82,7 @@
 	}})
 }
 
-// announce tells the zone's group what it would learn from the engine's report.
+// announce passes the state of an engine report to the zone's group.
 func (h *answerEngine) announce() {
 	info := structs.RunnerInfo{
 		ID: h.id, Zone: h.zone, Address: string(h.id), Role: simulatedRole,
@@ -90,14 +90,14 @@
 		Leaving: h.leaving && !h.site.mutated(mutationKeepLeaving),
 	}
 	ready := readyRows(h.ready)
-	h.site.scheduler.After(noticeDelay, func() {
+	h.site.scheduler.After(propagationDelay, func() {
 		if info.Incarnation == h.incarnation {
 			h.site.singleGroups[h.zone].setRunner(info, ready)
 		}
 	})
 }
 
-func (h *answerEngine) take(outputs []emulator.EngineOutput) {
+func (h *answerEngine) handleOutputs(outputs []emulator.EngineOutput) {
 	for _, output := range outputs {
 		h.answerCalls(output)
 		if output.Kind == emulator.OutputDied {
@@ -108,16 +108,16 @@
 	h.planWake()
 }
 
-// died resets all connections; the process comes back as another incarnation.
+// died resets all connections and schedules a restart with the next incarnation.
 func (h *answerEngine) died() {
 	h.site.trace.Note("engine-died", string(h.id), "")
 	h.resetStreams()
 	clear(h.ready)
-	h.site.scheduler.After(engineRestartDelay, h.comeBack)
+	h.site.scheduler.After(engineRestartDelay, h.restartAndLoad)
 }
 
-// comeBack restarts a dead engine and lets it load its rows.
-func (h *answerEngine) comeBack() {
+// restartAndLoad restarts a dead engine and loads its rows.
+func (h *answerEngine) restartAndLoad() {
 	if !h.engine.Dead() {
 		return
 	}
@@ -129,8 +129,8 @@
 
 func (h *answerEngine) crash() { h.step(emulator.EngineInput{Kind: emulator.InputCrash}) }
 
-// leave starts the runner's departure; it dies once nothing runs on it any more.
-func (h *answerEngine) leave(patience time.Duration) {
+// leave marks the runner as leaving; it is reclaimed after the notice once idle.
+func (h *answerEngine) leave(notice time.Duration) {
 	if h.leaving || h.engine.Dead() {
 		return
 	}
@@ -138,7 +138,7 @@
 	h.leftAt = h.site.scheduler.Now()
 	h.announce()
 	leaver := h.incarnation
-	h.site.scheduler.After(patience, func() { h.reclaimWhenIdle(leaver) })
+	h.site.scheduler.After(notice, func() { h.reclaimWhenIdle(leaver) })
 }
 
 func (h *answerEngine) reclaimWhenIdle(leaver structs.Incarnation) {
@@ -146,13 +146,13 @@
 		return
 	}
 	if len(h.streams) > 0 {
-		h.site.scheduler.After(noticeDelay, func() { h.reclaimWhenIdle(leaver) })
+		h.site.scheduler.After(propagationDelay, func() { h.reclaimWhenIdle(leaver) })
 		return
 	}
 	h.crash()
 }
 
-// noticeReplicas follows the engine's own records of its replicas.
+// noticeReplicas processes the engine's replica changes.
 func (h *answerEngine) noticeReplicas() {
 	changes := h.newReplicaChanges()
 	for _, change := range changes {
--- a/kit/simulate/requestfaults.go
+++ b/kit/simulate/requestfaults.go
@@ -10,56 +10,60 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// The kinds of fault that only the requests scenario has.
+// The fault kinds of the requests scenario.
 const (
-	// FaultEngineStall makes an engine accept a share Amount of its requests and never run them.
+	// FaultEngineStall makes an engine accept but never run a share Amount of its
+	// requests.
 	FaultEngineStall FaultKind = "engine-stall"
-	// FaultEngineSilent makes an engine take connections and calls and send nothing.
+	// FaultEngineSilent makes an engine accept connections and calls without sending
+	// anything.
 	FaultEngineSilent FaultKind = "engine-silent"
-	// FaultEngineDying kills an engine in the midst of its streams, after Amount more tokens.
+	// FaultEngineDying kills an engine mid-stream, after Amount more tokens.
 	FaultEngineDying FaultKind = "engine-dying"
 	// FaultAnswersLate, FaultAnswersTwice, FaultAnswersCrossed, FaultAnswersLost and
-	// FaultAnswersReset spoil a share Amount of an engine's tokens; answers are
-	// crossed on all engines of a zone.
+	// FaultAnswersReset corrupt a share Amount of an engine's tokens;
+	// FaultAnswersCrossed affects all engines of a zone.
 	FaultAnswersLate    FaultKind = "answers-late"
 	FaultAnswersTwice   FaultKind = "answers-twice"
 	FaultAnswersCrossed FaultKind = "answers-crossed"
 	FaultAnswersLost    FaultKind = "answers-lost"
 	FaultAnswersReset   FaultKind = "answers-reset"
-	// FaultAnswersTruncated ends a stream as if whole, FaultAnswersOversized sends
-	// far too long a token, at a share Amount of the tokens.
+	// FaultAnswersTruncated ends a stream as if it were complete,
+	// FaultAnswersOversized sends an oversized token, each at a share Amount of the
+	// tokens.
 	FaultAnswersTruncated FaultKind = "answers-truncated"
 	FaultAnswersOversized FaultKind = "answers-oversized"
-	// FaultAnswersUnfinished makes the engines of a zone keep back the last token of a
-	// share Amount of their answers, and keep the stream open.
+	// FaultAnswersUnfinished makes the engines of a zone withhold the last token of
+	// a share Amount of their answers and keep the stream open.
 	FaultAnswersUnfinished FaultKind = "answers-unfinished"
-	// FaultHideLoad makes an engine report that nothing runs on it.
+	// FaultHideLoad makes an engine report itself as idle.
 	FaultHideLoad FaultKind = "hide-load"
-	// FaultEngineSlow makes an engine Amount times as slow.
+	// FaultEngineSlow slows an engine down by the factor Amount.
 	FaultEngineSlow FaultKind = "engine-slow"
-	// FaultRunnerLeaves makes a runner leave; it is reclaimed once idle.
+	// FaultRunnerLeaves marks a runner as leaving; it is reclaimed once idle.
 	FaultRunnerLeaves FaultKind = "runner-leaves"
-	// FaultRouterCrash ends a router's process, FaultRouterSilent its machine too;
-	// FaultRouterStop is a planned stop.
+	// FaultRouterCrash kills a router's process, FaultRouterSilent its whole
+	// machine, so that connections are not reset; FaultRouterStop is a planned stop.
 	FaultRouterCrash  FaultKind = "router-crash"
 	FaultRouterSilent FaultKind = "router-silent"
 	FaultRouterStop   FaultKind = "router-stop"
-	// FaultRouterDiskLost ends a router's process, which restarts with an empty disk.
+	// FaultRouterDiskLost kills a router's process, which restarts with an empty
+	// disk.
 	FaultRouterDiskLost FaultKind = "router-disk-lost"
-	// FaultKeeperDies ends a router's process once the zone has the end of the next
-	// answer that it keeps, before the caller sends the request again; it restarts
-	// with its disk. FaultKeeperDiskLost does so too, and it restarts with an empty one.
+	// FaultKeeperDies kills a router's process once the zone has recorded the end of
+	// the next answer that it stores and before the caller resends the request; it
+	// restarts with its disk, after FaultKeeperDiskLost with an empty one.
 	FaultKeeperDies     FaultKind = "keeper-dies"
 	FaultKeeperDiskLost FaultKind = "keeper-disk-lost"
 	// FaultNoLeader leaves a zone's group without a leader.
 	FaultNoLeader FaultKind = "no-leader"
 	// FaultBurst multiplies the arrivals by Amount, FaultBatchFlood adds Amount
-	// batch requests to each.
+	// batch requests to each arrival.
 	FaultBurst      FaultKind = "burst"
 	FaultBatchFlood FaultKind = "batch-flood"
 )
 
-// requestFaultKinds are drawn from; those that are harder to withstand stand more than once.
+// requestFaultKinds lists the kinds to draw from; repeated ones are more likely.
 var requestFaultKinds = []FaultKind{
 	FaultEngineStall, FaultEngineStall, FaultEngineSilent, FaultEngineDying, FaultEngineDying, FaultEngineCrash, FaultEngineSlow,
 	FaultAnswersLate, FaultAnswersTwice, FaultAnswersCrossed, FaultAnswersLost, FaultAnswersReset,
@@ -69,8 +73,8 @@
 	FaultRouterDiskLost, FaultKeeperDies, FaultKeeperDies, FaultKeeperDiskLost,
 }
 
-// requestOnlyFaults are the kinds that a site with controllers leaves to its requests'
-// part; the others are faults of its control.
+// requestOnlyFaults lists the kinds that a site with controllers passes to its
+// requestSite; the others affect its control plane.
 var requestOnlyFaults = map[FaultKind]bool{
 	FaultEngineStall: true, FaultEngineSilent: true, FaultEngineDying: true, FaultEngineSlow: true,
 	FaultAnswersLate: true, FaultAnswersTwice: true, FaultAnswersCrossed: true, FaultAnswersLost: true, FaultAnswersReset: true,
@@ -80,17 +84,17 @@
 }
 
 const (
-	fewestRequestFaults = 5
-	requestFaultSpread  = 8
-	// answersLateBy is how late late answers come.
+	minRequestFaults   = 5
+	requestFaultSpread = 8
+	// answersLateBy is the delay of late answers.
 	answersLateBy = 120 * time.Millisecond
-	// reclaimNotice is how long after its notice a leaving runner is reclaimed.
+	// reclaimNotice is the time from the notice to the reclaim of a leaving runner.
 	reclaimNotice = 6 * time.Second
 )
 
-// planRequestFaults draws the faults of a seed, ordered by time.
+// planRequestFaults returns random faults for a seed, ordered by time.
 func planRequestFaults(random *rand.Rand) []Fault {
-	faults := make([]Fault, fewestRequestFaults+random.IntN(requestFaultSpread))
+	faults := make([]Fault, minRequestFaults+random.IntN(requestFaultSpread))
 	for i := range faults {
 		kind := requestFaultKinds[random.IntN(len(requestFaultKinds))]
 		faults[i] = Fault{
@@ -141,7 +145,7 @@
 	return 0.02 + 0.2*random.Float64()
 }
 
-// inject brings a fault about and returns what heals it, or nil.
+// inject applies a fault and returns the function that heals it, or nil.
 func (s *requestSite) inject(fault Fault) (heal func()) {
 	if engine := s.engineNamed(structs.RunnerID(fault.Target)); engine != nil {
 		s.injectMachine(fault)
@@ -158,24 +162,24 @@
 		s.batchLoad += fault.Amount
 		return func() { s.batchLoad -= fault.Amount }
 	case FaultStorm:
-		return s.disturbed(s.storm(fault.Amount))
+		return s.trackNetworkFault(s.storm(fault.Amount))
 	case FaultAnswersCrossed, FaultAnswersUnfinished:
 		return s.injectEngines(fault)
 	case FaultNoLeader:
 		return s.singleGroups[structs.ZoneID(fault.Target)].loseLeader()
 	case FaultCutZone:
-		return s.disturbed(s.cutZone(structs.ZoneID(fault.Target), requestZones))
+		return s.trackNetworkFault(s.cutZone(structs.ZoneID(fault.Target), requestZones))
 	case FaultCutOneWay:
 		from, to := structs.ZoneID(fault.Target), structs.ZoneID(fault.Peer)
 		if from == to {
 			return nil
 		}
-		return s.disturbed(s.cutOneWay(from, to))
+		return s.trackNetworkFault(s.cutOneWay(from, to))
 	}
 	return nil
 }
 
-// injectEngines brings a fault about on all engines of a zone.
+// injectEngines applies a fault to all engines of a zone.
 func (s *requestSite) injectEngines(fault Fault) (heal func()) {
 	var heals []func()
 	for _, engine := range s.engines {
@@ -202,13 +206,13 @@
 		h.replaceDisk()
 		h.crash(false)
 	case FaultKeeperDies, FaultKeeperDiskLost:
-		h.dieAtEnd = fault.Kind
-		return func() { h.dieAtEnd = "" }
+		h.crashAtFinish = fault.Kind
+		return func() { h.crashAtFinish = "" }
 	}
 	return nil
 }
 
-// injectMachine brings a fault of an engine's process or machine about.
+// injectMachine applies a fault of an engine's process or machine.
 func (s *requestSite) injectMachine(fault Fault) {
 	for _, host := range s.answerEngines {
 		switch {
@@ -221,8 +225,8 @@
 	}
 }
 
-// inject brings a fault of an engine's answers about. Its rates are taken back one
-// by one, because faults of an engine may overlap.
+// inject applies a fault to an engine's answers. Its rates are reset one by one,
+// because faults of an engine may overlap.
 func (h *streamingEngine) inject(fault Fault) (heal func()) {
 	switch fault.Kind {
 	case FaultEngineCrash, FaultRunnerLeaves:
@@ -251,7 +255,7 @@
 	h.engine.SetFaults(faults)
 }
 
-// setEngineFault sets one fault of the emulator; an Amount of 0 takes it back.
+// setEngineFault sets one fault of the emulator; an Amount of 0 resets it.
 func setEngineFault(faults *emulator.EngineFaults, fault Fault) {
 	switch fault.Kind {
 	case FaultEngineStall:
--- a/kit/simulate/requestmutation.go
+++ b/kit/simulate/requestmutation.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // The mutations of the requests scenario. Each disables one safeguard in the
-// simulator's shell or in a router's settings; the code that decides stays as it is.
+// simulator's shell or in a router's settings, not in the deciding code.
 const (
 	mutationNoClaim      = "no-claim"
 	mutationAnyHome      = "any-home"
@@ -28,28 +28,29 @@
 	return slices.Concat(executionMutations(), endingMutations(), claimMutations(), answerMutations())
 }
 
-// executionMutations disable what keeps executions and answers apart.
+// executionMutations returns the mutations of safeguards on executions and answers.
 func executionMutations() []MutationInfo {
 	return []MutationInfo{
 		{
 			Name:     mutationNoClaim,
-			Sentence: "A router takes a key for its own without asking the key's home zone.",
+			Sentence: "A router claims a key without asking the key's home zone.",
 			Checkers: []string{checkerOnce},
 		},
 		{
 			Name:     mutationAnyHome,
-			Sentence: "Each zone takes itself for the home of every key.",
-			// A resend that meets a second claim on its key is seen before the end.
+			Sentence: "Each zone treats itself as the home of every key.",
+			// A resend that meets a second claim on its key is detected before the
+			// end.
 			Checkers: []string{checkerOnce, checkerAtEnd, checkerKept},
 		},
 		{
 			Name:     mutationNoIDCheck,
-			Sentence: "A router does not look whose token an engine sent.",
+			Sentence: "A router does not check the request ID of an engine's token.",
 			Checkers: []string{checkerAnswer},
 		},
 		{
 			Name:     mutationNotRunAlways,
-			Sentence: "A router takes every failed attempt for one that did not run.",
+			Sentence: "A router treats every failed attempt as not run.",
 			Checkers: []string{checkerNotRun, checkerOnce},
 		},
 		{
@@ -60,7 +61,7 @@
 	}
 }
 
-// endingMutations disable what makes requests end as they should.
+// endingMutations returns the mutations of safeguards on the endings of requests.
 func endingMutations() []MutationInfo {
 	return []MutationInfo{
 		{
@@ -75,64 +76,64 @@
 		},
 		{
 			Name:     mutationKeepLeaving,
-			Sentence: "Routers are not told that a runner leaves.",
+			Sentence: "Routers are not informed that a runner is leaving.",
 			Checkers: []string{checkerLeaving},
 		},
 		{
 			Name:     mutationHoldRefusal,
-			Sentence: "A router tells its callers of a refusal only at their deadline.",
+			Sentence: "A router sends a refusal only at the caller's deadline.",
 			Checkers: []string{checkerAtOnce},
 		},
 		{
 			Name:     mutationNoStall,
-			Sentence: "A router waits for a silent engine until the request's deadline.",
+			Sentence: "A router waits for an unresponsive engine until the request's deadline.",
 			Checkers: []string{checkerStall},
 		},
 		{
 			Name:     mutationWaitSpent,
-			Sentence: "A router takes a silent engine that it asked for one that makes tokens.",
+			Sentence: "A router treats an unresponsive engine that it queried as making progress.",
 			Checkers: []string{checkerStall},
 		},
 		{
 			Name:     mutationLoseRefusal,
-			Sentence: "A router forgets to tell its callers of a refusal.",
+			Sentence: "A router does not send refusals to its callers.",
 			Checkers: []string{checkerTerminal},
 		},
 		{
 			Name:     mutationWaitOffered,
-			Sentence: "A router queues the requests that other zones offer it.",
+			Sentence: "A router queues requests offered by other zones.",
 			Checkers: []string{checkerOffer},
 		},
 	}
 }
 
-// claimMutations disable what ends the claims of routers that died.
+// claimMutations returns the mutations of the resolution of dead routers' claims.
 func claimMutations() []MutationInfo {
 	return []MutationInfo{
 		{
 			Name:     mutationNoResolution,
-			Sentence: "A zone's leader does not end the claims of routers that died.",
+			Sentence: "A zone's leader does not resolve the claims of dead routers.",
 			Checkers: []string{checkerClaims},
 		},
 		{
 			Name:     mutationResolveBlind,
-			Sentence: "A zone's leader frees the keys of silent routers without asking the engine.",
+			Sentence: "A zone's leader releases the keys of unresponsive routers without querying the engine.",
 			Checkers: []string{checkerOnce, checkerNotRun},
 		},
 	}
 }
 
-// answerMutations disable what lets a resend have the answer.
+// answerMutations returns the mutations of answers to resent requests.
 func answerMutations() []MutationInfo {
 	return []MutationInfo{
 		{
 			Name:     mutationForgetDisk,
-			Sentence: "A router that restarts does not look for the answers on its disk.",
+			Sentence: "A restarted router ignores the answers on its disk.",
 			Checkers: []string{checkerKept},
 		},
 		{
 			Name:     mutationNoAsk,
-			Sentence: "A router takes a request for in progress without asking the router that executes it.",
+			Sentence: "A router treats a request as in progress without asking the router that executes it.",
 			Checkers: []string{checkerAtEnd},
 		},
 	}
--- a/kit/simulate/requestoffer.go
+++ b/kit/simulate/requestoffer.go
@@ -5,7 +5,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// offerTaken tells the offering router that the request is executed.
+// offerTaken informs the offering router that the request is executed.
 type offerTaken struct{}
 
 // requestOffer is an offer of a request to other zones.
@@ -13,25 +13,25 @@
 	host   *routerHost
 	call   *servedCall
 	effect router.Offer
-	// zone is asked now; link is set once its router is connected.
+	// zone is the zone being asked; link is set once its router is connected.
 	zone  structs.ZoneID
 	link  *connection
 	taken bool
-	// ended is set once the core knows the outcome.
+	// ended is set once the core has the outcome.
 	ended   bool
 	refused []structs.ZoneID
 	silent  []structs.ZoneID
 }
 
-// offer asks the zones in turn, one router each, until one takes the request or the
-// budget is over.
+// offer asks one router of each zone in turn until one accepts the request or the
+// time budget is spent.
 func (h *routerHost) offer(effect router.Offer) {
 	call := h.calls[effect.ID]
 	if call == nil {
 		return
 	}
 	made := &requestOffer{host: h, call: call, effect: effect}
-	h.site.scheduler.After(effect.Budget, h.inLife(made.timeOut))
+	h.site.scheduler.After(effect.Budget, h.ifSameProcess(made.timeOut))
 	made.ask(effect.Zones)
 }
 
@@ -51,7 +51,7 @@
 	site := o.host.site
 	routers := site.routersOf(o.zone)
 	next := routers[site.random.IntN(len(routers))]
-	unreached := o.host.inLife(func() {
+	unreached := o.host.ifSameProcess(func() {
 		if o.open() {
 			o.silent = append(o.silent, o.zone)
 			o.ask(zones[1:])
@@ -78,7 +78,7 @@
 	}
 	link.down.end = connectionEnd{
 		receive: func(message any) { o.answered(link, message, zones) },
-		ended:   o.host.inLife(func() { o.broken(link) }),
+		ended:   o.host.ifSameProcess(func() { o.broken(link) }),
 	}
 	link.up.send(request.ID)
 }
@@ -95,7 +95,7 @@
 		o.taken = true
 		o.host.step(router.OfferTaken{ID: o.effect.ID, Zone: o.zone})
 		wait := o.call.request.DeadlineAt.Add(forwardSlack).Sub(o.host.site.now())
-		o.host.site.scheduler.After(wait, o.host.inLife(func() { o.host.giveUpForward(o.effect.ID) }))
+		o.host.site.scheduler.After(wait, o.host.ifSameProcess(func() { o.host.giveUpForward(o.effect.ID) }))
 		return
 	}
 	o.refused = append(o.refused, o.zone)
@@ -113,7 +113,7 @@
 	}
 }
 
-// timeOut ends an offer whose zone has not answered.
+// timeOut ends an offer that the current zone did not answer.
 func (o *requestOffer) timeOut() {
 	if !o.open() {
 		return
--- a/kit/simulate/requestrecords.go
+++ b/kit/simulate/requestrecords.go
@@ -23,7 +23,7 @@
 	checkerOffer    = "offer"
 	checkerKept     = "answer-kept"
 	checkerAtEnd    = "resend-at-end"
-	// checkerShell is no invariant: it reports a fault of the simulator itself.
+	// checkerShell reports errors of the simulator itself.
 	checkerShell = "shell"
 )
 
@@ -33,22 +33,24 @@
 }
 
 const (
-	// terminalBound is how long after its deadline a caller has its answer at the
-	// latest: a router's tick, the network both ways, and a hand-over between zones.
+	// terminalBound is how long after its deadline a caller may wait for the
+	// terminal answer: a router tick, the network in both directions, and forwarding
+	// between zones.
 	terminalBound = 250 * time.Millisecond
-	// leavingBound is how long a leaving runner may still get new work.
+	// leavingBound is how long a leaving runner may still receive new work.
 	leavingBound = 3 * time.Second
-	// stallSlack is how much longer than it should a router may wait for a silent
-	// engine: ticks, the network, and the wait for a connection.
+	// stallSlack is added to the time limit of a router's wait for an unresponsive
+	// engine: ticks, the network, and connecting.
 	stallSlack = 500 * time.Millisecond
-	// stallShare bounds the wait for another request at the engine, which the first
-	// token may take longer, to this part of the request's time.
+	// stallShare divides the request's remaining time; the quotient is the extra
+	// time allowed for a first token, because other requests may be ahead at the
+	// engine.
 	stallShare = 4
 )
 
-// requestRecords are what the checkers know: what callers sent and got, what
-// crossed the routers' doors, and what reached the engines. Nothing of it is read
-// from a Core.
+// requestRecords holds the checkers' records of what callers sent and received, what
+// passed through the routers and what reached the engines. None of it is read from a
+// router.Core.
 type requestRecords struct {
 	site    *requestSite
 	origin  map[structs.RequestID]*submission
@@ -56,22 +58,22 @@
 	waits   map[router.AttemptID]*engineWait
 	// failedAt is when an attempt or a claim of a request last failed.
 	failedAt map[structs.RequestID]time.Duration
-	// offered holds the IDs under which routers know requests of other zones that
-	// they are to take at once or refuse.
+	// offered holds the IDs of requests from other zones that routers must execute
+	// at once or refuse.
 	offered map[structs.RequestID]bool
 	counts  *RequestCounts
-	// answers says where the answer under each key is kept.
+	// answers records where the answer under each key is stored.
 	answers map[structs.ClaimKey]*answerRecord
-	// networkChangedAt is when a cut or a storm last began or ended.
+	// networkChangedAt is when a cut or a storm last started or ended.
 	networkChangedAt time.Duration
 }
 
-// rowBudget counts what one life of a router did for a row.
+// rowBudget counts the requests and retries of a row in one router process.
 type rowBudget struct {
 	arrived int
 	retries int
-	// deletions counts how often the table lost the row: a row that comes back is a
-	// new one, with a reserve of its own.
+	// deletions counts how often the table lost the row. A row that is added again
+	// has a new retry reserve.
 	deletions int
 }
 
@@ -90,7 +92,7 @@
 
 func (r *requestRecords) now() time.Duration { return r.site.scheduler.Now() }
 
-// routerStarted forgets the counts of the router's earlier life.
+// routerStarted resets the counts of the router's earlier process.
 func (r *requestRecords) routerStarted(host *routerHost) {
 	r.budgets[host.id] = map[structs.RowName]*rowBudget{}
 }
@@ -104,7 +106,7 @@
 	return counted
 }
 
-// arrived notes the ID under which a router knows a submission.
+// arrived records the ID under which a router knows a submission.
 func (r *requestRecords) arrived(host *routerHost, from *submission, request structs.Request) {
 	r.origin[request.ID] = from
 	from.requests = append(from.requests, request.ID)
@@ -115,7 +117,7 @@
 	}
 }
 
-// stepped looks at what a router does about an event.
+// stepped checks and records a router's effects of an event.
 func (r *requestRecords) stepped(host *routerHost, event router.Event, effects []router.Effect) {
 	r.noteEvent(event)
 	if changed, isView := event.(router.ViewChanged); isView {
@@ -131,7 +133,7 @@
 			delete(r.waits, effect.Attempt)
 		case router.AskStatus:
 			if wait := r.waits[effect.Attempt]; wait != nil {
-				wait.ask(r.now())
+				wait.statusRequested(r.now())
 			}
 		case router.Refuse:
 			r.refused(event, effect)
@@ -145,8 +147,8 @@
 	}
 }
 
-// checkOffered checks that a request which another zone offered is sent to an engine
-// or refused at once: it never waits in this zone's queue.
+// checkOffered checks that an offered request is sent to an engine or refused at
+// once, and never queued.
 func (r *requestRecords) checkOffered(host *routerHost, id structs.RequestID, effects []router.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -161,7 +163,7 @@
 			}
 		}
 	}
-	r.site.judge.Report(checkerOffer, "%s keeps %s waiting, which another zone offered it", host.id, id)
+	r.site.judge.Report(checkerOffer, "%s queues %s, which another zone offered", host.id, id)
 }
 
 func (r *requestRecords) noteEvent(event router.Event) {
@@ -175,7 +177,7 @@
 		r.failedAt[event.ID] = r.now()
 	case router.TokenReceived:
 		if wait := r.waits[event.Attempt]; wait != nil && event.Token.ID == structs.RequestID(event.Attempt) {
-			wait.hear(r.now())
+			wait.tokenReceived(r.now())
 		}
 		if event.Token.Finish != "" {
 			delete(r.waits, event.Attempt)
@@ -183,7 +185,7 @@
 	}
 }
 
-// attemptSent counts an attempt and holds its retries against the row's budget.
+// attemptSent counts an attempt and checks the retry budget of the row.
 func (r *requestRecords) attemptSent(host *routerHost, effect router.SendAttempt) {
 	request := host.calls[effect.Attempt.Request()]
 	counted := r.row(host, effect.Generate.Row)
@@ -211,7 +213,7 @@
 	return number
 }
 
-// refused checks that a request that failed is not kept waiting for its answer.
+// refused checks that a failed request is refused without delay.
 func (r *requestRecords) refused(event router.Event, effect router.Refuse) {
 	failed, known := r.failedAt[effect.ID]
 	_, isTick := event.(router.Tick)
@@ -228,13 +230,13 @@
 	}
 }
 
-// decided notes when a router gave a submission up.
+// decided records when a router refused a submission.
 func (r *requestRecords) decided(given *submission) { given.decidedAt = r.now() }
 
-// answered checks that the router tells its caller at the time it decided.
+// answered checks that the router informs its caller when it refuses.
 func (r *requestRecords) answered(given *submission) {
 	if held := r.now() - given.decidedAt; given.decidedAt > 0 && held > 0 && given.ending == "" {
-		r.site.judge.Report(checkerAtOnce, "%s was told of its refusal %v after its router had given up", given.name(), held)
+		r.site.judge.Report(checkerAtOnce, "%s received its refusal %v after its router had decided on it", given.name(), held)
 	}
 	given.decidedAt = 0
 }
@@ -247,21 +249,21 @@
 	}
 }
 
-// stopPlanned notes the submissions that a planned stop must not cut.
+// stopPlanned records the submissions that a planned stop must not interrupt.
 func (r *requestRecords) stopPlanned(host *routerHost) {
 	for _, call := range host.calls {
 		call.submission.stopping = call.submission.router == host.id
 	}
 }
 
-// crashed notes that a planned stop did not come to its end.
+// crashed records that a planned stop was not completed.
 func (r *requestRecords) crashed(host *routerHost) {
 	for _, call := range host.calls {
 		call.submission.stopping = false
 	}
 }
 
-// ended judges one submission's end.
+// ended counts and checks the end of a submission.
 func (r *requestRecords) ended(done *submission) {
 	r.site.trace.Event(done.ending, done.name(), string(done.router))
 	switch done.ending {
@@ -292,14 +294,14 @@
 	}
 }
 
-// due checks that a submission has its terminal answer.
+// due checks that a submission has its terminal answer in time.
 func (r *requestRecords) due(open *submission) {
 	if open.ending == "" {
 		r.site.judge.Report(checkerTerminal, "%s has no terminal answer %v after its deadline", open.name(), terminalBound)
 	}
 }
 
-// checkEnd compares the callers' records with the engines'.
+// checkEnd compares the callers' records with the engines' at the end of the seed.
 func (r *requestRecords) checkEnd() {
 	byRequest := map[structs.RequestID]int{}
 	byPrompt := map[uint64]int{}
@@ -317,7 +319,7 @@
 	for _, zone := range requestZones {
 		for _, claim := range homes[zone].heldClaims() {
 			r.counts.ClaimsHeld++
-			r.site.judge.Report(checkerClaims, "nobody has ended the claim on %s by %s in %s", claim.Key, claim.Request, zone)
+			r.site.judge.Report(checkerClaims, "the claim on %s by %s in %s was never ended", claim.Key, claim.Request, zone)
 		}
 	}
 	for _, caller := range r.site.callers {
@@ -347,7 +349,7 @@
 	}
 }
 
-// countCaller counts what became of a caller's work.
+// countCaller adds the outcome of a caller's request to the totals.
 func (r *requestRecords) countCaller(caller *requestCaller, runs int) {
 	r.counts.Submitted += len(caller.submissions)
 	if caller.key != "" {
--- a/kit/simulate/requestresolver.go
+++ b/kit/simulate/requestresolver.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// requestClaimLease is how long a claim is kept without a renewal; holders
-	// renew it four times in that time.
+	// requestClaimLease is how long a claim is kept without a renewal; holders renew
+	// it four times in that time.
 	requestClaimLease = 3 * time.Second
 	renewalInterval   = requestClaimLease / 4
-	// resolveInterval is how often a zone's leader looks for claims that lapsed.
+	// resolveInterval is how often a zone's leader checks for lapsed claims.
 	resolveInterval = 500 * time.Millisecond
 )
 
-// claimResolver is the part of a zone's leader that ends the claims of holders
-// that died: controller.Core decides, and only its claim commands are taken.
+// claimResolver resolves the claims of dead holders on a zone's leader: it applies
+// only the claim commands of a controller.Core.
 type claimResolver struct {
 	group   *zoneGroup
 	core    *controller.Core
@@ -39,7 +39,7 @@
 	r.group.site.scheduler.After(resolveInterval, r.loop)
 }
 
-// lead starts anew when another member has come to lead.
+// lead resets the state if the leader has changed.
 func (r *claimResolver) lead() {
 	if r.core == nil || r.term != r.group.term {
 		r.core = controller.New(controller.Options{ClaimLease: requestClaimLease})
@@ -68,7 +68,8 @@
 	}
 }
 
-// ask sends an inquiry; a mutation answers in the engine's stead.
+// ask sends an inquiry. With mutationResolveBlind it reports an unknown state
+// without asking.
 func (r *claimResolver) ask(inquiry controller.Inquiry) {
 	site := r.group.site
 	term := r.term
@@ -85,7 +86,7 @@
 	site.inquire(r.group.address(), inquiry, answer)
 }
 
-// inquire asks an engine what became of a request, and cancels it there.
+// inquire cancels a request at its engine and returns its status by answer.
 func (s *requestSite) inquire(from Address, inquiry controller.Inquiry, answer func(structs.RequestStatus)) {
 	engine := s.engineNamed(structs.RunnerID(inquiry.Address))
 	s.dial(from, engine.address(), engine.listening, func(link *connection) {
@@ -97,7 +98,7 @@
 	}, func() {})
 }
 
-// renew takes in a holder's renewal.
+// renew records a holder's renewal unless the group has no leader.
 func (g *zoneGroup) renew(requests []structs.RequestID) {
 	if g.leaderless > 0 {
 		return
@@ -108,7 +109,7 @@
 	}
 }
 
-// renewClaims renews the claims that the router holds or has asked for.
+// renewClaims periodically renews the claims that the router holds or has requested.
 func (h *routerHost) renewClaims(life int) {
 	if h.core == nil || h.life != life {
 		return
--- a/kit/simulate/requestrouter.go
+++ b/kit/simulate/requestrouter.go
@@ -12,61 +12,63 @@
 )
 
 const (
-	// routerTickInterval is how often time passes for a router, as in the daemon.
+	// routerTickInterval is the interval of router ticks, as in the daemon.
 	routerTickInterval = 20 * time.Millisecond
-	// requestRetryRatio and requestRetryReserve are the retry budget of each row.
+	// requestRetryRatio and requestRetryReserve set the retry budget of each row.
 	requestRetryRatio   = 0.2
 	requestRetryReserve = 4
-	// endlessRetries is a retry reserve that nothing uses up.
-	endlessRetries = 1 << 20
-	// routerRestartDelay is how long a router stays away.
+	// unlimitedRetries is a practically unlimited retry reserve.
+	unlimitedRetries = 1 << 20
+	// routerRestartDelay is the downtime of a router.
 	routerRestartDelay = 2 * time.Second
 )
 
-// routerHost is the shell of a router.Core in the simulator: it does what the
-// daemon's shell does with connections to callers, engines and the zone's group.
+// routerHost runs a router.Core in the simulator. It replaces the daemon's shell:
+// the connections to callers, engines and the zone's group.
 type routerHost struct {
-	site  *requestSite
-	id    structs.DaemonID
-	zone  structs.ZoneID
-	core  *router.Core
-	life  int
-	made  int
-	drain bool
-	// viewed is set once the zone's table is known; a router listens from then on.
+	site         *requestSite
+	id           structs.DaemonID
+	zone         structs.ZoneID
+	core         *router.Core
+	life         int
+	requestCount int
+	drain        bool
+	// viewed is set once the zone's table is known; the router accepts connections
+	// from then on.
 	viewed bool
-	// finishing counts the ends of claims that the zone does not have yet.
+	// finishing counts the claim ends that the zone has not recorded yet.
 	finishing int
-	// homes are the zones' groups as this router sees them.
+	// homes holds the zones' groups as seen by this router.
 	homes map[structs.ZoneID]homeGroup
-	// control is what the router knows of its calls to the controllers of its zone;
-	// nil in a site without them.
+	// control is the state of the requests to the zone's controllers; nil in a site
+	// without them.
 	control *controlClient
-	// claims are the requests whose claims are renewed, with the keys' home zones.
+	// claims maps the requests whose claims are renewed to the keys' home zones.
 	claims map[structs.RequestID]structs.ZoneID
-	// fresh are the answers of this life, disk has those that were saved.
+	// fresh holds the answers of this process, disk those that were saved.
 	fresh map[structs.ClaimKey]answerstore.Answer
 	disk  routerDisk
-	// dieAtEnd is the fault that strikes at the next end of an answer.
-	dieAtEnd FaultKind
-	calls    map[structs.RequestID]*servedCall
-	attempts map[router.AttemptID]*sentAttempt
+	// crashAtFinish is the fault to apply at the next end of an answer.
+	crashAtFinish FaultKind
+	calls         map[structs.RequestID]*servedCall
+	attempts      map[router.AttemptID]*sentAttempt
 }
 
-// servedCall is a request that a caller or another router waits for.
+// servedCall is a pending request of a caller or another router.
 type servedCall struct {
 	request    structs.Request
 	submission *submission
 	connection *connection
-	// forward is the connection to another zone's router, if the request was handed on.
+	// forward is the connection to another zone's router, if the request was
+	// forwarded.
 	forward *connection
 }
 
-// sentAttempt is an attempt under way at an engine.
+// sentAttempt is an attempt in progress at an engine.
 type sentAttempt struct {
 	effect     router.SendAttempt
 	connection *connection
-	// next is the index of the next token; a mutation needs it.
+	// next is the index of the next token, used by a mutation.
 	next int
 }
 
@@ -81,10 +83,10 @@
 
 func (h *routerHost) listening() bool { return h.core != nil && h.viewed }
 
-// start begins a life of the router's process.
+// start starts a new router process.
 func (h *routerHost) start() {
 	h.life++
-	h.made = 0
+	h.requestCount = 0
 	h.drain = false
 	h.viewed = false
 	h.finishing = 0
@@ -107,7 +109,7 @@
 		options.Zones = []structs.ZoneID{h.zone}
 	}
 	if h.site.mutated(mutationNoBudget) {
-		options.RetryReserve = endlessRetries
+		options.RetryReserve = unlimitedRetries
 	}
 	if h.site.mutated(mutationNoStall) {
 		options.StallFloor = time.Hour
@@ -130,7 +132,7 @@
 	h.site.scheduler.After(routerTickInterval, func() { h.tick(life) })
 }
 
-// receive takes what the zone's control sends.
+// receive handles messages of the zone's control plane.
 func (h *routerHost) receive(_ Address, message any) {
 	if h.core == nil {
 		return
@@ -146,8 +148,9 @@
 	}
 }
 
-// inLife returns a function that runs only if the router's life has not ended until then.
-func (h *routerHost) inLife(run func()) func() {
+// ifSameProcess wraps run so that it is skipped once the router's current process
+// has ended.
+func (h *routerHost) ifSameProcess(run func()) func() {
 	life := h.life
 	return func() {
 		if h.core != nil && h.life == life {
@@ -156,12 +159,12 @@
 	}
 }
 
-// step hands an event to the core and carries out the effects.
+// step passes an event to the core and executes the effects.
 func (h *routerHost) step(event router.Event) {
 	effects := h.core.Step(h.site.now(), event)
 	h.site.records.stepped(h, event, effects)
 	for _, effect := range effects {
-		h.carryOut(effect)
+		h.execute(effect)
 	}
 	if h.control != nil && h.core != nil {
 		h.reportUrgent()
@@ -169,14 +172,14 @@
 	h.stopWhenIdle()
 }
 
-// stopWhenIdle ends a planned stop once nothing is in progress.
+// stopWhenIdle completes a planned stop once nothing is in progress.
 func (h *routerHost) stopWhenIdle() {
 	if h.drain && h.core != nil && len(h.calls) == 0 && h.finishing == 0 && h.core.Idle() {
 		h.stop()
 	}
 }
 
-func (h *routerHost) carryOut(effect router.Effect) {
+func (h *routerHost) execute(effect router.Effect) {
 	switch effect := effect.(type) {
 	case *router.Deliver:
 		h.deliver(effect.ID, effect.Token)
@@ -205,17 +208,18 @@
 	}
 }
 
-// accept takes a request from a caller (submission set) or from another router.
+// accept handles a request of a caller or of another router; from is the submission
+// that it stems from.
 func (h *routerHost) accept(link *connection, request structs.Request, from *submission) {
-	h.made++
-	request.ID = structs.RequestID(fmt.Sprintf("%s-%d-%d", h.id, h.life, h.made))
+	h.requestCount++
+	request.ID = structs.RequestID(fmt.Sprintf("%s-%d-%d", h.id, h.life, h.requestCount))
 	request.ArrivedAt = h.site.now()
 	h.calls[request.ID] = &servedCall{request: request, submission: from, connection: link}
 	h.site.records.arrived(h, from, request)
 	if h.site.mutated(mutationWaitOffered) {
 		request.IfReady = false
 	}
-	link.up.end.ended = h.inLife(func() { h.callerGone(request.ID) })
+	link.up.end.ended = h.ifSameProcess(func() { h.callerGone(request.ID) })
 	h.step(router.Arrived{Request: request})
 	if call := h.calls[request.ID]; request.IfReady && call != nil {
 		link.down.send(offerTaken{})
@@ -240,7 +244,7 @@
 	}
 }
 
-// refuse answers a refusal at once; a mutation holds it back until the deadline.
+// refuse sends a refusal immediately, unless a mutation delays or drops it.
 func (h *routerHost) refuse(effect router.Refuse) {
 	call := h.calls[effect.ID]
 	if call == nil {
@@ -253,13 +257,13 @@
 	}
 	if h.site.mutated(mutationHoldRefusal) {
 		wait := call.request.DeadlineAt.Sub(h.site.now())
-		h.site.scheduler.After(wait, h.inLife(func() { h.end(effect.ID, ending) }))
+		h.site.scheduler.After(wait, h.ifSameProcess(func() { h.end(effect.ID, ending) }))
 		return
 	}
 	h.end(effect.ID, ending)
 }
 
-// replay answers with the kept answer as one token.
+// replay sends the stored answer as a whole.
 func (h *routerHost) replay(effect router.Replay) {
 	answer, err := router.DecodeAnswer(effect.Answer)
 	if err != nil {
@@ -287,8 +291,7 @@
 	call.connection.closeServer()
 }
 
-// crash ends the process in the midst of its work. Its host resets the
-// connections, unless silent.
+// crash kills the process. The host resets its connections unless silent is set.
 func (h *routerHost) crash(silent bool) {
 	if h.core == nil {
 		return
@@ -324,18 +327,19 @@
 	}
 }
 
-// cut ends the attempt's connection, if it was made already.
+// cut ends the attempt's connection, if there is one.
 func (a *sentAttempt) cut(silent bool) {
 	switch {
 	case a.connection == nil:
 	case silent:
-		a.connection.vanish()
+		a.connection.drop()
 	default:
 		a.connection.closeClient()
 	}
 }
 
-// planStop begins a planned stop: new requests go elsewhere, those in progress finish.
+// planStop starts a planned stop: the router refuses new requests and finishes those
+// in progress.
 func (h *routerHost) planStop() {
 	if h.core == nil || h.drain {
 		return
--- a/kit/simulate/requestrouterlinks.go
+++ b/kit/simulate/requestrouterlinks.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// statusTimeout bounds asking an engine about an attempt, as in the daemon.
+	// statusTimeout bounds a status query to an engine, as in the daemon.
 	statusTimeout = 2 * time.Second
-	// forwardSlack is how long after its deadline a handed-on request is given up.
+	// forwardSlack is how long after its deadline a forwarded request is abandoned.
 	forwardSlack = 100 * time.Millisecond
 )
 
@@ -27,7 +27,7 @@
 	engine := h.site.engineNamed(effect.Runner)
 	current := &sentAttempt{effect: effect, next: effect.Generate.ResumeFrom}
 	h.attempts[effect.Attempt] = current
-	failed := h.inLife(func() { h.attemptFailed(current, router.NotSent) })
+	failed := h.ifSameProcess(func() { h.attemptFailed(current, router.NotSent) })
 	opened := func(link *connection) {
 		if h.core == nil || h.attempts[effect.Attempt] != current {
 			return
@@ -47,7 +47,7 @@
 	h.site.dial(h.address(), engine.address(), engine.listening, opened, failed)
 }
 
-// engineAnswered passes on what an engine sent about an attempt.
+// engineAnswered passes an engine's output for an attempt to the core.
 func (h *routerHost) engineAnswered(current *sentAttempt, output emulator.EngineOutput) {
 	id := current.effect.Attempt
 	if h.core == nil || h.attempts[id] != current {
@@ -110,7 +110,8 @@
 	}
 }
 
-// cancelAttempt closes the attempt's stream and tells the engine, once.
+// cancelAttempt closes the attempt's stream and sends one cancellation to the
+// engine.
 func (h *routerHost) cancelAttempt(id router.AttemptID) {
 	current := h.attempts[id]
 	if current == nil {
@@ -124,7 +125,8 @@
 	}, func() {})
 }
 
-// askStatus fences the attempt at its engine and reports what became of it.
+// askStatus requests the status of the attempt from its engine, which also fences it
+// unless Peek is set.
 func (h *routerHost) askStatus(effect router.AskStatus) {
 	engine := h.site.engineNamed(effect.Runner)
 	done := false
@@ -142,12 +144,12 @@
 		}
 		h.step(replied)
 	}
-	failed := h.inLife(func() { reply(nil) })
+	failed := h.ifSameProcess(func() { reply(nil) })
 	h.site.scheduler.After(statusTimeout, failed)
 	h.site.dial(h.address(), engine.address(), engine.listening, func(link *connection) {
 		link.down.end.receive = func(message any) {
 			status := message.(structs.RequestStatus)
-			h.inLife(func() { reply(&status) })()
+			h.ifSameProcess(func() { reply(&status) })()
 		}
 		link.up.end.receive = func(any) {
 			engine.askStatus(structs.RequestID(effect.Attempt), !effect.Peek, func(status structs.RequestStatus) { link.down.send(status) })
@@ -156,7 +158,8 @@
 	}, failed)
 }
 
-// pretendProgress is the status of an attempt that makes tokens all the time.
+// pretendProgress returns the status of an attempt that appears to make steady
+// progress.
 func (h *routerHost) pretendProgress(effect router.AskStatus) *structs.RequestStatus {
 	return &structs.RequestStatus{
 		ID: structs.RequestID(effect.Attempt), State: structs.RunRunning, Started: true,
@@ -165,7 +168,7 @@
 	}
 }
 
-// forward hands a request to the first router of the zones that takes it.
+// forward sends a request to the first reachable router of the zones.
 func (h *routerHost) forward(effect router.Forward) {
 	var candidates []*routerHost
 	for _, zone := range effect.Zones {
@@ -176,11 +179,11 @@
 		return
 	}
 	wait := call.request.DeadlineAt.Add(forwardSlack).Sub(h.site.now())
-	h.site.scheduler.After(wait, h.inLife(func() { h.giveUpForward(effect.ID) }))
+	h.site.scheduler.After(wait, h.ifSameProcess(func() { h.giveUpForward(effect.ID) }))
 	h.tryForward(effect.ID, candidates)
 }
 
-// giveUpForward ends a handed-on request that has no answer after its deadline.
+// giveUpForward ends a forwarded request without an answer after its deadline.
 func (h *routerHost) giveUpForward(id structs.RequestID) {
 	call := h.calls[id]
 	switch {
@@ -209,7 +212,7 @@
 		}
 		h.openForward(id, call, next, link)
 	}
-	h.site.dial(h.address(), next.address(), next.listening, opened, h.inLife(func() { h.tryForward(id, candidates[1:]) }))
+	h.site.dial(h.address(), next.address(), next.listening, opened, h.ifSameProcess(func() { h.tryForward(id, candidates[1:]) }))
 }
 
 func (h *routerHost) openForward(id structs.RequestID, call *servedCall, next *routerHost, link *connection) {
@@ -225,7 +228,7 @@
 	}
 	link.down.end = connectionEnd{
 		receive: func(message any) { h.forwardAnswered(id, message) },
-		ended:   h.inLife(func() { h.forwardFailed(id, router.Broken) }),
+		ended:   h.ifSameProcess(func() { h.forwardFailed(id, router.Broken) }),
 	}
 	link.up.send(request.ID)
 }
--- a/kit/simulate/requestscenario.go
+++ b/kit/simulate/requestscenario.go
@@ -8,9 +8,9 @@
 
 const (
 	requestScenarioName = "requests"
-	// requestLoadEnd is when callers stop coming.
+	// requestLoadEnd is when arrivals stop.
 	requestLoadEnd = 30 * time.Second
-	// requestEventLimit bounds the events of a seed; an ordinary one has under 100,000.
+	// requestEventLimit bounds the events of a seed to detect endless message loops.
 	requestEventLimit = 600_000
 )
 
@@ -29,7 +29,6 @@
 	}
 }
 
-// runRequests runs one seed of the requests scenario.
 func runRequests(plan seedPlan) seedOutcome {
 	faults := plan.faults
 	if faults == nil {
--- a/kit/simulate/requestscenario_test.go
+++ b/kit/simulate/requestscenario_test.go
@@ -14,9 +14,9 @@
 
 const requestTestSeeds = 32
 
-// TestRequestsEndWellUnderFaults also checks that the seeds reach every kind of
-// ending, so that no checker is idle.
-func TestRequestsEndWellUnderFaults(t *testing.T) {
+// TestRequestsEndCorrectlyUnderFaults also checks that the seeds produce every kind of
+// ending.
+func TestRequestsEndCorrectlyUnderFaults(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	result, err := Run(Options{Scenario: requestScenarioName, Seed: 1, Seeds: requestTestSeeds})
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestHeldBackRefusalIsSeen shows the records a router that knows of a failure
-// and refuses only when time has passed to the deadline.
-func TestHeldBackRefusalIsSeen(t *testing.T) {
+// TestDelayedRefusalIsDetected guards against a checker that misses a refusal delayed
+// from the failure to the deadline.
+func TestDelayedRefusalIsDetected(t *testing.T) {
 	refusal := router.Refuse{ID: "router-1-1", Refusal: structs.Refusal{
 		Error:     structs.Error{Kind: structs.ErrorUnavailable},
 		Execution: structs.ExecutionNotRun,
@@ -73,7 +73,7 @@
 		seen  bool
 	}{
 		{"refused with the failure", 0, failed, false},
-		{"held back to the deadline", 9 * time.Second, router.Tick{}, true},
+		{"delayed to the deadline", 9 * time.Second, router.Tick{}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.about, func(t *testing.T) {
