--- a/kit/simulate/requestsite.go
+++ b/kit/simulate/requestsite.go
@@ -11,8 +11,7 @@
 	requestRoutersPerZone = 2
 	requestEnginesPerZone = 3
 	requestCallersPerZone = 3
-	// The table's rows of this scenario are all loaded on every engine of the
-	// zones that serve them.
+	// requestRowBytes is the memory of a row; all rows fit together on an engine.
 	requestRowBytes int64 = 4 << 30
 )
 
@@ -20,16 +19,16 @@
 type requestRow struct {
 	name  structs.RowName
 	zones []structs.ZoneID
-	// coldOutside, if set, is the only zone that loads the row before coldUntil.
-	coldOutside structs.ZoneID
+	// initialZone, if set, is the only zone that loads the row before coldUntil.
+	initialZone structs.ZoneID
 }
 
-// coldUntil is when the zones load the rows that only one of them loads at first.
+// coldUntil is when all serving zones load the rows with an initialZone.
 const coldUntil = 12 * time.Second
 
-// loadAt is when, in virtual time, the zone's engines load the row at the earliest.
+// loadAt returns the earliest virtual time at which the zone's engines load the row.
 func (r requestRow) loadAt(zone structs.ZoneID) time.Duration {
-	if r.coldOutside == "" || r.coldOutside == zone {
+	if r.initialZone == "" || r.initialZone == zone {
 		return 0
 	}
 	return coldUntil
@@ -41,7 +40,7 @@
 		{name: "symbols", zones: requestZones},
 		{name: "harvest", zones: requestZones},
 		{name: "certificate", zones: requestZones[:2]},
-		{name: "orchard", zones: requestZones, coldOutside: "zone-b"},
+		{name: "orchard", zones: requestZones, initialZone: "zone-b"},
 	}
 )
 
@@ -60,8 +59,8 @@
 	*simulatedSite
 	records *requestRecords
 
-	// controlled is the site whose controllers decide what is loaded where. Without
-	// it, singleGroups and answerEngines stand for the zones' control.
+	// controlled is the site whose controllers decide on placement. Without it,
+	// singleGroups and answerEngines simulate the zones' control plane.
 	controlled    *tableSite
 	singleGroups  map[structs.ZoneID]*zoneGroup
 	answerEngines []*answerEngine
@@ -69,22 +68,22 @@
 	routers []*routerHost
 	engines []*streamingEngine
 	callers []*requestCaller
-	// rows are those that callers ask for.
+	// rows lists the rows that callers request.
 	rows []structs.RowName
-	// loadEnd is when callers stop coming.
+	// loadEnd is when arrivals stop.
 	loadEnd time.Duration
-	// load multiplies the arrivals, batchLoad only those of batch requests.
+	// load multiplies the arrival rate, batchLoad that of batch requests.
 	load      float64
 	batchLoad float64
 	submitted int
-	// networkFaults counts the cuts and storms under way.
+	// networkFaults counts the cuts and storms in progress.
 	networkFaults int
 }
 
-// newRequestSite makes a site whose zones have a single group each.
+// newRequestSite returns a site with a single group per zone.
 func newRequestSite(plan seedPlan) *requestSite {
 	shared := newSimulatedSite(plan)
-	site := newRequestParties(&shared)
+	site := newEmptyRequestSite(&shared)
 	for _, row := range requestRows {
 		site.rows = append(site.rows, row.name)
 	}
@@ -97,8 +96,8 @@
 	return site
 }
 
-// newRequestParties makes the requests' part of a site, without engines and routers.
-func newRequestParties(shared *simulatedSite) *requestSite {
+// newEmptyRequestSite returns a request site without engines and routers.
+func newEmptyRequestSite(shared *simulatedSite) *requestSite {
 	site := &requestSite{
 		simulatedSite: shared,
 		singleGroups:  map[structs.ZoneID]*zoneGroup{},
@@ -109,12 +108,12 @@
 	return site
 }
 
-// begin starts the routers and lets callers come.
+// begin starts the routers and the arrivals.
 func (s *requestSite) begin() {
 	for _, router := range s.routers {
 		router.start()
 	}
-	s.arriveNext()
+	s.scheduleArrival()
 }
 
 func (s *requestSite) addZone(zone structs.ZoneID) {
@@ -136,7 +135,7 @@
 	}
 }
 
-// homes returns the zones' groups as a router that has just started sees them.
+// homes returns the zones' groups for a newly started router.
 func (s *requestSite) homes() map[structs.ZoneID]homeGroup {
 	homes := map[structs.ZoneID]homeGroup{}
 	for _, zone := range requestZones {
@@ -149,14 +148,14 @@
 	return homes
 }
 
-// between draws a duration from least to most.
+// between returns a random duration in [least, most).
 func (s *requestSite) between(least, most time.Duration) time.Duration {
 	return between(s.random, least, most)
 }
 
 func (s *requestSite) chance(probability float64) bool { return s.random.Float64() < probability }
 
-// routersOf lists the routers of a zone.
+// routersOf returns the routers of a zone.
 func (s *requestSite) routersOf(zone structs.ZoneID) []*routerHost {
 	var found []*routerHost
 	for _, router := range s.routers {
--- a/kit/simulate/requestzone.go
+++ b/kit/simulate/requestzone.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// viewInterval is how often a zone group repeats its view to the routers.
+	// viewInterval is how often a zone group sends its view to the routers.
 	viewInterval = 500 * time.Millisecond
-	// commitLeast and commitMost bound the time to commit a command.
-	commitLeast = 2 * time.Millisecond
-	commitMost  = 12 * time.Millisecond
+	// minCommitDelay and maxCommitDelay bound the time to commit a command.
+	minCommitDelay = 2 * time.Millisecond
+	maxCommitDelay = 12 * time.Millisecond
 )
 
-// zoneGroup stands for a zone's group: one address in front of the replicated
-// state. Claims are decided by zone.State. The group may lose its leader for a
-// while: then commands under way are committed or not, and nobody answers.
+// zoneGroup simulates a zone's group by one address in front of a zone.State. While
+// it has no leader, it does not answer, and commands in progress may or may not be
+// committed.
 type zoneGroup struct {
 	site      *requestSite
 	zone      structs.ZoneID
@@ -27,7 +27,8 @@
 	index     uint64
 	placement structs.Placement
 	version   uint64
-	// leaderless counts the reasons for which nobody answers, term the losses of a leader.
+	// leaderless counts the faults that leave the group without a leader, term the
+	// losses of a leader.
 	leaderless int
 	term       int
 	resolver   *claimResolver
@@ -51,7 +52,7 @@
 
 func (g *zoneGroup) address() Address { return Address(string(g.zone) + "/group") }
 
-// propose takes a claim operation. The answer is lost when the leader is.
+// propose commits a claim operation. The answer is lost if the leader is.
 func (g *zoneGroup) propose(operation zone.ClaimOperation, answer func(zone.Result)) {
 	if g.leaderless > 0 {
 		return
@@ -60,7 +61,7 @@
 		g.renew([]structs.RequestID{operation.Begin.Request})
 	}
 	term := g.term
-	g.site.scheduler.After(g.site.between(commitLeast, commitMost), func() {
+	g.site.scheduler.After(g.site.between(minCommitDelay, maxCommitDelay), func() {
 		lost := g.term != term
 		if lost && g.site.chance(0.5) {
 			return
@@ -72,7 +73,7 @@
 	})
 }
 
-// commit takes the operation through the log's encoding into the state.
+// commit encodes, decodes and applies the operation, as the log does.
 func (g *zoneGroup) commit(operation zone.ClaimOperation) (zone.Result, bool) {
 	batch := &zone.ClaimBatchCommand{At: g.site.now(), Operations: []zone.ClaimOperation{operation}}
 	encoded, err := zone.EncodeCommand(zone.Command{ClaimBatch: batch})
@@ -94,14 +95,14 @@
 	return result.Batch[0], true
 }
 
-// loseLeader leaves the group without a leader until the returned function is called.
+// loseLeader leaves the group without a leader until heal is called.
 func (g *zoneGroup) loseLeader() (heal func()) {
 	g.leaderless++
 	g.term++
 	return func() { g.leaderless-- }
 }
 
-// setRunner records what the group has learned of a runner, with its ready rows.
+// setRunner updates a runner and its ready rows in the zone's view.
 func (g *zoneGroup) setRunner(info structs.RunnerInfo, ready []structs.RowName) {
 	same := func(other structs.RunnerInfo) bool { return other.ID == info.ID }
 	onRunner := func(replica structs.Replica) bool { return replica.Runner == info.ID }
@@ -135,7 +136,7 @@
 	}
 }
 
-// table lists the rows with the zone's grants.
+// table returns the rows with the zone's grants.
 func (g *zoneGroup) table() structs.TableDelta {
 	delta := structs.TableDelta{Full: true, Revision: 1}
 	for _, row := range requestRows {
@@ -153,7 +154,7 @@
 	return delta
 }
 
-// readyRows lists the rows that an engine's replicas made ready, by name.
+// readyRows returns the ready rows in sorted order.
 func readyRows(ready map[structs.RowName]bool) []structs.RowName {
 	return slices.Sorted(maps.Keys(ready))
 }
--- a/kit/simulate/result.go
+++ b/kit/simulate/result.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Options says what Run simulates.
+// Options configures Run.
 type Options struct {
-	// Scenario is one of Scenarios, alone or with a plan ("table/zone-cut") or two
-	// plans ("table/zone-cut+second-loss"), or AllScenarios; empty means "table".
+	// Scenario is one of Scenarios, alone or with one plan ("table/zone-cut") or two
+	// ("table/zone-cut+second-loss"), or AllScenarios; empty means "table".
 	Scenario string
 	// Seed is the first seed and Seeds the number of seeds (0 means 1).
 	Seed  uint64
 	Seeds int
 	// Mutation names a safeguard to disable, one of Mutations; empty disables none.
 	Mutation string
-	// Workers bounds the seeds that run at once (0 means one a processor).
+	// Workers bounds the seeds that run concurrently (0 means GOMAXPROCS).
 	Workers int
-	// Faults, when not nil, replaces the faults that the seed would plan.
+	// Faults, if not nil, replaces the planned faults of the seed.
 	Faults []Fault
-	// StopAfter ends the run once so many violations were found (0 means never).
-	// Which seeds have run by then depends on the machine.
+	// StopAfter ends the run after this many violations (0 means never). Which seeds
+	// have run by then is not deterministic.
 	StopAfter int
-	// Sink, when set, gets every line of the trace. It needs Seeds of at most 1.
+	// Sink, if set, is called with every line of the trace. It requires at most one
+	// seed.
 	Sink func(line string)
 }
 
@@ -34,8 +35,7 @@
 	EditsAccepted int    `json:"edits_accepted"`
 	EditsRefused  int    `json:"edits_refused"`
 	EditsResent   int    `json:"edits_resent"`
-	// CallsChecked counts the operators' calls whose history was checked for
-	// linearizability.
+	// CallsChecked counts the operators' calls checked for linearizability.
 	CallsChecked  int `json:"calls_checked"`
 	Loads         int `json:"loads"`
 	Unloads       int `json:"unloads"`
@@ -43,12 +43,12 @@
 	Repairs       int `json:"repairs"`
 	GrantReleases int `json:"grant_releases"`
 	Converged     int `json:"converged"`
-	// SlowestInForce is the longest time from an edit's acceptance until a zone that
-	// could be reached had it in force, and SlowestRejoin from the end of a cut until
-	// the zone had caught up, both while nothing else failed.
+	// SlowestInForce is the longest time from an edit's acceptance until a reachable
+	// zone had it in force, SlowestRejoin from the end of a cut until the zone had
+	// caught up, both in the absence of other faults.
 	SlowestInForce time.Duration `json:"slowest_in_force_nanoseconds"`
 	SlowestRejoin  time.Duration `json:"slowest_rejoin_nanoseconds"`
-	// Requests is empty but for the scenarios requests and site.
+	// Requests is set by the scenarios requests and site only.
 	Requests RequestCounts `json:"requests,omitzero"`
 }
 
@@ -74,38 +74,39 @@
 	c.Requests.add(other.Requests)
 }
 
-// Violation says which invariant a seed broke, and how.
+// Violation describes a violated invariant of a seed.
 type Violation struct {
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	Mutation string `json:"mutation,omitempty"`
-	// Checker names the invariant.
+	// Checker is the checker of the invariant.
 	Checker string `json:"checker"`
 	Message string `json:"message"`
 	// At is the virtual time of the violation.
 	At time.Duration `json:"at_nanoseconds"`
-	// Faults are those that were planned; Shrink drops what the violation does not need.
+	// Faults lists the planned faults; Shrink removes those that the violation does
+	// not need.
 	Faults []Fault `json:"faults"`
-	// Trace holds the last notable lines before the violation.
+	// Trace holds the last notable trace lines before the violation.
 	Trace     []string `json:"trace"`
 	TraceHash string   `json:"trace_hash"`
 }
 
-// Result is what Run found.
+// Result is the result of Run.
 type Result struct {
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	Seeds    int    `json:"seeds"`
-	// Runs counts what ran: with StopAfter not all seeds do, and with AllScenarios
-	// each seed runs several times.
+	// Runs counts the simulated runs: StopAfter may skip seeds, and AllScenarios
+	// runs each seed several times.
 	Runs       int         `json:"runs"`
 	Mutation   string      `json:"mutation,omitempty"`
 	Violations []Violation `json:"violations"`
-	// TraceHash covers the traces of all runs in the order of the seeds.
+	// TraceHash covers the traces of all runs in seed order.
 	TraceHash      string  `json:"trace_hash"`
 	SimulatedHours float64 `json:"simulated_hours"`
 	RealSeconds    float64 `json:"real_seconds"`
-	// HoursPerSecond is the number of simulated hours in each real second.
+	// HoursPerSecond is the simulated hours per real second.
 	HoursPerSecond float64 `json:"simulated_hours_per_real_second"`
 	Counts         Counts  `json:"counts"`
 }
@@ -113,28 +114,27 @@
 // ScenarioInfo describes a scenario.
 type ScenarioInfo struct {
 	Name string `json:"name"`
-	// Sentence says what fails and what must hold then.
+	// Sentence describes the faults and the invariants in one sentence.
 	Sentence string `json:"sentence"`
-	// Checkers names the invariants that are judged.
+	// Checkers lists the checkers of the scenario.
 	Checkers []string `json:"checkers"`
-	// Plans are what can be made to fail on its own.
+	// Plans lists the fault plans that can be run on their own.
 	Plans []PlanInfo `json:"plans,omitempty"`
 }
 
-// PlanInfo describes a plan of faults of a scenario.
+// PlanInfo describes a fault plan of a scenario.
 type PlanInfo struct {
 	Name     string `json:"name"`
 	Sentence string `json:"sentence"`
 }
 
-// MutationInfo describes a safeguard that can be disabled, to show that the
-// checkers would notice.
+// MutationInfo describes a safeguard that can be disabled to test the checkers.
 type MutationInfo struct {
 	Name     string `json:"name"`
 	Sentence string `json:"sentence"`
-	// Checkers are those that may notice; another one would mean that something
-	// else than the safeguard is broken.
+	// Checkers lists the checkers that may detect it; any other report is a
+	// different fault.
 	Checkers []string `json:"checkers"`
-	// Scenario is the one that shows it soonest; register sets it where it is empty.
+	// Scenario is the one that detects it soonest; register sets it if empty.
 	Scenario string `json:"scenario"`
 }
--- a/kit/simulate/run.go
+++ b/kit/simulate/run.go
@@ -13,40 +13,38 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// seedPlan is what one seed's run starts from.
+// seedPlan is the input of one seed's run.
 type seedPlan struct {
 	seed     uint64
 	mutation string
-	// plans names the plans of faults that strike; without any, the seed draws its
-	// faults from all kinds.
+	// plans lists the fault plans; if empty, the faults are drawn from all kinds.
 	plans []string
-	// faults replaces the planned faults when not nil.
+	// faults, if not nil, replaces the planned faults.
 	faults []Fault
-	// only, when set, names the one checker that is listened to.
+	// only, if set, is the only checker whose reports count.
 	only string
 	sink func(line string)
 }
 
-// seedOutcome is what one seed's run gave.
+// seedOutcome is the result of one seed's run.
 type seedOutcome struct {
 	ran       bool
 	violation *Violation
 	traceHash uint64
 	simulated time.Duration
 	counts    Counts
-	// taken counts the transitions of the specification that were seen.
+	// taken counts the observed transitions of the specification.
 	taken map[string]int
 }
 
 // job is one seed of one scenario.
 type job struct {
 	scenario scenario
-	// name is the scenario's, with its plans.
+	// name is the scenario name with its plans.
 	name string
 	plan seedPlan
 }
 
-// run simulates the job.
 func (j job) run() seedOutcome {
 	outcome := j.scenario.run(j.plan)
 	outcome.ran = true
@@ -56,8 +54,8 @@
 	return outcome
 }
 
-// Run simulates the seeds Seed to Seed+Seeds-1. Violations are part of the
-// result; the error is an ErrorInvalid about the options.
+// Run simulates the seeds Seed to Seed+Seeds-1. Violations are part of the result;
+// invalid options give an ErrorInvalid.
 func Run(options Options) (Result, error) {
 	jobs, err := options.jobs()
 	if err != nil {
@@ -71,7 +69,7 @@
 	return result, nil
 }
 
-// jobs fills in defaults and lists what to run.
+// jobs sets defaults and returns the runs of the options.
 func (o *Options) jobs() ([]job, error) {
 	if o.Scenario == "" {
 		o.Scenario = tableScenarioName
@@ -83,7 +81,7 @@
 		o.Workers = runtime.GOMAXPROCS(0)
 	}
 	if o.Sink != nil && (o.Seeds > 1 || o.Scenario == AllScenarios) {
-		return nil, structs.NewError(structs.ErrorInvalid, "a sink was given with many seeds", "Run one seed when you want its lines.")
+		return nil, structs.NewError(structs.ErrorInvalid, "a sink requires a single seed", "Run one seed to get its trace lines.")
 	}
 	if o.Scenario == AllScenarios {
 		return o.allJobs()
@@ -102,8 +100,8 @@
 	return jobs, nil
 }
 
-// allJobs runs, for each seed, every scenario with faults of all kinds and, in
-// turn, one of its plans or pairs of plans.
+// allJobs returns, for each seed, a run of every scenario with faults of all kinds
+// and one with the next of its plans or pairs of plans.
 func (o *Options) allJobs() ([]job, error) {
 	var jobs []job
 	for i := range uint64(o.Seeds) {
@@ -156,12 +154,11 @@
 			return nil
 		})
 	}
-	// The functions return no error.
 	_ = group.Wait()
 	return outcomes
 }
 
-// combine sums the outcomes in the order of the jobs, whatever order they ran in.
+// combine merges the outcomes in job order, independent of the order of execution.
 func combine(options Options, outcomes []seedOutcome) Result {
 	result := Result{
 		Scenario:   options.Scenario,
--- a/kit/simulate/run_test.go
+++ b/kit/simulate/run_test.go
@@ -14,10 +14,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// mutationSeeds is how many seeds a mutation gets to show itself.
+// mutationSeeds is the number of seeds in which a mutation must be detected.
 const mutationSeeds = 200
 
-// mutationWorkers is few, because one of the first seeds shows most mutations.
+// mutationWorkers is small, because one of the first seeds detects most mutations.
 const mutationWorkers = 3
 
 func TestSameSeedsGiveSameTraceInAnyOrder(t *testing.T) {
@@ -59,7 +59,6 @@
 	}
 }
 
-// reportViolations fails the test for each violation of the result.
 func reportViolations(t *testing.T, result Result) {
 	t.Helper()
 	for _, violation := range result.Violations {
@@ -80,13 +79,14 @@
 	c.Assert(string(encoded), qt.Contains, `"violations":[]`)
 }
 
-// Each plan that takes seconds runs, in turn, alone, twice in a row, or together
-// with the next one.
+// TestTableHoldsUnderEachPlan runs each short plan alone, twice in a row, or
+// together with the next one, in turn.
 func TestTableHoldsUnderEachPlan(t *testing.T) { checkEachPlan(t, tableScenarioName) }
 
 func TestSiteHoldsUnderEachPlan(t *testing.T) { checkEachPlan(t, siteScenarioName) }
 
-// checkEachPlan runs the scenario's short plans alone, twice in a row or in pairs.
+// checkEachPlan runs the scenario's short plans, each alone, twice in a row or in
+// pairs, in turn.
 func checkEachPlan(t *testing.T, scenarioName string) {
 	t.Parallel()
 	c := qt.New(t)
@@ -113,9 +113,9 @@
 	}
 }
 
-// The edits that pass a machine which is down must be many more than a group keeps
-// in its log, so that the machine needs a snapshot.
-func TestPlanRestartBehindLetsOverFiveHundredEditsPass(t *testing.T) {
+// TestPlanRestartBehindMissesOverFiveHundredEdits checks that a stopped machine
+// misses more edits than the log retains, so that it needs a snapshot.
+func TestPlanRestartBehindMissesOverFiveHundredEdits(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	plan := seedPlan{seed: 1, plans: []string{"restart-behind"}}
@@ -135,7 +135,7 @@
 	c.Assert(site.judge.violation, qt.IsNil)
 }
 
-// The plan zone-cut takes hours; here the same cut takes minutes.
+// TestZoneRejoinsWithinSeconds shortens the hours of the plan zone-cut to minutes.
 func TestZoneRejoinsWithinSeconds(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -145,7 +145,7 @@
 	c.Assert(outcome.counts.EditsAccepted > 20 && outcome.counts.Loads > 20, qt.IsTrue)
 	c.Assert(outcome.counts.SlowestRejoin > 0 && outcome.counts.SlowestRejoin <= inForceBound, qt.IsTrue)
 	planned := planTable(seedPlan{seed: 1, plans: []string{"zone-cut"}})
-	c.Assert(planned.faults[0].For, qt.Equals, cutHours)
+	c.Assert(planned.faults[0].For, qt.Equals, longCutDuration)
 }
 
 func TestEachMutationIsCaught(t *testing.T) {
@@ -165,8 +165,8 @@
 	}
 }
 
-// All scenarios together run each seed of every scenario, and one combination of
-// plans; the mutation keeps them short.
+// TestAllScenariosRunTogether checks that AllScenarios runs each seed of every
+// scenario and one combination of plans; the mutation keeps the runs short.
 func TestAllScenariosRunTogether(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -187,7 +187,7 @@
 	c.Assert(second.TraceHash, qt.Equals, first.TraceHash)
 }
 
-func TestCombinationsAreAloneTwiceAndPairs(t *testing.T) {
+func TestCombinationsCoverSinglesRepeatsAndPairs(t *testing.T) {
 	c := qt.New(t)
 	known, _, err := findScenario(tableScenarioName)
 	c.Assert(err, qt.IsNil)
@@ -204,12 +204,12 @@
 	}
 }
 
-// findOne looks once for a violation that needs faults to come about.
+// findOne finds a violation that depends on faults, once for all tests.
 var findOne = sync.OnceValues(func() (Result, error) {
 	return Run(Options{Seed: 1, Seeds: mutationSeeds, Mutation: mutationNoFence, StopAfter: 1, Workers: 1})
 })
 
-func caught(c *qt.C) Violation {
+func findViolation(c *qt.C) Violation {
 	result, err := findOne()
 	c.Assert(err, qt.IsNil)
 	c.Assert(len(result.Violations) > 0, qt.IsTrue)
@@ -219,7 +219,7 @@
 func TestShrinkKeepsTheViolation(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	found := caught(c)
+	found := findViolation(c)
 	smallest, err := Shrink(found, 16)
 	c.Assert(err, qt.IsNil)
 	c.Assert(smallest.Checker, qt.Equals, found.Checker)
@@ -227,10 +227,10 @@
 	c.Assert(len(smallest.Faults) > 0, qt.IsTrue, qt.Commentf("without faults the mutation changes nothing"))
 }
 
-func TestReplayGivesTheRecordedTrace(t *testing.T) {
+func TestReplayReproducesTrace(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	found := caught(c)
+	found := findViolation(c)
 	var file bytes.Buffer
 	c.Assert(WriteReplay(&file, found), qt.IsNil)
 	written := file.String()
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestRunRefusesUnknownNames(t *testing.T) {
+func TestRunRejectsInvalidOptions(t *testing.T) {
 	c := qt.New(t)
 	for _, options := range []Options{
 		{Scenario: "nothing"},
--- a/kit/simulate/scenario.go
+++ b/kit/simulate/scenario.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// AllScenarios names all scenarios together, their plans in turn.
+	// AllScenarios selects all scenarios with their plans in turn.
 	AllScenarios = "all"
-	// planSeparator stands between a scenario and its plan in "table/zone-cut", and
-	// planJoiner between plans that strike together in "table/zone-cut+second-loss".
-	// A plan that is joined with itself strikes twice, one after the other.
+	// planSeparator separates a scenario from its plan in "table/zone-cut",
+	// planJoiner concurrent plans in "table/zone-cut+second-loss". A plan joined
+	// with itself runs twice in sequence.
 	planSeparator = "/"
 	planJoiner    = "+"
 )
@@ -28,8 +28,8 @@
 	mutations []MutationInfo
 }
 
-// registry holds the scenarios by name. It is filled while the package is
-// initialised and does not change after that.
+// registry holds the scenarios by name. It is filled during package initialization
+// and read-only after that.
 var registry = map[string]scenario{}
 
 // register adds a scenario. Give its result to a blank variable of the package:
@@ -48,14 +48,14 @@
 	return struct{}{}
 }
 
-// scenarios lists the registered scenarios by name.
+// scenarios returns the registered scenarios in order of name.
 func scenarios() []scenario {
 	return slices.SortedFunc(maps.Values(registry), func(a, b scenario) int {
 		return cmp.Compare(a.info.Name, b.info.Name)
 	})
 }
 
-// Scenarios lists what Run can simulate, ordered by name.
+// Scenarios returns descriptions of the scenarios in order of name.
 func Scenarios() []ScenarioInfo {
 	var infos []ScenarioInfo
 	for _, known := range scenarios() {
@@ -64,7 +64,7 @@
 	return infos
 }
 
-// Mutations lists the safeguards that Run can disable.
+// Mutations returns the safeguards that Run can disable.
 func Mutations() []MutationInfo {
 	var infos []MutationInfo
 	for _, known := range scenarios() {
@@ -73,7 +73,7 @@
 	return infos
 }
 
-// Check returns an ErrorInvalid when Run knows no scenario of the name.
+// Check returns an ErrorInvalid if the scenario name is unknown.
 func Check(name string) error {
 	if name == AllScenarios {
 		return nil
@@ -82,8 +82,7 @@
 	return err
 }
 
-// findScenario returns the scenario of a name with or without plans, and the
-// plans; the error is an ErrorInvalid.
+// findScenario returns the scenario and the plans of a name, or an ErrorInvalid.
 func findScenario(name string) (scenario, []string, error) {
 	base, joined, hasPlan := strings.Cut(name, planSeparator)
 	known, ok := registry[base]
@@ -113,8 +112,8 @@
 	return name == "" || slices.ContainsFunc(s.mutations, func(mutation MutationInfo) bool { return mutation.Name == name })
 }
 
-// combinations lists the names under which the scenario's plans run: each alone,
-// each twice in a row, and all pairs.
+// combinations returns the scenario names with each plan alone, each twice, and all
+// pairs.
 func (s scenario) combinations() []string {
 	var alone, twice, pairs []string
 	prefix := s.info.Name + planSeparator
--- a/kit/simulate/scheduler.go
+++ b/kit/simulate/scheduler.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is one thing that happens at a virtual time.
+// event is a function scheduled at a virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
-// eventHeap orders events by time, then by the order in which they were made.
+// eventHeap orders events by time, then by creation.
 type eventHeap []*event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -39,13 +39,13 @@
 	return value
 }
 
-// Scheduler is the queue of events and the virtual clock of one simulated site.
+// Scheduler is the event queue and the virtual clock of one simulated site.
 type Scheduler struct {
 	now      time.Duration
 	sequence uint64
 	events   eventHeap
 	stopped  bool
-	// limit ends Run after so many events; 0 means never.
+	// limit bounds the events of Run; 0 means no limit.
 	limit uint64
 	ran   uint64
 }
@@ -53,11 +53,11 @@
 // Now returns the virtual time since the start of the simulation.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// wallTime returns the virtual time as the time of a clock that is right.
+// wallTime returns the virtual time as the wall time of an exact clock.
 func (s *Scheduler) wallTime() time.Time { return epochStart.Add(s.now) }
 
-// At runs the function at the given virtual time, or now if that has passed.
-// Events of one time run in the order in which they were added.
+// At schedules the function at the given virtual time, or now if that has passed.
+// Events of equal time run in the order of scheduling.
 func (s *Scheduler) At(at time.Duration, run func()) {
 	if at < s.now {
 		at = s.now
@@ -66,17 +66,17 @@
 	heap.Push(&s.events, &event{at: at, sequence: s.sequence, run: run})
 }
 
-// After runs the function once the given virtual time has passed.
+// After schedules the function after the given virtual duration.
 func (s *Scheduler) After(delay time.Duration, run func()) { s.At(s.now+delay, run) }
 
 // Stop makes Run return after the current event.
 func (s *Scheduler) Stop() { s.stopped = true }
 
-// Exhausted reports whether the limit of events is reached.
+// Exhausted reports whether the event limit is reached.
 func (s *Scheduler) Exhausted() bool { return s.limit > 0 && s.ran >= s.limit }
 
-// Run runs events in order until the given virtual time, until Stop, or until the
-// limit of events is reached.
+// Run executes events in order up to the given virtual time, until Stop is called or
+// the event limit is reached.
 func (s *Scheduler) Run(until time.Duration) {
 	for !s.stopped && !s.Exhausted() && len(s.events) > 0 && s.events[0].at <= until {
 		next := heap.Pop(&s.events).(*event)
--- a/kit/simulate/shrink.go
+++ b/kit/simulate/shrink.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Shrink drops faults while the same checker still reports a violation, first
-// half of them at a time and in the end one by one, and returns the violation
-// with the faults that are left. It runs the seed at most attempts times.
+// Shrink removes faults while the same checker still reports a violation, first half
+// of them at a time and finally one by one. It returns the violation with the
+// remaining faults, after at most the given number of runs.
 func Shrink(violation Violation, attempts int) (Violation, error) {
 	s := shrinker{smallest: violation, attempts: attempts}
 	isLater := func(fault Fault) bool { return fault.At > violation.At }
@@ -24,13 +24,14 @@
 	return s.smallest, nil
 }
 
-// shrinker looks for fewer faults that bring the violation about.
+// shrinker searches for fewer faults that reproduce the violation.
 type shrinker struct {
 	smallest Violation
 	attempts int
 }
 
-// dropEach tries to do without each run of so many faults, the last one first.
+// dropEach tries to remove each group of size consecutive faults, the last one
+// first.
 func (s *shrinker) dropEach(size int) (hasShrunk bool, err error) {
 	before := len(s.smallest.Faults)
 	for end := before; end > 0; end -= size {
@@ -42,7 +43,7 @@
 	return len(s.smallest.Faults) < before, nil
 }
 
-// try takes the faults when they are fewer and bring the violation about.
+// try keeps the faults if they are fewer and reproduce the violation.
 func (s *shrinker) try(faults []Fault) error {
 	if s.attempts <= 0 || len(faults) == len(s.smallest.Faults) {
 		return nil
@@ -57,7 +58,8 @@
 	return err
 }
 
-// runAgain runs the violation's seed with its faults.
+// runAgain runs the violation's seed with its faults and returns the new violation,
+// or nil.
 func runAgain(violation Violation) (*Violation, error) {
 	result, err := Run(violation.options())
 	if err != nil {
--- a/kit/simulate/simulatedsite.go
+++ b/kit/simulate/simulatedsite.go
@@ -8,8 +8,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// simulatedSite is what the sites of all scenarios have in common: one virtual
-// time, one network, one trace and one judge, all from one seed.
+// simulatedSite is the common part of all scenario sites: one scheduler, network,
+// trace and judge, all derived from one seed.
 type simulatedSite struct {
 	plan      seedPlan
 	random    *rand.Rand
@@ -20,7 +20,7 @@
 	counts    Counts
 }
 
-// newSimulatedSite makes a site without machines whose network is calm.
+// newSimulatedSite returns a site without machines on a calm network.
 func newSimulatedSite(plan seedPlan) simulatedSite {
 	scheduler := &Scheduler{}
 	trace := NewTrace(scheduler)
@@ -40,8 +40,8 @@
 
 func (s *simulatedSite) mutated(name string) bool { return s.plan.mutation == name }
 
-// schedule plans the faults. Each is brought about by inject, which returns what
-// heals it, or nil; it heals when its time is over.
+// schedule schedules the faults. inject applies a fault and returns the function
+// that heals it at its end, or nil.
 func (s *simulatedSite) schedule(faults []Fault, inject func(Fault) (heal func())) {
 	for _, fault := range faults {
 		s.scheduler.At(fault.At, func() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// storm spoils the network by a FaultStorm of the amount.
+// storm applies a FaultStorm of the amount to the network.
 func (s *simulatedSite) storm(amount float64) (heal func()) {
 	s.network.SetQuality(stormQuality(amount))
 	return func() { s.network.SetQuality(calmNetwork) }
@@ -73,7 +73,7 @@
 	}
 }
 
-// cutZone cuts a zone off from all others in both directions.
+// cutZone isolates a zone from all others in both directions.
 func (s *simulatedSite) cutZone(zone structs.ZoneID, zones []structs.ZoneID) (heal func()) {
 	change := func(apply func(from, to structs.ZoneID)) {
 		for _, other := range zones {
@@ -87,13 +87,13 @@
 	return func() { change(s.network.HealZones) }
 }
 
-// cutOneWay drops what one zone sends to another.
+// cutOneWay drops messages from one zone to another.
 func (s *simulatedSite) cutOneWay(from, to structs.ZoneID) (heal func()) {
 	s.network.CutZones(from, to)
 	return func() { s.network.HealZones(from, to) }
 }
 
-// seedOutcome gathers what the seed of the scenario gave.
+// seedOutcome returns the outcome of the seed.
 func (s *simulatedSite) seedOutcome(scenarioName string, faults []Fault) seedOutcome {
 	s.counts.Events = s.scheduler.sequence
 	s.counts.Messages = s.network.delivered
--- a/kit/simulate/sitescenario.go
+++ b/kit/simulate/sitescenario.go
@@ -8,11 +8,12 @@
 
 const (
 	siteScenarioName = "site"
-	// siteFaultStream is the stream of random numbers for faults of answers and routers.
+	// siteFaultStream is the random stream for faults of answers and routers.
 	siteFaultStream = 3
-	// siteLoadLead is how long before the end of the faults callers stop coming.
+	// siteLoadLead is the time between the end of the arrivals and that of the
+	// faults.
 	siteLoadLead = 10 * time.Second
-	// siteEventLimit bounds the events of a seed; an ordinary one has under 250,000.
+	// siteEventLimit bounds the events of a seed to detect endless message loops.
 	siteEventLimit = 1_000_000
 )
 
@@ -32,14 +33,14 @@
 	}
 }
 
-// siteCheckers are those of the table and of the requests.
+// siteCheckers returns the checkers of the table and requests scenarios.
 func siteCheckers() []string {
 	checkers := slices.Concat(tableCheckers, requestCheckers)
 	slices.Sort(checkers)
 	return slices.Compact(checkers)
 }
 
-// sitePlanInfos lists the plans of the table that fit requests.
+// sitePlanInfos returns the short plans of the table scenario.
 func sitePlanInfos() []PlanInfo {
 	var infos []PlanInfo
 	for _, known := range tablePlans {
@@ -50,16 +51,15 @@
 	return infos
 }
 
-// newControlledRequests makes the requests' part of a site with controllers.
+// newControlledRequests returns the request site of a site with controllers.
 func newControlledRequests(site *tableSite) *requestSite {
-	requests := newRequestParties(&site.simulatedSite)
+	requests := newEmptyRequestSite(&site.simulatedSite)
 	requests.controlled = site
 	requests.rows = simulatedRows
 	requests.loadEnd = site.end - siteLoadLead
 	return requests
 }
 
-// runSite runs one seed of the site scenario.
 func runSite(plan seedPlan) seedOutcome {
 	table := planTable(plan)
 	table.serving = true
@@ -90,10 +90,11 @@
 	return site.outcome(siteScenarioName, table.faults)
 }
 
-// running reports whether there is neither a violation nor a run without end.
+// running reports whether there is no violation and the event limit is not reached.
 func (s *tableSite) running() bool { return s.judge.violation == nil && !s.scheduler.Exhausted() }
 
-// addRequestFaults adds faults of answers, routers and load to those of the control.
+// addRequestFaults adds faults of answers, routers and load to the control plane
+// faults.
 func (t *timetable) addRequestFaults(random *rand.Rand) {
 	for _, fault := range planRequestFaults(random) {
 		if requestOnlyFaults[fault.Kind] {
@@ -103,7 +104,7 @@
 	slices.SortStableFunc(t.faults, compareFaults)
 }
 
-// injectAny brings about a fault of the control or of the requests' part.
+// injectAny applies a fault of the control plane or of the request site.
 func (s *tableSite) injectAny(fault Fault) (heal func()) {
 	if requestOnlyFaults[fault.Kind] {
 		return s.requests.inject(fault)
@@ -111,20 +112,20 @@
 	heal = s.inject(fault)
 	switch fault.Kind {
 	case FaultCutZone, FaultCutOneWay, FaultStorm:
-		return s.requests.disturbed(heal)
+		return s.requests.trackNetworkFault(heal)
 	}
 	return heal
 }
 
-// lastEnd is when every request and every claim has ended: the last callers look for
-// a router for connectPatience and then wait for longestTime, and a claim may have to
-// be resolved then.
+// lastEnd returns when every request and every claim must have ended: the last
+// callers try to connect for connectTimeout and then wait for up to maxDeadline, and
+// a claim may have to be resolved after that.
 func (s *requestSite) lastEnd() time.Duration {
-	return s.loadEnd + connectPatience + longestTime + 6*requestClaimLease
+	return s.loadEnd + connectTimeout + maxDeadline + 6*requestClaimLease
 }
 
-// siteMutations are the mutations of both sets that requests over a replicated
-// control bring out.
+// siteMutations returns the mutations of both scenarios that are detectable with
+// requests and a replicated control plane.
 func siteMutations() []MutationInfo {
 	var shared []MutationInfo
 	for _, mutation := range slices.Concat(tableMutations(), requestMutations()) {
--- a/kit/simulate/sitescenario_test.go
+++ b/kit/simulate/sitescenario_test.go
@@ -8,11 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// siteTestSeeds is enough for each kind of ending and of work to happen.
+// siteTestSeeds suffices for every kind of ending and operation to occur.
 const siteTestSeeds = 12
 
 // TestSiteHoldsUnderFaults also checks that requests, claims, loads, edits and
-// elections all happen, so that no checker is idle, and that a seed decides all.
+// elections occur and that runs are deterministic.
 func TestSiteHoldsUnderFaults(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -41,8 +41,8 @@
 	c.Assert(second.Counts, qt.Equals, first.Counts)
 }
 
-// A router that keeps asking a controller which was cut off without noticing would
-// not learn that runners leave, and would send them new work.
+// TestRouterLeavesAControllerThatIsCutOff guards against a router that keeps polling
+// an isolated controller and sends new work to leaving runners.
 func TestRouterLeavesAControllerThatIsCutOff(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/kit/simulate/specification_test.go
+++ b/kit/simulate/specification_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// specificationSeeds is how many seeds are replayed against the specification.
+// specificationSeeds is the number of seeds replayed against the specification.
 const specificationSeeds = 8
 
 func TestEveryStepIsOneOfTheSpecification(t *testing.T) {
@@ -28,7 +28,8 @@
 	}
 }
 
-// Other checkers see most of these faults too; here the replay alone has to.
+// TestSpecificationRefusesBrokenSteps checks that the replay detects these faults
+// without the other checkers.
 func TestSpecificationRefusesBrokenSteps(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ mutation, checker string }{
@@ -47,14 +48,14 @@
 					return
 				}
 			}
-			t.Fatal("no seed was refused")
+			t.Fatal("no seed detects the mutation")
 		})
 	}
 }
 
-// TestTransitionsHaveTheNamesOfTheSpecification holds the lists against the models:
-// the inlines, and the processes that are more than a loop around one.
-func TestTransitionsHaveTheNamesOfTheSpecification(t *testing.T) {
+// TestTransitionNamesMatchSpecification compares the lists with the inlines
+// of the models and the processes that are more than a loop around one.
+func TestTransitionNamesMatchSpecification(t *testing.T) {
 	for _, test := range []struct {
 		model       string
 		pattern     string
--- a/kit/simulate/statemachine.go
+++ b/kit/simulate/statemachine.go
@@ -6,10 +6,10 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// zoneMachine replicates a zone's state.
+// zoneMachine is the state machine of a zone's group.
 type zoneMachine struct{ state *zone.State }
 
-// zoneOutcome is the result of a zone command with the command.
+// zoneOutcome is a zone command with its result.
 type zoneOutcome struct {
 	command zone.Command
 	result  zone.Result
@@ -29,15 +29,15 @@
 func (z *zoneMachine) snapshot() ([]byte, error) { return z.state.Snapshot() }
 func (z *zoneMachine) restore(data []byte) error { return z.state.Restore(data) }
 
-// tableMachine replicates the table.
+// tableMachine is the state machine of the global group.
 type tableMachine struct {
 	state *table.State
-	// mutate, when set, changes a command before it is applied, the same way on each
+	// mutate, if set, changes a command before it is applied, equally on each
 	// member.
 	mutate func(state *table.State, index uint64, command table.Command) table.Command
 }
 
-// tableOutcome is the result of a table command with the command.
+// tableOutcome is a table command with its result.
 type tableOutcome struct {
 	command table.Command
 	result  table.Result
--- a/kit/simulate/store.go
+++ b/kit/simulate/store.go
@@ -6,8 +6,8 @@
 	"github.com/lotusferry/lotusferry/agreement/raft"
 )
 
-// batch is what one Ready makes durable, as one record: it is on the disk whole
-// or not at all, like a transaction of the daemon's log store.
+// batch is the durable part of one Ready. It is written atomically as one record,
+// like a transaction of the daemon's log store.
 type batch struct {
 	identity  raft.NodeID
 	hardState raft.HardState
@@ -15,7 +15,7 @@
 	entries   []raft.Entry
 }
 
-// store keeps the durable state of one group member on a machine's disk.
+// store holds the durable state of one group member on a machine's disk.
 type store struct {
 	disk *Disk
 	file string
@@ -26,7 +26,7 @@
 	entries   []raft.Entry
 }
 
-// openStore reads back what is durable; found is false on an empty disk.
+// openStore reads the durable state; found is false on an empty disk.
 func openStore(disk *Disk, file string) (opened *store, found bool) {
 	opened = &store{disk: disk, file: file}
 	records := disk.Read(file)
@@ -36,7 +36,7 @@
 	return opened, len(records) > 0
 }
 
-// write adds a batch; the disk's next Sync makes it durable.
+// write appends a batch, which the disk's next Sync makes durable.
 func (s *store) write(added batch) error {
 	added.identity = s.identity
 	if err := s.disk.Write(Record{File: s.file, Value: added}); err != nil {
--- a/kit/simulate/streamingengine.go
+++ b/kit/simulate/streamingengine.go
@@ -13,24 +13,26 @@
 const (
 	requestMaxBatch   = 3
 	requestDecodeBase = 70 * time.Millisecond
-	// oversizedText is how long the text of an oversized token is, in bytes.
+	// oversizedText is the text length of an oversized token in bytes.
 	oversizedText = 1 << 17
 )
 
-// streamFaults are faults of an engine's HTTP side, beside those of the emulator.
+// streamFaults holds the faults of an engine's HTTP side, in addition to those of
+// the emulator.
 type streamFaults struct {
-	// silent engines take connections and calls and send nothing any more.
+	// silent engines accept connections and calls but send nothing.
 	silent bool
-	// truncateRate is the share of tokens after which a stream ends as if whole.
+	// truncateRate is the share of tokens after which a stream ends as if it were
+	// complete.
 	truncateRate float64
-	// unfinishedRate is the share of answers whose last token is never sent although
-	// the stream stays open.
+	// unfinishedRate is the share of answers whose last token is withheld while the
+	// stream stays open.
 	unfinishedRate float64
-	// oversizeRate is the share of tokens with far too long a text.
+	// oversizeRate is the share of oversized tokens.
 	oversizeRate float64
 }
 
-// streamingEngine is an emulated engine with its HTTP side: it answers requests on
+// streamingEngine is an emulated engine with an HTTP side that answers requests on
 // connections.
 type streamingEngine struct {
 	emulatedEngine
@@ -38,10 +40,10 @@
 	faults  streamFaults
 	streams map[emulator.CallID]*connection
 	status  map[emulator.CallID]func(structs.RequestStatus)
-	// reached is told of each request before the engine has it, said of each status
-	// that the engine answers.
-	reached func(structs.GenerateRequest)
-	said    func(structs.RequestStatus)
+	// onRequest is called for each request before the engine gets it, onStatus for
+	// each status that the engine answers.
+	onRequest func(structs.GenerateRequest)
+	onStatus  func(structs.RequestStatus)
 }
 
 func newStreamingEngine(site *simulatedSite, random *rand.Rand, id structs.RunnerID, zone structs.ZoneID) streamingEngine {
@@ -53,10 +55,11 @@
 	}
 }
 
-// listening reports whether a connection can be made: a silent engine takes them too.
+// listening reports whether the engine accepts connections, which a silent one does
+// too.
 func (h *streamingEngine) listening() bool { return !h.engine.Dead() }
 
-// generate takes a request that arrived on a connection.
+// generate passes a request from a connection to the engine.
 func (h *streamingEngine) generate(stream *connection, request structs.GenerateRequest) {
 	call := h.nextCall()
 	h.streams[call] = stream
@@ -64,12 +67,12 @@
 		delete(h.streams, call)
 		h.step(emulator.EngineInput{Kind: emulator.InputDisconnect, Call: call})
 	}
-	h.reached(request)
+	h.onRequest(request)
 	h.step(emulator.EngineInput{Kind: emulator.InputGenerate, Call: call, Generate: request})
 }
 
-// askStatus gives answer, if not nil, the status of a request; with cancel set
-// the request is stopped and its ID fenced first.
+// askStatus passes the status of a request to answer, if not nil. With cancel set
+// the request is first stopped and its ID fenced.
 func (h *streamingEngine) askStatus(id structs.RequestID, cancel bool, answer func(structs.RequestStatus)) {
 	call := h.nextCall()
 	if answer != nil {
@@ -78,7 +81,7 @@
 	h.step(emulator.EngineInput{Kind: emulator.InputStatus, Call: call, ID: id, Cancel: cancel})
 }
 
-// answerCalls passes on what the engine put out about requests.
+// answerCalls sends the engine's output for a request to its caller.
 func (h *streamingEngine) answerCalls(output emulator.EngineOutput) {
 	switch output.Kind {
 	case emulator.OutputAccepted, emulator.OutputRefused, emulator.OutputToken, emulator.OutputReset:
@@ -88,7 +91,7 @@
 	}
 }
 
-// stream sends an output of a generate call on its connection.
+// stream sends the output of a generate call on its connection.
 func (h *streamingEngine) stream(output emulator.EngineOutput) {
 	stream := h.streams[output.Call]
 	if stream == nil || h.faults.silent {
@@ -123,12 +126,12 @@
 	answer := h.status[output.Call]
 	delete(h.status, output.Call)
 	if answer != nil && !h.faults.silent {
-		h.said(*output.Status)
+		h.onStatus(*output.Status)
 		answer(*output.Status)
 	}
 }
 
-// resetStreams breaks all connections of an engine that died.
+// resetStreams closes all connections of a dead engine.
 func (h *streamingEngine) resetStreams() {
 	calls := make([]emulator.CallID, 0, len(h.streams))
 	for call := range h.streams {
--- a/kit/simulate/tablefaults.go
+++ b/kit/simulate/tablefaults.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// crashLimit is when an armed crash happens at the latest.
+	// crashLimit bounds the delay of an armed crash.
 	crashLimit = 2 * time.Second
-	// silenceLead is how long orders are held back before a leader is cut off.
+	// silenceLead is how long orders are delayed before a leader is isolated.
 	silenceLead = 500 * time.Millisecond
-	// repairPoll is how often a repair is looked at, and repairPatience how long.
-	repairPoll     = 50 * time.Millisecond
-	repairPatience = 20 * time.Second
+	// repairPoll is the polling interval for a repair, and repairTimeout its time
+	// limit.
+	repairPoll    = 50 * time.Millisecond
+	repairTimeout = 20 * time.Second
 )
 
-// inject brings a fault about and returns what heals it, or nil.
+// inject applies a fault and returns the function that heals it, or nil.
 func (s *tableSite) inject(fault Fault) (heal func()) {
 	switch fault.Kind {
 	case FaultCutZone:
@@ -24,7 +25,7 @@
 	case FaultCutOneWay:
 		return s.cutOneWay(structs.ZoneID(fault.Target), structs.ZoneID(fault.Peer))
 	case FaultSilentLeader:
-		return s.silenceLeader(groupName(fault.Target), time.Duration(fault.Amount*float64(time.Second)))
+		return s.isolateLeader(groupName(fault.Target), time.Duration(fault.Amount*float64(time.Second)))
 	case FaultStorm:
 		return s.storm(fault.Amount)
 	case FaultTransfer:
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// injectMachine brings about the faults of one control machine.
+// injectMachine applies a fault of one control machine.
 func (s *tableSite) injectMachine(d *daemon, fault Fault) (heal func()) {
 	machine := d.machine
 	switch fault.Kind {
@@ -61,7 +62,7 @@
 		s.replaceDisk(d, fault.For)
 	case FaultReplaceTwice:
 		if s.replaceDisk(d, fault.For) {
-			s.replaceAfterRepair(d, s.daemonAt(fault.Peer), fault.For, s.scheduler.Now()+repairPatience)
+			s.replaceAfterRepair(d, s.daemonAt(fault.Peer), fault.For, s.scheduler.Now()+repairTimeout)
 		}
 	case FaultDiskFull:
 		machine.Disk.Full = true
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// cutMachine cuts a control machine off from all others, but not from engines.
+// cutMachine isolates a control machine from all others, but not from engines.
 func (s *tableSite) cutMachine(d *daemon) (heal func()) {
 	change := func(apply func(from, to Address)) {
 		for _, other := range s.daemons {
@@ -116,16 +117,16 @@
 	return func() { change(s.network.Heal) }
 }
 
-// silenceLeader cuts off the leader of a zone. Its orders are held back, from a
-// moment before, and arrive late. The fault must last longer than silenceLead.
-func (s *tableSite) silenceLeader(group groupName, held time.Duration) (heal func()) {
+// isolateLeader isolates the leader of a zone. Its orders are delayed from
+// silenceLead before that. The fault must last longer than silenceLead.
+func (s *tableSite) isolateLeader(group groupName, held time.Duration) (heal func()) {
 	d := s.leaderOf(group)
 	if d == nil {
 		return nil
 	}
 	s.heldOrders[d.machine.Address] = held
 	var healCut func()
-	s.scheduler.After(silenceLead, func() { healCut = s.deafen(d) })
+	s.scheduler.After(silenceLead, func() { healCut = s.isolate(d) })
 	return func() {
 		delete(s.heldOrders, d.machine.Address)
 		if healCut != nil {
@@ -134,8 +135,8 @@
 	}
 }
 
-// deafen cuts a control machine off from all others and from what engines report.
-func (s *tableSite) deafen(d *daemon) (heal func()) {
+// isolate cuts a control machine off from all others and from engine reports.
+func (s *tableSite) isolate(d *daemon) (heal func()) {
 	healCut := s.cutMachine(d)
 	change := func(apply func(from, to Address)) {
 		for _, host := range s.engines {
@@ -149,7 +150,7 @@
 	}
 }
 
-// leaderOf returns the daemon that leads the group in the newest term, or nil.
+// leaderOf returns the leader of the group in the newest term, or nil.
 func (s *tableSite) leaderOf(group groupName) *daemon {
 	var newest *daemon
 	for _, d := range s.daemons {
@@ -180,11 +181,11 @@
 	}
 }
 
-// replaceDisk crashes a machine and gives it an empty disk, unless a group of the
-// machine has not got over an earlier loss: a group of three survives one loss at
-// a time.
+// replaceDisk crashes a machine and replaces its disk by an empty one, unless one of
+// its groups has not recovered from an earlier loss: a group of three tolerates one
+// loss at a time.
 func (s *tableSite) replaceDisk(d *daemon, outage time.Duration) bool {
-	if problem := s.fellowWithoutVote(d); problem != "" {
+	if problem := s.unrepairedPeer(d); problem != "" {
 		s.trace.Note("fault-skipped", string(d.machine.Address), problem)
 		return false
 	}
@@ -194,13 +195,13 @@
 	return true
 }
 
-// fellowWithoutVote names a machine that shares a group with d and lost its disk
-// without having been repaired since.
-func (s *tableSite) fellowWithoutVote(d *daemon) string {
+// unrepairedPeer describes a machine that shares a group with d and has not been
+// repaired since it lost its disk; empty if there is none.
+func (s *tableSite) unrepairedPeer(d *daemon) string {
 	for _, other := range s.daemons {
 		for _, m := range d.members() {
-			fellow := other.member(m.group)
-			if fellow != nil && !s.isRepaired(other, fellow) {
+			peer := other.member(m.group)
+			if peer != nil && !s.isRepaired(other, peer) {
 				return string(other.machine.Address) + " is not repaired"
 			}
 		}
@@ -208,8 +209,8 @@
 	return ""
 }
 
-// isRepaired reports whether the group has committed that the member's present
-// identity votes, by the state of some member that leads.
+// isRepaired reports whether the group's leader has committed a membership in which
+// the member's present identity votes.
 func (s *tableSite) isRepaired(d *daemon, m *member) bool {
 	if d.machine.Disk.Generation == 1 {
 		return true
@@ -228,7 +229,7 @@
 	if peer == nil || s.scheduler.Now() >= until || s.scheduler.Now() >= s.end-outage {
 		return
 	}
-	if d.machine.alive && d.votes() && s.fellowWithoutVote(peer) == "" {
+	if d.machine.alive && d.votes() && s.unrepairedPeer(peer) == "" {
 		s.trace.Note("second-loss", string(peer.machine.Address), "right after the repair of "+string(d.machine.Address))
 		s.replaceDisk(peer, outage)
 		return
--- a/kit/simulate/tablehistory.go
+++ b/kit/simulate/tablehistory.go
@@ -8,36 +8,36 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// never is the return time of a call that was not answered.
+// never is the return time of an unanswered call.
 const never = time.Duration(math.MaxInt64)
 
-// tableHistory records what operators asked and what they were answered, on their
-// own machines, so that the whole history can be checked for linearizability. It
-// knows nothing of the members that answered.
+// tableHistory records the operators' calls and the answers as the operators saw
+// them, so that the history can be checked for linearizability. It does not depend
+// on the answering members.
 type tableHistory struct{ calls []*tableCall }
 
-// tableCall is an operator's read, or its edit with all resends.
+// tableCall is an operator's read, or an edit with all its resends.
 type tableCall struct {
 	operator int
 	called   time.Duration
 	returned time.Duration
-	// changes are empty for a read.
+	// changes is empty for a read.
 	changes []structs.RowChange
-	// answer is nil for a read and for an edit that was not answered.
+	// answer is nil for a read and for an unanswered edit.
 	answer *structs.EditResult
-	// revision and rows are what a read showed.
+	// revision and rows are the result of a read.
 	revision uint64
 	rows     []structs.Row
 }
 
-// read records a read that was answered.
+// read records an answered read.
 func (h *tableHistory) read(operator int, called, returned time.Duration, answer rowsAnswer) {
 	h.calls = append(h.calls, &tableCall{
 		operator: operator, called: called, returned: returned, revision: answer.revision, rows: answer.rows,
 	})
 }
 
-// edit records that an edit is sent for the first time.
+// edit records the first submission of an edit.
 func (h *tableHistory) edit(operator int, called time.Duration, changes []structs.RowChange) *tableCall {
 	call := &tableCall{operator: operator, called: called, returned: never, changes: changes}
 	h.calls = append(h.calls, call)
@@ -53,11 +53,11 @@
 
 func (c *tableCall) isRead() bool { return len(c.changes) == 0 }
 
-// isOpen reports whether the call is an edit that was not answered: it may have
-// been applied, or may yet be.
+// isOpen reports whether the call is an unanswered edit, which may have been applied
+// or may still be.
 func (c *tableCall) isOpen() bool { return !c.isRead() && c.answer == nil }
 
-// seen returns the table revision that the answer shows.
+// seen returns the table revision of the answer.
 func (c *tableCall) seen() uint64 {
 	if c.isRead() {
 		return c.revision
@@ -65,7 +65,8 @@
 	return c.answer.Revision
 }
 
-// row returns what the answer shows of a row; isShown is false when it shows nothing.
+// row returns the state of a row according to the answer; isShown is false if the
+// answer does not tell.
 func (c *tableCall) row(name structs.RowName) (row structs.Row, isThere, isShown bool) {
 	if c.isRead() {
 		row, isThere = findRow(c.rows, name)
@@ -90,10 +91,10 @@
 	return structs.Row{}, false, false
 }
 
-// operations returns the history to be checked. An edit without an answer is in it
-// for as long as it can have an effect: once a row was seen past the version that
-// the edit was made against, it is refused for good. What would have no effect, or
-// one that nobody saw, is left out. Both keep the search small.
+// operations returns the history to check. An unanswered edit is included until it
+// can no longer take effect: once a row was seen past the edit's base version, the
+// edit will be refused. Edits without an observable effect are omitted. Both limits
+// keep the search small.
 func (h *tableHistory) operations() []porcupine.Operation {
 	var operations []porcupine.Operation
 	for _, call := range h.calls {
@@ -111,8 +112,7 @@
 	return operations
 }
 
-// refusedFrom returns when it is certain that an edit which was not applied by then
-// never will be.
+// refusedFrom returns the time after which the edit can no longer be applied.
 func (h *tableHistory) refusedFrom(edit *tableCall) time.Duration {
 	earliest := never
 	for _, other := range h.calls {
@@ -130,7 +130,8 @@
 	return earliest
 }
 
-// isCreationSeen reports whether an answer shows a row as the edit would have made it.
+// isCreationSeen reports whether an answer shows a row as the edit would have
+// created it.
 func (h *tableHistory) isCreationSeen(edit *tableCall) bool {
 	for _, other := range h.calls {
 		if other.isOpen() {
--- a/kit/simulate/tablehistory_test.go
+++ b/kit/simulate/tablehistory_test.go
@@ -9,7 +9,8 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// Other checkers see these faults too; here the history alone has to.
+// TestHistoryAloneShowsBrokenAnswers checks that the history detects these faults
+// without the other checkers.
 func TestHistoryAloneShowsBrokenAnswers(t *testing.T) {
 	t.Parallel()
 	for _, mutation := range []string{mutationStaleReads, mutationForgetAnswers, mutationTakeAnyVersion, mutationNewEditID} {
@@ -24,7 +25,7 @@
 					return
 				}
 			}
-			t.Fatal("no seed shows the mutation")
+			t.Fatal("no seed detects the mutation")
 		})
 	}
 }
--- a/kit/simulate/tableloadfaults.go
+++ b/kit/simulate/tableloadfaults.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// loadingEngine and loadingLeader say who dies while an engine loads.
+	// loadingEngine and loadingLeader select the victim of a FaultLoadingDeath.
 	loadingEngine = "engine"
 	loadingLeader = "leader"
-	// loadingPatience is how long a death waits for a load to begin, and
-	// loadingMoment bounds the time between that and the death.
-	loadingPatience = 8 * time.Second
-	loadingMoment   = 400 * time.Millisecond
-	// machineListLag is how late the machine list shows what became of a machine.
+	// loadingTimeout bounds the wait for a load to begin, loadingDeathWindow the
+	// time from then to the death.
+	loadingTimeout     = 8 * time.Second
+	loadingDeathWindow = 400 * time.Millisecond
+	// machineListLag is the update delay of the machine list.
 	machineListLag = time.Second
 )
 
-// awaitLoad kills the fault's victim when an engine of its zone begins to load.
+// awaitLoad arms a fault that kills its victim when an engine of its zone begins to
+// load.
 func (s *tableSite) awaitLoad(fault Fault) {
 	armed := &fault
 	s.loadingDeaths = append(s.loadingDeaths, armed)
-	s.scheduler.After(loadingPatience, func() {
+	s.scheduler.After(loadingTimeout, func() {
 		s.loadingDeaths = slices.DeleteFunc(s.loadingDeaths, func(other *Fault) bool { return other == armed })
 	})
 }
 
-// loadBegan carries out a death that waits for a load in the engine's zone.
+// loadBegan triggers an armed fault of the engine's zone.
 func (s *tableSite) loadBegan(host *engineHost) {
 	index := slices.IndexFunc(s.loadingDeaths, func(fault *Fault) bool { return fault.Target == string(host.zone) })
 	if index < 0 {
@@ -36,7 +37,7 @@
 	}
 	fault := s.loadingDeaths[index]
 	s.loadingDeaths = slices.Delete(s.loadingDeaths, index, index+1)
-	moment := time.Duration(s.random.Int64N(int64(loadingMoment)))
+	moment := time.Duration(s.random.Int64N(int64(loadingDeathWindow)))
 	s.scheduler.After(moment, func() {
 		if fault.Peer == loadingEngine {
 			host.crash(fault.For)
@@ -46,8 +47,8 @@
 	})
 }
 
-// reclaim takes an engine's machine away after a notice, and lets another one
-// take its place when the fault is over. The machine list lags behind.
+// reclaim removes an engine's machine after a notice and replaces it when the fault
+// ends. The machine list lags behind.
 func (s *tableSite) reclaim(host *engineHost, notice, outage time.Duration) {
 	s.scheduler.After(machineListLag, func() {
 		host.listed = structs.MachineLeaving
@@ -61,7 +62,7 @@
 	})
 }
 
-// restartAll crashes all machines at once; each starts again within the outage.
+// restartAll crashes all machines at once; each restarts within the outage.
 func (s *tableSite) restartAll(outage time.Duration) {
 	some := func() time.Duration { return 1 + time.Duration(s.random.Int64N(int64(outage))) }
 	for _, d := range s.daemons {
@@ -72,8 +73,7 @@
 	}
 }
 
-// injectLoad brings about the faults that come with what operators, callers and
-// the platform do.
+// injectLoad applies the faults of operators, of loading and of the whole site.
 func (s *tableSite) injectLoad(fault Fault) (heal func()) {
 	switch fault.Kind {
 	case FaultLoadingDeath:
--- a/kit/simulate/tablemodel.go
+++ b/kit/simulate/tablemodel.go
@@ -8,48 +8,48 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// checkerLinearizable guards that operators' calls and answers are those of one
-// table that takes one call after the other.
+// checkerLinearizable checks that the operators' calls and answers are linearizable
+// with respect to a sequential table.
 const checkerLinearizable = "linearizable"
 
-// rowModel is a row of the sequential table. The row's Revision counts only while
-// open is 0: an edit that nobody was told of has some revision after it.
+// rowModel is a row of the sequential table. The row's Revision is exact only while
+// open is 0; an unanswered edit has some later revision.
 type rowModel struct {
-	isThere bool
-	row     structs.Row
-	// open numbers the unanswered edit that wrote the row, from 1.
+	exists bool
+	row    structs.Row
+	// open is the number of the unanswered edit that wrote the row, from 1.
 	open int
 }
 
 // tableModel is the sequential table: the rows in the order of simulatedRows, and
-// the newest table revision that an answer showed.
+// the newest table revision in an answer.
 type tableModel struct {
 	revision uint64
 	opened   int
 	rows     [5]rowModel
 }
 
-// sequentialTable is what a history of tableCalls is checked against.
+// sequentialTable is the porcupine model for histories of tableCalls.
 var sequentialTable = porcupine.Model{
 	Init: func() any { return tableModel{} },
 	Step: func(state, input, _ any) (bool, any) {
 		next := state.(tableModel)
-		isLegal := next.take(input.(*tableCall))
+		isLegal := next.apply(input.(*tableCall))
 		return isLegal, next
 	},
 	DescribeOperation: func(input, _ any) string { return input.(*tableCall).String() },
 }
 
-// take lets the call happen next; false when its answer would be another one.
-func (t *tableModel) take(call *tableCall) bool {
+// apply executes the call next. It returns false if the answer does not match.
+func (t *tableModel) apply(call *tableCall) bool {
 	if call.isOpen() {
-		t.takeOpen(call)
+		t.applyOpen(call)
 		return true
 	}
 	if call.seen() < t.revision {
 		return false
 	}
-	// Each answer is about rows as they are now; an accepted edit then changes them.
+	// Each answer reflects the present rows; an accepted edit then changes them.
 	isLegal := true
 	switch {
 	case call.isRead():
@@ -69,16 +69,16 @@
 	return true
 }
 
-// takeOpen applies an unanswered edit where the table would.
-func (t *tableModel) takeOpen(call *tableCall) {
+// applyOpen applies an unanswered edit if its base versions match.
+func (t *tableModel) applyOpen(call *tableCall) {
 	if t.hasBases(call.changes) {
 		t.opened++
 		t.write(call.changes, t.revision, t.opened)
 	}
 }
 
-// refuses reports whether the table refuses the edit for just those rows that the
-// answer names.
+// refuses reports whether the table refuses the edit for exactly the rows named in
+// the answer.
 func (t *tableModel) refuses(call *tableCall) bool {
 	if len(call.answer.Conflicts) == 0 && len(call.answer.Problems) == 0 {
 		return false
@@ -98,12 +98,12 @@
 	return true
 }
 
-// shows reports whether the named rows are as the answer shows them.
+// shows reports whether the named rows match the answer.
 func (t *tableModel) shows(call *tableCall, names []structs.RowName) bool {
 	for _, name := range names {
 		row, isThere, _ := call.row(name)
 		known := t.row(name)
-		if known.isThere != isThere || isThere && withoutRevision(known.row) != withoutRevision(row) {
+		if known.exists != isThere || isThere && withoutRevision(known.row) != withoutRevision(row) {
 			return false
 		}
 		if !t.hasRevision(name, row.Revision) {
@@ -119,11 +119,11 @@
 	})
 }
 
-// hasRevision reports whether the row is at the revision; 0 means that there is no
-// such row. It settles the revision of an unanswered edit.
+// hasRevision reports whether the row is at the revision, 0 meaning that it does not
+// exist. It fixes the revision of an unanswered edit.
 func (t *tableModel) hasRevision(name structs.RowName, revision uint64) bool {
 	known := t.row(name)
-	if !known.isThere {
+	if !known.exists {
 		return revision == 0
 	}
 	if known.open == 0 {
@@ -150,13 +150,13 @@
 		place := &t.rows[slices.Index(simulatedRows, change.Row.Name)]
 		*place = rowModel{}
 		if !change.Delete {
-			*place = rowModel{isThere: true, row: change.Row, open: open}
+			*place = rowModel{exists: true, row: change.Row, open: open}
 			place.row.Revision = revision
 		}
 	}
 }
 
-// String describes the call for a violation.
+// String returns a description of the call for violations.
 func (c *tableCall) String() string {
 	text := fmt.Sprintf("operator %d, called at %v: ", c.operator+1, c.called)
 	switch {
@@ -177,7 +177,7 @@
 	return text
 }
 
-// checkHistory reports a history that no sequential table could have answered.
+// checkHistory reports a violation if the history is not linearizable.
 func (s *tableSite) checkHistory() {
 	operations := s.history.operations()
 	s.counts.CallsChecked = len(operations)
@@ -191,11 +191,11 @@
 			longest = partial
 		}
 	}
-	s.judge.Report(checkerLinearizable, "of %d calls no more than %d can be put into an order that explains their answers; the first left out is: %s",
+	s.judge.Report(checkerLinearizable, "of %d calls at most %d can be linearized; the first left out is: %s",
 		len(operations), len(longest), firstLeftOut(operations, longest))
 }
 
-// firstLeftOut describes the call that returned first of those not in the order.
+// firstLeftOut describes the call outside of the order that returned first.
 func firstLeftOut(operations []porcupine.Operation, longest []int) string {
 	first := -1
 	for i := range operations {
--- a/kit/simulate/tablemutation.go
+++ b/kit/simulate/tablemutation.go
@@ -12,42 +12,45 @@
 )
 
 const (
-	// slowDeltaInterval is how often a mutated leader asks for table changes.
+	// slowDeltaInterval is the interval of table change requests under
+	// mutationSlowDeltas.
 	slowDeltaInterval = 20 * time.Second
-	// globalSilence is how long a mutated leader goes on without the global group.
-	globalSilence = 2 * time.Second
-	// memoryInflation is what a mutated leader multiplies a runner's memory by.
+	// globalTimeout is how long a leader under mutationNeedGlobal continues without
+	// an answer of the global group.
+	globalTimeout = 2 * time.Second
+	// memoryInflation is the factor on a runner's memory under
+	// mutationInflateMemory.
 	memoryInflation = 1.5
 )
 
-// controllerMutations are what the mutations of a zone's leader remember.
+// controllerMutations is the state of the mutations of a zone's leader.
 type controllerMutations struct {
 	// previous is the delta proposed before the last one.
 	previous *structs.TableDelta
-	// answeredAt is when a member of the global group in another zone last
-	// answered, and askedAt when the group was last asked.
+	// answeredAt is when a global group member in another zone last answered,
+	// askedAt when the group was last asked.
 	answeredAt time.Time
 	askedAt    time.Time
 }
 
-// waitsForGlobal reports whether a mutated leader decides nothing for now.
+// waitsForGlobal reports whether mutationNeedGlobal suspends decisions.
 func (c *zoneController) waitsForGlobal() bool {
 	if !c.daemon.site.mutated(mutationNeedGlobal) || c.mutated.answeredAt.IsZero() {
 		return false
 	}
 	c.askDelta()
-	return c.daemon.now().Sub(c.mutated.answeredAt) > globalSilence
+	return c.daemon.now().Sub(c.mutated.answeredAt) > globalTimeout
 }
 
-// noteAnswer notes who of the global group answered.
+// noteAnswer records an answer of a global group member.
 func (c *zoneController) noteAnswer(from Address) {
 	if other := c.daemon.site.daemonAt(string(from)); other.machine.Zone != c.daemon.machine.Zone {
 		c.mutated.answeredAt = c.daemon.now()
 	}
 }
 
-// mutateRequest changes what the global group is asked for; false means that it
-// is not asked now.
+// mutateRequest changes a request to the global group; it returns false if the
+// request is not to be sent.
 func (c *zoneController) mutateRequest(request *deltaRequest) bool {
 	switch {
 	case c.daemon.site.mutated(mutationAdoptOlder):
@@ -61,7 +64,7 @@
 	return true
 }
 
-// mutateReports lets the leader see more memory than the engines have.
+// mutateReports returns the reports, with more memory under mutationInflateMemory.
 func (c *zoneController) mutateReports() map[structs.RunnerID]controller.ReportSeen {
 	if !c.daemon.site.mutated(mutationInflateMemory) {
 		return c.reports
@@ -74,7 +77,8 @@
 	return inflated
 }
 
-// allReleases releases every lowered grant, whether or not the zone is down to it.
+// allReleases returns releases of all lowered grants, even if the zone is not down
+// to them.
 func (c *zoneController) allReleases() []structs.GrantRelease {
 	var releases []structs.GrantRelease
 	for _, grant := range c.state.LoweredGrants() {
@@ -85,7 +89,8 @@
 	return releases
 }
 
-// orderUnapplied sends the load order of a reservation that is only proposed.
+// orderUnapplied sends the load order of a reservation that is proposed but not
+// committed.
 func (c *zoneController) orderUnapplied(index uint64, reserve zone.ReserveCommand) {
 	row, _ := c.state.Row(reserve.Row)
 	c.sendLater(structs.Order{
@@ -99,7 +104,7 @@
 	})
 }
 
-// mutate is the identity but for mutations.
+// mutate returns the delta, changed if a mutation is active.
 func (c *zoneController) mutate(delta structs.TableDelta) structs.TableDelta {
 	switch {
 	case c.daemon.site.mutated(mutationIgnoreGrants):
@@ -121,7 +126,7 @@
 	return delta
 }
 
-// inflateGrants gives the zone the whole limit of each row.
+// inflateGrants grants the whole limit of each row to the zone.
 func (c *zoneController) inflateGrants(delta structs.TableDelta) structs.TableDelta {
 	limits := map[structs.RowName]int{}
 	for _, row := range append(c.state.Rows(), delta.Rows...) {
@@ -137,7 +142,8 @@
 	return delta
 }
 
-// tableMutation returns what changes the commands of the global group, or nil.
+// tableMutation returns the function that changes the global group's commands, or
+// nil.
 func (s *tableSite) tableMutation() func(*table.State, uint64, table.Command) table.Command {
 	switch {
 	case s.mutated(mutationForgetAnswers):
@@ -148,7 +154,7 @@
 	return nil
 }
 
-// forgetAnswers gives each copy of an edit an ID of its own.
+// forgetAnswers gives each copy of an edit a new ID.
 func forgetAnswers(_ *table.State, index uint64, command table.Command) table.Command {
 	if command.Edit == nil {
 		return command
@@ -158,7 +164,7 @@
 	return table.Command{Edit: &copied}
 }
 
-// takeAnyVersion lets each copy of an edit be one of the present versions of its rows.
+// takeAnyVersion bases each copy of an edit on the current versions of its rows.
 func takeAnyVersion(state *table.State, index uint64, command table.Command) table.Command {
 	if command.Edit == nil {
 		return command
--- a/kit/simulate/tableplan.go
+++ b/kit/simulate/tableplan.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// faultsStart leaves the site some time to elect leaders and fill the table.
+	// faultsStart leaves time to elect leaders and fill the table.
 	faultsStart = 6 * time.Second
-	// planLeast and planMost bound the number of recipes of a seed.
-	planLeast = 5
-	planMost  = 12
+	// minRecipes and maxRecipes bound the number of recipes of a seed.
+	minRecipes = 5
+	maxRecipes = 12
 )
 
 // faultPlanner plans the faults of a seed.
 type faultPlanner struct {
 	random *rand.Rand
-	// end is when all faults are over.
+	// end is when all faults have healed.
 	end    time.Duration
 	faults []Fault
 }
 
-// planTableFaults plans what goes wrong in a seed: some recipes at random times.
+// planTableFaults returns the faults of a seed: random recipes at random times.
 func planTableFaults(random *rand.Rand) []Fault {
 	p := &faultPlanner{random: random, end: faultsEnd}
 	recipes := []func(at time.Duration){
@@ -31,7 +31,7 @@
 		p.diskFull, p.diskSlow, p.storm, p.storm, p.engineCrash, p.engineCut, p.transfer, p.powerLoss,
 		p.loadingDeath, p.slowStore, p.reclaim, p.restartSite, p.race, p.lostAnswers,
 	}
-	count := planLeast + random.IntN(planMost-planLeast+1)
+	count := minRecipes + random.IntN(maxRecipes-minRecipes+1)
 	for range count {
 		at := p.between(faultsStart, faultsEnd-15*time.Second)
 		recipes[random.IntN(len(recipes))](at)
@@ -43,7 +43,7 @@
 	return between(p.random, least, most)
 }
 
-// add plans a fault; all are over at the end.
+// add adds a fault, limited to the end.
 func (p *faultPlanner) add(fault Fault) {
 	fault.At = max(fault.At, 0)
 	fault.For = min(fault.For, p.end-fault.At)
@@ -112,8 +112,9 @@
 		Target: machines[0], Peer: machines[1]})
 }
 
-// replaceWhileCut lets one member fall behind, then takes another one's disk while
-// the third cannot be reached: no quorum of full copies is left for a while.
+// replaceWhileCut lets one member fall behind and then replaces another one's disk
+// while the third is unreachable, so that no quorum of complete copies remains for a
+// while.
 func (p *faultPlanner) replaceWhileCut(at time.Duration) {
 	machines := p.machines(p.zone())
 	behind := p.between(time.Second, 4*time.Second)
--- a/kit/simulate/tableplans.go
+++ b/kit/simulate/tableplans.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// cutHours is how long the plan zone-cut cuts a zone off.
-	cutHours = 6 * time.Hour
-	// cutLead leaves a site of the long pace time to elect leaders and fill the table.
+	// longCutDuration is the duration of the cut in the plan zone-cut.
+	longCutDuration = 6 * time.Hour
+	// cutLead leaves time to elect leaders and fill the table at longPace.
 	cutLead = 10 * time.Minute
-	// passingTime is how long a machine of the plan restart-behind is down.
-	passingTime = 80 * time.Second
-	// planLead bounds the time before the first plan strikes.
+	// restartBehindOutage is the downtime of the machine in the plan restart-behind.
+	restartBehindOutage = 80 * time.Second
+	// planLead bounds the delay of the first plan.
 	planLead = 5 * time.Second
-	// planRest is left after a plan before the same plan strikes again.
-	planRest = time.Second
+	// repeatPause is the pause before a repeated plan.
+	repeatPause = time.Second
 )
 
-// tablePlan is a plan of faults of the table scenario.
+// tablePlan is a fault plan of the table scenario.
 type tablePlan struct {
 	PlanInfo
-	// span is how long it takes from its first fault to the end of its last one.
+	// span is the time from its first fault to the end of its last one.
 	span time.Duration
-	// isLong asks for the long pace.
+	// isLong selects longPace.
 	isLong bool
-	// plan adds the faults from the given time on.
+	// plan adds the faults, starting at the given time.
 	plan func(p *faultPlanner, at time.Duration)
 }
 
@@ -49,9 +49,9 @@
 	{PlanInfo{"second-loss", "A control machine loses its disk, and as soon as it is repaired a second one does."},
 		24 * time.Second, false, (*faultPlanner).replaceTwice},
 	{PlanInfo{"restart-behind", "A control machine is down while over 500 edits pass, and restarts."},
-		passingTime + 8*time.Second, false, (*faultPlanner).restartBehind},
+		restartBehindOutage + 8*time.Second, false, (*faultPlanner).restartBehind},
 	{PlanInfo{"zone-cut", "A zone is cut off for six hours while hundreds of edits pass, serves alone, and rejoins within seconds."},
-		cutLead + cutHours + 10*time.Minute, true, (*faultPlanner).cutForHours},
+		cutLead + longCutDuration + 10*time.Minute, true, (*faultPlanner).cutForHours},
 	{PlanInfo{"site-restart", "All machines of the site, controllers and engines, restart at once."},
 		8 * time.Second, false, (*faultPlanner).restartSite},
 	{PlanInfo{"replaced-disk", "A control machine's disk is replaced by an empty one."},
@@ -76,17 +76,17 @@
 	return tablePlans[slices.IndexFunc(tablePlans, func(plan tablePlan) bool { return plan.Name == name })]
 }
 
-// timetable is what a seed's run of the table scenario follows.
+// timetable holds the planned faults and the timing of a table scenario run.
 type timetable struct {
 	faults []Fault
-	// end is when all faults are over and operators stop.
+	// end is when all faults have healed and operators stop.
 	end  time.Duration
 	pace pace
-	// serving says that callers send requests; without it there is only demand.
+	// serving enables callers; without it there is only simulated demand.
 	serving bool
 }
 
-// planTable makes the timetable of a seed.
+// planTable returns the timetable of a seed.
 func planTable(plan seedPlan) timetable {
 	random := rand.New(rand.NewPCG(plan.seed, faultStream))
 	table := timetable{end: faultsEnd, pace: ordinaryPace}
@@ -101,14 +101,14 @@
 	return table
 }
 
-// follow plans the named plans: one alone, the same one twice in a row, or two of
-// which the second strikes while the first goes on.
+// follow plans the named plans: one alone, the same one twice in sequence, or two of
+// which the second starts during the first.
 func (t *timetable) follow(names []string, random *rand.Rand) {
 	p := &faultPlanner{random: random, end: faultsEnd}
 	starts := []time.Duration{p.between(faultsStart, faultsStart+planLead)}
 	first := findTablePlan(names[0])
 	if len(names) == 2 {
-		next := starts[0] + first.span + planRest
+		next := starts[0] + first.span + repeatPause
 		if names[0] != names[1] {
 			next = p.between(starts[0], starts[0]+first.span)
 		}
@@ -134,7 +134,7 @@
 	return p.faults
 }
 
-// compareFaults orders faults by time.
+// compareFaults compares faults by time.
 func compareFaults(a, b Fault) int { return cmp.Compare(a.At, b.At) }
 
 func (p *faultPlanner) loadingDeath(at time.Duration) {
@@ -162,14 +162,14 @@
 	p.add(Fault{Kind: FaultLostAnswers, At: at, For: 10 * time.Second, Amount: 0.5 + 0.4*p.random.Float64()})
 }
 
-// restartBehind lets hundreds of edits pass a machine that is down.
+// restartBehind crashes a machine during a burst of edits.
 func (p *faultPlanner) restartBehind(at time.Duration) {
-	p.add(Fault{Kind: FaultCrash, At: at, For: passingTime, Target: p.machine(), Amount: 1})
-	p.add(Fault{Kind: FaultEditBurst, At: at + 2*time.Second, For: passingTime - 4*time.Second})
+	p.add(Fault{Kind: FaultCrash, At: at, For: restartBehindOutage, Target: p.machine(), Amount: 1})
+	p.add(Fault{Kind: FaultEditBurst, At: at + 2*time.Second, For: restartBehindOutage - 4*time.Second})
 }
 
 func (p *faultPlanner) cutForHours(at time.Duration) {
-	p.add(Fault{Kind: FaultCutZone, At: at + cutLead, For: cutHours, Target: p.zone()})
+	p.add(Fault{Kind: FaultCutZone, At: at + cutLead, For: longCutDuration, Target: p.zone()})
 }
 
 func (p *faultPlanner) restartSite(at time.Duration) {
--- a/kit/simulate/tablescenario.go
+++ b/kit/simulate/tablescenario.go
@@ -10,18 +10,17 @@
 )
 
 const (
-	// The streams of random numbers that a seed gives.
+	// The random streams of a seed.
 	siteStream  = 1
 	faultStream = 2
 
 	// faultsEnd is when all faults heal and operators stop, without plans.
 	faultsEnd = 60 * time.Second
-	// eventLimit bounds the events of a seed, and eventsPerHour what a long one may
-	// have besides. An ordinary seed has under 100,000; more means that some
-	// messages bring forth each other without end.
+	// eventLimit bounds the events of a seed to detect endless message loops;
+	// eventsPerHour extends it for long runs.
 	eventLimit    = 400_000
 	eventsPerHour = 1_000_000
-	// convergenceInterval is how often the site is looked at.
+	// convergenceInterval is the interval of convergence checks.
 	convergenceInterval = 250 * time.Millisecond
 )
 
@@ -41,10 +40,9 @@
 	}
 }
 
-// runTable runs one seed of the table scenario.
 func runTable(plan seedPlan) seedOutcome { return followTable(plan, planTable(plan)) }
 
-// followTable runs a seed with a timetable of its own.
+// followTable runs a seed with the given timetable.
 func followTable(plan seedPlan, table timetable) seedOutcome {
 	site := newTableSite(plan, table)
 	site.trace.Note("seed", formatHash(plan.seed), plan.mutation)
@@ -82,7 +80,7 @@
 	s.judge.Report(checkerConvergence, "%v after the last fault healed, %s", s.pace.convergence, problem)
 }
 
-// unsettled says what still keeps the site from being converged.
+// unsettled describes what prevents convergence; empty if the site has converged.
 func (s *tableSite) unsettled() string {
 	for _, d := range s.daemons {
 		for _, m := range d.members() {
@@ -91,7 +89,7 @@
 			}
 		}
 	}
-	return s.surplus()
+	return s.excessReplicas()
 }
 
 func (s *tableSite) memberUnsettled(d *daemon, m *member) string {
@@ -119,9 +117,9 @@
 	return ""
 }
 
-// surplus says which row still has more replicas than the table allows, or is
-// still to be unloaded somewhere.
-func (s *tableSite) surplus() string {
+// excessReplicas describes a row with more loaded replicas than the table allows;
+// empty if there is none.
+func (s *tableSite) excessReplicas() string {
 	totals := map[structs.RowName]int{}
 	for _, record := range s.ledger.engines {
 		for row := range record.loaded {
@@ -136,8 +134,8 @@
 	return ""
 }
 
-// checkFinalTable compares the states of all members with each other and with
-// the edits that were accepted.
+// checkFinalTable compares the states of all members with each other and with the
+// accepted edits.
 func (s *tableSite) checkFinalTable() {
 	first := map[groupName][]byte{}
 	expected := s.ledger.edits.rowsAt(s.ledger.newestTable.Revision())
@@ -172,7 +170,7 @@
 	first[m.group] = snapshot
 }
 
-// outcome gathers what the seed gave.
+// outcome returns the outcome of the seed.
 func (s *tableSite) outcome(scenarioName string, faults []Fault) seedOutcome {
 	for _, d := range s.daemons {
 		s.counts.Crashes += d.machine.crashes
--- a/kit/simulate/tablesite.go
+++ b/kit/simulate/tablesite.go
@@ -15,20 +15,20 @@
 	// controllersPerZone is the size of a zone's group.
 	controllersPerZone = 3
 	operatorCount      = 3
-	// simulatedRowBytes lets three rows fit on an engine, so that runs fill engines.
+	// simulatedRowBytes lets three rows fit on an engine, so that engines fill up.
 	simulatedRowBytes = 7 << 30
 )
 
 var (
 	simulatedZones = []structs.ZoneID{"zone-a", "zone-b", "zone-c"}
-	// enginesPerZone counts the engines of each zone.
+	// enginesPerZone is the number of engines by zone.
 	enginesPerZone = []int{3, 2, 3}
-	// globalsPerZone counts the members of the global group in each zone.
+	// globalsPerZone is the number of global group members by zone.
 	globalsPerZone = []int{2, 2, 1}
 	simulatedRows  = []structs.RowName{"harvest", "certificate", "symbols", "review", "weighing"}
 )
 
-// calmNetwork is the network of a quiet site.
+// calmNetwork is the network without faults.
 var calmNetwork = Quality{MinDelay: 500 * time.Microsecond, MaxDelay: 3 * time.Millisecond}
 
 // tableSite is a simulated site of the table scenario.
@@ -42,26 +42,27 @@
 	globals   []*daemon
 	engines   []*engineHost
 	operators []*tableOperator
-	// demands stand for the routers of a site without requests.
+	// demands simulates the routers of a site without requests.
 	demands []*demandSource
-	// requests are the callers and routers; nil in a site without.
+	// requests holds the callers and routers; nil in a site without them.
 	requests *requestSite
-	// heldOrders delays the orders of machines whose network holds them back.
+	// heldOrders is the delay of orders by sending machine.
 	heldOrders map[Address]time.Duration
-	// end is when all faults are over.
+	// end is when all faults have healed.
 	end      time.Duration
 	pace     pace
-	lateness *lateness
-	// loadingDeaths are the deaths that wait for a load to begin.
+	progress *progressChecker
+	// loadingDeaths holds the armed faults that wait for a load.
 	loadingDeaths []*Fault
-	// storeSlowness multiplies the time of a fetch from the weight store, answerLoss
-	// is the least share of answers to edits that are lost.
+	// storeSlowness multiplies the duration of weight store fetches; answerLoss is
+	// the minimum share of lost answers to edits.
 	storeSlowness float64
 	answerLoss    float64
-	// hurried and racing count the faults that make operators hurry and race.
+	// hurried and racing count the active faults that make operators edit without
+	// pauses and race.
 	hurried int
 	racing  int
-	// quiet is set when operators and callers have stopped.
+	// quiet is set after operators and callers have stopped.
 	quiet bool
 	edits int
 }
@@ -79,7 +80,7 @@
 		site.requests = newControlledRequests(site)
 	}
 	site.ledger = newLedger(site, site.judge)
-	site.lateness = newLateness(site, table.faults)
+	site.progress = newProgressChecker(site, table.faults)
 	site.addDaemons()
 	for number, zone := range site.zones {
 		for i := range enginesPerZone[number] {
@@ -91,7 +92,7 @@
 		site.operators = append(site.operators, newTableOperator(site, site.random, number))
 	}
 	for _, zone := range site.zones {
-		site.addCallersSide(zone)
+		site.addRouters(zone)
 	}
 	for _, d := range site.daemons {
 		d.machine.Start()
@@ -109,8 +110,9 @@
 	}
 }
 
-// addCallersSide adds the routers of a zone, or what stands for them.
-func (s *tableSite) addCallersSide(zone structs.ZoneID) {
+// addRouters adds the routers of a zone, or a demandSource in a site without
+// requests.
+func (s *tableSite) addRouters(zone structs.ZoneID) {
 	if s.requests != nil {
 		s.requests.addRouters(zone)
 		return
@@ -118,7 +120,7 @@
 	s.demands = append(s.demands, newDemandSource(s, s.random, zone))
 }
 
-// addDaemons makes the control machines with their members.
+// addDaemons creates the control machines with their members.
 func (s *tableSite) addDaemons() {
 	founders := map[groupName]raft.Membership{}
 	for zoneNumber, zone := range s.zones {
@@ -140,7 +142,7 @@
 	}
 	for _, d := range s.daemons {
 		for _, m := range d.members() {
-			m.founders = founders[m.group]
+			m.initialMembership = founders[m.group]
 		}
 	}
 }
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// machineList is the platform's list of a zone's engines.
+// machineList returns the platform's list of a zone's engines.
 func (s *tableSite) machineList(zone structs.ZoneID) []structs.Machine {
 	var list []structs.Machine
 	for _, host := range s.engines {
@@ -195,7 +197,7 @@
 	return list
 }
 
-// nextEditID makes an edit ID for an intent.
+// nextEditID returns a new edit ID for an intent.
 func (s *tableSite) nextEditID(intent intentID) structs.EditID {
 	s.edits++
 	id := structs.EditID(fmt.Sprintf("edit-%d-%d-%d", intent.operator+1, intent.number, s.edits))
--- a/kit/simulate/trace.go
+++ b/kit/simulate/trace.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// traceLines is how many of the last notable lines a violation carries.
+// traceLines is the number of notable lines in a violation.
 const traceLines = 60
 
-// Trace turns everything that happens into one line each. All lines go into a
-// hash; the last notable ones are kept for people.
+// Trace records events as lines. All lines are hashed; the last notable ones are
+// retained.
 type Trace struct {
 	scheduler *Scheduler
 	digest    *xxhash.Digest
@@ -19,16 +19,16 @@
 	ring      [traceLines]string
 	kept      int
 	lines     uint64
-	// sink, when set, gets every line.
+	// sink, if set, is called with every line.
 	sink func(line string)
 }
 
-// NewTrace makes an empty trace.
+// NewTrace returns an empty trace.
 func NewTrace(scheduler *Scheduler) *Trace {
 	return &Trace{scheduler: scheduler, digest: xxhash.New()}
 }
 
-// Event hashes one frequent event, such as a message between nodes.
+// Event records a frequent event, such as a message between nodes.
 func (t *Trace) Event(kind, from, to string, numbers ...uint64) {
 	t.begin(kind)
 	t.line = append(t.line, ' ')
@@ -42,7 +42,7 @@
 	t.finish()
 }
 
-// Note hashes one notable event and keeps it among the last lines.
+// Note records a notable event and retains its line.
 func (t *Trace) Note(kind, subject, text string) {
 	t.begin(kind)
 	t.line = append(t.line, ' ')
@@ -57,7 +57,7 @@
 // Sum returns the hash of all lines so far.
 func (t *Trace) Sum() uint64 { return t.digest.Sum64() }
 
-// Lines returns how many lines the trace has.
+// Lines returns the number of lines.
 func (t *Trace) Lines() uint64 { return t.lines }
 
 // Last returns the last notable lines, oldest first.
--- a/kit/simulate/zonecontroller.go
+++ b/kit/simulate/zonecontroller.go
@@ -10,28 +10,27 @@
 )
 
 const (
-	// orderHesitation bounds the time between a decision and the sending of its
-	// orders; a pause may fall in between.
-	orderHesitation = 20 * time.Millisecond
-	// storeBudget is how many loads from the weight store may be under way in a zone.
+	// maxOrderDelay bounds the delay from a decision to the sending of its orders,
+	// during which the process may be paused.
+	maxOrderDelay = 20 * time.Millisecond
+	// storeBudget bounds the concurrent loads from the weight store in a zone.
 	storeBudget = 4
 	// simulatedPartChanges is small, so that most deltas are adopted in parts.
 	simulatedPartChanges = 2
 )
 
-// zoneController is the leader's part of a daemon: it feeds the controller and
-// carries out its decisions.
+// zoneController runs the controller of a daemon and executes its decisions.
 type zoneController struct {
 	daemon  *daemon
 	core    *controller.Core
 	state   *zone.State
 	reports map[structs.RunnerID]controller.ReportSeen
-	// awaited is the last index proposed in term awaitedTerm; the next decision
-	// waits for it.
-	awaited     uint64
-	awaitedTerm uint64
-	turn        int
-	mutated     controllerMutations
+	// awaitedIndex is the last index proposed, in term awaitedTerm; the next decision
+	// waits until it is applied.
+	awaitedIndex uint64
+	awaitedTerm  uint64
+	turn         int
+	mutated      controllerMutations
 }
 
 func newZoneController(d *daemon) *zoneController {
@@ -49,7 +48,8 @@
 	}
 }
 
-// plannerSettings make replicas come and go within seconds.
+// plannerSettings returns settings under which replicas are loaded and unloaded
+// within seconds.
 func plannerSettings() scheduler.Settings {
 	settings := scheduler.DefaultSettings()
 	settings.RequestsPerReplica = 4
@@ -76,7 +76,7 @@
 	c.core.ObserveDemand(c.daemon.now(), report)
 }
 
-// loop decides again and again while the process lives.
+// loop decides periodically while the process is alive.
 func (c *zoneController) loop() {
 	if c.daemon.zoneMember.node != nil {
 		c.decide()
@@ -100,7 +100,7 @@
 		c.core.Decide(controller.Input{Now: c.daemon.now()})
 		return
 	}
-	if c.awaitedTerm == term && m.applied < c.awaited {
+	if c.awaitedTerm == term && m.applied < c.awaitedIndex {
 		return
 	}
 	input := controller.Input{
@@ -116,12 +116,12 @@
 	if input.LeaseValid {
 		c.daemon.site.ledger.leaderActs(m, c.state.TableRevision())
 	}
-	c.carryOut(c.core.Decide(input))
+	c.execute(c.core.Decide(input))
 }
 
-// carryOut does what was decided. Orders leave a moment later without another
-// look at the lease: that is what fencing is for.
-func (c *zoneController) carryOut(decisions controller.Decisions) {
+// execute executes the decisions. Orders are sent later without another check of the
+// lease; fencing guards against stale ones.
+func (c *zoneController) execute(decisions controller.Decisions) {
 	m := c.daemon.zoneMember
 	epoch := structs.Epoch(m.node.Term())
 	steps := c.daemon.site.ledger.orderSteps
@@ -141,7 +141,7 @@
 		decisions.Releases = c.allReleases()
 	}
 	if decisions.InForce > 0 || len(decisions.Wishes) > 0 {
-		c.tellGlobal(zoneStatement{
+		c.sendStatement(zoneStatement{
 			zone:     c.daemon.machine.Zone,
 			releases: decisions.Releases,
 			wishes:   decisions.Wishes,
@@ -167,7 +167,7 @@
 	if !ok {
 		return
 	}
-	c.awaited, c.awaitedTerm = index, m.node.Term()
+	c.awaitedIndex, c.awaitedTerm = index, m.node.Term()
 	if command.Reserve != nil && c.daemon.site.mutated(mutationOrderUnapplied) {
 		c.orderUnapplied(index, *command.Reserve)
 	}
@@ -175,7 +175,7 @@
 
 func (c *zoneController) sendLater(order structs.Order) {
 	d := c.daemon
-	hesitation := time.Duration(d.machine.random.Int64N(int64(orderHesitation)))
+	hesitation := time.Duration(d.machine.random.Int64N(int64(maxOrderDelay)))
 	d.machine.after(hesitation, func() {
 		if d.machine.step() {
 			return
@@ -186,7 +186,7 @@
 	})
 }
 
-func (c *zoneController) tellGlobal(statement zoneStatement) {
+func (c *zoneController) sendStatement(statement zoneStatement) {
 	c.daemon.site.network.Send(c.daemon.machine.Address, c.nextGlobal(), statement)
 }
 
@@ -198,14 +198,14 @@
 	c.daemon.site.network.Send(c.daemon.machine.Address, c.nextGlobal(), request)
 }
 
-// nextGlobal takes the members of the global group in turn.
+// nextGlobal returns the members of the global group in turn.
 func (c *zoneController) nextGlobal() Address {
 	c.turn++
 	globals := c.daemon.site.globals
 	return globals[c.turn%len(globals)].machine.Address
 }
 
-// adopt proposes a delta that a member of the global group sent.
+// adopt proposes a delta received from a member of the global group.
 func (c *zoneController) adopt(delta structs.TableDelta) {
 	m := c.daemon.zoneMember
 	if m.node == nil || !m.leads() || delta.Revision <= c.state.TableRevision() {
