--- a/kit/simulate/daemon.go
+++ b/kit/simulate/daemon.go
@@ -145,7 +145,7 @@
 	case claimRenewal:
 		d.claims.renew(content.requests)
 	case deltaAnswer:
-		d.controller.noteAnswer(from)
+		d.controller.recordGlobalAnswer(from)
 		d.controller.adopt(content.delta)
 	default:
 		if d.global != nil {
--- a/kit/simulate/enginehost.go
+++ b/kit/simulate/enginehost.go
@@ -44,7 +44,7 @@
 		listed:          structs.MachineLive,
 		orders:          map[emulator.CallID]pendingOrder{},
 	}
-	host.onRequest = host.requestReached
+	host.onRequest = host.checkRequest
 	if site.requests != nil {
 		host.onStatus = site.requests.records.statusAnswered
 	}
@@ -149,13 +149,13 @@
 	}
 }
 
-// requestReached checks that a leaving runner receives no new requests while its
+// checkRequest checks that a leaving runner receives no new requests while its
 // zone's control plane works.
-func (h *engineHost) requestReached(request structs.GenerateRequest) {
+func (h *engineHost) checkRequest(request structs.GenerateRequest) {
 	if h.leavingSince == 0 || h.site.progress.controlFailed(h.zone, h.leavingSince) {
 		return
 	}
-	h.site.requests.records.reachedLeaving(h.id, request, h.scheduler.Now()-h.leavingSince)
+	h.site.requests.records.checkLeavingRequest(h.id, request, h.scheduler.Now()-h.leavingSince)
 }
 
 // crash kills the engine, which restarts empty after the outage.
--- a/kit/simulate/requestcaller.go
+++ b/kit/simulate/requestcaller.go
@@ -198,15 +198,15 @@
 		receive: made.receive,
 		ended:   func() { made.end(endingBroken) },
 	}
-	made.link.up.end.receive = func(any) { made.reach(chosen) }
+	made.link.up.end.receive = func(any) { made.deliver(chosen) }
 	made.link.up.send(made.number)
 	c.site.scheduler.At(made.deadlineAt+terminalBound, func() { c.site.records.due(made) })
 	return made
 }
 
-// reach passes the request to the router, or closes the connection if the router is
+// deliver passes the request to the router, or closes the connection if the router is
 // down.
-func (s *submission) reach(chosen *routerHost) {
+func (s *submission) deliver(chosen *routerHost) {
 	if chosen.core == nil {
 		s.link.closeServer()
 		return
--- a/kit/simulate/requestengine.go
+++ b/kit/simulate/requestengine.go
@@ -38,7 +38,7 @@
 	host.onStatus = site.records.statusAnswered
 	host.onRequest = func(request structs.GenerateRequest) {
 		if host.leaving {
-			site.records.reachedLeaving(id, request, site.scheduler.Now()-host.leftAt)
+			site.records.checkLeavingRequest(id, request, site.scheduler.Now()-host.leftAt)
 		}
 	}
 	host.begin(emulator.EngineOptions{
@@ -104,7 +104,7 @@
 			h.died()
 		}
 	}
-	h.noticeReplicas()
+	h.updateReadyRows()
 	h.planWake()
 }
 
@@ -152,8 +152,8 @@
 	h.crash()
 }
 
-// noticeReplicas processes the engine's replica changes.
-func (h *answerEngine) noticeReplicas() {
+// updateReadyRows processes the engine's replica changes.
+func (h *answerEngine) updateReadyRows() {
 	changes := h.newReplicaChanges()
 	for _, change := range changes {
 		delete(h.ready, change.Row)
--- a/kit/simulate/requestrecords.go
+++ b/kit/simulate/requestrecords.go
@@ -241,9 +241,9 @@
 	given.decidedAt = 0
 }
 
-// reachedLeaving checks that a runner which has been leaving for some time gets no
+// checkLeavingRequest checks that a runner which has been leaving for some time gets no
 // new work.
-func (r *requestRecords) reachedLeaving(runner structs.RunnerID, request structs.GenerateRequest, since time.Duration) {
+func (r *requestRecords) checkLeavingRequest(runner structs.RunnerID, request structs.GenerateRequest, since time.Duration) {
 	if since > leavingBound {
 		r.site.judge.Report(checkerLeaving, "%s got %s %v after it began to leave", runner, request.ID, since)
 	}
--- a/kit/simulate/tablefaults.go
+++ b/kit/simulate/tablefaults.go
@@ -9,8 +9,8 @@
 const (
 	// crashLimit bounds the delay of an armed crash.
 	crashLimit = 2 * time.Second
-	// silenceLead is how long orders are delayed before a leader is isolated.
-	silenceLead = 500 * time.Millisecond
+	// isolationLead is how long orders are delayed before a leader is isolated.
+	isolationLead = 500 * time.Millisecond
 	// repairPoll is the polling interval for a repair, and repairTimeout its time
 	// limit.
 	repairPoll    = 50 * time.Millisecond
@@ -118,7 +118,7 @@
 }
 
 // isolateLeader isolates the leader of a zone. Its orders are delayed from
-// silenceLead before that. The fault must last longer than silenceLead.
+// isolationLead before that. The fault must last longer than isolationLead.
 func (s *tableSite) isolateLeader(group groupName, held time.Duration) (heal func()) {
 	d := s.leaderOf(group)
 	if d == nil {
@@ -126,7 +126,7 @@
 	}
 	s.heldOrders[d.machine.Address] = held
 	var healCut func()
-	s.scheduler.After(silenceLead, func() { healCut = s.isolate(d) })
+	s.scheduler.After(isolationLead, func() { healCut = s.isolate(d) })
 	return func() {
 		delete(s.heldOrders, d.machine.Address)
 		if healCut != nil {
--- a/kit/simulate/tablemutation.go
+++ b/kit/simulate/tablemutation.go
@@ -42,8 +42,8 @@
 	return c.daemon.now().Sub(c.mutated.answeredAt) > globalTimeout
 }
 
-// noteAnswer records an answer of a global group member.
-func (c *zoneController) noteAnswer(from Address) {
+// recordGlobalAnswer records an answer of a global group member.
+func (c *zoneController) recordGlobalAnswer(from Address) {
 	if other := c.daemon.site.daemonAt(string(from)); other.machine.Zone != c.daemon.machine.Zone {
 		c.mutated.answeredAt = c.daemon.now()
 	}
