--- a/placement/domainnode/service.go
+++ b/placement/domainnode/service.go
@@ -152,9 +152,9 @@
 
 // resolveInstance returns the instance of a runner by its ID and start time; 0 selects its
 // latest incarnation.
-func (l *leadership) resolveInstance(id string, born int64) string {
-	if born > 0 {
-		return fleet.Incarnation(id, born)
+func (l *leadership) resolveInstance(id string, startTime int64) string {
+	if startTime > 0 {
+		return fleet.Incarnation(id, startTime)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -315,7 +315,7 @@
 	defer l.mutex.Unlock()
 	reply.Revision = known
 	reply.Loads = l.loads
-	reply.Shares = l.shares.Word(l.now())
+	reply.Shares = l.shares.Overuse(l.now())
 	if arguments.Term != uint64(l.term) || l.poison.Revision() != knownSuspects {
 		listed := l.poison.List(l.now())
 		reply.Suspects = &listed
@@ -352,9 +352,9 @@
 		// Requests wait for a model that is already loaded: the router's view is outdated.
 		current.notify(arguments.Router)
 	}
-	current.planner.Doubt(s.node.now(), arguments.Doubted)
+	current.planner.RequestPolls(s.node.now(), arguments.Doubted)
 	for _, instance := range arguments.Unreachable {
-		current.registry.Complain(instance, arguments.Router)
+		current.registry.ReportUnreachable(instance, arguments.Router)
 	}
 	current.observeAttempts(s.node.now(), arguments)
 	current.observeLimits(s.node.now(), arguments)
--- a/placement/fleet/incarnation_test.go
+++ b/placement/fleet/incarnation_test.go
@@ -11,30 +11,32 @@
 
 // event is a message to the leader about one of two incarnations of the runner "i".
 type event struct {
-	name  string
-	born  int64
-	apply func(r *Registry, now time.Time)
+	name      string
+	startTime int64
+	apply     func(r *Registry, now time.Time)
 }
 
-func heartbeatOf(born int64, sequence uint64, leaving bool) Heartbeat {
-	return Heartbeat{Instance: "i", Born: born, Service: "s", Address: "10.0.0.1:1", Slots: int(born), Sequence: sequence, Leaving: leaving}
+func heartbeatOf(startTime int64, sequence uint64, leaving bool) Heartbeat {
+	return Heartbeat{Instance: "i", Born: startTime, Service: "s", Address: "10.0.0.1:1", Slots: int(startTime), Sequence: sequence, Leaving: leaving}
 }
 
 // eventsOf returns the events of an incarnation in the order in which the runner sends them.
-func eventsOf(born int64, departs bool) []event {
-	hear := func(sequence uint64, leaving bool) func(*Registry, time.Time) {
-		return func(r *Registry, now time.Time) { r.Hear(now, r.Resolve(heartbeatOf(born, sequence, leaving))) }
+func eventsOf(startTime int64, departs bool) []event {
+	observe := func(sequence uint64, leaving bool) func(*Registry, time.Time) {
+		return func(r *Registry, now time.Time) {
+			r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(startTime, sequence, leaving)))
+		}
 	}
 	events := []event{
-		{fmt.Sprint("first of ", born), born, hear(1, false)},
-		{fmt.Sprint("second of ", born), born, hear(2, false)},
+		{fmt.Sprint("first of ", startTime), startTime, observe(1, false)},
+		{fmt.Sprint("second of ", startTime), startTime, observe(2, false)},
 	}
 	if !departs {
 		return events
 	}
 	return append(events,
-		event{fmt.Sprint("leaving of ", born), born, hear(3, true)},
-		event{fmt.Sprint("end of ", born), born, func(r *Registry, now time.Time) { r.Depart(now, Incarnation("i", born), true) }},
+		event{fmt.Sprint("leaving of ", startTime), startTime, observe(3, true)},
+		event{fmt.Sprint("end of ", startTime), startTime, func(r *Registry, now time.Time) { r.Depart(now, Incarnation("i", startTime), true) }},
 	)
 }
 
@@ -67,7 +69,7 @@
 				now = now.Add(10 * time.Millisecond)
 				each.apply(r, now)
 				history += each.name + ", "
-				isHeard = isHeard || each.born == 200
+				isHeard = isHeard || each.startTime == 200
 				listed := r.Runners(now)
 				for _, status := range listed {
 					if isHeard {
@@ -90,9 +92,9 @@
 // Guards against registrations that a new leader recalls from the log overriding a later
 // incarnation.
 func TestRecalledIncarnationIsSuperseded(t *testing.T) {
-	recall := func(born int64) event {
-		return event{fmt.Sprint("recall of ", born), born, func(r *Registry, now time.Time) {
-			r.Recall(now, Heartbeat{Instance: Incarnation("i", born), Service: "s", Address: "10.0.0.1:1"})
+	recall := func(startTime int64) event {
+		return event{fmt.Sprint("recall of ", startTime), startTime, func(r *Registry, now time.Time) {
+			r.Recall(now, Heartbeat{Instance: Incarnation("i", startTime), Service: "s", Address: "10.0.0.1:1"})
 		}}
 	}
 	events := append(eventsOf(100, true), recall(100), recall(200))
@@ -119,10 +121,10 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRegistry(now, testTiming)
-	c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 4, false))), qt.IsTrue)
+	c.Assert(r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(200, 4, false))), qt.IsTrue)
 	forwarded := heartbeatOf(0, 5, false)
 	c.Assert(r.Resolve(forwarded).Instance, qt.Equals, "i#200")
-	c.Assert(r.Hear(now, r.Resolve(forwarded)), qt.IsTrue)
+	c.Assert(r.ObserveHeartbeat(now, r.Resolve(forwarded)), qt.IsTrue)
 	for name, change := range map[string]func(*Heartbeat){
 		"another address":   func(h *Heartbeat) { h.Address = "10.0.0.2:1" },
 		"another service":   func(h *Heartbeat) { h.Service = "t" },
@@ -130,7 +132,7 @@
 	} {
 		foreign := heartbeatOf(0, 9, true)
 		change(&foreign)
-		c.Assert(r.Hear(now, r.Resolve(foreign)), qt.IsFalse, qt.Commentf("%s", name))
+		c.Assert(r.ObserveHeartbeat(now, r.Resolve(foreign)), qt.IsFalse, qt.Commentf("%s", name))
 	}
 	listed := r.Runners(now)
 	c.Assert(listed, qt.HasLen, 1)
@@ -142,7 +144,7 @@
 	for name, prepare := range map[string]func(r *Registry, now time.Time){
 		"departure without heartbeat": func(r *Registry, now time.Time) { r.Depart(now, "i", true) },
 		"departure after heartbeat": func(r *Registry, now time.Time) {
-			r.Hear(now, heartbeatOf(0, 4, false))
+			r.ObserveHeartbeat(now, heartbeatOf(0, 4, false))
 			r.Depart(now, "i", true)
 		},
 	} {
@@ -151,9 +153,9 @@
 			now := time.Unix(1000, 0)
 			r := NewRegistry(now, testTiming)
 			prepare(r, now)
-			c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 5, false))), qt.IsFalse)
+			c.Assert(r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(200, 5, false))), qt.IsFalse)
 			c.Assert(r.Runners(now), qt.HasLen, 0)
-			c.Assert(r.Hear(now, r.Resolve(heartbeatOf(200, 6, false))), qt.IsFalse)
+			c.Assert(r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(200, 6, false))), qt.IsFalse)
 		})
 	}
 }
@@ -165,10 +167,10 @@
 	r := NewRegistry(now, testTiming)
 	former := Heartbeat{Instance: "former", Born: 100, Address: "10.0.0.1:1", Sequence: 3}
 	present := Heartbeat{Instance: "present", Born: 200, Address: "10.0.0.1:1", Sequence: 1}
-	r.Hear(now, r.Resolve(former))
-	r.Hear(now, r.Resolve(present))
+	r.ObserveHeartbeat(now, r.Resolve(former))
+	r.ObserveHeartbeat(now, r.Resolve(present))
 	former.Sequence++
-	r.Hear(now, r.Resolve(former))
+	r.ObserveHeartbeat(now, r.Resolve(former))
 	listed := r.Runners(now)
 	c.Assert(listed, qt.HasLen, 1)
 	c.Assert(listed[0].Heartbeat.Instance, qt.Equals, "present#200")
@@ -200,10 +202,10 @@
 	c.Assert(p.Since(1).Removed, qt.ContentEquals, []string{"a#1", "b#1", "b"})
 	now := time.Unix(1000, 0)
 	r := NewRegistry(now, testTiming)
-	r.Hear(now, r.Resolve(heartbeatOf(100, 1, false)))
+	r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(100, 1, false)))
 	r.Depart(now, "i#100", true)
 	c.Assert(r.Gone(), qt.DeepEquals, []string{"i", "i#100"})
-	r.Hear(now, r.Resolve(heartbeatOf(200, 1, false)))
+	r.ObserveHeartbeat(now, r.Resolve(heartbeatOf(200, 1, false)))
 	c.Assert(r.Gone(), qt.DeepEquals, []string{"i#100"})
 }
 
@@ -228,18 +230,18 @@
 func TestIncarnationNames(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
-		id   string
-		born int64
-		name string
+		id        string
+		startTime int64
+		name      string
 	}{{"i", 0, "i"}, {"i", 7, "i#7"}, {"i-7f", 1733195000000, "i-7f#1733195000000"}} {
-		c.Assert(Incarnation(test.id, test.born), qt.Equals, test.name)
-		id, born := SplitIncarnation(test.name)
+		c.Assert(Incarnation(test.id, test.startTime), qt.Equals, test.name)
+		id, startTime := SplitIncarnation(test.name)
 		c.Assert(id, qt.Equals, test.id)
-		c.Assert(born, qt.Equals, test.born)
+		c.Assert(startTime, qt.Equals, test.startTime)
 	}
 	c.Assert(IsID("a#1"), qt.IsFalse)
 	c.Assert(IsID(""), qt.IsFalse)
-	id, born := SplitIncarnation("a#b")
+	id, startTime := SplitIncarnation("a#b")
 	c.Assert(id, qt.Equals, "a#b")
-	c.Assert(born, qt.Equals, int64(0))
+	c.Assert(startTime, qt.Equals, int64(0))
 }
--- a/placement/fleet/zonesilence.go
+++ b/placement/fleet/zonesilence.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// minZoneRunners is the least number of runners in a zone for its silence to be significant.
+	// minZoneRunners is the minimum number of runners in a zone for its silence to be significant.
 	minZoneRunners = 3
 	// A zone is silent after zoneSilenceFactor times the mean time between heartbeats of any of its
 	// runners, at least minZoneSilence: runners that were started together send heartbeats
@@ -34,7 +34,7 @@
 	zones := make(map[string]*zoneActivity)
 	for _, known := range r.runners {
 		zone := known.heartbeat.Zone
-		if zone == "" || known.hasEnded() || known.displaced || known.suspicion.meanInterval == 0 || now.Sub(known.heardAt) > r.timing.Silence() {
+		if zone == "" || known.hasEnded() || known.displaced || known.suspicion.meanInterval == 0 || now.Sub(known.heardAt) > r.timing.SilenceLimit() {
 			continue
 		}
 		if zones[zone] == nil {
--- a/placement/residency/answers.go
+++ b/placement/residency/answers.go
@@ -20,7 +20,7 @@
 		p.recordDone(now, r, order)
 		r.isTakenKnown = order.Operation == Unload && order.Adapter != ""
 		r.taken = order.Expected + 1
-	case OutcomeConflict, OutcomeRefused, OutcomeGone:
+	case OutcomeConflict, OutcomeRejected, OutcomeGone:
 		r.isTakenKnown = false
 		r.isGone = outcome == OutcomeGone
 		p.rollBack(r, order)
@@ -62,7 +62,7 @@
 	}
 }
 
-// rollBack reverts the state recorded when the order was sent, after the runner refused it.
+// rollBack reverts the state recorded when the order was sent, after the runner rejected it.
 func (p *Planner) rollBack(r *runner, order Order) {
 	held := r.holdings[order.Model]
 	switch {
--- a/placement/residency/store.go
+++ b/placement/residency/store.go
@@ -71,7 +71,7 @@
 	if limiter == nil {
 		limiter = weightstore.New(p.options.StoreWindow, allowed)
 		if recalled, isRecalled := p.recalledStores[service]; isRecalled {
-			limiter.Recall(recalled.at, recalled.limit, recalled.isCrowded)
+			limiter.RestoreLearned(recalled.at, recalled.limit, recalled.isCrowded)
 		}
 		p.stores[service] = limiter
 	}
@@ -79,10 +79,10 @@
 	return limiter
 }
 
-// followStores updates the limiters with the loads under way. A runner that executes an order of a
+// followStores updates the limiters with the loads in progress. A runner that executes an order of a
 // previous leader may be loading a model and counts as well.
 func (p *Planner) followStores(now time.Time) {
-	underWay := make(map[string][]weightstore.Load)
+	inProgress := make(map[string][]weightstore.Load)
 	runners := make(map[string]int)
 	for _, r := range p.snapshot.sorted {
 		engine := p.engineOf(r)
@@ -92,7 +92,7 @@
 		runners[r.status.Heartbeat.Service]++
 		service, instance := r.status.Heartbeat.Service, r.status.Heartbeat.Instance
 		if r.isBusy {
-			underWay[service] = append(underWay[service], weightstore.Load{Key: weightstore.Key{Instance: instance}})
+			inProgress[service] = append(inProgress[service], weightstore.Load{Key: weightstore.Key{Instance: instance}})
 		}
 		for name, held := range r.holdings {
 			model := engine.ModelByName(name)
@@ -100,14 +100,14 @@
 				continue
 			}
 			load := weightstore.Load{Key: weightstore.Key{Instance: instance, Model: name}, Nominal: model.LoadTime}
-			underWay[service] = append(underWay[service], load)
+			inProgress[service] = append(inProgress[service], load)
 		}
 	}
 	for i := range p.document.Document.Services {
 		service := p.document.Document.Services[i].Name
 		if store := p.store(service); store != nil {
-			store.Expect(p.firstLoads(service, runners[service]))
-			store.Update(now, underWay[service], p.isLoaded)
+			store.SetInitialLimit(p.firstLoads(service, runners[service]))
+			store.Update(now, inProgress[service], p.isLoaded)
 		}
 	}
 	for service := range p.stores {
@@ -153,7 +153,7 @@
 	return true
 }
 
-// hasFreeSlot reports whether the store has a slot for the need beside the loads under way and the
+// hasFreeSlot reports whether the store has a slot for the need besides the loads in progress and the
 // reserved slots. Some slots are reserved for urgent needs, which may also exceed the learned
 // limit.
 func hasFreeSlot(now time.Time, store *weightstore.Limiter, wanted need, reserved int) bool {
@@ -273,10 +273,10 @@
 // StoreState is the state of a service's weight store.
 type StoreState struct {
 	Service string
-	// UnderWay is the number of loads under way, and Limit the number of concurrent loads that the
+	// InProgress is the number of loads in progress, and Limit the number of concurrent loads that the
 	// store is assumed to serve at full speed.
-	UnderWay int
-	Limit    int
+	InProgress int
+	Limit      int
 	// Learned is the limit as learned from loads, 0 if it is unknown, and IsCrowded is set if loads
 	// were found to be slow.
 	Learned   int
@@ -288,7 +288,7 @@
 	var states []StoreState
 	for service, store := range p.stores {
 		learned, isCrowded := store.Learned()
-		states = append(states, StoreState{service, store.UnderWay(), store.Limit(), learned, isCrowded})
+		states = append(states, StoreState{service, store.InProgress(), store.Limit(), learned, isCrowded})
 	}
 	slices.SortFunc(states, func(a, b StoreState) int { return strings.Compare(a.Service, b.Service) })
 	return states
--- a/placement/scheduler/plan_test.go
+++ b/placement/scheduler/plan_test.go
@@ -98,7 +98,7 @@
 	s.Table = table
 }
 
-func minimumInOtherZone(s *Snapshot) {
+func minInOtherZone(s *Snapshot) {
 	s.setRow("a", func(r *structs.Row) { r.MinReplicas = 1 })
 }
 
@@ -123,7 +123,7 @@
 func secondDemandWaits(s *Snapshot)    { s.Demand[1].OldestWait = time.Second }
 func storeBudgetUsed(s *Snapshot)      { s.StoreLoadsInFlight = 8 }
 func storeBudgetOne(s *Snapshot)       { s.StoreLoadBudget = 1 }
-func longKeepAlive(s *Snapshot)        { s.Settings.MinimumKeepAlive = time.Hour }
+func longKeepAlive(s *Snapshot)        { s.Settings.MinKeepAlive = time.Hour }
 func deleted(s *Snapshot)              { delete(s.Table.(testTable).rows, "a") }
 
 // steps maps "row@runner" to the reason of a load or an unload.
@@ -152,9 +152,9 @@
 	{"second replica is kept slightly below capacity", []setup{places("a", 0, structs.ReplicaReady, 0), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 30)}, noSteps, noSteps},
 	{"second replica is unloaded far below capacity", []setup{places("a", 0, structs.ReplicaReady, 1), places("a", 1, structs.ReplicaReady, 0), wants("a", 0, 1)}, noSteps, steps{"a@r2": ReasonIdle}},
 	{"unloading replica counts toward the limit", []setup{limits("a", 1), places("a", 0, structs.ReplicaUnloading, 0), wants("a", 1, 0)}, noSteps, noSteps},
-	{"minimum belongs to another zone", []setup{minimumInOtherZone}, noSteps, noSteps},
+	{"minimum belongs to another zone", []setup{minInOtherZone}, noSteps, noSteps},
 	{"idle replica is unloaded if the minimum belongs to another zone", []setup{
-		minimumInOtherZone, places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Hour),
+		minInOtherZone, places("a", 0, structs.ReplicaReady, 0), usedAgo("a", time.Hour),
 	}, noSteps, steps{"a@r1": ReasonIdle}},
 	{"minimum", []setup{minimum}, steps{"a@r1": ReasonMinimum}, noSteps},
 	{"runner with cached checkpoint is preferred", []setup{secondRunnerCachesA(structs.TierDisk), wants("a", 1, 0)}, steps{"a@r2": ReasonDemand}, noSteps},
@@ -246,7 +246,7 @@
 
 func TestKeepAliveFollowsInterarrivalsAndColdCost(t *testing.T) {
 	settings := DefaultSettings()
-	settings.MinimumKeepAlive = time.Second
+	settings.MinKeepAlive = time.Second
 	const high, low = 480 * time.Second, 16 * time.Second
 	for _, test := range []struct {
 		name     string
@@ -255,9 +255,9 @@
 		want     time.Duration
 	}{
 		{"costly start, usual gap", 3 * time.Minute, high, 256 * time.Second},
-		{"cheap start, usual gap", 3 * time.Minute, low, settings.MinimumKeepAlive},
+		{"cheap start, usual gap", 3 * time.Minute, low, settings.MinKeepAlive},
 		{"cheap start, short gap", 6 * time.Second, low, 8 * time.Second},
-		{"costly start, long gap", 3 * time.Hour, high, settings.MinimumKeepAlive},
+		{"costly start, long gap", 3 * time.Hour, high, settings.MinKeepAlive},
 		{"no samples, costly start", 0, high, high},
 		{"no samples, cheap start", 0, low, low},
 	} {
@@ -325,7 +325,7 @@
 	snapshot.want("t", 1, 0)
 	for _, load := range Plan(snapshot).Loads {
 		used[load.Runner]++
-		if load.Row == "t" { // An adapter is placed beside its base.
+		if load.Row == "t" { // An adapter is placed with its base.
 			used[load.Runner]--
 		}
 	}
--- a/placement/weightstore/limiter.go
+++ b/placement/weightstore/limiter.go
@@ -20,7 +20,7 @@
 }
 
 const (
-	// initialConcurrency is the initial concurrency limit, unless set by Expect.
+	// initialConcurrency is the initial concurrency limit, unless set by SetInitialLimit.
 	initialConcurrency = 4
 	// rampUpFactor multiplies the proven concurrency to get the next limit, until the
 	// store is first found saturated. Excess loads take longer, but the total throughput
@@ -111,15 +111,15 @@
 // Limit returns the estimated number of concurrent loads served at full speed.
 func (l *Limiter) Limit() int { return max(1, int(l.limit)) }
 
-// Expect sets the concurrency limit unless it has already been learned from loads.
-func (l *Limiter) Expect(first int) {
+// SetInitialLimit sets the concurrency limit unless it has already been learned from loads.
+func (l *Limiter) SetInitialLimit(first int) {
 	if !l.isLearned {
 		l.limit = float64(max(1, first))
 	}
 }
 
 // Learned returns the learned limit, and whether the store was ever found saturated, for
-// use with Recall. It returns 0 and false if nothing has been learned.
+// use with RestoreLearned. It returns 0 and false if nothing has been learned.
 func (l *Limiter) Learned() (limit int, isSaturated bool) {
 	if !l.isLearned {
 		return 0, false
@@ -127,8 +127,8 @@
 	return l.Limit(), !l.saturatedAt.IsZero()
 }
 
-// Recall restores the result of Learned from another limiter of the same store.
-func (l *Limiter) Recall(now time.Time, limit int, isSaturated bool) {
+// RestoreLearned restores the result of Learned from another limiter of the same store.
+func (l *Limiter) RestoreLearned(now time.Time, limit int, isSaturated bool) {
 	if limit <= 0 {
 		return
 	}
@@ -138,8 +138,8 @@
 	}
 }
 
-// UnderWay returns the number of loads in progress.
-func (l *Limiter) UnderWay() int { return len(l.loads) }
+// InProgress returns the number of loads in progress.
+func (l *Limiter) InProgress() int { return len(l.loads) }
 
 // MayBegin reports whether one more load may start, given the loads in progress and the
 // number of reserved loads.
@@ -180,10 +180,10 @@
 
 // Update sets the loads in progress. For loads that are no longer in progress, isReady
 // reports whether the model was loaded; the others were aborted.
-func (l *Limiter) Update(now time.Time, underWay []Load, isReady func(Key) bool) {
+func (l *Limiter) Update(now time.Time, inProgress []Load, isReady func(Key) bool) {
 	l.integrate(now)
-	current := make(map[Key]bool, len(underWay))
-	for _, load := range underWay {
+	current := make(map[Key]bool, len(inProgress))
+	for _, load := range inProgress {
 		current[load.Key] = true
 		if _, isKnown := l.loads[load.Key]; !isKnown {
 			l.track(now, load)
--- a/placement/weightstore/limiter_test.go
+++ b/placement/weightstore/limiter_test.go
@@ -61,11 +61,11 @@
 func (s *simulatedStore) observe(l *Limiter, length time.Duration) {
 	for end := s.now.Add(length); s.now.Before(end); {
 		s.advance()
-		var underWay []Load
+		var inProgress []Load
 		for key := range s.remaining {
-			underWay = append(underWay, Load{Key: key, Nominal: nominal})
+			inProgress = append(inProgress, Load{Key: key, Nominal: nominal})
 		}
-		l.Update(s.now, underWay, func(key Key) bool { return s.done[key] })
+		l.Update(s.now, inProgress, func(key Key) bool { return s.done[key] })
 	}
 }
 
@@ -123,8 +123,8 @@
 	next := New(5*time.Second, 100)
 	limit, isCrowded = l.Learned()
 	c.Assert(isCrowded, qt.IsTrue)
-	next.Recall(store.now, limit, isCrowded)
-	next.Expect(50)
+	next.RestoreLearned(store.now, limit, isCrowded)
+	next.SetInitialLimit(50)
 	c.Assert(next.Limit(), qt.Equals, l.Limit())
 	store.peak = 0
 	store.run(next, probeInterval-time.Second)
@@ -199,7 +199,7 @@
 func TestLoadFromCopyIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	l := New(5*time.Second, 100)
-	l.Expect(24)
+	l.SetInitialLimit(24)
 	var loads []Load
 	for i := range 24 {
 		loads = append(loads, Load{Key: Key{Instance: "r", Model: fmt.Sprint(i)}, Nominal: nominal})
@@ -233,7 +233,7 @@
 			store := newSimulatedStore(10)
 			store.fixesSpeedAtStart = true
 			l := New(5*time.Second, 300)
-			l.Expect(first)
+			l.SetInitialLimit(first)
 			store.run(l, 40*time.Second)
 			c.Assert(store.peak <= 24, qt.IsTrue, qt.Commentf("%d loads at once", store.peak))
 			c.Assert(l.Limit() >= 8 && l.Limit() <= 13, qt.IsTrue, qt.Commentf("limit %d", l.Limit()))
@@ -250,7 +250,7 @@
 			store := newSimulatedStore(10)
 			store.fixesSpeedAtStart = isFixed
 			l := New(5*time.Second, 300)
-			l.Expect(34)
+			l.SetInitialLimit(34)
 			for i := range 34 {
 				load := Load{Key: Key{Instance: "r", Model: fmt.Sprint("begun", i)}, Nominal: nominal}
 				l.Begin(store.now, load)
@@ -270,26 +270,26 @@
 		t.Run(fmt.Sprintf("fixed speed %v", isFixed), func(t *testing.T) {
 			c := qt.New(t)
 			l := New(5*time.Second, 100)
-			l.Expect(7)
-			var underWay []Load
+			l.SetInitialLimit(7)
+			var inProgress []Load
 			for i := range 7 {
 				load := Load{Key: Key{Instance: fmt.Sprint("r", i)}, Nominal: nominal}
 				l.Begin(start, load)
-				underWay = append(underWay, load)
+				inProgress = append(inProgress, load)
 			}
 			at := start.Add(nominal)
 			if isFixed {
-				underWay = underWay[1:]
+				inProgress = inProgress[1:]
 			}
-			l.Update(at, underWay, func(Key) bool { return true })
+			l.Update(at, inProgress, func(Key) bool { return true })
 			c.Assert(l.Limit() >= 7, qt.IsTrue)
 			at = start.Add(2 * nominal)
-			l.Update(at, underWay, func(Key) bool { return true })
+			l.Update(at, inProgress, func(Key) bool { return true })
 			limit, isCrowded := l.Learned()
 			c.Assert(isCrowded, qt.IsTrue)
 			c.Assert(limit <= 4, qt.IsTrue, qt.Commentf("%d", limit))
 			at = start.Add(4 * nominal)
-			l.Update(at, underWay, func(Key) bool { return true })
+			l.Update(at, inProgress, func(Key) bool { return true })
 			c.Assert(l.Limit() <= 2, qt.IsTrue, qt.Commentf("%d", l.Limit()))
 		})
 	}
@@ -320,7 +320,7 @@
 	for _, test := range []struct{ limit, urgent int }{{1, 1}, {2, 2}, {3, 3}, {4, 6}, {10, 15}} {
 		t.Run(fmt.Sprint(test.limit), func(t *testing.T) {
 			limiter := New(5*time.Second, 100)
-			limiter.Recall(start, test.limit, true)
+			limiter.RestoreLearned(start, test.limit, true)
 			begun := 0
 			for ; limiter.MayBeginUrgent(start, 0); begun++ {
 				limiter.Begin(start, Load{Key{Model: fmt.Sprint(begun)}, nominal})
@@ -332,7 +332,7 @@
 
 func TestLoadOnTimeRaisesLimitToTwo(t *testing.T) {
 	limiter := New(5*time.Second, 100)
-	limiter.Expect(1)
+	limiter.SetInitialLimit(1)
 	limiter.Update(start, nil, nil)
 	limiter.Begin(start, Load{Key{Model: "m"}, nominal})
 	limiter.Update(start.Add(nominal), nil, func(Key) bool { return true })
@@ -344,7 +344,7 @@
 	for _, test := range []struct{ proved, tried int }{{1, 2}, {2, 3}, {3, 4}} {
 		t.Run(fmt.Sprint(test.proved), func(t *testing.T) {
 			limiter := New(5*time.Second, 100)
-			limiter.Expect(test.proved)
+			limiter.SetInitialLimit(test.proved)
 			limiter.Update(start, nil, nil)
 			for i := range test.proved {
 				limiter.Begin(start, Load{Key{Model: fmt.Sprint(i)}, nominal})
--- a/request/relay/exchange.go
+++ b/request/relay/exchange.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// minAttemptTime is the least remaining time with which another attempt is made.
+	// minAttemptTime is the minimum remaining time with which another attempt is made.
 	minAttemptTime = 20 * time.Millisecond
 	// lastAnswerTime is subtracted from the time given to a runner, at most one lastAnswerShare-th
 	// of what is left. The runner then reports the timeout itself, and the connection can be kept.
@@ -24,10 +24,10 @@
 	lastAnswerShare = 10
 	// maxBuffered bounds the bytes of a response that are read before its header is sent.
 	maxBuffered = 1 << 20
-	// minRetryAfter is the least Retry-After given to a caller.
+	// minRetryAfter is the minimum Retry-After given to a caller.
 	minRetryAfter = 200 * time.Millisecond
-	// maxRefusals bounds the runners that may reject one request.
-	maxRefusals = 3
+	// maxRejections bounds the runners that may reject one request.
+	maxRejections = 3
 	// maxUnsent bounds the failed connects of one request. It may meet several runners of an
 	// unreachable zone before the loss of the zone is detected.
 	maxUnsent = 6
@@ -83,10 +83,10 @@
 	regions *regionLimit
 	// hidesKey is set if the document has tenants, so that API keys are not forwarded.
 	hidesKey bool
-	// attempts counts the runners that may have run the request, refusals those that reported that
+	// attempts counts the runners that may have run the request, rejections those that reported that
 	// they did not.
-	attempts int
-	refusals int
+	attempts         int
+	runnerRejections int
 	// unsent counts failed connects.
 	unsent int
 	// sent counts all sends, arrivals those of which a runner may have received something. Only
@@ -94,11 +94,11 @@
 	sent     int
 	arrivals int
 	prefixes []uint64
-	// avoid is the runner of the last attempt, barred one that rejected the request twice and is
+	// avoid is the runner of the last attempt, excluded one that rejected the request twice and is
 	// not tried again.
-	avoid  structs.RunnerID
-	barred structs.RunnerID
-	// rejectedBy lists the runners that rejected the request, at most maxRefusals.
+	avoid    structs.RunnerID
+	excluded structs.RunnerID
+	// rejectedBy lists the runners that rejected the request, at most maxRejections.
 	rejectedBy []structs.RunnerID
 	// digest identifies the content of the request.
 	digest poison.Digest
@@ -128,25 +128,25 @@
 	if index == nil {
 		r.metrics.requests.WithLabelValues(kindName(0), "no_document").Inc()
 		r.log(request, 0, "no_document", nil)
-		refuse(writer, http.StatusServiceUnavailable, minRetryAfter, "no document is known yet")
+		reject(writer, http.StatusServiceUnavailable, minRetryAfter, "no document is known yet")
 		return
 	}
 	route := index.Route(request.HTTP.Host, request.HTTP.URL.EscapedPath())
 	if route == nil {
 		r.metrics.requests.WithLabelValues(kindName(0), "no_route").Inc()
 		r.log(request, index.Document.Version, "no_route", nil)
-		refuse(writer, http.StatusNotFound, 0, "no route leads there")
+		reject(writer, http.StatusNotFound, 0, "no route leads there")
 		return
 	}
-	tenant, refused := r.identify(index, route, request)
+	tenant, rejected := r.identify(index, route, request)
 	ticket := ticketOf(request, route, tenant)
 	digest := request.digest(ticket.Tenant)
 	var counted admission
-	if refused == nil {
-		counted, refused = r.admit(request.HTTP.Context(), tenant, request, ticket, digest)
+	if rejected == nil {
+		counted, rejected = r.admit(request.HTTP.Context(), tenant, request, ticket, digest)
 	}
-	if refused != nil {
-		r.refuseTenant(writer, request, route, tenant, index.Document.Version, refused)
+	if rejected != nil {
+		r.rejectTenant(writer, request, route, tenant, index.Document.Version, rejected)
 		return
 	}
 	x := &exchange{
@@ -170,7 +170,7 @@
 		return
 	}
 	if !x.hasRunners() {
-		x.refuseNoRegion()
+		x.rejectNoRegion()
 		return
 	}
 	r.countRequest(x.row, route.Objective)
@@ -266,7 +266,7 @@
 		return false
 	}
 	if ended.isNotRun {
-		return x.refusals < maxRefusals && x.unsent < maxUnsent
+		return x.runnerRejections < maxRejections && x.unsent < maxUnsent
 	}
 	return x.route.MayRepeat() && x.attempts < max(1, x.route.MaxAttempts)
 }
@@ -370,13 +370,13 @@
 func (x *exchange) receive(ctx context.Context, choice routing.Choice, answer *Answer, watchdog *watchdog) result {
 	switch {
 	case answer.NotHeld:
-		x.refusals++
+		x.runnerRejections++
 		x.router.noteNotHeld(choice.Runner(), x.row)
-		return result{outcome: routing.OutcomeRefused, isNotRun: true, reason: reasonNotHeld}
+		return result{outcome: routing.OutcomeUnavailable, isNotRun: true, reason: reasonNotHeld}
 	case answer.NotRun:
-		x.refusals++
+		x.runnerRejections++
 		x.noteRejection(choice.Runner())
-		return result{outcome: routing.OutcomeTurnedAway, isNotRun: true, reason: reasonShed}
+		return result{outcome: routing.OutcomeRejected, isNotRun: true, reason: reasonShed}
 	}
 	x.attempts++
 	if answer.IsStream && answer.Status == http.StatusOK {
@@ -386,10 +386,10 @@
 }
 
 // noteRejection records that a runner rejected the request. A runner that rejects it a second time
-// is barred.
+// is excluded.
 func (x *exchange) noteRejection(runner structs.RunnerID) {
 	if slices.Contains(x.rejectedBy, runner) {
-		x.barred = runner
+		x.excluded = runner
 	}
 	x.rejectedBy = append(x.rejectedBy, runner)
 }
--- a/request/relay/types.go
+++ b/request/relay/types.go
@@ -97,7 +97,7 @@
 	HidesKey bool
 	// ResumeAfter is the ID of the last event that the caller has; NoEvent for none.
 	ResumeAfter int64
-	// Begin reports whether the request may still be sent, as the runner may have asked for a rest
+	// Begin reports whether the request may still be sent, as the runner may have requested a cooldown
 	// period or announced that it is leaving since it was chosen. After returning true once it
 	// always does. Nil means always.
 	Begin func() bool
@@ -128,7 +128,7 @@
 }
 
 // isTaken reports whether the runner accepted the request, whatever its outcome.
-func (a *Answer) isTaken() bool { return !a.NotHeld && !a.NotRun && a.Notice.Rest == 0 }
+func (a *Answer) isTaken() bool { return !a.NotHeld && !a.NotRun && a.Notice.Cooldown == 0 }
 
 // tellsLimit reports whether the response is evidence of the runner's rate limit, or of its
 // absence. A response with NotHeld may come from another runner. Only a successful response proves
--- a/request/relay/watchdog.go
+++ b/request/relay/watchdog.go
@@ -76,7 +76,7 @@
 	w.timer.Reset(max(time.Millisecond, limit-silent))
 }
 
-// cancelZoneLost cancels a repeatable attempt because its zone is out of reach.
+// cancelZoneLost cancels a repeatable attempt because its zone is unreachable.
 func (w *watchdog) cancelZoneLost() {
 	if w.timer != nil {
 		w.cancel(errZoneLost)
@@ -85,7 +85,7 @@
 
 // noteActivity records that the runner sent data for the attempt.
 func (w *watchdog) noteActivity() {
-	w.exchange.router.heardFrom(w.runner)
+	w.exchange.router.observeData(w.runner)
 	w.resetSilence()
 }
 
@@ -113,7 +113,7 @@
 // busySilenceLimit returns how long a runner that sends data for other requests may be silent.
 func (x *exchange) busySilenceLimit() time.Duration {
 	if x.route.Kind == site.KindStream {
-		return x.router.options.Patience.of(x.route) * 3 / 4
+		return x.router.options.MaxWait.of(x.route) * 3 / 4
 	}
 	return x.silenceLimit()
 }
--- a/request/router/engine_test.go
+++ b/request/router/engine_test.go
@@ -7,7 +7,7 @@
 	"github.com/lotusferry/lotusferry/structs"
 )
 
-// sendAttempt simulates an adversarial engine, which refuses, loses, breaks, truncates,
+// sendAttempt simulates an adversarial engine, which rejects, loses, breaks, truncates,
 // repeats, skips and mixes up the attempts it receives.
 func (w *simulation) sendAttempt(send SendAttempt) {
 	id := send.Attempt.Request()
@@ -27,7 +27,7 @@
 	case 0:
 		w.after(time.Second, AttemptFailed{Attempt: send.Attempt, Stage: NotSent})
 	case 1:
-		w.after(time.Second, AttemptFailed{Attempt: send.Attempt, Stage: RefusedByEngine})
+		w.after(time.Second, AttemptFailed{Attempt: send.Attempt, Stage: RejectedByEngine})
 	case 2:
 		w.after(time.Second, AttemptFailed{Attempt: send.Attempt, Stage: Broken})
 	default:
@@ -59,8 +59,8 @@
 			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: Broken}})
 		}
 		if fault == 12 && index > send.Generate.ResumeFrom {
-			// The engine refuses an attempt that it has started.
-			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: RefusedByEngine}})
+			// The engine rejects an attempt that it has started.
+			w.pending = append(w.pending, scheduled{at, AttemptFailed{Attempt: send.Attempt, Stage: RejectedByEngine}})
 			return
 		}
 		if fault == 2 {
--- a/request/router/stall_test.go
+++ b/request/router/stall_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestSilentEngineWithoutRetriesIsAskedAndGivenUp checks that a request that cannot be
-// retried is refused once its engine makes no progress, not at its deadline.
+// retried is rejected once its engine makes no progress, not at its deadline.
 func TestSilentEngineWithoutRetriesIsAskedAndGivenUp(t *testing.T) {
 	spent := map[string]func(*Options){
 		"attempts": func(options *Options) { options.AttemptLimit = 1 },
@@ -128,9 +128,9 @@
 					s.do(withStatus(reply, status))
 				}
 				s.c.Assert(only[CancelAttempt](s).Attempt, qt.Equals, sent.Attempt)
-				refusal := only[Refuse](s).Refusal
-				s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionPartial)
-				s.c.Assert(refusal.Error.RetryAfter >= MinimumRetryAfter, qt.IsTrue)
+				rejection := only[Reject](s).Rejection
+				s.c.Assert(rejection.Execution, qt.Equals, structs.ExecutionPartial)
+				s.c.Assert(rejection.Error.RetryAfter >= MinRetryAfter, qt.IsTrue)
 				s.c.Assert(s.core.Idle(), qt.IsTrue)
 			})
 		}
@@ -149,7 +149,7 @@
 	advance(s, DefaultStallCeiling+time.Second)
 	s.c.Assert(only[AskStatus](s).Peek, qt.IsTrue)
 	s.do(withStatus(reply, running))
-	s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionPartial)
+	s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionPartial)
 }
 
 // TestSilentEngineIsAbandonedOnceBudgetAllowsRetry covers a budget that is empty when the
@@ -228,20 +228,20 @@
 }
 
 // TestSilentEngineWithKeyWithoutRetries checks that a request that certainly did not run
-// and cannot be retried is refused as not run immediately.
+// and cannot be retried is rejected as not run immediately.
 func TestSilentEngineWithKeyWithoutRetries(t *testing.T) {
 	s, _, reply := stalledKeyedRequest(t, 0, func(options *Options) { options.AttemptLimit = 1 })
 	s.do(withStatus(reply, structs.RequestStatus{State: structs.RunQueued, Incarnation: 7}))
 	fenced := withStatus(reply, structs.RequestStatus{State: structs.RunCancelled, Incarnation: 7})
 	fenced.Peek = false
 	s.do(fenced)
-	refusal := only[Refuse](s).Refusal
-	s.c.Assert(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-	s.c.Assert(refusal.Error.RetryAfter > 0, qt.IsTrue)
+	rejection := only[Reject](s).Rejection
+	s.c.Assert(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+	s.c.Assert(rejection.Error.RetryAfter > 0, qt.IsTrue)
 	s.c.Assert(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimReleased)
 }
 
-// TestSilentEngineWithKeyThatHasStarted checks that the request is refused immediately,
+// TestSilentEngineWithKeyThatHasStarted checks that the request is rejected immediately,
 // because it can only end as outcome_unknown.
 func TestSilentEngineWithKeyThatHasStarted(t *testing.T) {
 	tests := []struct {
@@ -259,7 +259,7 @@
 			s, sent, reply := stalledKeyedRequest(t, test.tokens, nil)
 			s.do(withStatus(reply, test.status))
 			s.c.Assert(only[CancelAttempt](s).Attempt, qt.Equals, sent.Attempt)
-			s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+			s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 			s.c.Assert(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimUnknown)
 			s.c.Assert(s.core.Idle(), qt.IsTrue)
 		})
@@ -285,7 +285,7 @@
 			advance(s, time.Second)
 		}
 		s.do(reply)
-		s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+		s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 	}
 }
 
@@ -307,7 +307,7 @@
 	s.c.Assert(s.effects, qt.HasLen, 0)
 	advance(s, DefaultStallCeiling+time.Second)
 	s.do(withStatus(reply, running))
-	s.c.Assert(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionUnknown)
+	s.c.Assert(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionUnknown)
 }
 
 // TestStatusOfBrokenAttemptIsAskedOnce checks that the stall check of an attempt ends
--- a/request/router/tokens_test.go
+++ b/request/router/tokens_test.go
@@ -47,10 +47,10 @@
 				s.arrive(ten("first"))
 				test.end(s, only[SendAttempt](s))
 				s.arrive(ten("second"))
-				refusal := only[Refuse](s).Refusal
-				s.c.Check(refusal.Error.Kind, qt.Equals, structs.ErrorLimit)
-				s.c.Check(refusal.Execution, qt.Equals, structs.ExecutionNotRun)
-				s.c.Check(refusal.Error.RetryAfter >= test.wait && refusal.Error.RetryAfter <= test.wait*11/10, qt.IsTrue, qt.Commentf("%v", refusal.Error.RetryAfter))
+				rejection := only[Reject](s).Rejection
+				s.c.Check(rejection.Error.Kind, qt.Equals, structs.ErrorLimit)
+				s.c.Check(rejection.Execution, qt.Equals, structs.ExecutionNotRun)
+				s.c.Check(rejection.Error.RetryAfter >= test.wait && rejection.Error.RetryAfter <= test.wait*11/10, qt.IsTrue, qt.Commentf("%v", rejection.Error.RetryAfter))
 				s.now = s.now.Add(test.wait)
 				s.arrive(ten("third"))
 				s.c.Check(only[SendAttempt](s).Attempt.Request(), qt.Equals, structs.RequestID("third"))
@@ -70,6 +70,6 @@
 	})
 	begin := only[BeginClaim](s)
 	s.do(ClaimReplied{ID: "keyed", Claim: &begin.Claim, New: true})
-	s.c.Check(only[Refuse](s).Refusal.Execution, qt.Equals, structs.ExecutionNotRun)
+	s.c.Check(only[Reject](s).Rejection.Execution, qt.Equals, structs.ExecutionNotRun)
 	s.c.Check(only[FinishClaim](s).Claim.State, qt.Equals, structs.ClaimReleased)
 }
--- a/request/routing/draw.go
+++ b/request/routing/draw.go
@@ -70,14 +70,14 @@
 	r.recentAt = now
 }
 
-// weightedCost raises the cost to the power Sharpness. Without any load report it
+// weightedCost raises the cost to the power CostExponent. Without any load report it
 // returns the cost itself, so that the load follows the replicas' speed: otherwise
 // routers without reports would together overload the fastest ones.
 func (b *Balancer) weightedCost(cost float64, candidate *replica, found *lookup) float64 {
 	if !found.peers.isKnown && candidate.runner.pace.PromptRate > 0 {
 		return cost
 	}
-	return intPow(cost, b.options.Sharpness)
+	return intPow(cost, b.options.CostExponent)
 }
 
 // intPow returns base to the given power, which must be at least 1.
--- a/request/routing/runner.go
+++ b/request/routing/runner.go
@@ -79,19 +79,19 @@
 }
 
 // load returns the number of requests on the runner as known to this router.
-func (r *runner) load(now time.Time, life time.Duration) int {
-	if r.others > 0 && now.Sub(r.reportedAt) < life {
+func (r *runner) load(now time.Time, ttl time.Duration) int {
+	if r.others > 0 && now.Sub(r.reportedAt) < ttl {
 		return r.inFlight + r.others
 	}
 	return r.inFlight
 }
 
-// hasRoom reports whether the runner may get one more attempt. A router without any
+// hasCapacity reports whether the runner may get one more attempt. A router without any
 // attempt on a full runner may send one, so that other routers cannot starve it; the
 // engine queues the excess.
-func (r *runner) hasRoom(now time.Time, options *Options) bool {
+func (r *runner) hasCapacity(now time.Time, options *Options) bool {
 	limit := r.maxBatch + options.QueueSlack
-	load := r.load(now, options.ReportLife)
+	load := r.load(now, options.ReportTTL)
 	if load < limit {
 		return true
 	}
--- a/request/zonewatch/watch_test.go
+++ b/request/zonewatch/watch_test.go
@@ -137,7 +137,7 @@
 	}
 	s.after(s.answerTime, func() {
 		if s.isReachable(zone, id) {
-			s.watch.Heard(s.now, id)
+			s.watch.ObserveData(s.now, id)
 			s.watch.Ended(zone)
 			return
 		}
@@ -205,7 +205,7 @@
 	}
 }
 
-// A router in a zone that is cut off keeps using its own zone and detects the loss of the others together.
+// A router in a zone that is partitioned keeps using its own zone and detects the loss of the others together.
 func TestIsolatedZoneKeepsOwnRunners(t *testing.T) {
 	s := newSite(t)
 	s.run(3 * time.Second)
@@ -276,7 +276,7 @@
 			s.run(3 * time.Second)
 			s.c.Assert(s.probes, qt.Equals, 0)
 			// The own zone was heard from just now.
-			s.watch.Heard(s.now, "a0")
+			s.watch.ObserveData(s.now, "a0")
 			s.probe(s.watch.LeaderSilent(s.now))
 			s.c.Assert(s.probes, qt.Equals, 3)
 			s.run(3 * connectTime)
